--- a/stoatfeed/doc.go
+++ b/stoatfeed/doc.go
@@ -1,7 +1,7 @@
-// Package stoatfeed decides when an entry asks the platform, what it asks, and how long it
-// believes an answer.
+// Package stoatfeed decides when an entry calls the platform, what it requests, and how long it relies on
+// an answer.
 //
-// A Feed follows one kind of object: it lists, then watches, and starts again when a watch
-// went silent or its history is gone. It performs no I/O; the caller does each Call and
-// feeds its end back.
+// A Feed follows one kind of object: it lists the objects, then watches them for changes. It starts over
+// when a watch has gone silent or when the platform no longer has the history that the watch needs. A Feed
+// performs no I/O: the caller makes each Call and reports its result to the Feed.
 package stoatfeed
--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -9,59 +9,63 @@
 
 // Config configures a Feed.
 type Config struct {
-	// Bound is how soon a change has to be in force. A watch can go silent without a word;
-	// a change that it hid is found by the next one, which has to be asked and answered
-	// within the bound.
+	// MaxDelay is the time within which a change must be in force. A watch can go silent without an
+	// error. A change that it missed is found by the next watch, which has to be sent and answered
+	// within this time.
 	Bound time.Duration
-	// Stale lets watches be answered from a replica: it costs a tenth and counts toward no
-	// rate. Only for a feed that is checked against another feed's proof.
+	// AllowStale lets a replica answer watches, which costs a tenth and counts toward no rate limit. It
+	// is only for a feed whose position is checked against that of an exact feed.
 	Stale bool
-	// StaleStart lets the first list come from a replica: when all entries start at once,
-	// exact lists would use up the platform's reads for as long as there are entries.
+	// AllowStaleStart lets a replica answer the first list. When all entries start at once, exact lists
+	// would use up the platform's read rate for a time that grows with the number of entries.
 	StaleStart bool
-	// Prompt is set where others wait for this feed's proofs.
+	// HasFollowers is set where other entries wait for this feed to confirm that their view is current.
 	Prompt bool
-	Rand   *rand.Rand // of the pauses
+	Rand   *rand.Rand // for random pauses
 }
 
 const (
-	// waitShare and hangShare split Bound: a watch waits for 0.65 of it, one that has not
-	// answered 0.15 later is given up, and the rest is left to ask again. Each watch is paid for.
-	waitShare = 0.65
-	hangShare = 0.15
-	// promptShare is waitShare where others are told what this feed learns: a proof of it
-	// has to reach them, through some others, twice within the bound, so that one may be lost.
-	promptShare = 0.45
-	// reliefShare is how much of Bound a replica is watched after a refusal by rate.
-	reliefShare = 0.2
-	// gatherShare is how much of Bound passes between news and the next watch: changes come
-	// in swarms, and each answer is paid for by each entry.
-	gatherShare = 0.05
-	// listTimeout bounds a page: 500 objects at 4 ms, and up to 60 times that when slow.
+	// waitFraction and answerFraction divide MaxDelay: a watch waits for a change during 0.65 of it and is
+	// given up if there is no answer another 0.15 later. The rest is left for the next call. The wait is
+	// long because each watch is charged for.
+	waitFraction   = 0.65
+	answerFraction = 0.15
+	// followedWaitFraction replaces waitFraction where other entries are told what this feed learns. A
+	// confirmation has to reach them, through intermediate entries, twice within MaxDelay, so that one of
+	// the two may be lost.
+	followedWaitFraction = 0.45
+	// replicaWaitFraction is the part of MaxDelay for which a replica is watched after the platform
+	// refused a call by rate.
+	replicaWaitFraction = 0.2
+	// batchFraction is the part of MaxDelay that passes between an answer with changes and the next watch.
+	// Changes come in bursts, and each entry is charged for each answer.
+	batchFraction = 0.05
+	// listTimeout limits the call for one page. A page of 500 objects takes 4 ms, and up to 60 times as
+	// long on a slow platform.
 	listTimeout = 1500 * time.Millisecond
-	// pauseLeast and pauseMost bound the pause after a failure. Each refused call is paid
-	// for; a second more of an old view after an outage is well within the bounds.
-	pauseLeast = 60 * time.Millisecond
-	pauseMost  = time.Second
-	// pauseRelayed is the least pause, and the same again at random, while another entry tells
-	// when the platform is back: of 7,500 entries that ask every second each refused call is
-	// paid for. What it costs is time only for an entry that the platform answers again while
-	// it still refuses all that read for others.
-	pauseRelayed = 2 * time.Second
-	// awayAfter is the least outage in which a registration can lapse: three heartbeats of
-	// a third of a second.
-	awayAfter = time.Second
+	// minPause and maxPause limit the pause after a failed call. Refused calls are charged for as well,
+	// and an outdated view for one more second after an outage is well within MaxDelay.
+	minPause = 60 * time.Millisecond
+	maxPause = time.Second
+	// relayedPause is the minimum pause while another entry reports when the platform is back; up to the
+	// same time is added at random. Otherwise 7,500 entries would call every second, and each refused call
+	// is charged for. The pause delays recovery only at an entry that the platform answers again while it
+	// still refuses all entries that read on behalf of others.
+	relayedPause = 2 * time.Second
+	// minLapseOutage is the shortest outage in which a registration can lapse: three heartbeats, which are
+	// a third of a second apart.
+	minLapseOutage = time.Second
 )
 
-// Call is one question to the platform.
+// Call is one request to the platform, which is a list or a watch.
 type Call struct {
 	List    bool
-	After   string // list: go on after this name
-	From    stoatpaddle.Version
-	Wait    time.Duration // watch: for the first change
+	After   string              // list: continue after this name
+	From    stoatpaddle.Version // watch: report changes after this revision
+	Wait    time.Duration       // watch: how long to wait for the first change
 	Timeout time.Duration
-	Stale   bool
-	Pause   time.Duration // before the call
+	Stale   bool          // a replica may answer
+	Pause   time.Duration // how long to wait before the call
 }
 
 // Outcome is how a call ended.
@@ -70,10 +74,10 @@
 // The outcomes of a call.
 const (
 	Answered    Outcome = iota
-	Forgotten           // the platform has no history from that revision on
-	Refused             // by rate
-	Failed              // no usable answer
-	Interrupted         // given up here, to ask anew
+	Forgotten           // the platform no longer has the history from that revision on
+	Refused             // the platform refused the call by rate
+	Failed              // there was no usable answer
+	Interrupted         // the caller cancelled the call in order to make a new one
 )
 
 // String returns the label used in logs and metrics.
@@ -81,66 +85,66 @@
 	return [...]string{"answered", "forgotten", "refused", "failed", "interrupted"}[o]
 }
 
-// Result is the end of a call.
+// Result is the result of a call.
 type Result struct {
 	Outcome Outcome
-	AsOf    stoatpaddle.Position // its era alone where history is forgotten
+	AsOf    stoatpaddle.Position // position of the answer; if Outcome is Forgotten, only the era is set
 	More    bool                 // list: there are further pages
-	Last    string
-	Changes int // watch: how many came
+	Last    string               // list: name after which the next page continues
+	Changes int                  // watch: number of changes in the answer
 }
 
-// Verdict tells what an answer is worth.
+// Verdict tells the caller what to do with an answer.
 type Verdict struct {
-	Apply    bool // its objects may be taken in
-	Complete bool // a list is complete with it
-	Away     bool // the list follows an outage in which registrations may have lapsed
-	Proof    bool // whatever was in force when the call was sent is known now
-	Behind   bool // it is older than what is known, and was put aside
-	Lost     bool // the platform does not answer any more; said once
-	Back     bool // it answers again; said once
+	Apply    bool // the objects in the answer may be applied
+	Complete bool // the answer completes a list
+	Away     bool // the list follows an outage or a restore, in which registrations may have lapsed
+	Proof    bool // everything that was in force when the call was sent is known now
+	Behind   bool // the answer is older than what is known and was discarded
+	Lost     bool // the platform stopped answering; reported once
+	Back     bool // the platform answers again; reported once
 }
 
 // Feed follows one kind of object.
 type Feed struct {
-	cfg      Config
-	pos      stoatpaddle.Position // everything up to it is known
-	era      stoatpaddle.Era      // the latest that is known to have begun; 0: none was said
-	listed   bool
-	begun    bool                 // there was a complete list, or another entry told as much
-	after    string               // of the list that is under way
-	listFrom stoatpaddle.Position // of its first page
-	failures int
-	oldRow   int       // so many answers in a row were put aside
-	goneRow  int       // so many watches in a row met a history that is gone
-	failing  time.Time // since when; zero: not
-	down     time.Time // since when calls got no answer at all; zero: they did
-	relief   bool      // the next call goes to a replica, since the last was refused by rate
-	away     bool      // the next complete list follows an outage or a restore
-	lost     bool
-	exact    bool          // the next call must not be answered by a replica
-	hurry    bool          // the next call must not wait for a change
-	gather   bool          // the last watch brought news
-	relayed  bool          // another entry tells when the platform is back
-	age      time.Duration // of the last proof, when it came
+	cfg             Config
+	pos             stoatpaddle.Position // everything up to this position is known
+	era             stoatpaddle.Era      // latest era that is known to have begun; 0: no era was reported
+	listed          bool                 // the next call is a watch
+	started         bool                 // a list was completed, or another entry provided its equivalent
+	after           string               // list in progress: name after which it continues
+	listStart       stoatpaddle.Position // list in progress: position of its first page
+	failures        int                  // consecutive calls that failed or were refused
+	outdatedInRow   int                  // consecutive answers that were discarded as outdated
+	forgottenInRow  int                  // consecutive watches whose history was forgotten
+	failingSince    time.Time            // when the first of the consecutive failures came; zero: there is none
+	unansweredSince time.Time            // since when calls have got no answer at all; zero: they get answers
+	useReplica      bool                 // the next call may go to a replica, since the last one was refused by rate
+	afterOutage     bool                 // the next complete list follows an outage or a restore
+	unreachable     bool                 // the platform counts as not answering
+	exact           bool                 // the next call must not be answered by a replica
+	immediate       bool                 // the next call must not wait for a change
+	gotChanges      bool                 // the last watch returned changes
+	recoveryRelayed bool                 // another entry reports when the platform is back
+	answerAge       time.Duration        // age of the last exact watch answer when it came
 }
 
-// New returns a Feed that has heard nothing.
+// New returns a Feed that knows nothing yet.
 func New(cfg Config) *Feed { return &Feed{cfg: cfg} }
 
-// SetBound changes the bound for the calls to come.
+// SetBound changes Config.MaxDelay for the following calls.
 func (f *Feed) SetBound(d time.Duration) { f.cfg.Bound = d }
 
 // Position returns the position up to which everything is known.
 func (f *Feed) Position() stoatpaddle.Position { return f.pos }
 
-// Era returns the latest era that is known to have begun.
+// Era returns the latest era that is known to have begun; 0 means that none was reported.
 func (f *Feed) Era() stoatpaddle.Era { return f.era }
 
-// Restored takes in that the platform came back from an older copy of itself, and tells whether that
-// is news. A watch from a revision of before would leave out what is written under revisions that are
-// given out again: only a list tells what there is. What it lacks may have been lost with the copy, and
-// is given the same time to come back as after an outage.
+// Restored records that the platform was restored from an older copy of itself, and reports whether the
+// feed did not know of that restore. A watch from a revision of the earlier era would miss what is written
+// under revisions that are assigned a second time, so only a list shows what exists. Objects that the list
+// lacks may have been lost in the restore and get the same time to come back as after an outage.
 func (f *Feed) Restored(era stoatpaddle.Era) bool {
 	if era <= f.era {
 		return false
@@ -148,84 +152,86 @@
 	first := f.era == 0
 	f.era = era
 	if first {
-		// Nothing that is known is of an earlier history: no era was said before.
-		f.pos.Era, f.listFrom.Era = era, era
+		// No era was reported before, so nothing that is known belongs to an earlier one.
+		f.pos.Era, f.listStart.Era = era, era
 		return false
 	}
 	f.relist()
-	f.away = true
+	f.afterOutage = true
 	return true
 }
 
-// Heard takes in that everything up to the position is known from elsewhere, by somebody
-// who may be out of touch: the platform is asked as before.
+// Heard records that everything up to the position is known from another entry. That entry may have lost
+// contact with the platform, so this feed goes on calling the platform as before.
 func (f *Feed) Heard(pos stoatpaddle.Position) {
 	f.Restored(pos.Era)
 	f.pos = f.pos.Later(pos)
 }
 
-// Adopt takes in that everything up to the position is known from elsewhere, and that
-// whoever told it answers for what happened before.
+// Adopt records that everything up to the position is known from another entry which is in contact with
+// the platform. Its state takes the place of a complete list of this feed.
 func (f *Feed) Adopt(pos stoatpaddle.Position) {
 	f.Restored(pos.Era)
 	f.pos = f.pos.Later(pos)
 	if pos.Era < f.era {
-		// Whoever told it is about to list what the present era has: a watch from here would skip that.
+		// The other entry has not listed the objects of the current era yet. A watch from its position
+		// would miss them.
 		return
 	}
-	f.listed, f.begun, f.after, f.away, f.lost, f.relief = true, true, "", false, false, false
-	f.failures, f.failing, f.down = 0, time.Time{}, time.Time{}
+	f.listed, f.started, f.after, f.afterOutage, f.unreachable, f.useReplica = true, true, "", false, false, false
+	f.failures, f.failingSince, f.unansweredSince = 0, time.Time{}, time.Time{}
 }
 
-// Lost tells whether the platform counts as not answering.
-func (f *Feed) Lost() bool { return f.lost }
+// Lost reports whether the platform counts as not answering.
+func (f *Feed) Lost() bool { return f.unreachable }
 
-// Failing tells since when the platform has not answered; zero: it answers.
-func (f *Feed) Failing() time.Time { return f.failing }
+// Failing returns the time since when calls have failed; it is zero if the last one succeeded.
+func (f *Feed) Failing() time.Time { return f.failingSince }
 
-// Next returns the call to do now.
+// Next returns the call to make now.
 func (f *Feed) Next() Call {
 	c := Call{Timeout: listTimeout, Pause: f.pause()}
 	if !f.listed {
-		c.List, c.After, c.Stale = true, f.after, f.relief || f.cfg.StaleStart && !f.begun && !f.exact
+		c.List, c.After, c.Stale = true, f.after, f.useReplica || f.cfg.StaleStart && !f.started && !f.exact
 		return c
 	}
 	c.From = f.pos.Revision
 	c.Wait = f.wait()
-	c.Timeout = c.Wait + Share(f.cfg.Bound, hangShare)
-	// A replica that is behind may not have the revision yet that it is asked to go on from.
-	c.Stale = f.cfg.Stale && !f.exact && f.goneRow < 2
+	c.Timeout = c.Wait + Share(f.cfg.Bound, answerFraction)
+	// A replica that is behind may not have reached the revision yet from which it is to watch.
+	c.Stale = f.cfg.Stale && !f.exact && f.forgottenInRow < 2
 	switch {
-	case f.relief:
-		// News goes on while the exact question waits its turn.
-		c.Stale, c.Wait = true, Share(f.cfg.Bound, reliefShare)
-	case f.exact || f.hurry || f.failures > 0:
-		// It is wanted now, not when something changes.
+	case f.useReplica:
+		// Changes still arrive from the replica until the exact call is made again.
+		c.Stale, c.Wait = true, Share(f.cfg.Bound, replicaWaitFraction)
+	case f.exact || f.immediate || f.failures > 0:
+		// The answer is needed now, not when something changes.
 		c.Wait = time.Millisecond
 		c.Timeout = f.answerWithin(c.Timeout)
 	}
 	return c
 }
 
-// answerWithin is how long a question may take that waits for nothing: the connection that it
-// takes may have gone silent while it was idle, and the next try gets a new one. A slow
-// platform is given more time each time.
-func (f *Feed) answerWithin(most time.Duration) time.Duration {
-	return min(most, time.Duration(1+f.failures)*Share(f.cfg.Bound, hangShare))
+// answerWithin returns the timeout of a call that does not wait for a change, which is at most the given
+// time. It is short because the idle connection that the call uses may have gone silent, and the next
+// attempt uses a new one. It grows with each failure to give a slow platform more time.
+func (f *Feed) answerWithin(limit time.Duration) time.Duration {
+	return min(limit, time.Duration(1+f.failures)*Share(f.cfg.Bound, answerFraction))
 }
 
-// wait is how long a watch waits for a change. Where others wait for proofs, one that was
-// old when it came, since its watch was ended by news, is followed by the next one sooner.
+// wait returns how long a watch waits for a change. If a change ended the last watch early, its answer is
+// only current as of the time it was sent. Where other entries wait for confirmations, the next watch is
+// shortened by the age of that answer.
 func (f *Feed) wait() time.Duration {
 	if !f.cfg.Prompt {
-		return Share(f.cfg.Bound, waitShare)
+		return Share(f.cfg.Bound, waitFraction)
 	}
-	return max(Share(f.cfg.Bound, promptShare)-f.age, Share(f.cfg.Bound, gatherShare)).Truncate(time.Millisecond)
+	return max(Share(f.cfg.Bound, followedWaitFraction)-f.answerAge, Share(f.cfg.Bound, batchFraction)).Truncate(time.Millisecond)
 }
 
-// AsOf returns the time as of which an answer, which came at now to a question sent at sent,
-// says what the platform has: when it was sent, for nothing tells when in between it was
-// made. A watch that waited to its end without a change was answered after the wait.
+// AsOf returns the time as of which an answer shows the state of the platform, if the call was sent at sent
+// and answered at now. It is the time of sending, because nothing tells at which moment in between the
+// platform made the answer. A watch that waited to its end without a change was answered after the wait.
 func (c *Call) AsOf(sent, now time.Time, r Result) time.Time {
 	if end := sent.Add(c.Wait); c.Wait > time.Millisecond && r.Changes == 0 && !end.After(now) {
 		return end
@@ -233,166 +239,173 @@
 	return sent
 }
 
-// Share returns a part of a bound, in whole milliseconds.
+// Share returns the given part of a duration, in whole milliseconds.
 func Share(d time.Duration, part float64) time.Duration {
 	return time.Duration(float64(d) * part).Truncate(time.Millisecond)
 }
 
-// pause is random: nine entries that ask again in one moment would be refused by rate.
+// pause returns the pause before the next call. After failures it is random, because nine entries that call
+// again at the same moment would be refused by rate.
 func (f *Feed) pause() time.Duration {
 	switch {
-	case f.failures == 0 && max(f.oldRow, f.goneRow) > 1:
-		// The first one is made good at once. If that does not help, each question would be followed by
-		// the next within milliseconds, and a few entries use up what the platform answers a second.
-		return f.backoff(max(f.oldRow, f.goneRow))
-	case f.failures == 0 && f.gather && !f.exact && !f.hurry:
-		return Share(f.cfg.Bound, gatherShare)
+	case f.failures == 0 && max(f.outdatedInRow, f.forgottenInRow) > 1:
+		// The call is repeated at once after the first such answer. If repeating does not help, calls would
+		// follow each other within milliseconds, and a few entries would use up the platform's rate.
+		return f.backoff(max(f.outdatedInRow, f.forgottenInRow))
+	case f.failures == 0 && f.gotChanges && !f.exact && !f.immediate:
+		return Share(f.cfg.Bound, batchFraction)
 	case f.failures == 0:
 		return 0
 	}
-	if f.relayed && f.failures >= 2 {
-		return pauseRelayed + time.Duration(f.cfg.Rand.Int64N(int64(pauseRelayed)))
+	if f.recoveryRelayed && f.failures >= 2 {
+		return relayedPause + time.Duration(f.cfg.Rand.Int64N(int64(relayedPause)))
 	}
 	return f.backoff(f.failures)
 }
 
-// backoff is the pause before a try that follows so many in vain.
+// backoff returns the random pause after n attempts without success.
 func (f *Feed) backoff(n int) time.Duration {
-	most := pauseMost
+	limit := maxPause
 	if n < 5 {
-		most = min(pauseMost, pauseLeast<<n)
+		limit = min(maxPause, minPause<<n)
 	}
-	return pauseLeast/2 + time.Duration(f.cfg.Rand.Int64N(int64(most)))
+	return minPause/2 + time.Duration(f.cfg.Rand.Int64N(int64(limit)))
 }
 
-// Done takes the end of a call in that was sent at that time.
+// Done records the result of a call that was sent at sent, and decides what to do with the answer.
 func (f *Feed) Done(now, sent time.Time, c Call, r Result) Verdict {
-	f.relief, f.gather = false, r.Outcome == Answered && !c.List && r.Changes > 0
+	f.useReplica, f.gotChanges = false, r.Outcome == Answered && !c.List && r.Changes > 0
 	if r.AsOf.Era == 0 {
 		r.AsOf.Era = f.era
 	}
 	switch r.Outcome {
 	case Forgotten:
-		f.goneRow++
+		f.forgottenInRow++
 		if !f.Restored(r.AsOf.Era) {
 			f.relist()
 		}
 		return Verdict{}
 	case Refused:
-		f.relief = !c.Stale
-		return f.failed(now)
+		f.useReplica = !c.Stale
+		return f.recordFailure(now)
 	case Failed:
-		if f.down.IsZero() {
-			f.down = now
+		if f.unansweredSince.IsZero() {
+			f.unansweredSince = now
 		}
-		return f.failed(now)
+		return f.recordFailure(now)
 	case Interrupted:
 		return Verdict{}
 	case Answered:
 	}
 	if !c.List {
-		f.goneRow = 0
+		f.forgottenInRow = 0
 	}
-	v := f.answered(now, sent, c, r)
-	f.oldRow++
+	v := f.recordAnswer(now, sent, c, r)
+	f.outdatedInRow++
 	if !v.Behind {
-		f.oldRow = 0
+		f.outdatedInRow = 0
 	}
 	return v
 }
 
-// answered takes in an answer.
-func (f *Feed) answered(now, sent time.Time, c Call, r Result) Verdict {
-	v := Verdict{Back: f.lost}
-	// A platform that refuses by rate is there: nothing lapses meanwhile.
-	outage := !f.down.IsZero() && now.Sub(f.down) >= awayAfter
-	f.failures, f.failing, f.down, f.lost, f.hurry = 0, time.Time{}, time.Time{}, false, false
+// recordAnswer records an answer and decides what to do with it.
+func (f *Feed) recordAnswer(now, sent time.Time, c Call, r Result) Verdict {
+	v := Verdict{Back: f.unreachable}
+	// A platform that refuses calls by rate is running, so no registration lapses in that time.
+	outage := !f.unansweredSince.IsZero() && now.Sub(f.unansweredSince) >= minLapseOutage
+	f.failures, f.failingSince, f.unansweredSince, f.unreachable, f.immediate = 0, time.Time{}, time.Time{}, false, false
 	if outage {
-		f.away = true
+		f.afterOutage = true
 	}
 	if f.Restored(r.AsOf.Era) {
 		return v
 	}
 	if outage && !c.List {
-		// What ended meanwhile may have lapsed only, and a watch cannot tell: a list can,
-		// since what lapsed is given time to come back.
+		// Registrations that ended in the outage may only have lapsed, which a watch does not distinguish.
+		// After a list, those that it lacks are given time to come back.
 		f.relist()
 		return v
 	}
 	if c.List {
-		return f.page(v, c, r)
+		return f.recordPage(v, c, r)
 	}
-	if f.behind(r.AsOf) {
-		// A replica that is behind this entry: nothing in it is news.
+	if f.isOutdated(r.AsOf) {
+		// The answer comes from a replica that is behind this entry, so it contains nothing new.
 		f.exact, v.Behind = true, true
 		return v
 	}
 	f.pos = r.AsOf
 	v.Apply, v.Proof = true, !c.Stale
 	if !c.Stale {
-		f.exact, f.age = false, now.Sub(c.AsOf(sent, now, r))
+		f.exact, f.answerAge = false, now.Sub(c.AsOf(sent, now, r))
 	}
 	return v
 }
 
-func (f *Feed) relist() { f.listed, f.after, f.listFrom = false, "", stoatpaddle.Position{} }
+// relist makes the next call start a new list.
+func (f *Feed) relist() { f.listed, f.after, f.listStart = false, "", stoatpaddle.Position{} }
 
-// behind tells whether an answer as of that position is older than what is known.
-func (f *Feed) behind(asOf stoatpaddle.Position) bool { return asOf.Era < f.era || asOf.Before(f.pos) }
+// isOutdated reports whether an answer as of that position is older than what is known.
+func (f *Feed) isOutdated(asOf stoatpaddle.Position) bool {
+	return asOf.Era < f.era || asOf.Before(f.pos)
+}
 
-func (f *Feed) failed(now time.Time) Verdict {
+// recordFailure records a recordFailure or refused call.
+func (f *Feed) recordFailure(now time.Time) Verdict {
 	f.failures++
-	if f.failing.IsZero() {
-		f.failing = now
+	if f.failingSince.IsZero() {
+		f.failingSince = now
 	}
-	// One failure is a connection that broke; two are an outage.
-	if f.failures < 2 || f.lost {
+	// A single failure may be a broken connection; two in a row are taken for an outage.
+	if f.failures < 2 || f.unreachable {
 		return Verdict{}
 	}
-	f.lost = true
+	f.unreachable = true
 	return Verdict{Lost: true}
 }
 
-func (f *Feed) page(v Verdict, c Call, r Result) Verdict {
+// recordPage records one recordPage of a list.
+func (f *Feed) recordPage(v Verdict, c Call, r Result) Verdict {
 	if r.AsOf.Era < f.era {
-		// Of a replica that has not heard of the restore.
+		// The page comes from a replica that does not know of the restore yet.
 		f.relist()
 		f.exact, v.Behind = true, true
 		return v
 	}
 	v.Apply = true
 	if c.After == "" {
-		f.listFrom = r.AsOf
+		f.listStart = r.AsOf
 	}
 	if r.More {
 		f.after = r.Last
 		return v
 	}
-	if f.listFrom.Before(f.pos) {
-		// A replica that is behind: what its list lacks may be younger than the list.
+	if f.listStart.Before(f.pos) {
+		// The list comes from a replica that is behind. Objects that it lacks may be newer than the list.
 		f.relist()
 		f.exact, v.Behind = true, true
 		return v
 	}
-	// Pages are read one after the other: what changed meanwhile is in the watch from the
-	// first page's revision on.
-	v.Complete, v.Proof, v.Away = true, !c.Stale, f.away
-	f.pos = f.listFrom
-	f.listed, f.begun, f.after, f.away, f.exact = true, true, "", false, false
+	// Pages are read one after the other. A watch from the revision of the first page reports what changed
+	// while the others were read.
+	v.Complete, v.Proof, v.Away = true, !c.Stale, f.afterOutage
+	f.pos = f.listStart
+	f.listed, f.started, f.after, f.afterOutage, f.exact = true, true, "", false, false
 	return v
 }
 
-// SetStart tells whether the first list may come from a replica, and whether others wait
-// for what this feed learns.
-func (f *Feed) SetStart(stale, prompt bool) { f.cfg.StaleStart, f.cfg.Prompt = stale, prompt }
+// SetStart sets Config.AllowStaleStart and Config.HasFollowers.
+func (f *Feed) SetStart(allowStaleStart, hasFollowers bool) {
+	f.cfg.StaleStart, f.cfg.Prompt = allowStaleStart, hasFollowers
+}
 
-// SetRelayed tells whether another entry tells when the platform is back.
-func (f *Feed) SetRelayed(relayed bool) { f.relayed = relayed }
+// SetRelayed sets whether another entry reports when the platform is back.
+func (f *Feed) SetRelayed(relayed bool) { f.recoveryRelayed = relayed }
 
-// Hurry has the next call answered at once: another feed has proof of a later revision
-// than this one has heard of.
-func (f *Feed) Hurry() { f.hurry = true }
+// Hurry makes the next call return at once instead of waiting for a change. It is for the case that
+// another feed has confirmed a later revision than this feed knows.
+func (f *Feed) Hurry() { f.immediate = true }
 
-// Doubt has the next call answered at once and not by a replica: the replica is behind, or
-// traffic met something that is not known here.
+// Doubt makes the next call return at once and go to the platform itself. It is for the case that the
+// replica is behind or that traffic refers to something unknown to this entry.
 func (f *Feed) Doubt() { f.exact = true }
--- a/stoatfeed/feed_test.go
+++ b/stoatfeed/feed_test.go
@@ -13,13 +13,15 @@
 
 const bound = 3 * time.Second
 
-func at(rev stoatpaddle.Version) stoatpaddle.Position { return stoatpaddle.Position{Revision: rev} }
+func revision(rev stoatpaddle.Version) stoatpaddle.Position {
+	return stoatpaddle.Position{Revision: rev}
+}
 
 func newFeed(stale bool) *stoatfeed.Feed {
 	return stoatfeed.New(stoatfeed.Config{Bound: bound, Stale: stale, Rand: rand.New(rand.NewPCG(1, 1))})
 }
 
-// listed returns a feed that has its first list.
+// listed returns a feed that has completed its first list.
 func listed(t *testing.T, stale bool) *stoatfeed.Feed {
 	t.Helper()
 	f := newFeed(stale)
@@ -27,31 +29,31 @@
 	if !c.List || c.Stale {
 		t.Fatalf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10)}); !v.Complete || !v.Proof || v.Away {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)}); !v.Complete || !v.Proof || v.Away {
 		t.Fatalf("%+v", v)
 	}
 	return f
 }
 
-// A list of two pages, and a change between them: the watch starts where the first page
-// was read, or the change would never be seen.
+// An object changes after the first of two pages was read. The watch must start at the revision of the
+// first page, or the change would never be seen.
 func TestPages(t *testing.T) {
 	f := newFeed(false)
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10), More: true, Last: "m"}); v.Complete || !v.Apply || v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10), More: true, Last: "m"}); v.Complete || !v.Apply || v.Proof {
 		t.Errorf("%+v", v)
 	}
 	c = f.Next()
 	if !c.List || c.After != "m" {
 		t.Errorf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(14)}); !v.Complete || f.Position() != at(10) {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(14)}); !v.Complete || f.Position() != revision(10) {
 		t.Errorf("%+v %d", v, f.Position())
 	}
 }
 
-// A watch goes silent for good. The next one must be asked, and may take as long as a usual
-// answer does, before the change that the first hid has to be in force.
+// A watch goes silent for good. There must be enough time left to send the next one and get an answer
+// before the change that the first one missed has to be in force.
 func TestSilentWatchIsGivenUpInTime(t *testing.T) {
 	c := listed(t, false).Next()
 	if c.List || c.From != 10 || c.Timeout <= c.Wait || c.Timeout > bound*85/100 {
@@ -59,8 +61,8 @@
 	}
 }
 
-// The platform drops its history while a watch waits: what changed in the gap is found only
-// by a list, at once.
+// The platform drops its history while a watch waits. Only a list finds what changed in the gap, so the
+// list must follow at once.
 func TestForgottenHistory(t *testing.T) {
 	f := listed(t, false)
 	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten}); v.Apply || v.Lost {
@@ -71,9 +73,9 @@
 	}
 }
 
-// The platform is away for two seconds. Upstreams' registrations lapse meanwhile, so that
-// a watch afterwards would tell of their end. Only a list follows, marked as after an
-// outage; the outage is said once, and its end once.
+// The platform does not answer for two seconds, in which registrations of upstreams lapse. A watch
+// afterwards would report that they ended, so a list must follow that is marked as coming after an outage.
+// The beginning and the end of the outage must each be reported once.
 func TestOutage(t *testing.T) {
 	f := listed(t, true)
 	now := start
@@ -90,41 +92,41 @@
 	if c := f.Next(); c.Pause <= 0 || c.Pause > 1100*time.Millisecond || c.Wait > time.Millisecond {
 		t.Errorf("%+v", c)
 	}
-	v := f.Done(now, now, f.Next(), stoatfeed.Result{AsOf: at(20), Changes: 3})
+	v := f.Done(now, now, f.Next(), stoatfeed.Result{AsOf: revision(20), Changes: 3})
 	if v.Apply || !v.Back || f.Lost() {
 		t.Errorf("%+v", v)
 	}
 	c := f.Next()
-	if v = f.Done(now, now, c, stoatfeed.Result{AsOf: at(20)}); !c.List || !v.Complete || !v.Away || v.Back {
+	if v = f.Done(now, now, c, stoatfeed.Result{AsOf: revision(20)}); !c.List || !v.Complete || !v.Away || v.Back {
 		t.Errorf("%+v %+v", c, v)
 	}
 }
 
-// One call fails because its connection went silent. That is no outage: nothing can lapse
-// in a moment, and a list of everything is not needed.
+// One call fails because its connection went silent. That must not count as an outage: no registration can
+// lapse in so short a time, and a new list is not needed.
 func TestOneFailure(t *testing.T) {
 	f := listed(t, true)
 	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}); v.Lost {
 		t.Errorf("%+v", v)
 	}
-	v := f.Done(start.Add(200*time.Millisecond), start.Add(200*time.Millisecond), f.Next(), stoatfeed.Result{AsOf: at(11)})
+	v := f.Done(start.Add(200*time.Millisecond), start.Add(200*time.Millisecond), f.Next(), stoatfeed.Result{AsOf: revision(11)})
 	if !v.Apply || v.Back || f.Next().List {
 		t.Errorf("%+v", v)
 	}
 }
 
-// A replica is seconds behind. Its answer says nothing new and proves nothing; the next
-// question goes to the platform itself, and the one after to a replica again.
+// A replica is seconds behind. Its answer must be discarded and confirm nothing. The next call must go to
+// the platform itself, and the one after that to a replica again.
 func TestLaggingReplica(t *testing.T) {
 	f := listed(t, true)
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(7)}); !c.Stale || v.Apply || v.Proof || f.Position() != at(10) {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(7)}); !c.Stale || v.Apply || v.Proof || f.Position() != revision(10) {
 		t.Errorf("%+v", v)
 	}
 	if c = f.Next(); c.Stale || c.Wait > time.Millisecond {
 		t.Errorf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(12)}); !v.Apply || !v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(12)}); !v.Apply || !v.Proof {
 		t.Errorf("%+v", v)
 	}
 	if c = f.Next(); !c.Stale {
@@ -132,8 +134,8 @@
 	}
 }
 
-// Another feed has proof of a later revision: the replica is asked at once, and the watch
-// that was given up for it is no failure.
+// Another feed has confirmed a later revision. The replica must be called at once, and the watch that was
+// cancelled for this must not count as a failure.
 func TestHurry(t *testing.T) {
 	f := listed(t, true)
 	f.Hurry()
@@ -145,7 +147,7 @@
 	}
 }
 
-// A platform that has just returned must not be asked by every entry in one moment.
+// A platform that has just recovered must not be called by all entries at the same moment.
 func TestPausesAreSpread(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(50) {
@@ -160,9 +162,9 @@
 	}
 }
 
-// The store refuses by rate: twelve entries list at once after a restart. A list from a
-// replica counts toward no rate, and serves meanwhile; nothing lapses, so that no second
-// list is needed when it answers again.
+// Twelve entries list at once after a restart, and the platform refuses some of them by rate. A list from a
+// replica counts toward no rate limit and must be used until then. Nothing lapses in that time, so there
+// must be no second list when the platform answers again.
 func TestRefusedByRate(t *testing.T) {
 	f := newFeed(false)
 	c := f.Next()
@@ -170,7 +172,7 @@
 	if c = f.Next(); !c.List || !c.Stale {
 		t.Fatalf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10)}); !v.Complete || v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)}); !v.Complete || v.Proof {
 		t.Errorf("%+v", v)
 	}
 	if c = f.Next(); c.List || c.Stale {
@@ -179,26 +181,26 @@
 	for at := time.Duration(0); at < 3*time.Second; at += time.Second {
 		f.Done(start.Add(at), start.Add(at), c, stoatfeed.Result{Outcome: stoatfeed.Refused})
 		if c = f.Next(); !c.Stale || c.Wait < 500*time.Millisecond {
-			t.Errorf("no news meanwhile: %+v", c)
+			t.Errorf("no changes are read from a replica meanwhile: %+v", c)
 		}
 		f.Done(start.Add(at), start.Add(at), c, stoatfeed.Result{Outcome: stoatfeed.Interrupted})
 		if c = f.Next(); c.Stale {
-			t.Errorf("the exact question is not asked again: %+v", c)
+			t.Errorf("the exact call is not repeated: %+v", c)
 		}
 	}
-	if v := f.Done(start.Add(4*time.Second), start.Add(4*time.Second), c, stoatfeed.Result{AsOf: at(11)}); !v.Apply || f.Next().List {
+	if v := f.Done(start.Add(4*time.Second), start.Add(4*time.Second), c, stoatfeed.Result{AsOf: revision(11)}); !v.Apply || f.Next().List {
 		t.Errorf("%+v", v)
 	}
 }
 
-// A replica's list is older than what is known already: what it lacks may be younger than
-// the list, and must not be taken for gone.
+// The list of a replica is older than what is known already. Objects that it lacks may be newer than the
+// list and must not be taken for ended.
 func TestOldListOfAReplica(t *testing.T) {
 	f := listed(t, false)
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Refused})
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(8)}); !c.Stale || v.Complete {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(8)}); !c.Stale || v.Complete {
 		t.Errorf("%+v %+v", c, v)
 	}
 	if c = f.Next(); !c.List || c.Stale {
@@ -206,12 +208,12 @@
 	}
 }
 
-// A hundred and fifty upstreams register within seconds, and each answer to each of the
-// entries is paid for: news that follows news is gathered for a moment, what is wanted at
-// once is not.
-func TestNewsIsGathered(t *testing.T) {
+// A hundred and fifty upstreams register within seconds, and each answer to each entry is charged for.
+// After an answer with changes the next watch must therefore wait a moment, so that it returns several
+// changes at once. A call that is needed at once must not wait.
+func TestChangesAreBatched(t *testing.T) {
 	f := listed(t, true)
-	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: at(11), Changes: 1})
+	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: revision(11), Changes: 1})
 	if c := f.Next(); c.Pause != 150*time.Millisecond || c.Pause+c.Timeout > bound*9/10 {
 		t.Errorf("%+v", c)
 	}
@@ -219,39 +221,39 @@
 	if c := f.Next(); c.Pause != 0 {
 		t.Errorf("%+v", c)
 	}
-	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: at(12)})
+	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: revision(12)})
 	if c := f.Next(); c.Pause != 0 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// Others wait for what this entry proves. News ends a watch early, and what its answer
-// proves is as old as the question; the next watch is shorter by that, so that a proof is
-// never older than a half of the bound when the next one comes.
-func TestPromptProofs(t *testing.T) {
+// Other entries wait for this entry's confirmations. A change ends a watch early, and its answer is only
+// current as of the time it was sent. The next watch must be shorter by that age, so that a confirmation is
+// never older than half of MaxDelay when the next one comes.
+func TestConfirmationsForFollowers(t *testing.T) {
 	f := newFeed(false)
 	f.SetStart(false, true)
-	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: at(10)})
+	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: revision(10)})
 	c := f.Next()
 	if c.Wait != 1350*time.Millisecond {
 		t.Fatal(c.Wait)
 	}
 	came := start.Add(time.Second)
-	r := stoatfeed.Result{AsOf: at(11), Changes: 1}
+	r := stoatfeed.Result{AsOf: revision(11), Changes: 1}
 	if at := c.AsOf(start, came, r); !at.Equal(start) {
-		t.Error("news proves later than it was asked:", at.Sub(start))
+		t.Error("an answer with changes counts as current later than it was sent:", at.Sub(start))
 	}
 	f.Done(came, start, c, r)
 	if c = f.Next(); c.Wait != 350*time.Millisecond {
 		t.Error(c.Wait)
 	}
 	end := came.Add(400 * time.Millisecond)
-	r = stoatfeed.Result{AsOf: at(11)}
+	r = stoatfeed.Result{AsOf: revision(11)}
 	if at := c.AsOf(came, end, r); !at.Equal(came.Add(350 * time.Millisecond)) {
-		t.Error("a watch that waited to its end proves as of then:", at.Sub(came))
+		t.Error("a watch that waited to its end is not current as of that end:", at.Sub(came))
 	}
 	if at := c.AsOf(came, came.Add(100*time.Millisecond), r); !at.Equal(came) {
-		t.Error("a watch that did not wait proves later than it was asked:", at.Sub(came))
+		t.Error("a watch that did not wait counts as current later than it was sent:", at.Sub(came))
 	}
 	f.Done(end, came, c, r)
 	if c = f.Next(); c.Wait != 1300*time.Millisecond {
@@ -259,8 +261,9 @@
 	}
 }
 
-// All entries start at once. Those that are told by others list a replica, which counts
-// toward no rate; after an outage they do not, since a replica does not show yet what came back.
+// All entries start at once. Those that get their view from other entries must list from a replica, which
+// counts toward no rate limit. After an outage they must not, since a replica does not show yet which
+// registrations came back.
 func TestStartFromReplica(t *testing.T) {
 	f := newFeed(true)
 	f.SetStart(true, false)
@@ -268,31 +271,31 @@
 	if !c.List || !c.Stale {
 		t.Fatalf("%+v", c)
 	}
-	f.Done(start, start, c, stoatfeed.Result{AsOf: at(10)})
+	f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)})
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
 	if c = f.Next(); !c.List || c.Stale {
 		t.Errorf("%+v", c)
 	}
 }
 
-// Another entry told everything: nothing is listed, and the watch goes on from there.
+// Another entry provided the whole state. The feed must not list, and must watch from that position on.
 func TestAdopt(t *testing.T) {
 	f := newFeed(true)
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed})
-	f.Adopt(at(20))
+	f.Adopt(revision(20))
 	if c := f.Next(); c.List || c.From != 20 || c.Pause != 0 || !f.Failing().IsZero() {
 		t.Errorf("%+v", c)
 	}
-	f.Adopt(at(15))
-	if f.Position() != at(20) {
+	f.Adopt(revision(15))
+	if f.Position() != revision(20) {
 		t.Error(f.Position())
 	}
 }
 
-// All open connections go silent for good, also the idle one to the platform, and a question
-// is asked on it in the last quarter of the bound. It is given up in time for another one on
-// a new connection; a platform that answers slowly gets more time with each try.
-func TestQuestionsAreGivenUpSoon(t *testing.T) {
+// All open connections go silent for good, among them the idle one to the platform, and a call is made on
+// it in the last quarter of MaxDelay. It must be given up in time for another call on a new connection. A
+// platform that answers slowly must get more time with each attempt.
+func TestCallsAreGivenUpSoon(t *testing.T) {
 	f := listed(t, false)
 	f.Doubt()
 	last := time.Duration(0)
@@ -302,7 +305,7 @@
 			t.Errorf("%+v after %s", c, last)
 		}
 		if last == 0 && c.Timeout > bound/5 {
-			t.Error("the first try takes", c.Timeout)
+			t.Error("the first attempt takes", c.Timeout)
 		}
 		last = c.Timeout
 		f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.Failed})
--- a/stoatfeed/restore_test.go
+++ b/stoatfeed/restore_test.go
@@ -8,40 +8,40 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfeed"
 )
 
-func in(era stoatpaddle.Era, rev stoatpaddle.Version) stoatpaddle.Position {
+func position(era stoatpaddle.Era, rev stoatpaddle.Version) stoatpaddle.Position {
 	return stoatpaddle.Position{Era: era, Revision: rev}
 }
 
-// inEra returns a feed that has its first list, as of revision 10 of era 1.
+// inEra returns a feed that has completed its first list, as of revision 10 of era 1.
 func inEra(t *testing.T, stale bool) *stoatfeed.Feed {
 	t.Helper()
 	f := newFeed(stale)
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: in(1, 10)}); !v.Complete || v.Away || f.Position() != in(1, 10) {
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: position(1, 10)}); !v.Complete || v.Away || f.Position() != position(1, 10) {
 		t.Fatalf("%+v %s", v, f.Position())
 	}
 	if c := f.Next(); c.List {
-		t.Fatalf("a first era is taken for a restore: %+v", c)
+		t.Fatalf("the first era is taken for a restore: %+v", c)
 	}
 	return f
 }
 
-// The platform was restored and has counted beyond the revision that is known here, so that the watch
-// from there is answered. What was written under the revisions below it would never be read: a list
-// follows, and what it lacks may have been lost with the copy.
+// The platform was restored and its revisions have already passed the one that this entry knows, so that a
+// watch from there is answered. Changes of the new era with lower revisions would never be read. A list must
+// follow instead, and objects that it lacks may have been lost in the restore.
 func TestWatchOverARestore(t *testing.T) {
 	for name, r := range map[string]stoatfeed.Result{
-		"answered":  {AsOf: in(2, 14), Changes: 2},
-		"forgotten": {Outcome: stoatfeed.Forgotten, AsOf: in(2, 0)},
+		"answered":  {AsOf: position(2, 14), Changes: 2},
+		"forgotten": {Outcome: stoatfeed.Forgotten, AsOf: position(2, 0)},
 	} {
 		f := inEra(t, true)
 		if v := f.Done(start, start, f.Next(), r); v.Apply || v.Proof {
-			t.Errorf("%s: taken in: %+v", name, v)
+			t.Errorf("%s: applied: %+v", name, v)
 		}
 		c := f.Next()
 		if !c.List || c.After != "" || c.Stale {
 			t.Errorf("%s: no list: %+v", name, c)
 		}
-		if v := f.Done(start, start, c, stoatfeed.Result{AsOf: in(2, 7)}); !v.Complete || !v.Away || !v.Proof || f.Position() != in(2, 7) {
+		if v := f.Done(start, start, c, stoatfeed.Result{AsOf: position(2, 7)}); !v.Complete || !v.Away || !v.Proof || f.Position() != position(2, 7) {
 			t.Errorf("%s: %+v %s", name, v, f.Position())
 		}
 		if c = f.Next(); c.List || c.From != 7 {
@@ -50,12 +50,12 @@
 	}
 }
 
-// The platform is restored between two pages of a list. The first page is of another history than the
-// second: the list begins anew.
+// The platform is restored between two pages of a list. The pages belong to different eras, so the list
+// must start again.
 func TestListOverARestore(t *testing.T) {
 	f := newFeed(false)
-	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: in(1, 10), More: true, Last: "m"})
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: in(2, 11)}); v.Apply || v.Complete {
+	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: position(1, 10), More: true, Last: "m"})
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: position(2, 11)}); v.Apply || v.Complete {
 		t.Errorf("%+v", v)
 	}
 	if c := f.Next(); !c.List || c.After != "" {
@@ -63,46 +63,48 @@
 	}
 }
 
-// A replica has not heard of the restore. Its revisions are higher than those of the new era, and older.
+// A replica does not know of the restore yet. Its revisions are higher than those of the new era, but older,
+// and must not be applied.
 func TestReplicaOfAnEarlierEra(t *testing.T) {
 	f := inEra(t, true)
 	f.Restored(2)
-	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: in(2, 7)})
+	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: position(2, 7)})
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: in(1, 40), Changes: 1}); !c.Stale || v.Apply || !v.Behind || f.Position() != in(2, 7) {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: position(1, 40), Changes: 1}); !c.Stale || v.Apply || !v.Behind || f.Position() != position(2, 7) {
 		t.Errorf("%+v %s", v, f.Position())
 	}
 	if c = f.Next(); c.Stale || c.List {
-		t.Errorf("the platform itself is not asked: %+v", c)
+		t.Errorf("the platform itself is not called: %+v", c)
 	}
-	// An answer that says no era, as through something that drops headers, is of the era that is known.
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(9)}); !v.Apply || f.Position() != in(2, 9) {
+	// An answer without an era, for example through a proxy that drops headers, belongs to the known era.
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(9)}); !v.Apply || f.Position() != position(2, 9) {
 		t.Errorf("%+v %s", v, f.Position())
 	}
 }
 
-// Another entry, which may be out of touch, knows of a restore. What it knows cannot be gone on from: a
-// list of this entry's own has to come first. The word of one that is in touch is enough.
-func TestRestoreThatOthersTell(t *testing.T) {
+// An entry that may have lost contact with the platform reports a restore. The feed must not watch from its
+// position without a list of its own. The position of an entry that is in contact with the platform and
+// knows the new era takes the place of that list.
+func TestRestoreReportedByAnotherEntry(t *testing.T) {
 	f := inEra(t, true)
-	f.Heard(in(2, 7))
+	f.Heard(position(2, 7))
 	if c := f.Next(); !c.List {
 		t.Errorf("%+v", c)
 	}
-	f.Adopt(in(1, 30))
+	f.Adopt(position(1, 30))
 	if c := f.Next(); !c.List {
-		t.Errorf("a word of before the restore stands for its list: %+v", c)
+		t.Errorf("a position from before the restore takes the place of a list: %+v", c)
 	}
-	f.Adopt(in(2, 8))
+	f.Adopt(position(2, 8))
 	if c := f.Next(); c.List || c.From != 8 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// The platform's answers stay older than what is known, lists and watches alike, though none came from a
-// replica. Entries asked again as soon as each was put aside: 150 to 220 calls a second each, which is
-// the store's whole rate with ten entries. They ask a few times a second, and never a replica.
-func TestOldAnswersAreNotAskedForInARow(t *testing.T) {
+// Lists and watches stay older than what is known, although none of them comes from a replica. Entries used
+// to repeat the call as soon as an answer was discarded, 150 to 220 times a second each, so that ten entries
+// used up the platform's whole rate. They must call a few times a second, and never a replica.
+func TestOutdatedAnswersAreFollowedByPauses(t *testing.T) {
 	for name, list := range map[string]bool{"lists": true, "watches": false} {
 		f := inEra(t, true)
 		if list {
@@ -115,24 +117,24 @@
 				t.Fatalf("%s: %+v", name, c)
 			}
 			if n == 1 && c.Pause > 0 {
-				t.Errorf("%s: an answer of a replica that is behind is not made good at once", name)
+				t.Errorf("%s: the call is not repeated at once after an outdated answer of a replica", name)
 			}
 			passed += c.Pause
-			f.Done(start, start, c, stoatfeed.Result{AsOf: in(1, 7)})
+			f.Done(start, start, c, stoatfeed.Result{AsOf: position(1, 7)})
 		}
 		if passed < 5*time.Second {
 			t.Errorf("%s: 30 calls within %s", name, passed)
 		}
-		f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: in(1, 12)})
+		f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: position(1, 12)})
 		if c := f.Next(); c.Pause > 0 {
 			t.Errorf("%s: %+v", name, c)
 		}
 	}
 }
 
-// A replica does not have the revision yet that it is asked to go on from, and says that its history there
-// is gone. The list that follows is the platform's own, and as new; the replica says so again. The second
-// time the platform itself is watched, and lists do not follow each other without a pause.
+// A replica has not reached the revision yet from which it is to watch, and reports that history as
+// forgotten. The list that follows comes from the platform itself, and the replica still lacks its revision.
+// The second time the platform itself must be watched, and lists must not follow each other without a pause.
 func TestReplicaWithoutTheRevision(t *testing.T) {
 	f := inEra(t, true)
 	var lists int
@@ -143,9 +145,9 @@
 		switch {
 		case c.List:
 			lists++
-			f.Done(start, start, c, stoatfeed.Result{AsOf: in(1, 10)})
+			f.Done(start, start, c, stoatfeed.Result{AsOf: position(1, 10)})
 		case c.Stale:
-			f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.Forgotten, AsOf: in(1, 0)})
+			f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.Forgotten, AsOf: position(1, 0)})
 		case lists != 2:
 			t.Fatalf("the platform itself is watched after %d lists, call %d", lists, n)
 		default:
