--- a/stoatfilter/cold.go
+++ b/stoatfilter/cold.go
@@ -7,54 +7,59 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// How entries share what a cold upstream bears.
+// Entries share the capacity of a cold upstream by taking turns.
 //
-// The load: a data centre's upstreams come back cold, all at once, and bear three requests a second
-// each for some seconds; thirty entries have callers waiting. Each entry alone would send its first
-// flow to the upstream with the least in progress, which is a cold one, and thirty at once make it
-// fall over; then the next one.
+// When a data centre's upstreams come back, all of them are cold at once. Each of them can handle
+// three requests a second for some seconds, while thirty entries have callers waiting. Without a limit,
+// each entry would send its first flow to the upstream with the least work in progress, which is a cold
+// one. Thirty entries that do so at once overload that upstream, and then the next one.
 //
-// Nobody can be asked in that time. So the limit is dealt out as moments: entries of the upstream's
-// data centre take turns, in the order of their ranks, and a turn that is not used at once lapses.
-// However many callers wait, the flows of all entries come no faster than turns do. Another data
-// centre's entries get none: the two may not reach each other, and have other upstreams.
+// The entries have no time to coordinate. The limit is therefore divided into time slots: the entries of
+// the upstream's data centre take turns in the order of their ranks, and a turn that is not used at once
+// lapses. However many callers wait, all entries together send no more flows than there are turns. The
+// entries of another data centre get no turns: the two data centres may be unable to reach each other,
+// and the other one has its own upstreams.
 const (
-	// coldShare is the part of the limit that is dealt out. The rest is a reserve: two parts of a data
-	// centre that never heard of each other deal out everything twice, which is then half as much again
-	// as the upstream bears.
-	coldShare = 0.75
-	// turnOpen is the part of the time until the next entry's turn for which a turn is open: long enough
-	// for a caller to come, and short enough that a late flow of one turn does not meet the next one's.
-	turnOpen = 0.5
+	// allottedFraction is the part of the limit that is divided into turns. The rest is a reserve: two
+	// parts of a data centre that never heard of each other each allot the whole fraction, which adds up
+	// to half as much again as the upstream can handle.
+	allottedFraction = 0.75
+	// turnOpenFraction is the part of the interval between two turns in which a turn can be used. It is
+	// long enough for a caller to arrive, and short enough that a late flow of one turn does not coincide
+	// with a flow of the next turn.
+	turnOpenFraction = 0.5
 )
 
-// Load is what one flow asks of its upstream.
+// Load describes what this entry knows about the load on a cold upstream.
 type Load struct {
-	// Requests are how many a flow of the service is seen to carry while an upstream is cold.
+	// RequestsPerFlow is how many requests a flow of the service was seen to carry while its upstream
+	// was cold.
 	Requests float64
-	// Taken is when this entry last sent the upstream a flow while it was cold.
+	// LastSent is when this entry last sent a flow to the upstream while the upstream was cold.
 	Taken time.Time
 }
 
-// hasTurn tells whether it is this entry's turn to send the upstream a flow, and it has not yet.
+// hasTurn reports whether it is this entry's turn to send a flow to the upstream and the entry has not
+// used that turn yet.
 func (p Place) hasTurn(now time.Time, u *stoatroute.Upstream, load Load) bool {
 	if p.Entries <= 0 || p.Rank < 0 || p.Rank >= p.Entries {
 		return false
 	}
-	// Whole requests, so that entries which see a little more or less deal out the same turns.
+	// The number is rounded up, so that entries with slightly different estimates compute the same turns.
 	requests := math.Ceil(math.Max(1, load.Requests))
-	between := time.Duration(float64(time.Second) * requests / (coldShare * u.ColdRate))
-	// Upstreams begin with different entries, or the first one would have a turn at all of them at once.
-	first := (p.Rank + int(uint32(u.Key)*spread>>spreadShift)) % p.Entries
-	period := between * time.Duration(p.Entries)
-	begun := time.Duration(now.UnixNano()-int64(between)*int64(first)) % period
-	open := time.Duration(turnOpen * float64(between))
-	return begun < open && now.Sub(load.Taken) > open
+	interval := time.Duration(float64(time.Second) * requests / (allottedFraction * u.ColdRate))
+	// The first turn goes to a different entry for each upstream. Otherwise one entry would have its turn
+	// at all upstreams at the same time.
+	first := (p.Rank + int(uint32(u.Key)*hashMultiplier>>hashShift)) % p.Entries
+	period := interval * time.Duration(p.Entries)
+	sinceTurn := time.Duration(now.UnixNano()-int64(interval)*int64(first)) % period
+	openFor := time.Duration(turnOpenFraction * float64(interval))
+	return sinceTurn < openFor && now.Sub(load.Taken) > openFor
 }
 
-// spread and spreadShift spread upstreams over entries (Knuth's multiplicative hash): their keys may
-// follow each other.
+// hashMultiplier and hashShift distribute the first turns over the entries with Knuth's multiplicative
+// hash, because the keys of upstreams may be consecutive.
 const (
-	spread      = 2654435761
-	spreadShift = 8
+	hashMultiplier = 2654435761
+	hashShift      = 8
 )
--- a/stoatfilter/doc.go
+++ b/stoatfilter/doc.go
@@ -1,7 +1,8 @@
-// Package stoatfilter decides which upstreams may get a new flow, before stoatecho chooses the best of
-// them: none of a data centre that is evacuated, none outside the regions that a route allows, and one
-// that is cold only as often as it bears. Values in and decisions out; no I/O, no clock.
+// Package stoatfilter decides which upstreams may receive a new flow; stoatecho then chooses the best of
+// them. It excludes the upstreams of evacuated data centres and those outside the regions that a route
+// allows, and it limits how often a cold upstream receives a new flow. The package performs no I/O and
+// reads no clock.
 //
-// What it leaves out is no last resort either: when nothing is left, the caller is refused at once.
-// Open flows are not its concern, they go on.
+// An excluded upstream is not used as a last resort either: if no upstream is left, the caller is refused
+// at once. The filter does not affect open flows, which continue.
 package stoatfilter
--- a/stoatfilter/filter.go
+++ b/stoatfilter/filter.go
@@ -8,36 +8,36 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Verdict says whether an upstream may get a new flow, and if not, why.
+// Verdict says whether an upstream may receive a new flow and, if not, why.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Eligible  Verdict = iota
-	Spare             // it is cold and bears one more flow now; warm ones go before it
-	Evacuated         // its data centre is evacuated
-	Outside           // it is in none of the regions that the route allows
-	Cold              // it is cold and bears no more now
+	Spare             // the upstream is cold and can take one more flow now; warm upstreams are preferred
+	Evacuated         // the upstream's data centre is evacuated
+	Outside           // the upstream is in none of the regions that the route allows
+	Cold              // the upstream is cold and can take no more flows now
 	VerdictCount
 )
 
-// String returns the word used in logs.
+// String returns the label used in logs.
 func (v Verdict) String() string {
 	return [...]string{"eligible", "spare", "evacuated", "outside", "cold"}[v]
 }
 
-// Regions are the regions of data centres. One that is not named belongs to no region, so that no
-// route which names regions uses it.
+// Regions maps data centres to their regions. A data centre that is not in the map belongs to no region,
+// so a route that names regions does not use it.
 type Regions map[stoatpaddle.DataCentreID]stoatpaddle.RegionID
 
-// Filter is what an entry decides by.
+// Filter decides which upstreams an entry may send new flows to.
 type Filter struct {
 	DataCentre stoatpaddle.DataCentreID // of the entry
 	Regions    Regions
-	Place      Place // among the entries that share what a cold upstream bears
+	Place      Place // the entry's rank among those that share the capacity of a cold upstream
 }
 
-// Open decides about a new flow of the route.
+// Open decides whether the upstream may receive a new flow of the route.
 func (f *Filter) Open(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, load Load) Verdict {
 	if v := f.Allowed(t, r, u); v != Eligible {
 		return v
@@ -51,7 +51,8 @@
 	return Spare
 }
 
-// Allowed decides by what operators wrote alone: also whether a copy of an opening may follow it.
+// Allowed decides by the operators' settings alone: evacuations and the regions of the route. It also
+// decides whether a repeated opening packet may follow the first one to its upstream.
 func (f *Filter) Allowed(t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream) Verdict {
 	switch {
 	case t.Evacuated(u.DataCentre):
--- a/stoatfilter/filter_test.go
+++ b/stoatfilter/filter_test.go
@@ -13,7 +13,8 @@
 
 var start = time.Unix(1000, 0)
 
-// upstreams returns so many in data centre here, cold until a time, which bear so much until then.
+// upstreams returns n upstreams of the data centre "here" that are cold until the given time and handle
+// rate requests a second until then.
 func upstreams(n int, rate float64, warm time.Time) []*stoatroute.Upstream {
 	var out []*stoatroute.Upstream
 	for i := range n {
@@ -59,8 +60,8 @@
 	}
 }
 
-// An entry that is alone in its data centre has a turn at a cold upstream now and then, and between two
-// turns none.
+// An entry that is alone in its data centre must have turns at a cold upstream, and no turn in the time
+// between them.
 func TestTurnsComeAndGo(t *testing.T) {
 	f := stoatfilter.Filter{DataCentre: "here", Place: stoatfilter.Place{Entries: 1}}
 	table := stoatroute.NewBook(stoatroute.Config{}).Table()
@@ -74,10 +75,11 @@
 	}
 }
 
-// herd plays a data centre whose upstreams come back cold while callers wait at all entries: each entry
-// tries an opening every 10 ms, at any upstream that it may use. It returns the most flows that one
-// upstream got in a second, over all of them, and how many all got.
-func herd(entries []stoatfilter.Place, ups []*stoatroute.Upstream, requests float64, skew time.Duration, seed uint64) (most, all int) {
+// simulateColdStart simulates a data centre whose upstreams come back cold while callers wait at all
+// entries: each entry tries to open a flow every 10 ms, at any upstream that the filter allows. It returns
+// the greatest number of flows that any one upstream received within a second, and the number of flows in
+// total.
+func simulateColdStart(entries []stoatfilter.Place, ups []*stoatroute.Upstream, requests float64, skew time.Duration, seed uint64) (most, all int) {
 	rnd := rand.New(rand.NewPCG(seed, 7))
 	table := stoatroute.NewBook(stoatroute.Config{}).Table()
 	route := &stoatroute.Route{}
@@ -126,9 +128,10 @@
 	return out
 }
 
-// A data centre's upstreams come back cold, all at once, with callers waiting at every entry, also at
-// those that were cut off from each other and count themselves, and at those whose clocks differ. No
-// upstream gets more in any second than it bears, and what they bear is used to a third at least.
+// All upstreams of a data centre come back cold at once while callers wait at every entry. No upstream may
+// receive more in any second than it can handle, and at least a third of the capacity must be used. This
+// must also hold for entries with different clocks; two halves that are cut off and count only themselves
+// may exceed the limit by half.
 func TestColdUpstreamsGetWhatTheyBear(t *testing.T) {
 	for _, n := range []int{1, 9, 30, 150} {
 		for _, rate := range []float64{2, 5, 20} {
@@ -142,12 +145,12 @@
 				"in two halves":    {entries: append(places(n), places(n)...), limit: 1.5},
 				"clocks that vary": {entries: places(n), skew: 20 * time.Millisecond, limit: 1},
 			} {
-				most, all := herd(c.entries, ups, 1, c.skew, uint64(n))
+				most, all := simulateColdStart(c.entries, ups, 1, c.skew, uint64(n))
 				t.Logf("%d entries, %g a second, %s: at most %d in a second, %d in all", n, rate, name, most, all)
 				if float64(most) > c.limit*rate+1 {
 					t.Errorf("%d entries, %g a second, %s: %d in a second", n, rate, name, most)
 				}
-				// An entry tries a hundred times a second.
+				// Each entry makes a hundred attempts a second.
 				if could := min(rate*4*40, float64(400*n)); float64(all) < could/3 {
 					t.Errorf("%d entries, %g a second, %s: %d in all of %g", n, rate, name, all, could)
 				}
@@ -156,22 +159,22 @@
 	}
 }
 
-// Flows that carry four requests each while their upstream is cold come a quarter as often.
+// If each flow carries four requests while its upstream is cold, flows must be opened a quarter as often.
 func TestColdUpstreamsAndLongFlows(t *testing.T) {
 	ups := upstreams(40, 8, start.Add(4*time.Second))
-	if most, _ := herd(places(30), ups, 4, 0, 1); most > 8/4+1 {
+	if most, _ := simulateColdStart(places(30), ups, 4, 0, 1); most > 8/4+1 {
 		t.Errorf("%d flows of four requests in a second", most)
 	}
 }
 
-// A turn that nobody used lapses: callers come after three seconds of silence, and the turns of that
-// time are not made up for.
+// Unused turns must lapse. Callers arrive after three seconds without any, and the turns of those seconds
+// must not be made up for, since the upstreams would be overloaded.
 func TestUnusedTurnsLapse(t *testing.T) {
 	ups := upstreams(40, 5, start.Add(4*time.Second))
 	later := start
 	start = start.Add(3 * time.Second)
 	defer func() { start = later }()
-	if most, _ := herd(places(30), ups, 1, 0, 1); most > 5+1 {
+	if most, _ := simulateColdStart(places(30), ups, 1, 0, 1); most > 5+1 {
 		t.Errorf("%d in a second", most)
 	}
 }
--- a/stoatfilter/place.go
+++ b/stoatfilter/place.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// Place is an entry's place among those of its data centre.
+// Place is the rank of an entry among the entries of its data centre.
 type Place struct {
-	Rank    int // from 0
-	Entries int // 0: not known, and nothing is taken
+	Rank    int // counts from 0
+	Entries int // number of entries; 0 means unknown, and the entry then gets no turns
 }
 
 const (
-	// placeSteady is how long an entry has had a place before it goes by it. After a power loss all
-	// entries start at once, and each is alone at first: it takes one or two seconds until the relay
-	// tree has gathered and counted them.
-	placeSteady = 2 * time.Second
-	// placeKept is how long the greatest number of entries counts. Those that are cut off go on, and go
-	// by it too: two halves that counted only themselves would each deal out everything.
-	placeKept = time.Minute
+	// rankSettleTime is how long an entry must have had a rank before it uses the rank. After a power
+	// loss all entries start at once and each of them is alone at first: the relay tree needs one or two
+	// seconds to connect and count them.
+	rankSettleTime = 2 * time.Second
+	// maxEntriesRetention is how long the greatest number of entries stays in force. Entries that are cut
+	// off still run and use that number too: if two halves counted only themselves, each of them would
+	// allot the whole limit.
+	maxEntriesRetention = time.Minute
 )
 
-// Placing follows the place of one entry.
+// Placing tracks the rank of one entry over time.
 type Placing struct {
-	place Place
-	since time.Time // when it first had one
-	most  int
-	at    time.Time // when so many entries were counted last
+	last        Place
+	rankedSince time.Time // when the entry first had a rank
+	maxEntries  int       // greatest number of entries counted lately
+	maxSeenAt   time.Time // when that number was counted last
 }
 
-// Set takes in the place as the relay tree tells it now. One that is not known leaves the last one in
-// force: the parent may be back in a moment.
+// Set records the rank that the relay tree reports now. An unknown rank leaves the last one in force,
+// because the parent in the relay tree may be back in a moment.
 func (p *Placing) Set(now time.Time, x Place) {
 	if x.Entries <= 0 {
 		return
 	}
-	if p.place.Entries == 0 {
-		p.since = now
+	if p.last.Entries == 0 {
+		p.rankedSince = now
 	}
-	p.place = x
-	if x.Entries >= p.most || now.Sub(p.at) > placeKept {
-		p.most, p.at = x.Entries, now
+	p.last = x
+	if x.Entries >= p.maxEntries || now.Sub(p.maxSeenAt) > maxEntriesRetention {
+		p.maxEntries, p.maxSeenAt = x.Entries, now
 	}
 }
 
-// At returns the place to go by.
+// At returns the rank to use at the given time; its Entries is 0 while the rank is not settled.
 func (p *Placing) At(now time.Time) Place {
-	if p.place.Entries == 0 || now.Sub(p.since) < placeSteady {
+	if p.last.Entries == 0 || now.Sub(p.rankedSince) < rankSettleTime {
 		return Place{}
 	}
-	return Place{Rank: p.place.Rank, Entries: max(p.place.Entries, p.most)}
+	return Place{Rank: p.last.Rank, Entries: max(p.last.Entries, p.maxEntries)}
 }
--- a/stoatfilter/place_test.go
+++ b/stoatfilter/place_test.go
@@ -7,9 +7,9 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfilter"
 )
 
-// An entry starts after a power loss and counts itself alone, then four, then thirty. It goes by a place
-// only after two seconds. Later half of the data centre is cut off from it: it goes on dealing out parts
-// of thirty for a minute, since the other half does too, and of fifteen after that.
+// An entry that starts after a power loss first counts itself alone, then four entries, then thirty. It
+// must use a rank only after two seconds. Later half of the data centre is cut off: the entry must go on
+// dividing the limit by thirty for a minute, since the other half does so too, and then by fifteen.
 func TestPlacing(t *testing.T) {
 	var p stoatfilter.Placing
 	now := start
@@ -27,7 +27,7 @@
 	at(time.Second, stoatfilter.Place{Entries: 1}, none)
 	at(time.Second, stoatfilter.Place{Entries: 4}, none)
 	at(time.Second, thirty, thirty)
-	at(10*time.Second, none, thirty) // the parent is away for a moment
+	at(10*time.Second, none, thirty) // the parent cannot be reached for a moment
 	at(10*time.Second, thirty, thirty)
 	at(time.Second, half, stoatfilter.Place{Rank: 2, Entries: 30})
 	at(50*time.Second, half, stoatfilter.Place{Rank: 2, Entries: 30})
