--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -185,7 +185,7 @@
 // Lost reports whether the platform counts as not answering.
 func (f *Feed) Lost() bool { return f.unreachable }
 
-// Failing returns the time since when calls have failed; it is zero if the last one succeeded.
+// Failing returns since when the platform has not answered; the time is zero while it answers.
 func (f *Feed) Failing() time.Time { return f.failingSince }
 
 // Next returns the call to make now.
@@ -198,7 +198,7 @@
 	c.From = f.pos.Revision
 	c.Wait = f.wait()
 	c.Timeout = c.Wait + Share(f.cfg.Bound, answerFraction)
-	// A replica that is behind may not have reached the revision yet from which it is to watch.
+	// A replica that is behind may not have reached the revision yet from which it should watch.
 	c.Stale = f.cfg.Stale && !f.exact && f.forgottenInRow < 2
 	switch {
 	case f.useReplica:
@@ -219,9 +219,9 @@
 	return min(limit, time.Duration(1+f.failures)*Share(f.cfg.Bound, answerFraction))
 }
 
-// wait returns how long a watch waits for a change. If a change ended the last watch early, its answer is
-// only current as of the time it was sent. Where other entries wait for confirmations, the next watch is
-// shortened by the age of that answer.
+// wait returns how long a watch waits for a change. Where other entries wait for confirmations, the wait is
+// shorter by the age of the last exact answer: the answer of a watch that a change ended early is only current
+// as of the time when the watch was sent.
 func (f *Feed) wait() time.Duration {
 	if !f.cfg.Prompt {
 		return Share(f.cfg.Bound, waitFraction)
@@ -350,7 +350,7 @@
 	return asOf.Era < f.era || asOf.Before(f.pos)
 }
 
-// recordFailure records a recordFailure or refused call.
+// recordFailure records a call that failed or was refused.
 func (f *Feed) recordFailure(now time.Time) Verdict {
 	f.failures++
 	if f.failingSince.IsZero() {
@@ -364,7 +364,7 @@
 	return Verdict{Lost: true}
 }
 
-// recordPage records one recordPage of a list.
+// recordPage records one page of a list.
 func (f *Feed) recordPage(v Verdict, c Call, r Result) Verdict {
 	if r.AsOf.Era < f.era {
 		// The page comes from a replica that does not know of the restore yet.
--- a/stoatfilter/cold.go
+++ b/stoatfilter/cold.go
@@ -45,7 +45,8 @@
 	if p.Entries <= 0 || p.Rank < 0 || p.Rank >= p.Entries {
 		return false
 	}
-	// The number is rounded up, so that entries with slightly different estimates compute the same turns.
+	// The number of requests is rounded up, so that entries whose estimates differ a little compute the same
+	// turns.
 	requests := math.Ceil(math.Max(1, load.Requests))
 	interval := time.Duration(float64(time.Second) * requests / (allottedFraction * u.ColdRate))
 	// The first turn goes to a different entry for each upstream. Otherwise one entry would have its turn
--- a/stoatroute/book.go
+++ b/stoatroute/book.go
@@ -92,7 +92,7 @@
 	listed           bool
 	mirroring        bool   // another entry reports whether missing registrations ended
 	changeSeq        uint64 // number of changes so far
-	declarationSeq   uint64 // changeSeq when decl was adopted
+	declarationSeq   uint64 // changeSeq when decl was adopted or former services were added last
 	evacuations
 	interner     interner
 	recordShards recordShards
@@ -274,20 +274,20 @@
 // back, because an upstream whose registration lapsed in the outage may have been serving all the time.
 func (b *Book) Listed(now time.Time, names map[stoatpaddle.UpstreamID]bool, afterOutage bool) []stoatpaddle.UpstreamID {
 	b.listed, b.dirty = true, true
-	var lost []stoatpaddle.UpstreamID
+	var lacking []stoatpaddle.UpstreamID
 	for id, rec := range b.records {
 		if names[id] || rec.up.Standing >= Missing {
 			continue
 		}
-		lost = append(lost, id)
+		lacking = append(lacking, id)
 		if afterOutage {
 			b.setMissing(now, rec)
 			continue
 		}
 		b.setGone(now, rec)
 	}
-	slices.Sort(lost)
-	return lost
+	slices.Sort(lacking)
+	return lacking
 }
 
 // setMissing records that the registration may have lapsed, and starts its grace period.
@@ -341,6 +341,7 @@
 	for id, rec := range b.ending {
 		switch {
 		case now.Before(rec.until) || b.mirroring && rec.up.Standing == Missing && rec.remoteMissing:
+			// It is not time yet, or the mirrored entry will report the end.
 		case rec.up.Standing == Missing:
 			b.setGone(now, rec)
 			ended = append(ended, id)
--- a/stoatroute/evacuation.go
+++ b/stoatroute/evacuation.go
@@ -14,7 +14,7 @@
 //
 // A withdrawn evacuation stays known with the revision of its withdrawal, because an entry that is behind or
 // a replica may still report the evacuation. While an entry cannot read the platform it keeps all evacuations
-// that it knows: a data centre that is about to lose power must not get flows again because the platform
+// that it knows: a data centre that is about to lose power must not get flows again only because the platform
 // does not answer.
 type evacuations struct {
 	evacuationStates map[stoatpaddle.DataCentreID]evacuationState
@@ -43,6 +43,7 @@
 // data centre that is about to lose power.
 const evacuationGracePeriod = 10 * time.Second
 
+// clone returns a copy for a table. If evacuations are not required, they count as known.
 func (e evacuations) clone(required bool) evacuations {
 	return evacuations{evacuationStates: maps.Clone(e.evacuationStates), evacuationsKnown: e.evacuationsKnown || !required}
 }
@@ -55,10 +56,10 @@
 
 // EvacuationsSince returns the evacuations that changed after the given change sequence number, ascending by
 // data centre.
-func (e *evacuations) EvacuationsSince(change uint64) []stoatpaddle.Evacuation {
+func (e *evacuations) EvacuationsSince(seq uint64) []stoatpaddle.Evacuation {
 	var out []stoatpaddle.Evacuation
 	for _, s := range e.evacuationStates {
-		if s.changeSeq > change {
+		if s.changeSeq > seq {
 			out = append(out, s.Evacuation)
 		}
 	}
--- a/stoatroute/history.go
+++ b/stoatroute/history.go
@@ -22,16 +22,16 @@
 	service stoatpaddle.ServiceID
 }
 
-// Former returns the services that routes no longer use, ordered by address and service. news reports whether
-// the list contains a service that it did not contain before.
-func (b *Book) Former(now time.Time) (list []Former, news bool) {
+// Former returns the services that routes no longer use, ordered by address and service. added reports whether
+// there is one that was not returned before.
+func (b *Book) Former(now time.Time) (list []Former, added bool) {
 	former := map[formerKey]time.Time{}
 	for listen, r := range b.routes {
 		for _, s := range r.Earlier() {
 			key := formerKey{listen: listen, service: s}
 			until, known := b.formerUntil[key]
 			if !known {
-				until, news = now.Add(b.cfg.Keep), true
+				until, added = now.Add(b.cfg.Keep), true
 			}
 			former[key] = until
 			if now.Before(until) {
@@ -43,7 +43,7 @@
 	slices.SortFunc(list, func(x, y Former) int {
 		return cmp.Or(x.Listen.Compare(y.Listen), cmp.Compare(x.Service, y.Service))
 	})
-	return list, news
+	return list, added
 }
 
 // RecallFormer adds former services of routes that were read back from the platform, and reports whether any
--- a/stoatroute/life.go
+++ b/stoatroute/life.go
@@ -19,7 +19,7 @@
 	return Life{Incarnation: r.Incarnation, Service: r.Service, DataCentre: r.DataCentre, Addr: r.Addr}
 }
 
-// Same reports whether o may be the same incarnation.
+// Same reports whether other may be the same incarnation.
 func (l Life) Same(other Life) bool { return l.compare(other) == sameIncarnation }
 
 // incarnationOrder is the relation of a registration to the known one of the same upstream.
@@ -32,8 +32,8 @@
 	foreignWriter // the upstream cannot have written the registration
 )
 
-// compare returns the relation of o to the known identity l. If l has no incarnation, which is the case for
-// servers that get a new id at each start, a different address, service or data centre counts as a restart.
+// compare returns the relation of other to the known identity l. If l has no incarnation, as with servers that
+// got a new id at each start, a different address, service or data centre counts as a restart.
 func (l Life) compare(other Life) incarnationOrder {
 	moved := l.Service != other.Service || l.DataCentre != other.DataCentre || l.Addr != other.Addr
 	switch {
--- a/stoatroute/mirror.go
+++ b/stoatroute/mirror.go
@@ -30,17 +30,17 @@
 // again. An upstream that is reported as missing stays missing until there is another report, because only
 // the entry that reads the platform knows when the platform recovered.
 func (b *Book) Mirror(now time.Time, update RemoteUpdate) []stoatpaddle.UpstreamID {
-	var news []stoatpaddle.UpstreamID
+	var changed []stoatpaddle.UpstreamID
 	named := make(map[stoatpaddle.UpstreamID]bool, len(update.Upstreams))
 	for i := range update.Upstreams {
 		u := &update.Upstreams[i]
 		named[u.ID] = true
 		if b.mirror(now, u, update.Later) {
-			news = append(news, u.ID)
+			changed = append(changed, u.ID)
 		}
 	}
 	if !update.Whole {
-		return news
+		return changed
 	}
 	if !b.listed && b.declared {
 		b.listed, b.dirty = true, true
@@ -49,21 +49,21 @@
 		b.evacuationsKnown, b.dirty = true, true
 	}
 	if !update.Later {
-		return news
+		return changed
 	}
 	for id, rec := range b.records {
 		if !named[id] && rec.up.Standing < Missing {
 			b.setMissing(now, rec)
-			news = append(news, id)
+			changed = append(changed, id)
 		}
 	}
-	return news
+	return changed
 }
 
 // mirror applies one upstream of an update and reports whether its state changed here.
-func (b *Book) mirror(now time.Time, remote *RemoteUpstream, later bool) bool {
+func (b *Book) mirror(now time.Time, remote *RemoteUpstream, upToDate bool) bool {
 	rec := b.records[remote.ID]
-	if rec != nil && (remote.Revision < rec.up.Revision || remote.Revision == rec.up.Revision && (!later || remote.Standing == rec.up.Standing)) {
+	if rec != nil && (remote.Revision < rec.up.Revision || remote.Revision == rec.up.Revision && (!upToDate || remote.Standing == rec.up.Standing)) {
 		return false
 	}
 	isNew := rec == nil
@@ -80,14 +80,14 @@
 	case remote.Revision > rec.up.Revision:
 		rec.setCold(now, remote.Cold)
 	}
-	was, standing := rec.up.Standing, remote.Standing
+	was, state := rec.up.Standing, remote.Standing
 	u := rec.edit()
 	u.Registration, u.Revision = b.interner.intern(b.keepLeaving(now, rec, remote.Registration)), remote.Revision
-	if standing == Serving {
-		standing = standingOf(&rec.up.Registration)
+	if state == Serving {
+		state = standingOf(&rec.up.Registration)
 	}
-	u.Standing = standing
-	switch standing {
+	u.Standing = state
+	switch state {
 	case Gone:
 		b.setGone(now, rec)
 	case Missing:
@@ -96,5 +96,5 @@
 	default:
 		b.recordChange(rec)
 	}
-	return isNew || was != standing
+	return isNew || was != state
 }
--- a/stoatroute/names.go
+++ b/stoatroute/names.go
@@ -18,6 +18,7 @@
 	return r
 }
 
+// internString returns the shared copy of a name, which is the given one if there is none yet.
 func internString[S ~string](interned *map[S]S, s S) S {
 	if kept, known := (*interned)[s]; known {
 		return kept
--- a/stoatroute/openings.go
+++ b/stoatroute/openings.go
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// patchList returns a copy of list, which is ascending by key, in which the entries of the given keys are
-// replaced by their current upstreams. The keys must be ascending too.
+// patchList returns a copy of list, which is ascending by key, in which the given keys have their current
+// upstreams, or none. The keys must be ascending too.
 func patchList(list []*Upstream, keys []stoatpaddle.UpstreamKey, current func(k stoatpaddle.UpstreamKey) *Upstream) []*Upstream {
 	out := make([]*Upstream, 0, len(list)+len(keys))
 	for _, k := range keys {
--- a/stoatroute/priority.go
+++ b/stoatroute/priority.go
@@ -9,6 +9,7 @@
 // priorities holds the most and the least urgent priority of the routes to each service; 0 is the most urgent.
 type priorities map[stoatpaddle.ServiceID]struct{ most, least int }
 
+// prioritiesOf returns the range of priorities for each service of the routes.
 func prioritiesOf(routes []stoatpaddle.Route) priorities {
 	out := priorities{}
 	for _, r := range routes {
--- a/stoatroute/register.go
+++ b/stoatroute/register.go
@@ -17,7 +17,7 @@
 	Unchanged Outcome = iota
 	// Changed means that the upstream is new or that its state has changed.
 	Changed
-	// Restarted means that the upstream started again under its id and has none of its earlier flows.
+	// Restarted means that the upstream started again under its id and kept nothing from before.
 	Restarted
 	// Outdated means that an earlier incarnation than the known one wrote the registration.
 	Outdated
--- a/stoatroute/restore.go
+++ b/stoatroute/restore.go
@@ -17,10 +17,10 @@
 	return r
 }
 
-// Restore records that the platform was restored from an older copy of itself and has begun a new era. It
-// assigns revisions a second time, so new writes would look outdated until their revisions pass those of the
-// earlier era. Everything that is known therefore counts as earlier than anything of the new era. It stays
-// in force, because the copy lacks what was written last.
+// Restore records that the platform was restored from an older copy of itself and has begun a new era. The
+// platform assigns revisions a second time, so new writes would look outdated until their revisions pass those
+// of the earlier era. Everything that is known therefore counts as earlier than anything of the new era, but it
+// remains in use, because the copy lacks what was written last.
 func (b *Book) Restore(now time.Time, era stoatpaddle.Era) {
 	before := b.era
 	b.era, b.dirty = era, true
--- a/stoatroute/shards.go
+++ b/stoatroute/shards.go
@@ -12,8 +12,8 @@
 // changes, only one shard and the list of one service are built again, instead of 14 MB for 43,000 upstreams
 // and 4,000 lists.
 
-// shardCount is chosen so that a shard of 43,000 upstreams is as large as a whole deployment of today. Copying
-// the array of shards costs about as little as building such a shard.
+// shardCount divides 43,000 upstreams into shards that are each as large as a whole deployment of today.
+// Copying the array of shards costs as little as building one such shard.
 const shardCount = 256
 
 // upstreamShard holds the upstreams whose keys belong to one shard. It does not change once a table refers to
--- a/stoatroute/table.go
+++ b/stoatroute/table.go
@@ -152,14 +152,14 @@
 
 // Since returns the upstreams that changed after the given change sequence number, also those that are gone,
 // in any order.
-func (t *Table) Since(change uint64) []*Upstream {
+func (t *Table) Since(seq uint64) []*Upstream {
 	var out []*Upstream
 	for _, part := range t.upstreams {
-		if part == nil || part.maxChangeSeq <= change {
+		if part == nil || part.maxChangeSeq <= seq {
 			continue
 		}
 		for _, u := range part.all {
-			if u.Change > change {
+			if u.Change > seq {
 				out = append(out, u)
 			}
 		}
@@ -169,17 +169,17 @@
 
 // RoutesSince returns the routes that changed after the given change sequence number, and the addresses whose
 // routes were removed. known is false if the removals since then are no longer recorded.
-func (t *Table) RoutesSince(change uint64) (changed []stoatpaddle.Route, removed []netip.AddrPort, known bool) {
-	if change < t.removedForgotten {
+func (t *Table) RoutesSince(seq uint64) (changed []stoatpaddle.Route, removed []netip.AddrPort, known bool) {
+	if seq < t.removedForgotten {
 		return nil, nil, false
 	}
 	for _, r := range t.routes {
-		if r.Change > change {
+		if r.Change > seq {
 			changed = append(changed, r.Route)
 		}
 	}
 	for listen, at := range t.removed {
-		if at > change {
+		if at > seq {
 			removed = append(removed, listen)
 		}
 	}
