--- a/stoatfeed/feed_test.go
+++ b/stoatfeed/feed_test.go
@@ -136,7 +136,7 @@
 
 // Another feed has confirmed a later revision. The replica must be called at once, and the watch that was
 // cancelled for this must not count as a failure.
-func TestHurry(t *testing.T) {
+func TestRequestNow(t *testing.T) {
 	f := listed(t, true)
 	f.Hurry()
 	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Interrupted}); v != (stoatfeed.Verdict{}) || !f.Failing().IsZero() {
--- a/stoatfilter/rank_test.go
+++ b/stoatfilter/rank_test.go
@@ -10,7 +10,7 @@
 // An entry that starts after a power loss first counts itself alone, then four entries, then thirty. It
 // must use a rank only after two seconds. Later half of the data centre is cut off: the entry must go on
 // dividing the limit by thirty for a minute, since the other half does so too, and then by fifteen.
-func TestPlacing(t *testing.T) {
+func TestRankTracker(t *testing.T) {
 	var p stoatfilter.Placing
 	now := start
 	at := func(d time.Duration, x, want stoatfilter.Place) {
--- a/stoatroute/builder_test.go
+++ b/stoatroute/builder_test.go
@@ -140,7 +140,7 @@
 
 // Two upstreams with targets longer than 32 bits share a key. The one that registered first must keep its
 // flows, in whichever order an entry learns of them, and the other one must get none.
-func TestSharedCookie(t *testing.T) {
+func TestSharedKey(t *testing.T) {
 	first, second := registration(0x7f00000001, "i-7f00000001"), registration(0x7e00000000, "i-7e00000000")
 	first.Created, second.Created = 5, 6
 	if stoatroute.KeyOf(first.Target) != stoatroute.KeyOf(second.Target) {
@@ -166,7 +166,7 @@
 
 // An entry that starts while the platform does not answer must serve what another entry reports, but must not
 // take that report for a confirmation that unknown upstreams have ended.
-func TestMirrorIsNoProof(t *testing.T) {
+func TestMirrorConfirmsNothing(t *testing.T) {
 	b := stoatroute.NewBook(stoatroute.Config{})
 	b.Mirror(start, stoatroute.RemoteUpdate{Whole: true, Later: true})
 	if b.Table().Ready() {
@@ -263,7 +263,7 @@
 
 // Another entry is sent only what changed since its last update. Each upstream that changed must be returned
 // once, and the declaration only if it changed itself.
-func TestSince(t *testing.T) {
+func TestUpstreamsSince(t *testing.T) {
 	b := stoatroute.NewBook(stoatroute.Config{})
 	b.Declare(declaration(1, "app"), 1)
 	b.Register(start, registration(1, "i-1"), 2)
@@ -278,6 +278,6 @@
 		t.Error(len(list))
 	}
 	if second.Altered != first.Altered {
-		t.Error("the declaration did not change")
+		t.Error("a change of an upstream counts as a change of the declaration")
 	}
 }
--- a/stoatroute/history_test.go
+++ b/stoatroute/history_test.go
@@ -28,8 +28,8 @@
 	if len(list) != 1 || !news || list[0].Service != "app" || !list[0].Until.Equal(now.Add(time.Minute)) {
 		t.Error(list, news)
 	}
-	if again, news := b.Former(now.Add(time.Second)); len(again) != 1 || news {
-		t.Error("reported as new twice", again, news)
+	if again, added := b.Former(now.Add(time.Second)); len(again) != 1 || added {
+		t.Error("reported as new twice", again, added)
 	}
 	if late, _ := b.Former(now.Add(time.Minute)); len(late) > 0 {
 		t.Error("kept for longer than flows live", late)
--- a/stoatroute/memory_test.go
+++ b/stoatroute/memory_test.go
@@ -32,9 +32,9 @@
 	return b
 }
 
-// Guards against a table that has a second copy of each upstream and of the names in it. An entry has 25 MB for
-// 43,000 upstreams.
-func TestLiveBytesAnUpstream(t *testing.T) {
+// Guards against a table that has a second copy of each upstream and of the names in it. An entry has 25 MB of
+// memory for 43,000 upstreams.
+func TestLiveBytesPerUpstream(t *testing.T) {
 	const upstreams, most = 10000, 485
 	live := func() uint64 {
 		var m runtime.MemStats
--- a/stoatroute/restore_test.go
+++ b/stoatroute/restore_test.go
@@ -10,7 +10,7 @@
 
 // The platform confirmed that an upstream is leaving, and was then restored from a copy made just before, in
 // which the upstream is ready. The upstream ends soon and repeats the announcement only with its next
-// heartbeat. Until then it must get no new flow, also not from an entry whose parent started after the restore
+// heartbeat. Until then it must get no new flow, not even from an entry whose parent started after the restore
 // and knows only the copy. The same holds for an upstream that had already ended.
 func TestLeavingOutlivesARestore(t *testing.T) {
 	ready := registration(1, "i-1")
