--- a/stoatroute/builder.go
+++ b/stoatroute/builder.go
@@ -100,7 +100,7 @@
 	dirty        bool // more than completeAsOf has changed since table was built
 }
 
-// NewBook returns an empty Book.
+// NewBook returns an empty builder.
 func NewBook(cfg Config) *Book {
 	return &Book{
 		cfg: cfg.withDefaults(), routes: map[netip.AddrPort]*Route{}, records: map[stoatpaddle.UpstreamID]*record{}, dirty: true,
@@ -133,9 +133,9 @@
 	return 1
 }
 
-// Declare adopts a declaration and reports whether it did. A declaration that was written earlier than the
-// one in force is ignored, whoever sends it, so that the configuration never reverts. Revision 0 means that
-// the declaration belongs to an earlier era; then only its version is compared.
+// Declare adopts a declaration and reports whether it did. A declaration that was written earlier
+// than the one in force is ignored, whoever sends it, so that the configuration never reverts. Revision 0 means
+// that the declaration belongs to an earlier era; then only its version is compared.
 func (b *Book) Declare(d stoatpaddle.Declaration, revision stoatpaddle.Version) bool {
 	if b.declared && (revision != 0 && revision <= b.revision || d.Version <= b.decl.Version) {
 		return false
@@ -169,9 +169,9 @@
 	return true
 }
 
-// Recall adds the services that routes had in a configuration no later than the one in force, and reports
-// whether any of them was unknown. Without them, an entry that starts after a route moved to another service
-// would take the cookies of flows at the former service for forged.
+// Recall adds the services that routes had in a configuration no later than the one in force,
+// and reports whether any of them was unknown. Without them, an entry that starts after a route moved to another
+// service would take the cookies of flows at the former service for forged.
 func (b *Book) Recall(routes []stoatpaddle.Route) bool {
 	var updated []*Route
 	for i := range routes {
@@ -249,8 +249,8 @@
 	return true
 }
 
-// Lapse records that a registration ended while no entry was reading the platform on behalf of this one, and
-// reports whether that is a change. The registration may have lapsed in an outage, so it has
+// Lapse records that a registration ended while no entry was reading the platform on behalf of this
+// one, and reports whether that is a change. The registration may have lapsed in an outage, so it has
 // Config.GracePeriod to come back.
 func (b *Book) Lapse(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
 	rec := b.records[id]
@@ -296,8 +296,8 @@
 	b.recordChange(rec)
 }
 
-// Prove records that the upstreams were current when a call was sent at the given time. Soon after a restore
-// this does not imply that an unknown upstream has ended: its registration may have been lost in the
+// Prove records that the upstreams were current when a call was sent at the given time. Soon after
+// a restore this does not imply that an unknown upstream has ended: its registration may have been lost in the
 // restore, and taking it for ended would reset its open flows.
 func (b *Book) Prove(sent time.Time) {
 	if sent.After(b.currentAsOf) {
@@ -308,8 +308,8 @@
 	}
 }
 
-// Hold restarts the grace period of every missing registration, because the platform stopped answering again
-// before they could come back.
+// Hold restarts the grace period of every missing registration, because the platform stopped
+// answering again before they could come back.
 func (b *Book) Hold(now time.Time) {
 	for _, rec := range b.ending {
 		if rec.up.Standing == Missing {
--- a/stoatroute/evacuation.go
+++ b/stoatroute/evacuation.go
@@ -67,8 +67,9 @@
 	return out
 }
 
-// Evacuate records that a data centre is evacuated or that its evacuation is withdrawn, and reports whether
-// that changes where flows may go. A state that is earlier than the known one is ignored, whoever sends it.
+// Evacuate records that a data centre is evacuated or that its evacuation is withdrawn, and reports
+// whether that changes where flows may go. A state that is earlier than the known one is ignored, whoever sends
+// it.
 func (b *Book) Evacuate(e stoatpaddle.Evacuation) bool {
 	old, known := b.evacuationStates[e.DataCentre]
 	if known && !e.Supersedes(old.Evacuation) {
@@ -107,8 +108,8 @@
 	})
 }
 
-// HoldEvacuations restarts the time that operators have to write evacuations again, because they cannot do
-// so while the platform does not answer.
+// HoldEvacuations restarts the time that operators have to write evacuations again, because they
+// cannot do so while the platform does not answer.
 func (b *Book) HoldEvacuations(now time.Time) {
 	for d, s := range b.evacuationStates {
 		if !s.missingSince.IsZero() {
--- a/stoatroute/history.go
+++ b/stoatroute/history.go
@@ -22,8 +22,8 @@
 	service stoatpaddle.ServiceID
 }
 
-// Former returns the services that routes no longer use, ordered by address and service. added reports whether
-// there is one that was not returned before.
+// Former returns the services that routes no longer use, ordered by address and service. added
+// reports whether there is one that was not returned before.
 func (b *Book) Former(now time.Time) (list []Former, added bool) {
 	former := map[formerKey]time.Time{}
 	for listen, r := range b.routes {
@@ -46,8 +46,8 @@
 	return list, added
 }
 
-// RecallFormer adds former services of routes that were read back from the platform, and reports whether any
-// of them was unknown. It ignores services at which no flow can be open any more.
+// RecallFormer adds former services of routes that were read back from the platform, and reports
+// whether any of them was unknown. It ignores services at which no flow can be open any more.
 func (b *Book) RecallFormer(now time.Time, list []Former) bool {
 	var routes []stoatpaddle.Route
 	for _, f := range list {
--- a/stoatroute/register.go
+++ b/stoatroute/register.go
@@ -90,9 +90,9 @@
 // too, so no route uses the upstream and nothing is sent to this address.
 var unknownAddr = netip.AddrPortFrom(netip.IPv4Unspecified(), 1)
 
-// Spoil records that an upstream's registration was overwritten with something that describes no server, and
-// reports whether that is a change. The upstream may still be running, so its open flows continue. It gets no
-// new flows until it writes its registration again, because the platform no longer shows that it is serving.
+// Spoil records that an upstream's registration was overwritten with something that describes no server,
+// and reports whether that is a change. The upstream may still be running, so its open flows continue. It gets
+// no new flows until it writes its registration again, because the platform no longer shows that it is serving.
 //
 // An upstream that was unknown becomes known by the key of the given target, which is taken from its id. Its
 // registration still exists, so the platform does not show that it has ended, and flows to it must not be
--- a/stoatroute/shards.go
+++ b/stoatroute/shards.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Differing calls fn at least once for each key whose upstream is another one, or has changed, compared with
-// an earlier table. It may call fn for other keys too. If before is nil, it calls fn for all keys.
+// Differing calls fn at least once for each key whose upstream is another one, or has changed,
+// compared with an earlier table. It may call fn for other keys too. If before is nil, it calls fn for all keys.
 func (t *Table) Differing(before *Table, fn func(k stoatpaddle.UpstreamKey)) {
 	for i, part := range t.upstreams {
 		var old *upstreamShard
--- a/stoatroute/table.go
+++ b/stoatroute/table.go
@@ -125,8 +125,8 @@
 	return t.services[shardOfService(id)][id].all
 }
 
-// Groups returns the upstreams that accept new flows of the service, grouped by data centre and ascending by
-// its name.
+// Groups returns the upstreams that accept new flows of the service, grouped by data centre and
+// ascending by its name.
 func (t *Table) Groups(id stoatpaddle.ServiceID) []Group {
 	return t.services[shardOfService(id)][id].groups
 }
@@ -150,8 +150,8 @@
 // Ready reports whether enough is known to place flows.
 func (t *Table) Ready() bool { return t.Declared && t.Listed && t.evacuationsKnown }
 
-// Since returns the upstreams that changed after the given change sequence number, also those that are gone,
-// in any order.
+// Since returns the upstreams that changed after the given change sequence number, also those that
+// are gone, in any order.
 func (t *Table) Since(seq uint64) []*Upstream {
 	var out []*Upstream
 	for _, part := range t.upstreams {
