--- a/stoatecho/ended.go
+++ b/stoatecho/ended.go
@@ -27,11 +27,11 @@
 // upstream alone cannot reach the platform: one that has answered since keeps its open flows, and
 // gets no new ones.
 func (e *Engine) hasEnded(u *stoatroute.Upstream) bool {
-	if u.Standing != stoatroute.Gone {
+	if u.State != stoatroute.Gone {
 		return false
 	}
 	h := e.health[u.Key]
-	return h == nil || !h.answer.After(u.Ended)
+	return h == nil || !h.answer.After(u.EndedAt)
 }
 
 // TakeEnded returns the flows that wait for an answer of upstreams which ended since the last call.
@@ -45,13 +45,13 @@
 func (e *Engine) TakeEnded(now time.Time, t *stoatroute.Table) []Unanswered {
 	var out []Unanswered
 	ended := map[*stoatroute.Upstream]bool{}
-	for _, u := range t.Since(e.endedUpTo) {
+	for _, u := range t.UpstreamsSince(e.endedUpTo) {
 		h := e.health[u.Key]
-		if u.Standing == stoatroute.Gone && h != nil && h.busy > 0 && now.Sub(h.sign) >= repeatLeast && t.Upstream(u.Key) == u {
+		if u.State == stoatroute.Gone && h != nil && h.busy > 0 && now.Sub(h.sign) >= repeatLeast && t.Upstream(u.Key) == u {
 			ended[u] = e.hasEnded(u)
 		}
 	}
-	e.endedUpTo = t.Change
+	e.endedUpTo = t.ChangeSeq
 	if len(ended) == 0 {
 		return nil
 	}
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -12,7 +12,7 @@
 // end has the platform say that the upstream's registration has ended.
 func (w *world) end(id stoatpaddle.UpstreamID) {
 	w.rev++
-	w.book.Remove(w.now, id, w.rev)
+	w.book.MarkGone(w.now, id, w.rev)
 }
 
 // flows opens so many flows to the upstream.
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -243,7 +243,7 @@
 		return e.unknown(now, t, p)
 	}
 	// A caller can write any cookie; one of another service must not bring its packets there.
-	if !r.Had(u.Service) {
+	if !r.EverUsed(u.Service) {
 		return Action{Reason: stoatpacket.DropForged}
 	}
 	a := e.track(now, r, u, p)
@@ -269,7 +269,7 @@
 		}
 		return Action{Reason: stoatpacket.DropUnproven}
 	}
-	if !t.Proven.After(since) || p.Reset {
+	if !t.CompleteAsOf.After(since) || p.Reset {
 		return Action{Reason: stoatpacket.DropUnproven}
 	}
 	return Action{Verdict: Reset, Reason: stoatpacket.DropGone}
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -143,7 +143,7 @@
 func (e *Engine) Judge(now time.Time, t *stoatroute.Table) []Marked {
 	named := map[stoatpaddle.ServiceID][]Marked{}
 	for k, s := range e.together {
-		if u := t.Upstream(k); s.Failed > 0 && u != nil && u.Opens() && u.DataCentre == e.cfg.DataCentre {
+		if u := t.Upstream(k); s.Failed > 0 && u != nil && u.AcceptsFlows() && u.DataCentre == e.cfg.DataCentre {
 			named[u.Service] = append(named[u.Service], Marked{Upstream: u, Counts: s.Counts})
 		}
 	}
@@ -160,7 +160,7 @@
 		if h.group != g {
 			continue
 		}
-		if u := t.Upstream(k); u != nil && u.Opens() {
+		if u := t.Upstream(k); u != nil && u.AcceptsFlows() {
 			do(h)
 		}
 	}
@@ -168,7 +168,7 @@
 
 // judge looks at those of one service that failed requests.
 func (e *Engine) judge(now time.Time, t *stoatroute.Table, own []Marked) []Marked {
-	all := len(t.Group(own[0].Upstream.Service, e.cfg.DataCentre))
+	all := len(t.CandidatesIn(own[0].Upstream.Service, e.cfg.DataCentre))
 	if all < failCap {
 		return nil
 	}
@@ -190,11 +190,11 @@
 		h := e.healthOf(m.Upstream)
 		// One that has just started is slow, and says so: its requests owe their answers for a
 		// while, in each release at a third of a service.
-		if m.Upstream.Started && now.Before(m.Upstream.Warm.Add(evidenceSpan)) {
+		if m.Upstream.StartedCold && now.Before(m.Upstream.WarmAt.Add(evidenceSpan)) {
 			continue
 		}
 		// What entries saw of the life before is in the counts for so long.
-		if since := m.Upstream.Renewed; !since.IsZero() && now.Sub(since) < evidenceSpan+shareDelay {
+		if since := m.Upstream.RestartedAt; !since.IsZero() && now.Sub(since) < evidenceSpan+shareDelay {
 			continue
 		}
 		// Once an upstream is named, those entries that saw no failure need a moment to say so;
--- a/stoatecho/shed_test.go
+++ b/stoatecho/shed_test.go
@@ -26,7 +26,7 @@
 	} {
 		w := newLoneWorld(t, 0)
 		w.rev++
-		w.book.Remove(w.now, "i-3", w.rev)
+		w.book.MarkGone(w.now, "i-3", w.rev)
 		for range 20 {
 			w.request(feed, 30*ms)
 		}
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -78,7 +78,7 @@
 		h.full.replied(now, false)
 		h.answered(now, took, f.beside)
 		// One that has just started is slow without a queue.
-		if !now.Before(u.Warm) {
+		if !now.Before(u.WarmAt) {
 			h.recent.add(now, took)
 			h.group.answered(now, took)
 		}
@@ -238,7 +238,7 @@
 			return
 		}
 		delete(e.unsettled, k)
-		life := stoatroute.LifeOf(&u.Registration)
+		life := stoatroute.IdentityOf(&u.Registration)
 		if h.life.Same(life) {
 			h.life = life
 			return
@@ -248,7 +248,7 @@
 		e.health[k].group.silence.ended(now)
 		renewed[k] = true
 	}
-	t.Differing(e.retained, retain)
+	t.EachChangedKey(e.retained, retain)
 	for k := range e.unsettled {
 		retain(k)
 	}
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -130,7 +130,7 @@
 	}
 	if f.parent == "" {
 		f.parent = x.from
-		k.book.Follow(now, true)
+		k.book.SetMirroring(now, true)
 		k.log(EventFollows, stoatevent.F("parent", x.from), stoatevent.F("depth", countOf(len(x.path))),
 			stoatevent.F("revision", x.known.String()), stoatevent.F("age", ageText(x.age)))
 	}
@@ -193,7 +193,7 @@
 	for _, ev := range x.evacuations {
 		k.evacuate(ev, x.from)
 	}
-	for _, id := range k.book.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Whole: x.whole, Later: later}) {
+	for _, id := range k.book.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Complete: x.whole, UpToDate: later}) {
 		k.newcomer(id, x.from)
 	}
 }
@@ -202,7 +202,7 @@
 func (k *keeper) applyDelta(now time.Time, x update) {
 	current := k.book.Declaration()
 	if x.delta.Declaration.Version <= current.Version {
-		k.book.Recall(x.delta.Declaration.Routes)
+		k.book.AddFormerServices(x.delta.Declaration.Routes)
 		return
 	}
 	d := x.delta.Onto(&current)
@@ -285,7 +285,7 @@
 		k.log(EventSought, stoatevent.F("cause", x.cause.Error()))
 	}
 	f.seeking, f.parent, f.path = false, "", nil
-	k.book.Follow(now, false)
+	k.book.SetMirroring(now, false)
 }
 
 // resumed follows a pause of this process, which the steady clock may not have counted: what
@@ -303,7 +303,7 @@
 
 // asOf is when what is believed was last known to be up to date; zero: never.
 func (k *keeper) asOf() time.Time {
-	if own := k.book.Proven(); own.After(k.follow.fresh) {
+	if own := k.book.CurrentAsOf(); own.After(k.follow.fresh) {
 		return own
 	}
 	return k.follow.fresh
--- a/stoatedge/keeper.go
+++ b/stoatedge/keeper.go
@@ -33,7 +33,7 @@
 
 // keeper decides what is believed about routes and upstreams. One goroutine uses it.
 type keeper struct {
-	book   *stoatroute.Book
+	book   *stoatroute.Builder
 	topics []topic // that are followed
 	// evacuations says that they are among these.
 	evacuations bool
@@ -64,11 +64,11 @@
 	table           *stoatroute.Table
 	announced       announcement // as last said to others
 	rung            rung
-	listPages       [topicCount]int     // of the list under way, read so far
-	pagesAfter      time.Time           // until when further pages wait for a parent
-	former          []stoatroute.Former // as the platform kept it when this entry started
-	changes         []standingChange    // of the present step, to be logged
-	out             []any               // effects of the present step
+	listPages       [topicCount]int            // of the list under way, read so far
+	pagesAfter      time.Time                  // until when further pages wait for a parent
+	former          []stoatroute.FormerService // as the platform kept it when this entry started
+	changes         []standingChange           // of the present step, to be logged
+	out             []any                      // effects of the present step
 }
 
 type keeperConfig struct {
@@ -86,7 +86,7 @@
 	k := &keeper{
 		bound: cfg.Apply, rnd: rnd, reading: true, topics: []topic{declarations, upstreams},
 		back:        cfg.Return,
-		book:        stoatroute.NewBook(stoatroute.Config{Return: cfg.Return, Keep: cfg.Life, Evacuations: cfg.Evacuations}),
+		book:        stoatroute.NewBuilder(stoatroute.Config{GracePeriod: cfg.Return, Retention: cfg.Life, RequireEvacuations: cfg.Evacuations}),
 		evacuations: cfg.Evacuations,
 	}
 	if cfg.Evacuations {
@@ -115,7 +115,7 @@
 		}
 	case recalled:
 		k.former = x.former
-		k.book.RecallFormer(now, k.former)
+		k.book.RestoreFormerServices(now, k.former)
 	case ticked:
 		k.tick(now)
 	case ended:
@@ -131,7 +131,7 @@
 	case rebound:
 		k.bound, k.back = x.apply, x.back
 		k.rebind(now, x.seeds)
-		k.book.SetBounds(stoatroute.Config{Return: x.back, Keep: x.life, Evacuations: k.evacuations})
+		k.book.SetConfig(stoatroute.Config{GracePeriod: x.back, Retention: x.life, RequireEvacuations: k.evacuations})
 		for _, t := range k.topics {
 			k.feeds[t].SetBound(x.apply)
 		}
@@ -232,7 +232,7 @@
 		k.log(EventPlatformBack, stoatevent.F("topic", x.topic.String()), stoatevent.F("away", now.Sub(failing).String()))
 	}
 	if x.result.Outcome == stoatfeed.Failed && x.topic == upstreams {
-		k.book.Hold(now)
+		k.book.RestartGracePeriod(now)
 	}
 	if v.Apply {
 		k.apply(now, x.topic, x.changes, "platform")
@@ -294,7 +294,7 @@
 	asOf := x.call.AsOf(x.sent, now, x.result)
 	switch {
 	case x.topic == upstreams && v.Proof:
-		k.book.Prove(asOf)
+		k.book.MarkCurrent(asOf)
 	case x.topic == declarations && v.Proof:
 		k.challenge(proof{asOf: asOf, pos: x.result.AsOf, at: now})
 	}
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -38,7 +38,7 @@
 			return
 		}
 	}
-	k.book.Prove(k.open.asOf)
+	k.book.MarkCurrent(k.open.asOf)
 	k.open = nil
 }
 
--- a/stoatfilter/filter.go
+++ b/stoatfilter/filter.go
@@ -42,7 +42,7 @@
 	if v := f.Allowed(t, r, u); v != Eligible {
 		return v
 	}
-	if u.ColdRate == 0 || !now.Before(u.Warm) {
+	if u.ColdRate == 0 || !now.Before(u.WarmAt) {
 		return Eligible
 	}
 	if u.DataCentre != f.DataCentre || !f.Place.hasTurn(now, u, load) {
--- a/stoatfilter/filter_test.go
+++ b/stoatfilter/filter_test.go
@@ -18,7 +18,7 @@
 func upstreams(n int, rate float64, warm time.Time) []*stoatroute.Upstream {
 	var out []*stoatroute.Upstream
 	for i := range n {
-		u := &stoatroute.Upstream{Key: stoatpaddle.UpstreamKey(i + 1), ColdRate: rate, Warm: warm}
+		u := &stoatroute.Upstream{Key: stoatpaddle.UpstreamKey(i + 1), ColdRate: rate, WarmAt: warm}
 		u.DataCentre = "here"
 		out = append(out, u)
 	}
@@ -26,8 +26,8 @@
 }
 
 func TestFilter(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "left", Revision: 1})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "left", Revision: 1})
 	table := b.Table()
 	regions := stoatfilter.Regions{"here": "south", "there": "north", "left": "north"}
 	for name, c := range map[string]struct {
@@ -51,7 +51,7 @@
 		"cold, no place of that rank": {centre: "here", rate: 3, cold: time.Second, place: stoatfilter.Place{Rank: 2, Entries: 2}, want: stoatfilter.Cold},
 	} {
 		f := stoatfilter.Filter{DataCentre: "here", Regions: regions, Place: c.place}
-		u := &stoatroute.Upstream{Key: 7, ColdRate: c.rate, Warm: start.Add(c.cold)}
+		u := &stoatroute.Upstream{Key: 7, ColdRate: c.rate, WarmAt: start.Add(c.cold)}
 		u.DataCentre = c.centre
 		r := &stoatroute.Route{Route: stoatpaddle.Route{Regions: c.regions}}
 		if got := f.Open(start, table, r, u, stoatfilter.Load{}); got != c.want {
@@ -64,7 +64,7 @@
 // between them.
 func TestTurnsComeAndGo(t *testing.T) {
 	f := stoatfilter.Filter{DataCentre: "here", Place: stoatfilter.Place{Entries: 1}}
-	table := stoatroute.NewBook(stoatroute.Config{}).Table()
+	table := stoatroute.NewBuilder(stoatroute.Config{}).Table()
 	got := map[stoatfilter.Verdict]int{}
 	u := upstreams(1, 3, start.Add(time.Minute))[0]
 	for at := time.Duration(0); at < 4*time.Second; at += 10 * time.Millisecond {
@@ -81,7 +81,7 @@
 // total.
 func simulateColdStart(entries []stoatfilter.Place, ups []*stoatroute.Upstream, requests float64, skew time.Duration, seed uint64) (most, all int) {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	table := stoatroute.NewBook(stoatroute.Config{}).Table()
+	table := stoatroute.NewBuilder(stoatroute.Config{}).Table()
 	route := &stoatroute.Route{}
 	taken := map[[2]int]time.Time{}
 	got := make([][]time.Time, len(ups))
@@ -89,13 +89,13 @@
 	for i := range clocks {
 		clocks[i] = time.Duration(rnd.Int64N(int64(2*skew)+1)) - skew
 	}
-	for now := start; now.Before(ups[0].Warm); now = now.Add(10 * time.Millisecond) {
+	for now := start; now.Before(ups[0].WarmAt); now = now.Add(10 * time.Millisecond) {
 		for i, place := range entries {
 			f := stoatfilter.Filter{DataCentre: "here", Place: place}
 			own := now.Add(clocks[i])
 			for j, u := range ups {
 				x := *u
-				x.Warm = own.Add(time.Second)
+				x.WarmAt = own.Add(time.Second)
 				load := stoatfilter.Load{Requests: requests, Taken: taken[[2]int{i, j}]}
 				if f.Open(own, table, route, &x, load) == stoatfilter.Spare {
 					taken[[2]int{i, j}] = own
--- a/stoatroute/bench_test.go
+++ b/stoatroute/bench_test.go
@@ -11,15 +11,15 @@
 )
 
 // fullBuilder returns a builder with n upstreams, and a route and a service for every eleven of them.
-func fullBuilder(n int) *stoatroute.Book {
-	b := stoatroute.NewBook(stoatroute.Config{})
+func fullBuilder(n int) *stoatroute.Builder {
+	b := stoatroute.NewBuilder(stoatroute.Config{})
 	d := stoatpaddle.Declaration{Version: 1}
 	for i := range max(1, n/11) {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)}), 443)
 		service := stoatpaddle.ServiceID(fmt.Sprintf("s-%d", i))
 		d.Routes = append(d.Routes, stoatpaddle.Route{Listen: addr, Backends: []stoatpaddle.Backend{{Service: service, Weight: 1}}})
 	}
-	b.Declare(d, 1)
+	b.ApplyDeclaration(d, 1)
 	for i := range n {
 		b.Register(start, upstream(i, n), stoatpaddle.Version(i+2))
 	}
@@ -56,7 +56,7 @@
 // took 1.0 ms when Expire examined all upstreams, and takes 0.0002 ms now.
 func BenchmarkTick(b *testing.B) {
 	book := fullBuilder(43000)
-	book.Remove(start, "i-00000001", 50000)
+	book.MarkGone(start, "i-00000001", 50000)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
@@ -71,7 +71,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		book.Prove(start.Add(time.Duration(i)))
+		book.MarkCurrent(start.Add(time.Duration(i)))
 		book.Table()
 	}
 }
--- a/stoatroute/builder.go
+++ b/stoatroute/builder.go
@@ -10,27 +10,27 @@
 )
 
 func newRecord(now time.Time, r *stoatpaddle.Registration) *record {
-	return &record{up: &Upstream{Key: KeyOf(r.Target), Warm: now.Add(r.Cold), Started: r.Cold > 0}}
+	return &record{up: &Upstream{Key: KeyOf(r.Target), WarmAt: now.Add(r.Cold), StartedCold: r.Cold > 0}}
 }
 
 // setCold records for how much longer the upstream is cold, as it reports. An upstream may also become cold
 // without a restart, for example after its data centre was evacuated.
 func (rec *record) setCold(now time.Time, cold time.Duration) {
 	u := rec.edit()
-	u.Warm = now.Add(cold)
-	u.Started = u.Started || cold > 0
+	u.WarmAt = now.Add(cold)
+	u.StartedCold = u.StartedCold || cold > 0
 }
 
 // Config configures a Book; zero values take the defaults.
 type Config struct {
 	// GracePeriod is how long a registration that lapsed in an outage has to come back after the platform
 	// answers again.
-	Return time.Duration
+	GracePeriod time.Duration
 	// Retention is how long an upstream that is gone and the former services of a route stay known. It
 	// should be as long as a flow lives.
-	Keep time.Duration
+	Retention time.Duration
 	// RequireEvacuations requires evacuations to be known before flows are placed.
-	Evacuations bool
+	RequireEvacuations bool
 }
 
 const (
@@ -68,13 +68,13 @@
 func (rec *record) restart(now time.Time, r *stoatpaddle.Registration) {
 	indexed := rec.indexed
 	*rec = *newRecord(now, r)
-	rec.edit().Renewed = now
+	rec.edit().RestartedAt = now
 	rec.indexed = indexed
 }
 
-// Book accumulates what the platform and other entries report about routes and upstreams, and builds
+// Builder accumulates what the platform and other entries report about routes and upstreams, and builds
 // immutable Tables from it. It must not be used by several goroutines at once.
-type Book struct {
+type Builder struct {
 	cfg              Config
 	decl             stoatpaddle.Declaration
 	era              stoatpaddle.Era     // era of all revisions below; 0: unknown
@@ -100,9 +100,9 @@
 	dirty        bool // more than completeAsOf has changed since table was built
 }
 
-// NewBook returns an empty builder.
-func NewBook(cfg Config) *Book {
-	return &Book{
+// NewBuilder returns an empty builder.
+func NewBuilder(cfg Config) *Builder {
+	return &Builder{
 		cfg: cfg.withDefaults(), routes: map[netip.AddrPort]*Route{}, records: map[stoatpaddle.UpstreamID]*record{}, dirty: true,
 		ending: map[stoatpaddle.UpstreamID]*record{},
 	}
@@ -110,17 +110,17 @@
 
 // withDefaults returns the configuration with defaults in place of zero values.
 func (c Config) withDefaults() Config {
-	if c.Return == 0 {
-		c.Return = defaultGracePeriod
+	if c.GracePeriod == 0 {
+		c.GracePeriod = defaultGracePeriod
 	}
-	if c.Keep == 0 {
-		c.Keep = defaultRetention
+	if c.Retention == 0 {
+		c.Retention = defaultRetention
 	}
 	return c
 }
 
-// SetBounds changes the configuration for everything that is applied from now on.
-func (b *Book) SetBounds(cfg Config) { b.cfg = cfg.withDefaults(); b.dirty = true }
+// SetConfig changes the configuration for everything that is applied from now on.
+func (b *Builder) SetConfig(cfg Config) { b.cfg = cfg.withDefaults(); b.dirty = true }
 
 // KeyOf returns the key, also called cookie, that identifies the upstream in packets. It is never 0, which
 // identifies no upstream. Targets of 32 bits map one to one. A hash would give two of 43,000 upstreams the
@@ -133,10 +133,10 @@
 	return 1
 }
 
-// Declare adopts a declaration and reports whether it did. A declaration that was written earlier
+// ApplyDeclaration adopts a declaration and reports whether it did. A declaration that was written earlier
 // than the one in force is ignored, whoever sends it, so that the configuration never reverts. Revision 0 means
 // that the declaration belongs to an earlier era; then only its version is compared.
-func (b *Book) Declare(d stoatpaddle.Declaration, revision stoatpaddle.Version) bool {
+func (b *Builder) ApplyDeclaration(d stoatpaddle.Declaration, revision stoatpaddle.Version) bool {
 	if b.declared && (revision != 0 && revision <= b.revision || d.Version <= b.decl.Version) {
 		return false
 	}
@@ -144,11 +144,11 @@
 	priorities := prioritiesOf(d.Routes)
 	b.changeSeq++
 	for _, r := range d.Routes {
-		n := &Route{Route: r, Urgent: priorities.hasPrecedence(&r), Yields: priorities.yields(&r), Change: b.changeSeq, everUsed: map[stoatpaddle.ServiceID]bool{}}
+		n := &Route{Route: r, HasPrecedence: priorities.hasPrecedence(&r), Yields: priorities.yields(&r), ChangeSeq: b.changeSeq, everUsed: map[stoatpaddle.ServiceID]bool{}}
 		// A route that moved to another service keeps its open flows at the former one.
 		if old := b.routes[r.Listen]; old != nil {
 			if sameRoute(&old.Route, &r) {
-				n.Change = old.Change
+				n.ChangeSeq = old.ChangeSeq
 			}
 			for s := range old.everUsed {
 				n.everUsed[s] = true
@@ -169,10 +169,10 @@
 	return true
 }
 
-// Recall adds the services that routes had in a configuration no later than the one in force,
+// AddFormerServices adds the services that routes had in a configuration no later than the one in force,
 // and reports whether any of them was unknown. Without them, an entry that starts after a route moved to another
 // service would take the cookies of flows at the former service for forged.
-func (b *Book) Recall(routes []stoatpaddle.Route) bool {
+func (b *Builder) AddFormerServices(routes []stoatpaddle.Route) bool {
 	var updated []*Route
 	for i := range routes {
 		known := b.routes[routes[i].Listen]
@@ -189,7 +189,7 @@
 	b.changeSeq++
 	b.routes = maps.Clone(b.routes) // tables refer to the old map
 	for _, n := range updated {
-		n.Change = b.changeSeq
+		n.ChangeSeq = b.changeSeq
 		b.routes[n.Listen] = n
 	}
 	b.declarationSeq, b.dirty = b.changeSeq, true
@@ -207,7 +207,7 @@
 const maxRemoved = 4096
 
 // recordRemovals records which routes a declaration with the given routes removes.
-func (b *Book) recordRemovals(routes map[netip.AddrPort]*Route) {
+func (b *Builder) recordRemovals(routes map[netip.AddrPort]*Route) {
 	removed := make(map[netip.AddrPort]uint64, len(b.removed))
 	for listen, at := range b.removed {
 		if routes[listen] == nil {
@@ -226,22 +226,22 @@
 }
 
 // recordChange records that an upstream has changed.
-func (b *Book) recordChange(rec *record) {
+func (b *Builder) recordChange(rec *record) {
 	b.changeSeq++
-	rec.edit().Change, b.dirty = b.changeSeq, true
+	rec.edit().ChangeSeq, b.dirty = b.changeSeq, true
 	b.recordShards.markStale(rec)
-	if rec.up.Standing >= Missing {
+	if rec.up.State >= Missing {
 		b.ending[rec.up.ID] = rec
 	} else {
 		delete(b.ending, rec.up.ID)
 	}
 }
 
-// Remove records that a registration ended while the platform was answering, and reports whether that is a
+// MarkGone records that a registration ended while the platform was answering, and reports whether that is a
 // change.
-func (b *Book) Remove(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
+func (b *Builder) MarkGone(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
 	rec := b.records[id]
-	if rec == nil || revision < rec.up.Revision || rec.up.Standing == Gone {
+	if rec == nil || revision < rec.up.Revision || rec.up.State == Gone {
 		return false
 	}
 	rec.edit().Revision = revision
@@ -249,12 +249,12 @@
 	return true
 }
 
-// Lapse records that a registration ended while no entry was reading the platform on behalf of this
+// MarkMissing records that a registration ended while no entry was reading the platform on behalf of this
 // one, and reports whether that is a change. The registration may have lapsed in an outage, so it has
 // Config.GracePeriod to come back.
-func (b *Book) Lapse(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
+func (b *Builder) MarkMissing(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
 	rec := b.records[id]
-	if rec == nil || revision < rec.up.Revision || rec.up.Standing >= Missing {
+	if rec == nil || revision < rec.up.Revision || rec.up.State >= Missing {
 		return false
 	}
 	rec.edit().Revision = revision
@@ -263,20 +263,20 @@
 }
 
 // setGone records that the upstream has ended.
-func (b *Book) setGone(now time.Time, rec *record) {
+func (b *Builder) setGone(now time.Time, rec *record) {
 	u := rec.edit()
-	u.Standing, u.Ended, rec.until = Gone, now, now.Add(b.cfg.Keep)
+	u.State, u.EndedAt, rec.until = Gone, now, now.Add(b.cfg.Retention)
 	b.recordChange(rec)
 }
 
-// Listed applies a complete list of registrations and returns the upstreams that it lacks. These have ended,
+// ApplyList applies a complete list of registrations and returns the upstreams that it lacks. These have ended,
 // unless the list follows an outage of the platform. After an outage they have Config.GracePeriod to come
 // back, because an upstream whose registration lapsed in the outage may have been serving all the time.
-func (b *Book) Listed(now time.Time, names map[stoatpaddle.UpstreamID]bool, afterOutage bool) []stoatpaddle.UpstreamID {
+func (b *Builder) ApplyList(now time.Time, names map[stoatpaddle.UpstreamID]bool, afterOutage bool) []stoatpaddle.UpstreamID {
 	b.listed, b.dirty = true, true
 	var lacking []stoatpaddle.UpstreamID
 	for id, rec := range b.records {
-		if names[id] || rec.up.Standing >= Missing {
+		if names[id] || rec.up.State >= Missing {
 			continue
 		}
 		lacking = append(lacking, id)
@@ -291,15 +291,15 @@
 }
 
 // setMissing records that the registration may have lapsed, and starts its grace period.
-func (b *Book) setMissing(now time.Time, rec *record) {
-	rec.edit().Standing, rec.until, rec.remoteMissing = Missing, now.Add(b.cfg.Return), false
+func (b *Builder) setMissing(now time.Time, rec *record) {
+	rec.edit().State, rec.until, rec.remoteMissing = Missing, now.Add(b.cfg.GracePeriod), false
 	b.recordChange(rec)
 }
 
-// Prove records that the upstreams were current when a call was sent at the given time. Soon after
+// MarkCurrent records that the upstreams were current when a call was sent at the given time. Soon after
 // a restore this does not imply that an unknown upstream has ended: its registration may have been lost in the
 // restore, and taking it for ended would reset its open flows.
-func (b *Book) Prove(sent time.Time) {
+func (b *Builder) MarkCurrent(sent time.Time) {
 	if sent.After(b.currentAsOf) {
 		b.currentAsOf = sent
 	}
@@ -308,41 +308,41 @@
 	}
 }
 
-// Hold restarts the grace period of every missing registration, because the platform stopped
+// RestartGracePeriod restarts the grace period of every missing registration, because the platform stopped
 // answering again before they could come back.
-func (b *Book) Hold(now time.Time) {
+func (b *Builder) RestartGracePeriod(now time.Time) {
 	for _, rec := range b.ending {
-		if rec.up.Standing == Missing {
-			rec.until = now.Add(b.cfg.Return)
+		if rec.up.State == Missing {
+			rec.until = now.Add(b.cfg.GracePeriod)
 		}
 	}
 }
 
-// Follow sets whether this entry mirrors another entry, which reads the platform. When it stops mirroring,
+// SetMirroring sets whether this entry mirrors another entry, which reads the platform. When it stops mirroring,
 // missing registrations get a full grace period.
-func (b *Book) Follow(now time.Time, mirroring bool) {
+func (b *Builder) SetMirroring(now time.Time, mirroring bool) {
 	if b.mirroring && !mirroring {
-		b.Hold(now)
+		b.RestartGracePeriod(now)
 	}
 	b.mirroring = mirroring
 }
 
 // Declaration returns the declaration in force.
-func (b *Book) Declaration() stoatpaddle.Declaration { return b.decl }
+func (b *Builder) Declaration() stoatpaddle.Declaration { return b.decl }
 
-// Proven returns the time at which the latest call was sent whose answer showed that the upstreams were
+// CurrentAsOf returns the time at which the latest call was sent whose answer showed that the upstreams were
 // current.
-func (b *Book) Proven() time.Time { return b.currentAsOf }
+func (b *Builder) CurrentAsOf() time.Time { return b.currentAsOf }
 
 // Expire ends registrations that have been missing for too long, and forgets upstreams that ended long ago.
 // It returns the upstreams whose registrations it ended.
-func (b *Book) Expire(now time.Time) []stoatpaddle.UpstreamID {
+func (b *Builder) Expire(now time.Time) []stoatpaddle.UpstreamID {
 	var ended []stoatpaddle.UpstreamID
 	for id, rec := range b.ending {
 		switch {
-		case now.Before(rec.until) || b.mirroring && rec.up.Standing == Missing && rec.remoteMissing:
+		case now.Before(rec.until) || b.mirroring && rec.up.State == Missing && rec.remoteMissing:
 			// It is not time yet, or the mirrored entry will report the end.
-		case rec.up.Standing == Missing:
+		case rec.up.State == Missing:
 			b.setGone(now, rec)
 			ended = append(ended, id)
 		default:
@@ -356,8 +356,8 @@
 	return ended
 }
 
-// Registered returns what is known about an upstream, which may also be gone.
-func (b *Book) Registered(id stoatpaddle.UpstreamID) (Upstream, bool) {
+// Lookup returns what is known about an upstream, which may also be gone.
+func (b *Builder) Lookup(id stoatpaddle.UpstreamID) (Upstream, bool) {
 	rec := b.records[id]
 	if rec == nil {
 		return Upstream{}, false
@@ -367,23 +367,23 @@
 
 // Table returns the current snapshot. If only CompleteAsOf has changed, the snapshot shares everything else
 // with the last one, because that happens every few seconds however many upstreams there are.
-func (b *Book) Table() *Table {
+func (b *Builder) Table() *Table {
 	switch {
 	case b.dirty:
 		b.table, b.dirty = b.buildTable(), false
-	case b.table.Proven != b.completeAsOf:
+	case b.table.CompleteAsOf != b.completeAsOf:
 		t := *b.table
-		t.Proven = b.completeAsOf
+		t.CompleteAsOf = b.completeAsOf
 		b.table = &t
 	}
 	return b.table
 }
 
 // buildTable builds a new snapshot that shares unchanged shards with the last one.
-func (b *Book) buildTable() *Table {
+func (b *Builder) buildTable() *Table {
 	t := &Table{
-		Declaration: b.decl, Revision: b.revision, Era: b.era, Proven: b.completeAsOf, Declared: b.declared, Listed: b.listed,
-		Change: b.changeSeq, Altered: b.declarationSeq, evacuations: b.evacuations.clone(b.cfg.Evacuations),
+		Declaration: b.decl, Revision: b.revision, Era: b.era, CompleteAsOf: b.completeAsOf, Declared: b.declared, Listed: b.listed,
+		ChangeSeq: b.changeSeq, DeclarationSeq: b.declarationSeq, evacuations: b.evacuations.clone(b.cfg.RequireEvacuations),
 		routes: b.routes, removed: b.removed, removedForgotten: b.removedForgotten,
 	}
 	last := &shards{}
@@ -404,8 +404,8 @@
 	return a.ID < b.ID
 }
 
-// Clash returns the upstream that has the same key as the given one and keeps it, if there is one.
-func (b *Book) Clash(id stoatpaddle.UpstreamID) (stoatpaddle.UpstreamID, bool) {
+// KeyConflict returns the upstream that has the same key as the given one and keeps it, if there is one.
+func (b *Builder) KeyConflict(id stoatpaddle.UpstreamID) (stoatpaddle.UpstreamID, bool) {
 	rec := b.records[id]
 	if rec == nil {
 		return "", false
--- a/stoatroute/candidates.go
+++ b/stoatroute/candidates.go
@@ -9,12 +9,12 @@
 
 // candidates holds the upstreams of a service that accept new flows. It is immutable.
 type candidates struct {
-	all    []*Upstream // ascending by key
-	groups []Group     // one for each data centre, ascending by its name
+	all    []*Upstream      // ascending by key
+	groups []CandidateGroup // one for each data centre, ascending by its name
 }
 
-// Group holds the upstreams of a service in one data centre that accept new flows, ascending by key.
-type Group struct {
+// CandidateGroup holds the upstreams of a service in one data centre that accept new flows, ascending by key.
+type CandidateGroup struct {
 	DataCentre stoatpaddle.DataCentreID
 	Upstreams  []*Upstream
 }
@@ -50,10 +50,10 @@
 			return nil
 		})
 		if len(list) > 0 {
-			out.groups = append(out.groups, Group{DataCentre: centre, Upstreams: list})
+			out.groups = append(out.groups, CandidateGroup{DataCentre: centre, Upstreams: list})
 		}
 	}
-	slices.SortFunc(out.groups, func(x, y Group) int { return cmp.Compare(x.DataCentre, y.DataCentre) })
+	slices.SortFunc(out.groups, func(x, y CandidateGroup) int { return cmp.Compare(x.DataCentre, y.DataCentre) })
 	return out
 }
 
--- a/stoatroute/evacuation.go
+++ b/stoatroute/evacuation.go
@@ -21,8 +21,8 @@
 	evacuationsKnown bool // the evacuations were listed at least once, or need not be known
 }
 
-// EvacuationChange returns the builder's change sequence number at the last change of an evacuation.
-func (e *evacuations) EvacuationChange() uint64 {
+// EvacuationSeq returns the builder's change sequence number at the last change of an evacuation.
+func (e *evacuations) EvacuationSeq() uint64 {
 	last := uint64(0)
 	for _, s := range e.evacuationStates {
 		last = max(last, s.changeSeq)
@@ -67,10 +67,10 @@
 	return out
 }
 
-// Evacuate records that a data centre is evacuated or that its evacuation is withdrawn, and reports
+// ApplyEvacuation records that a data centre is evacuated or that its evacuation is withdrawn, and reports
 // whether that changes where flows may go. A state that is earlier than the known one is ignored, whoever sends
 // it.
-func (b *Book) Evacuate(e stoatpaddle.Evacuation) bool {
+func (b *Builder) ApplyEvacuation(e stoatpaddle.Evacuation) bool {
 	old, known := b.evacuationStates[e.DataCentre]
 	if known && !e.Supersedes(old.Evacuation) {
 		return false
@@ -84,10 +84,10 @@
 	return e.Withdrawn == (known && !old.Withdrawn)
 }
 
-// EvacuationsListed applies a list of evacuations that is complete as of a revision. It withdraws all
+// ApplyEvacuationList applies a list of evacuations that is complete as of a revision. It withdraws all
 // evacuations that the list lacks and returns their data centres. An evacuation that was known before a
 // restore may have been lost in the restore; it is withdrawn later by ExpireEvacuations.
-func (b *Book) EvacuationsListed(now time.Time, names map[stoatpaddle.DataCentreID]bool, asOf stoatpaddle.Version) []stoatpaddle.DataCentreID {
+func (b *Builder) ApplyEvacuationList(now time.Time, names map[stoatpaddle.DataCentreID]bool, asOf stoatpaddle.Version) []stoatpaddle.DataCentreID {
 	b.evacuationsKnown, b.dirty = true, true
 	return b.withdrawEnded(asOf, func(d stoatpaddle.DataCentreID, s *evacuationState) bool {
 		if names[d] || s.Revision != 0 {
@@ -102,15 +102,15 @@
 
 // ExpireEvacuations withdraws, as of a revision, the evacuations that operators did not write again in time
 // after a restore, and returns their data centres.
-func (b *Book) ExpireEvacuations(now time.Time, asOf stoatpaddle.Version) []stoatpaddle.DataCentreID {
+func (b *Builder) ExpireEvacuations(now time.Time, asOf stoatpaddle.Version) []stoatpaddle.DataCentreID {
 	return b.withdrawEnded(asOf, func(_ stoatpaddle.DataCentreID, s *evacuationState) bool {
 		return !s.missingSince.IsZero() && now.Sub(s.missingSince) >= evacuationGracePeriod
 	})
 }
 
-// HoldEvacuations restarts the time that operators have to write evacuations again, because they
+// RestartEvacuationGracePeriod restarts the time that operators have to write evacuations again, because they
 // cannot do so while the platform does not answer.
-func (b *Book) HoldEvacuations(now time.Time) {
+func (b *Builder) RestartEvacuationGracePeriod(now time.Time) {
 	for d, s := range b.evacuationStates {
 		if !s.missingSince.IsZero() {
 			s.missingSince = now
@@ -121,7 +121,7 @@
 
 // withdrawEnded withdraws, as of a revision, the evacuations for which ended returns true, and returns their
 // data centres.
-func (b *Book) withdrawEnded(asOf stoatpaddle.Version, ended func(d stoatpaddle.DataCentreID, s *evacuationState) bool) []stoatpaddle.DataCentreID {
+func (b *Builder) withdrawEnded(asOf stoatpaddle.Version, ended func(d stoatpaddle.DataCentreID, s *evacuationState) bool) []stoatpaddle.DataCentreID {
 	var withdrawn []stoatpaddle.DataCentreID
 	for d, s := range b.evacuationStates {
 		if s.Withdrawn {
@@ -129,7 +129,7 @@
 		}
 		end := ended(d, &s)
 		b.evacuationStates[d] = s
-		if end && b.Evacuate(stoatpaddle.Evacuation{DataCentre: d, Revision: asOf, Withdrawn: true}) {
+		if end && b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: asOf, Withdrawn: true}) {
 			withdrawn = append(withdrawn, d)
 		}
 	}
--- a/stoatroute/history.go
+++ b/stoatroute/history.go
@@ -9,8 +9,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Former is a service that a route used before, and until when flows that were opened there may continue.
-type Former struct {
+// FormerService is a service that a route used before, and until when flows that were opened there may continue.
+type FormerService struct {
 	Listen  netip.AddrPort
 	Service stoatpaddle.ServiceID
 	Until   time.Time
@@ -22,33 +22,33 @@
 	service stoatpaddle.ServiceID
 }
 
-// Former returns the services that routes no longer use, ordered by address and service. added
+// FormerServices returns the services that routes no longer use, ordered by address and service. added
 // reports whether there is one that was not returned before.
-func (b *Book) Former(now time.Time) (list []Former, added bool) {
+func (b *Builder) FormerServices(now time.Time) (list []FormerService, added bool) {
 	former := map[formerKey]time.Time{}
 	for listen, r := range b.routes {
-		for _, s := range r.Earlier() {
+		for _, s := range r.FormerServices() {
 			key := formerKey{listen: listen, service: s}
 			until, known := b.formerUntil[key]
 			if !known {
-				until, added = now.Add(b.cfg.Keep), true
+				until, added = now.Add(b.cfg.Retention), true
 			}
 			former[key] = until
 			if now.Before(until) {
-				list = append(list, Former{Listen: listen, Service: s, Until: until})
+				list = append(list, FormerService{Listen: listen, Service: s, Until: until})
 			}
 		}
 	}
 	b.formerUntil = former
-	slices.SortFunc(list, func(x, y Former) int {
+	slices.SortFunc(list, func(x, y FormerService) int {
 		return cmp.Or(x.Listen.Compare(y.Listen), cmp.Compare(x.Service, y.Service))
 	})
 	return list, added
 }
 
-// RecallFormer adds former services of routes that were read back from the platform, and reports
+// RestoreFormerServices adds former services of routes that were read back from the platform, and reports
 // whether any of them was unknown. It ignores services at which no flow can be open any more.
-func (b *Book) RecallFormer(now time.Time, list []Former) bool {
+func (b *Builder) RestoreFormerServices(now time.Time, list []FormerService) bool {
 	var routes []stoatpaddle.Route
 	for _, f := range list {
 		if !now.Before(f.Until) {
@@ -60,5 +60,5 @@
 		}
 		b.formerUntil[formerKey{listen: f.Listen, service: f.Service}] = f.Until
 	}
-	return b.Recall(routes)
+	return b.AddFormerServices(routes)
 }
--- a/stoatroute/identity.go
+++ b/stoatroute/identity.go
@@ -6,21 +6,21 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Life tells one incarnation of an upstream from another. No field changes during an incarnation.
-type Life struct {
+// Identity tells one incarnation of an upstream from another. No field changes during an incarnation.
+type Identity struct {
 	Incarnation stoatpaddle.Incarnation // 0: the upstream does not report one
 	Service     stoatpaddle.ServiceID
 	DataCentre  stoatpaddle.DataCentreID
 	Addr        netip.AddrPort
 }
 
-// LifeOf returns the identity of the incarnation that a registration describes.
-func LifeOf(r *stoatpaddle.Registration) Life {
-	return Life{Incarnation: r.Incarnation, Service: r.Service, DataCentre: r.DataCentre, Addr: r.Addr}
+// IdentityOf returns the identity of the incarnation that a registration describes.
+func IdentityOf(r *stoatpaddle.Registration) Identity {
+	return Identity{Incarnation: r.Incarnation, Service: r.Service, DataCentre: r.DataCentre, Addr: r.Addr}
 }
 
 // Same reports whether other may be the same incarnation.
-func (l Life) Same(other Life) bool { return l.compare(other) == sameIncarnation }
+func (l Identity) Same(other Identity) bool { return l.compare(other) == sameIncarnation }
 
 // incarnationOrder is the relation of a registration to the known one of the same upstream.
 type incarnationOrder uint8
@@ -34,7 +34,7 @@
 
 // compare returns the relation of other to the known identity l. If l has no incarnation, as with servers that
 // got a new id at each start, a different address, service or data centre counts as a restart.
-func (l Life) compare(other Life) incarnationOrder {
+func (l Identity) compare(other Identity) incarnationOrder {
 	moved := l.Service != other.Service || l.DataCentre != other.DataCentre || l.Addr != other.Addr
 	switch {
 	case l.Incarnation == 0 && moved:
--- a/stoatroute/memory_test.go
+++ b/stoatroute/memory_test.go
@@ -13,9 +13,9 @@
 
 // fleetBuilder returns a builder with n upstreams of two services in five data centres. As with decoded messages,
 // each registration has its own copies of the names.
-func fleetBuilder(n int) *Book {
-	b := NewBook(Config{})
-	b.Declare(stoatpaddle.Declaration{Version: 1}, 1)
+func fleetBuilder(n int) *Builder {
+	b := NewBuilder(Config{})
+	b.ApplyDeclaration(stoatpaddle.Declaration{Version: 1}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
 	for i := range n {
 		// Knuth's multiplicative hash, so that keys are not consecutive.
@@ -28,7 +28,7 @@
 			Addr:       netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8043), Slots: 2, Incarnation: 7, Created: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 	}
-	b.Listed(time.Unix(1000, 0), names, false)
+	b.ApplyList(time.Unix(1000, 0), names, false)
 	return b
 }
 
@@ -60,7 +60,7 @@
 func BenchmarkChangeInLargeService(b *testing.B) {
 	book := fleetBuilder(16000)
 	book.Table()
-	u, _ := book.Registered("i-009e3779b1")
+	u, _ := book.Lookup("i-009e3779b1")
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
--- a/stoatroute/mirror.go
+++ b/stoatroute/mirror.go
@@ -10,17 +10,17 @@
 type RemoteUpstream struct {
 	stoatpaddle.Registration
 	Revision stoatpaddle.Version // of the registration
-	Standing Standing
+	State    State
 }
 
 // RemoteUpdate is one update from another entry.
 type RemoteUpdate struct {
 	Upstreams []RemoteUpstream
 	// Complete is set if the update contains all upstreams that the sender knows.
-	Whole bool
+	Complete bool
 	// UpToDate is set if the sender knows everything that this entry knows. From any other sender only
 	// registrations with a later revision are applied.
-	Later bool
+	UpToDate bool
 }
 
 // Mirror applies an update from another entry, and returns the upstreams whose state changed here.
@@ -29,17 +29,17 @@
 // platform recovered never learned of a registration that lapsed, and the upstream is about to register
 // again. An upstream that is reported as missing stays missing until there is another report, because only
 // the entry that reads the platform knows when the platform recovered.
-func (b *Book) Mirror(now time.Time, update RemoteUpdate) []stoatpaddle.UpstreamID {
+func (b *Builder) Mirror(now time.Time, update RemoteUpdate) []stoatpaddle.UpstreamID {
 	var changed []stoatpaddle.UpstreamID
 	named := make(map[stoatpaddle.UpstreamID]bool, len(update.Upstreams))
 	for i := range update.Upstreams {
 		u := &update.Upstreams[i]
 		named[u.ID] = true
-		if b.mirror(now, u, update.Later) {
+		if b.mirror(now, u, update.UpToDate) {
 			changed = append(changed, u.ID)
 		}
 	}
-	if !update.Whole {
+	if !update.Complete {
 		return changed
 	}
 	if !b.listed && b.declared {
@@ -48,11 +48,11 @@
 	if !b.evacuationsKnown && b.declared {
 		b.evacuationsKnown, b.dirty = true, true
 	}
-	if !update.Later {
+	if !update.UpToDate {
 		return changed
 	}
 	for id, rec := range b.records {
-		if !named[id] && rec.up.Standing < Missing {
+		if !named[id] && rec.up.State < Missing {
 			b.setMissing(now, rec)
 			changed = append(changed, id)
 		}
@@ -61,9 +61,9 @@
 }
 
 // mirror applies one upstream of an update and reports whether its state changed here.
-func (b *Book) mirror(now time.Time, remote *RemoteUpstream, upToDate bool) bool {
+func (b *Builder) mirror(now time.Time, remote *RemoteUpstream, upToDate bool) bool {
 	rec := b.records[remote.ID]
-	if rec != nil && (remote.Revision < rec.up.Revision || remote.Revision == rec.up.Revision && (!upToDate || remote.Standing == rec.up.Standing)) {
+	if rec != nil && (remote.Revision < rec.up.Revision || remote.Revision == rec.up.Revision && (!upToDate || remote.State == rec.up.State)) {
 		return false
 	}
 	isNew := rec == nil
@@ -74,19 +74,19 @@
 	case remote.Incarnation < rec.up.Incarnation:
 		// The sender does not know of the later incarnation yet.
 		return false
-	case LifeOf(&rec.up.Registration).compare(LifeOf(&remote.Registration)) == laterIncarnation:
+	case IdentityOf(&rec.up.Registration).compare(IdentityOf(&remote.Registration)) == laterIncarnation:
 		rec.restart(now, &remote.Registration)
 		isNew = true
 	case remote.Revision > rec.up.Revision:
 		rec.setCold(now, remote.Cold)
 	}
-	was, state := rec.up.Standing, remote.Standing
+	was, state := rec.up.State, remote.State
 	u := rec.edit()
 	u.Registration, u.Revision = b.interner.intern(b.keepLeaving(now, rec, remote.Registration)), remote.Revision
 	if state == Serving {
 		state = standingOf(&rec.up.Registration)
 	}
-	u.Standing = state
+	u.State = state
 	switch state {
 	case Gone:
 		b.setGone(now, rec)
--- a/stoatroute/register.go
+++ b/stoatroute/register.go
@@ -37,7 +37,7 @@
 // one supersedes everything that is known about the upstream. An earlier incarnation never does, even if its
 // revision is later: a write that was in progress when the server died may take effect seconds later, and
 // the running server would appear to be dead, cold or at another address.
-func (b *Book) Register(now time.Time, r stoatpaddle.Registration, revision stoatpaddle.Version) Outcome {
+func (b *Builder) Register(now time.Time, r stoatpaddle.Registration, revision stoatpaddle.Version) Outcome {
 	rec := b.records[r.ID]
 	if rec == nil {
 		rec = newRecord(now, &r)
@@ -49,8 +49,8 @@
 		// This also holds for an upstream that is gone: another entry that is behind must not bring it back.
 		return Unchanged
 	}
-	was := rec.up.Standing
-	switch LifeOf(&rec.up.Registration).compare(LifeOf(&r)) {
+	was := rec.up.State
+	switch IdentityOf(&rec.up.Registration).compare(IdentityOf(&r)) {
 	case earlierIncarnation:
 		return Outdated
 	case laterIncarnation:
@@ -58,21 +58,21 @@
 		b.setRegistration(rec, r, revision, standingOf(&r))
 		return Restarted
 	case foreignWriter:
-		b.Spoil(now, r.ID, r.Target, revision)
+		b.MarkInvalid(now, r.ID, r.Target, revision)
 		return Contradicted
 	case sameIncarnation:
 	}
 	r = b.keepLeaving(now, rec, r)
 	rec.setCold(now, r.Cold)
 	b.setRegistration(rec, r, revision, standingOf(&r))
-	if was != rec.up.Standing {
+	if was != rec.up.State {
 		return Changed
 	}
 	return Unchanged
 }
 
 // standingOf returns the state that a registration declares.
-func standingOf(r *stoatpaddle.Registration) Standing {
+func standingOf(r *stoatpaddle.Registration) State {
 	if r.Leaving {
 		return Leaving
 	}
@@ -80,9 +80,9 @@
 }
 
 // setRegistration replaces the registration and the state of a record.
-func (b *Book) setRegistration(rec *record, r stoatpaddle.Registration, revision stoatpaddle.Version, s Standing) {
+func (b *Builder) setRegistration(rec *record, r stoatpaddle.Registration, revision stoatpaddle.Version, s State) {
 	u := rec.edit()
-	u.Registration, u.Revision, u.Standing, rec.invalid = b.interner.intern(r), revision, s, false
+	u.Registration, u.Revision, u.State, rec.invalid = b.interner.intern(r), revision, s, false
 	b.recordChange(rec)
 }
 
@@ -90,14 +90,14 @@
 // too, so no route uses the upstream and nothing is sent to this address.
 var unknownAddr = netip.AddrPortFrom(netip.IPv4Unspecified(), 1)
 
-// Spoil records that an upstream's registration was overwritten with something that describes no server,
+// MarkInvalid records that an upstream's registration was overwritten with something that describes no server,
 // and reports whether that is a change. The upstream may still be running, so its open flows continue. It gets
 // no new flows until it writes its registration again, because the platform no longer shows that it is serving.
 //
 // An upstream that was unknown becomes known by the key of the given target, which is taken from its id. Its
 // registration still exists, so the platform does not show that it has ended, and flows to it must not be
 // reset.
-func (b *Book) Spoil(now time.Time, id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) bool {
+func (b *Builder) MarkInvalid(now time.Time, id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) bool {
 	rec := b.records[id]
 	if rec == nil && target != 0 {
 		r := stoatpaddle.Registration{ID: id, Target: target, Addr: unknownAddr, Leaving: true, Created: revision}
@@ -107,10 +107,10 @@
 		rec.invalid = true
 		return true
 	}
-	if rec == nil || revision <= rec.up.Revision || rec.up.Standing == Gone {
+	if rec == nil || revision <= rec.up.Revision || rec.up.State == Gone {
 		return false
 	}
-	was, invalid := rec.up.Standing, rec.invalid || !rec.up.Leaving
+	was, invalid := rec.up.State, rec.invalid || !rec.up.Leaving
 	rec.edit().Leaving = true
 	b.setRegistration(rec, rec.up.Registration, revision, Leaving)
 	rec.invalid = invalid
--- a/stoatroute/restore_test.go
+++ b/stoatroute/restore_test.go
@@ -16,25 +16,25 @@
 	ready := registration(1, "i-1")
 	ready.Incarnation = 3
 	for _, ended := range []bool{false, true} {
-		b := stoatroute.NewBook(stoatroute.Config{Return: 2 * time.Second})
-		b.Restore(start, 1)
+		b := stoatroute.NewBuilder(stoatroute.Config{GracePeriod: 2 * time.Second})
+		b.BeginEra(start, 1)
 		b.Register(start, ready, 20)
 		leaving := ready
 		leaving.Leaving = true
 		b.Register(start, leaving, 30)
 		if ended {
-			b.Remove(start, "i-1", 31)
+			b.MarkGone(start, "i-1", 31)
 		}
-		b.Restore(start, 2)
+		b.BeginEra(start, 2)
 		b.Register(start, ready, 20)
 		if got := standingOf(t, b, "i-1"); got != stoatroute.Leaving {
 			t.Error(ended, "state after the restored copy was read:", got)
 		}
-		b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: ready, Revision: 24}}, Whole: true, Later: true})
+		b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: ready, Revision: 24}}, Complete: true, UpToDate: true})
 		if got := standingOf(t, b, "i-1"); got != stoatroute.Leaving {
 			t.Error(ended, "state after the report of another entry:", got)
 		}
-		if u, _ := b.Registered("i-1"); u.Opens() {
+		if u, _ := b.Lookup("i-1"); u.AcceptsFlows() {
 			t.Error(ended, "the upstream takes new flows")
 		}
 		// After a restart under its id the upstream is a new incarnation, which is not leaving.
@@ -49,11 +49,11 @@
 // Another writer overwrote an upstream's registration, and the platform was restored from a copy made before
 // that. The registration in the copy is valid and must be used.
 func TestInvalidRegistrationObjectBeforeRestore(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Restore(start, 1)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.BeginEra(start, 1)
 	b.Register(start, registration(1, "i-1"), 20)
-	b.Spoil(start, "i-1", 0, 30)
-	b.Restore(start, 2)
+	b.MarkInvalid(start, "i-1", 0, 30)
+	b.BeginEra(start, 2)
 	b.Register(start, registration(1, "i-1"), 20)
 	if got := standingOf(t, b, "i-1"); got != stoatroute.Serving {
 		t.Error(got)
@@ -63,12 +63,12 @@
 // Revisions of two eras must not be compared. What the restored copy has counts as later than what was known,
 // whatever its revision, and configurations are ordered by their versions.
 func TestRevisionsAfterARestore(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Restore(start, 1)
-	b.Declare(declaration(7, "app"), 40)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.BeginEra(start, 1)
+	b.ApplyDeclaration(declaration(7, "app"), 40)
 	b.Register(start, registration(1, "i-1"), 41)
-	b.Restore(start, 2)
-	if b.Declare(declaration(6, "old"), 12) || !b.Declare(declaration(8, "app"), 13) {
+	b.BeginEra(start, 2)
+	if b.ApplyDeclaration(declaration(6, "old"), 12) || !b.ApplyDeclaration(declaration(8, "app"), 13) {
 		t.Error("the restored copy reverted the configuration, or the next one is ignored")
 	}
 	leaving := registration(1, "i-1")
--- a/stoatroute/shards.go
+++ b/stoatroute/shards.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// Differing calls fn at least once for each key whose upstream is another one, or has changed,
+// EachChangedKey calls fn at least once for each key whose upstream is another one, or has changed,
 // compared with an earlier table. It may call fn for other keys too. If before is nil, it calls fn for all keys.
-func (t *Table) Differing(before *Table, fn func(k stoatpaddle.UpstreamKey)) {
+func (t *Table) EachChangedKey(before *Table, fn func(k stoatpaddle.UpstreamKey)) {
 	for i, part := range t.upstreams {
 		var old *upstreamShard
 		if before != nil {
@@ -129,7 +129,7 @@
 			copied[i], out.services[i] = true, cloneServices(out.services[i])
 		}
 		list := out.services[i][id].withChanges(keys, func(k stoatpaddle.UpstreamKey) *Upstream {
-			if u := out.upstream(k); u != nil && u.Service == id && u.Opens() {
+			if u := out.upstream(k); u != nil && u.Service == id && u.AcceptsFlows() {
 				return u
 			}
 			return nil
@@ -150,12 +150,12 @@
 	for _, rec := range list {
 		if rec.snapshot == nil || rs.staleAll {
 			u := rec.edit()
-			u.Cap, u.ColdRate = d.Caps[u.Service], d.ColdRates[u.Service]
+			u.MaxFlows, u.ColdRate = d.Caps[u.Service], d.ColdRates[u.Service]
 			rec.snapshot = u
 		}
 		u := rec.snapshot
 		s.all = append(s.all, u)
-		s.maxChangeSeq = max(s.maxChangeSeq, u.Change)
+		s.maxChangeSeq = max(s.maxChangeSeq, u.ChangeSeq)
 		if other := s.byKey[u.Key]; other == nil || registeredFirst(u, other) {
 			s.byKey[u.Key] = u
 		}
--- a/stoatroute/table.go
+++ b/stoatroute/table.go
@@ -10,51 +10,51 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Standing is the state of an upstream's registration as far as it is known.
-type Standing uint8
+// State is the state of an upstream's registration as far as it is known.
+type State uint8
 
 // The states of an upstream.
 const (
-	Serving Standing = iota
-	Leaving          // it accepts no new flows; open flows continue
-	Missing          // its registration may have lapsed in an outage of the platform; it is used as before
-	Gone             // it is known to have ended, so its flows cannot continue
+	Serving State = iota
+	Leaving       // it accepts no new flows; open flows continue
+	Missing       // its registration may have lapsed in an outage of the platform; it is used as before
+	Gone          // it is known to have ended, so its flows cannot continue
 )
 
 // String returns the label used in logs.
-func (s Standing) String() string { return [...]string{"serving", "leaving", "missing", "gone"}[s] }
+func (s State) String() string { return [...]string{"serving", "leaving", "missing", "gone"}[s] }
 
 // Upstream is one incarnation of a server. It does not change once a table refers to it.
 type Upstream struct {
 	stoatpaddle.Registration
-	Revision stoatpaddle.Version // of the registration
-	Key      stoatpaddle.UpstreamKey
-	Standing Standing
-	Cap      int       // maximum number of flows; 0: no limit
-	ColdRate float64   // requests a second that it can handle while it is cold; 0: no limit
-	Warm     time.Time // when its slow start ends
-	Started  bool      // it was cold when this entry first learned of it, or has become cold since
-	Change   uint64    // the builder's change sequence number at its last change
-	Ended    time.Time // Gone: when it ended
-	Renewed  time.Time // when this entry learned that it restarted under its id; zero: it did not
+	Revision    stoatpaddle.Version // of the registration
+	Key         stoatpaddle.UpstreamKey
+	State       State
+	MaxFlows    int       // maximum number of flows; 0: no limit
+	ColdRate    float64   // requests a second that it can handle while it is cold; 0: no limit
+	WarmAt      time.Time // when its slow start ends
+	StartedCold bool      // it was cold when this entry first learned of it, or has become cold since
+	ChangeSeq   uint64    // the builder's change sequence number at its last change
+	EndedAt     time.Time // Gone: when it ended
+	RestartedAt time.Time // when this entry learned that it restarted under its id; zero: it did not
 }
 
-// Opens reports whether the upstream accepts new flows.
-func (u *Upstream) Opens() bool {
-	return u.Standing == Serving || u.Standing == Missing && !u.Leaving
+// AcceptsFlows reports whether the upstream accepts new flows.
+func (u *Upstream) AcceptsFlows() bool {
+	return u.State == Serving || u.State == Missing && !u.Leaving
 }
 
 // Route says where flows to one address go.
 type Route struct {
 	stoatpaddle.Route
-	Urgent   bool                           // a less urgent route shares one of its services
-	Yields   bool                           // a more urgent route shares one of its services
-	Change   uint64                         // the builder's change sequence number at its last change
-	everUsed map[stoatpaddle.ServiceID]bool // its services, also former ones
+	HasPrecedence bool                           // a less urgent route shares one of its services
+	Yields        bool                           // a more urgent route shares one of its services
+	ChangeSeq     uint64                         // the builder's change sequence number at its last change
+	everUsed      map[stoatpaddle.ServiceID]bool // its services, also former ones
 }
 
-// Had reports whether the route uses the service or used it before. Flows that were opened there continue.
-func (r *Route) Had(s stoatpaddle.ServiceID) bool { return r.everUsed[s] }
+// EverUsed reports whether the route uses the service or used it before. Flows that were opened there continue.
+func (r *Route) EverUsed(s stoatpaddle.ServiceID) bool { return r.everUsed[s] }
 
 // withServices returns the route with the services that another version of it uses or used. It returns the
 // route itself if all of them are known already.
@@ -80,8 +80,8 @@
 	return out
 }
 
-// Earlier returns the services that the route no longer uses, in ascending order.
-func (r *Route) Earlier() []stoatpaddle.ServiceID {
+// FormerServices returns the services that the route no longer uses, in ascending order.
+func (r *Route) FormerServices() []stoatpaddle.ServiceID {
 	var out []stoatpaddle.ServiceID
 	for s := range r.everUsed {
 		if !slices.ContainsFunc(r.Backends, func(b stoatpaddle.Backend) bool { return b.Service == s }) {
@@ -99,10 +99,10 @@
 	Era         stoatpaddle.Era     // of all revisions in the table; 0: unknown
 	// CompleteAsOf is the time at which the latest call was sent whose answer showed that the upstreams were
 	// current. An upstream that is not in the table did not exist then.
-	Proven time.Time
+	CompleteAsOf time.Time
 	// ChangeSeq is the builder's change sequence number, and DeclarationSeq is its value when the declaration
 	// was adopted or last extended by former services. Both start again with each start of the process.
-	Change, Altered uint64
+	ChangeSeq, DeclarationSeq uint64
 
 	Declared bool // there is a declaration
 	Listed   bool // the upstreams were listed at least once
@@ -120,19 +120,19 @@
 // Upstream returns the upstream with the given key, which may also be gone, or nil.
 func (t *Table) Upstream(key stoatpaddle.UpstreamKey) *Upstream { return t.upstream(key) }
 
-// Service returns the upstreams that accept new flows of the service, ascending by key.
-func (t *Table) Service(id stoatpaddle.ServiceID) []*Upstream {
+// Candidates returns the upstreams that accept new flows of the service, ascending by key.
+func (t *Table) Candidates(id stoatpaddle.ServiceID) []*Upstream {
 	return t.services[shardOfService(id)][id].all
 }
 
-// Groups returns the upstreams that accept new flows of the service, grouped by data centre and
+// CandidateGroups returns the upstreams that accept new flows of the service, grouped by data centre and
 // ascending by its name.
-func (t *Table) Groups(id stoatpaddle.ServiceID) []Group {
+func (t *Table) CandidateGroups(id stoatpaddle.ServiceID) []CandidateGroup {
 	return t.services[shardOfService(id)][id].groups
 }
 
-// Group returns the upstreams in one data centre that accept new flows of the service.
-func (t *Table) Group(id stoatpaddle.ServiceID, centre stoatpaddle.DataCentreID) []*Upstream {
+// CandidatesIn returns the upstreams in one data centre that accept new flows of the service.
+func (t *Table) CandidatesIn(id stoatpaddle.ServiceID, centre stoatpaddle.DataCentreID) []*Upstream {
 	return t.services[shardOfService(id)][id].group(centre)
 }
 
@@ -150,16 +150,16 @@
 // Ready reports whether enough is known to place flows.
 func (t *Table) Ready() bool { return t.Declared && t.Listed && t.evacuationsKnown }
 
-// Since returns the upstreams that changed after the given change sequence number, also those that
+// UpstreamsSince returns the upstreams that changed after the given change sequence number, also those that
 // are gone, in any order.
-func (t *Table) Since(seq uint64) []*Upstream {
+func (t *Table) UpstreamsSince(seq uint64) []*Upstream {
 	var out []*Upstream
 	for _, part := range t.upstreams {
 		if part == nil || part.maxChangeSeq <= seq {
 			continue
 		}
 		for _, u := range part.all {
-			if u.Change > seq {
+			if u.ChangeSeq > seq {
 				out = append(out, u)
 			}
 		}
@@ -174,7 +174,7 @@
 		return nil, nil, false
 	}
 	for _, r := range t.routes {
-		if r.Change > seq {
+		if r.ChangeSeq > seq {
 			changed = append(changed, r.Route)
 		}
 	}
@@ -192,7 +192,7 @@
 func (t *Table) Upstreams() []*Upstream {
 	var out []*Upstream
 	t.forEach(func(u *Upstream) {
-		if u.Standing != Gone {
+		if u.State != Gone {
 			out = append(out, u)
 		}
 	})
@@ -202,6 +202,6 @@
 
 // Counts returns the number of routes, and the number of upstreams in each state.
 func (t *Table) Counts() (routes int, upstreams [4]int) {
-	t.forEach(func(u *Upstream) { upstreams[u.Standing]++ })
+	t.forEach(func(u *Upstream) { upstreams[u.State]++ })
 	return len(t.routes), upstreams
 }
