--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -64,7 +64,7 @@
 func (k *keeper) rebind(now time.Time, n naming) {
 	k.follow.others, k.follow.allowed = n.others, n.follows()
 	for _, t := range k.topics {
-		k.feeds[t].SetStart(n.follows(), n.self)
+		k.feeds[t].SetStartOptions(n.follows(), n.self)
 	}
 	if !n.follows() && !k.reading {
 		k.read(now, "the settings changed")
@@ -108,7 +108,7 @@
 	x := seek{serial: f.serial, known: k.known}
 	if k.ready && k.failing().IsZero() {
 		// The platform answers here, so that an old word is worth nothing.
-		x.within = stoatfeed.Share(k.bound, relyShare)
+		x.within = stoatfeed.Fraction(k.bound, relyShare)
 	}
 	k.do(x)
 }
@@ -157,7 +157,7 @@
 		if enough {
 			k.feeds[t].Adopt(x.known)
 		} else {
-			k.feeds[t].Heard(x.known)
+			k.feeds[t].Advance(x.known)
 		}
 	}
 	if enough && k.reading {
@@ -219,7 +219,7 @@
 // relies tells whether the parent's word is young enough to go by, also when it has ended:
 // until it is old, there is time to find another parent.
 func (k *keeper) relies(now time.Time) bool {
-	return now.Sub(k.follow.fresh) <= stoatfeed.Share(k.bound, relyShare)
+	return now.Sub(k.follow.fresh) <= stoatfeed.Fraction(k.bound, relyShare)
 }
 
 // rely ends reading the platform. The calls under way are given up; what they bring is older
@@ -240,7 +240,7 @@
 		k.parked[t] = t != declarations
 		// A replica's word on evacuations has to reach what the exact answer about the configuration says.
 		if t != evacuations {
-			k.feeds[t].Doubt()
+			k.feeds[t].RequestExact()
 		}
 	}
 	if !k.pending[declarations] {
--- a/stoatedge/keeper_test.go
+++ b/stoatedge/keeper_test.go
@@ -164,7 +164,7 @@
 	if !s.table.Ready() || s.events[EventReady.Number] != 1 {
 		t.Error(s.table.Ready(), s.events)
 	}
-	if s.calls[declarations].Stale || !s.calls[upstreams].Stale {
+	if s.calls[declarations].AllowStale || !s.calls[upstreams].AllowStale {
 		t.Error("the exact feed asks a replica, or the other does not")
 	}
 }
@@ -282,11 +282,11 @@
 	s.answer(declarations, 15) // i-1 was marked as leaving at 12
 	s.pass(200 * ms)
 	c := s.calls[upstreams]
-	if c == nil || !c.Stale || c.Wait > ms {
+	if c == nil || !c.AllowStale || c.Wait > ms {
 		t.Fatalf("the replica is not hurried: %+v", c)
 	}
 	s.answer(upstreams, 10)
-	if c = s.calls[upstreams]; c == nil || c.Stale || c.Wait > ms {
+	if c = s.calls[upstreams]; c == nil || c.AllowStale || c.Wait > ms {
 		t.Fatalf("the platform itself is not asked: %+v", c)
 	}
 	leaving := registered("i-1", 1, 12)
@@ -295,7 +295,7 @@
 	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-2" {
 		t.Error("the leaving one still takes flows")
 	}
-	if c = s.calls[upstreams]; !c.Stale || c.Wait < time.Second {
+	if c = s.calls[upstreams]; !c.AllowStale || c.Wait < time.Second {
 		t.Errorf("%+v", c)
 	}
 }
@@ -324,7 +324,7 @@
 	s := running(t)
 	s.pass(time.Second)
 	s.step(doubted{})
-	if c := s.calls[upstreams]; c.Stale || c.Wait > ms {
+	if c := s.calls[upstreams]; c.AllowStale || c.Wait > ms {
 		t.Fatalf("%+v", c)
 	}
 	at := s.now
@@ -520,7 +520,7 @@
 func TestOldAnswersAreSaid(t *testing.T) {
 	s := running(t)
 	s.k.book.ApplyDeclaration(stoatpaddle.Declaration{Version: 6}, 40)
-	s.k.feeds[declarations].Heard(at(40))
+	s.k.feeds[declarations].Advance(at(40))
 	for range 3 {
 		s.answer(declarations, 30, declared(7, 25))
 	}
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -50,7 +50,7 @@
 	k.open.hurried = true
 	for _, t := range k.topics {
 		if f := k.feeds[t]; f.Position().Before(k.open.pos) {
-			f.Hurry()
+			f.RequestNow()
 			k.nudge(t)
 		}
 	}
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -70,7 +70,7 @@
 		t.Error("asked after", after)
 	}
 	for _, topic := range []topic{declarations, upstreams} {
-		if c := s.calls[topic]; c == nil || c.Stale || c.List || c.Wait > ms || c.From != 10 {
+		if c := s.calls[topic]; c == nil || c.AllowStale || c.List || c.Wait > ms || c.From != 10 {
 			t.Fatalf("%s: %+v", topic, c)
 		}
 		if topic == declarations {
@@ -120,7 +120,7 @@
 	}
 	s.answer(declarations, 10)
 	s.answer(upstreams, 10)
-	if c := s.calls[declarations]; c.Stale || c.Wait < time.Second {
+	if c := s.calls[declarations]; c.AllowStale || c.Wait < time.Second {
 		t.Errorf("%+v", c)
 	}
 	if len(s.sought) < 3 {
@@ -333,7 +333,7 @@
 func TestSeedsTakenAway(t *testing.T) {
 	s := following(t)
 	s.step(rebound{apply: 3 * time.Second, back: 2 * time.Second, life: time.Minute})
-	if c := s.calls[declarations]; c == nil || c.Stale {
+	if c := s.calls[declarations]; c == nil || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 	s.tell(update{from: "parent", known: at(10)})
@@ -348,7 +348,7 @@
 	s := following(t)
 	s.step(resumed{gap: 4 * time.Second})
 	s.pass(100 * ms)
-	if c := s.calls[declarations]; c == nil || c.Stale || c.Wait > ms {
+	if c := s.calls[declarations]; c == nil || c.AllowStale || c.Wait > ms {
 		t.Errorf("%+v", c)
 	}
 }
@@ -359,7 +359,7 @@
 	s := following(t)
 	s.step(doubted{})
 	c := s.calls[upstreams]
-	if c == nil || c.Stale || c.Wait > ms || s.calls[declarations] != nil {
+	if c == nil || c.AllowStale || c.Wait > ms || s.calls[declarations] != nil {
 		t.Fatalf("%+v", c)
 	}
 	s.answer(upstreams, 11)
--- a/stoatedge/restored.go
+++ b/stoatedge/restored.go
@@ -13,7 +13,7 @@
 	before := k.book.Era()
 	k.book.BeginEra(now, era)
 	for _, t := range k.topics {
-		if k.feeds[t].Restored(era) {
+		if k.feeds[t].BeginEra(era) {
 			k.drop(t)
 		}
 	}
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -141,7 +141,7 @@
 			}
 			return accepted, &goneError{addr: addr, cause: err}
 		}
-		silence := stoatfeed.Share(e.settings().Bound(), silenceShare)
+		silence := stoatfeed.Fraction(e.settings().Bound(), silenceShare)
 		watchdog.Stop()
 		watchdog = time.AfterFunc(silence, func() { cancel(&silentError{after: silence}) })
 		accepted = true
--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -12,16 +12,16 @@
 	// MaxDelay is the time within which a change must be in force. A watch can go silent without an
 	// error. A change that it missed is found by the next watch, which has to be sent and answered
 	// within this time.
-	Bound time.Duration
+	MaxDelay time.Duration
 	// AllowStale lets a replica answer watches, which costs a tenth and counts toward no rate limit. It
 	// is only for a feed whose position is checked against that of an exact feed.
-	Stale bool
+	AllowStale bool
 	// AllowStaleStart lets a replica answer the first list. When all entries start at once, exact lists
 	// would use up the platform's read rate for a time that grows with the number of entries.
-	StaleStart bool
+	AllowStaleStart bool
 	// HasFollowers is set where other entries wait for this feed to confirm that their view is current.
-	Prompt bool
-	Rand   *rand.Rand // for random pauses
+	HasFollowers bool
+	Rand         *rand.Rand // for random pauses
 }
 
 const (
@@ -59,13 +59,13 @@
 
 // Call is one request to the platform, which is a list or a watch.
 type Call struct {
-	List    bool
-	After   string              // list: continue after this name
-	From    stoatpaddle.Version // watch: report changes after this revision
-	Wait    time.Duration       // watch: how long to wait for the first change
-	Timeout time.Duration
-	Stale   bool          // a replica may answer
-	Pause   time.Duration // how long to wait before the call
+	List       bool
+	After      string              // list: continue after this name
+	From       stoatpaddle.Version // watch: report changes after this revision
+	Wait       time.Duration       // watch: how long to wait for the first change
+	Timeout    time.Duration
+	AllowStale bool          // a replica may answer
+	Pause      time.Duration // how long to wait before the call
 }
 
 // Outcome is how a call ended.
@@ -94,15 +94,15 @@
 	Changes int                  // watch: number of changes in the answer
 }
 
-// Verdict tells the caller what to do with an answer.
-type Verdict struct {
-	Apply    bool // the objects in the answer may be applied
-	Complete bool // the answer completes a list
-	Away     bool // the list follows an outage or a restore, in which registrations may have lapsed
-	Proof    bool // everything that was in force when the call was sent is known now
-	Behind   bool // the answer is older than what is known and was discarded
-	Lost     bool // the platform stopped answering; reported once
-	Back     bool // the platform answers again; reported once
+// Decision tells the caller what to do with an answer.
+type Decision struct {
+	Apply       bool // the objects in the answer may be applied
+	Complete    bool // the answer completes a list
+	AfterOutage bool // the list follows an outage or a restore, in which registrations may have lapsed
+	Current     bool // everything that was in force when the call was sent is known now
+	Outdated    bool // the answer is older than what is known and was discarded
+	OutageBegan bool // the platform stopped answering; reported once
+	OutageEnded bool // the platform answers again; reported once
 }
 
 // Feed follows one kind of object.
@@ -132,8 +132,8 @@
 // New returns a Feed that knows nothing yet.
 func New(cfg Config) *Feed { return &Feed{cfg: cfg} }
 
-// SetBound changes Config.MaxDelay for the following calls.
-func (f *Feed) SetBound(d time.Duration) { f.cfg.Bound = d }
+// SetMaxDelay changes Config.MaxDelay for the following calls.
+func (f *Feed) SetMaxDelay(d time.Duration) { f.cfg.MaxDelay = d }
 
 // Position returns the position up to which everything is known.
 func (f *Feed) Position() stoatpaddle.Position { return f.pos }
@@ -141,11 +141,11 @@
 // Era returns the latest era that is known to have begun; 0 means that none was reported.
 func (f *Feed) Era() stoatpaddle.Era { return f.era }
 
-// Restored records that the platform was restored from an older copy of itself, and reports whether the
+// BeginEra records that the platform was restored from an older copy of itself, and reports whether the
 // feed did not know of that restore. A watch from a revision of the earlier era would miss what is written
 // under revisions that are assigned a second time, so only a list shows what exists. Objects that the list
 // lacks may have been lost in the restore and get the same time to come back as after an outage.
-func (f *Feed) Restored(era stoatpaddle.Era) bool {
+func (f *Feed) BeginEra(era stoatpaddle.Era) bool {
 	if era <= f.era {
 		return false
 	}
@@ -161,17 +161,17 @@
 	return true
 }
 
-// Heard records that everything up to the position is known from another entry. That entry may have lost
+// Advance records that everything up to the position is known from another entry. That entry may have lost
 // contact with the platform, so this feed goes on calling the platform as before.
-func (f *Feed) Heard(pos stoatpaddle.Position) {
-	f.Restored(pos.Era)
+func (f *Feed) Advance(pos stoatpaddle.Position) {
+	f.BeginEra(pos.Era)
 	f.pos = f.pos.Later(pos)
 }
 
 // Adopt records that everything up to the position is known from another entry which is in contact with
 // the platform. Its state takes the place of a complete list of this feed.
 func (f *Feed) Adopt(pos stoatpaddle.Position) {
-	f.Restored(pos.Era)
+	f.BeginEra(pos.Era)
 	f.pos = f.pos.Later(pos)
 	if pos.Era < f.era {
 		// The other entry has not listed the objects of the current era yet. A watch from its position
@@ -182,28 +182,28 @@
 	f.failures, f.failingSince, f.unansweredSince = 0, time.Time{}, time.Time{}
 }
 
-// Lost reports whether the platform counts as not answering.
-func (f *Feed) Lost() bool { return f.unreachable }
+// Unreachable reports whether the platform counts as not answering.
+func (f *Feed) Unreachable() bool { return f.unreachable }
 
-// Failing returns since when the platform has not answered; the time is zero while it answers.
-func (f *Feed) Failing() time.Time { return f.failingSince }
+// FailingSince returns since when the platform has not answered; the time is zero while it answers.
+func (f *Feed) FailingSince() time.Time { return f.failingSince }
 
 // Next returns the call to make now.
 func (f *Feed) Next() Call {
 	c := Call{Timeout: listTimeout, Pause: f.pause()}
 	if !f.listed {
-		c.List, c.After, c.Stale = true, f.after, f.useReplica || f.cfg.StaleStart && !f.started && !f.exact
+		c.List, c.After, c.AllowStale = true, f.after, f.useReplica || f.cfg.AllowStaleStart && !f.started && !f.exact
 		return c
 	}
 	c.From = f.pos.Revision
 	c.Wait = f.wait()
-	c.Timeout = c.Wait + Share(f.cfg.Bound, answerFraction)
+	c.Timeout = c.Wait + Fraction(f.cfg.MaxDelay, answerFraction)
 	// A replica that is behind may not have reached the revision yet from which it should watch.
-	c.Stale = f.cfg.Stale && !f.exact && f.forgottenInRow < 2
+	c.AllowStale = f.cfg.AllowStale && !f.exact && f.forgottenInRow < 2
 	switch {
 	case f.useReplica:
 		// Changes still arrive from the replica until the exact call is made again.
-		c.Stale, c.Wait = true, Share(f.cfg.Bound, replicaWaitFraction)
+		c.AllowStale, c.Wait = true, Fraction(f.cfg.MaxDelay, replicaWaitFraction)
 	case f.exact || f.immediate || f.failures > 0:
 		// The answer is needed now, not when something changes.
 		c.Wait = time.Millisecond
@@ -216,17 +216,17 @@
 // time. It is short because the idle connection that the call uses may have gone silent, and the next
 // attempt uses a new one. It grows with each failure to give a slow platform more time.
 func (f *Feed) answerWithin(limit time.Duration) time.Duration {
-	return min(limit, time.Duration(1+f.failures)*Share(f.cfg.Bound, answerFraction))
+	return min(limit, time.Duration(1+f.failures)*Fraction(f.cfg.MaxDelay, answerFraction))
 }
 
 // wait returns how long a watch waits for a change. Where other entries wait for confirmations, the wait is
 // shorter by the age of the last exact answer: the answer of a watch that a change ended early is only current
 // as of the time when the watch was sent.
 func (f *Feed) wait() time.Duration {
-	if !f.cfg.Prompt {
-		return Share(f.cfg.Bound, waitFraction)
+	if !f.cfg.HasFollowers {
+		return Fraction(f.cfg.MaxDelay, waitFraction)
 	}
-	return max(Share(f.cfg.Bound, followedWaitFraction)-f.answerAge, Share(f.cfg.Bound, batchFraction)).Truncate(time.Millisecond)
+	return max(Fraction(f.cfg.MaxDelay, followedWaitFraction)-f.answerAge, Fraction(f.cfg.MaxDelay, batchFraction)).Truncate(time.Millisecond)
 }
 
 // AsOf returns the time as of which an answer shows the state of the platform, if the call was sent at sent
@@ -239,8 +239,8 @@
 	return sent
 }
 
-// Share returns the given part of a duration, in whole milliseconds.
-func Share(d time.Duration, part float64) time.Duration {
+// Fraction returns the given part of a duration, in whole milliseconds.
+func Fraction(d time.Duration, part float64) time.Duration {
 	return time.Duration(float64(d) * part).Truncate(time.Millisecond)
 }
 
@@ -253,7 +253,7 @@
 		// follow each other within milliseconds, and a few entries would use up the platform's rate.
 		return f.backoff(max(f.outdatedInRow, f.forgottenInRow))
 	case f.failures == 0 && f.gotChanges && !f.exact && !f.immediate:
-		return Share(f.cfg.Bound, batchFraction)
+		return Fraction(f.cfg.MaxDelay, batchFraction)
 	case f.failures == 0:
 		return 0
 	}
@@ -273,7 +273,7 @@
 }
 
 // Done records the result of a call that was sent at sent, and decides what to do with the answer.
-func (f *Feed) Done(now, sent time.Time, c Call, r Result) Verdict {
+func (f *Feed) Done(now, sent time.Time, c Call, r Result) Decision {
 	f.useReplica, f.gotChanges = false, r.Outcome == Answered && !c.List && r.Changes > 0
 	if r.AsOf.Era == 0 {
 		r.AsOf.Era = f.era
@@ -281,12 +281,12 @@
 	switch r.Outcome {
 	case Forgotten:
 		f.forgottenInRow++
-		if !f.Restored(r.AsOf.Era) {
+		if !f.BeginEra(r.AsOf.Era) {
 			f.relist()
 		}
-		return Verdict{}
+		return Decision{}
 	case Refused:
-		f.useReplica = !c.Stale
+		f.useReplica = !c.AllowStale
 		return f.recordFailure(now)
 	case Failed:
 		if f.unansweredSince.IsZero() {
@@ -294,7 +294,7 @@
 		}
 		return f.recordFailure(now)
 	case Interrupted:
-		return Verdict{}
+		return Decision{}
 	case Answered:
 	}
 	if !c.List {
@@ -302,22 +302,22 @@
 	}
 	v := f.recordAnswer(now, sent, c, r)
 	f.outdatedInRow++
-	if !v.Behind {
+	if !v.Outdated {
 		f.outdatedInRow = 0
 	}
 	return v
 }
 
 // recordAnswer records an answer and decides what to do with it.
-func (f *Feed) recordAnswer(now, sent time.Time, c Call, r Result) Verdict {
-	v := Verdict{Back: f.unreachable}
+func (f *Feed) recordAnswer(now, sent time.Time, c Call, r Result) Decision {
+	v := Decision{OutageEnded: f.unreachable}
 	// A platform that refuses calls by rate is running, so no registration lapses in that time.
 	outage := !f.unansweredSince.IsZero() && now.Sub(f.unansweredSince) >= minLapseOutage
 	f.failures, f.failingSince, f.unansweredSince, f.unreachable, f.immediate = 0, time.Time{}, time.Time{}, false, false
 	if outage {
 		f.afterOutage = true
 	}
-	if f.Restored(r.AsOf.Era) {
+	if f.BeginEra(r.AsOf.Era) {
 		return v
 	}
 	if outage && !c.List {
@@ -331,12 +331,12 @@
 	}
 	if f.isOutdated(r.AsOf) {
 		// The answer comes from a replica that is behind this entry, so it contains nothing new.
-		f.exact, v.Behind = true, true
+		f.exact, v.Outdated = true, true
 		return v
 	}
 	f.pos = r.AsOf
-	v.Apply, v.Proof = true, !c.Stale
-	if !c.Stale {
+	v.Apply, v.Current = true, !c.AllowStale
+	if !c.AllowStale {
 		f.exact, f.answerAge = false, now.Sub(c.AsOf(sent, now, r))
 	}
 	return v
@@ -351,25 +351,25 @@
 }
 
 // recordFailure records a call that failed or was refused.
-func (f *Feed) recordFailure(now time.Time) Verdict {
+func (f *Feed) recordFailure(now time.Time) Decision {
 	f.failures++
 	if f.failingSince.IsZero() {
 		f.failingSince = now
 	}
 	// A single failure may be a broken connection; two in a row are taken for an outage.
 	if f.failures < 2 || f.unreachable {
-		return Verdict{}
+		return Decision{}
 	}
 	f.unreachable = true
-	return Verdict{Lost: true}
+	return Decision{OutageBegan: true}
 }
 
 // recordPage records one page of a list.
-func (f *Feed) recordPage(v Verdict, c Call, r Result) Verdict {
+func (f *Feed) recordPage(v Decision, c Call, r Result) Decision {
 	if r.AsOf.Era < f.era {
 		// The page comes from a replica that does not know of the restore yet.
 		f.relist()
-		f.exact, v.Behind = true, true
+		f.exact, v.Outdated = true, true
 		return v
 	}
 	v.Apply = true
@@ -383,29 +383,29 @@
 	if f.listStart.Before(f.pos) {
 		// The list comes from a replica that is behind. Objects that it lacks may be newer than the list.
 		f.relist()
-		f.exact, v.Behind = true, true
+		f.exact, v.Outdated = true, true
 		return v
 	}
 	// Pages are read one after the other. A watch from the revision of the first page reports what changed
 	// while the others were read.
-	v.Complete, v.Proof, v.Away = true, !c.Stale, f.afterOutage
+	v.Complete, v.Current, v.AfterOutage = true, !c.AllowStale, f.afterOutage
 	f.pos = f.listStart
 	f.listed, f.started, f.after, f.afterOutage, f.exact = true, true, "", false, false
 	return v
 }
 
-// SetStart sets Config.AllowStaleStart and Config.HasFollowers.
-func (f *Feed) SetStart(allowStaleStart, hasFollowers bool) {
-	f.cfg.StaleStart, f.cfg.Prompt = allowStaleStart, hasFollowers
+// SetStartOptions sets Config.AllowStaleStart and Config.HasFollowers.
+func (f *Feed) SetStartOptions(allowStaleStart, hasFollowers bool) {
+	f.cfg.AllowStaleStart, f.cfg.HasFollowers = allowStaleStart, hasFollowers
 }
 
-// SetRelayed sets whether another entry reports when the platform is back.
-func (f *Feed) SetRelayed(relayed bool) { f.recoveryRelayed = relayed }
+// SetRecoveryRelayed sets whether another entry reports when the platform is back.
+func (f *Feed) SetRecoveryRelayed(relayed bool) { f.recoveryRelayed = relayed }
 
-// Hurry makes the next call return at once instead of waiting for a change. It is for the case that
+// RequestNow makes the next call return at once instead of waiting for a change. It is for the case that
 // another feed has confirmed a later revision than this feed knows.
-func (f *Feed) Hurry() { f.immediate = true }
+func (f *Feed) RequestNow() { f.immediate = true }
 
-// Doubt makes the next call return at once and go to the platform itself. It is for the case that the
+// RequestExact makes the next call return at once and go to the platform itself. It is for the case that the
 // replica is behind or that traffic refers to something unknown to this entry.
-func (f *Feed) Doubt() { f.exact = true }
+func (f *Feed) RequestExact() { f.exact = true }
--- a/stoatfeed/feed_test.go
+++ b/stoatfeed/feed_test.go
@@ -18,7 +18,7 @@
 }
 
 func newFeed(stale bool) *stoatfeed.Feed {
-	return stoatfeed.New(stoatfeed.Config{Bound: bound, Stale: stale, Rand: rand.New(rand.NewPCG(1, 1))})
+	return stoatfeed.New(stoatfeed.Config{MaxDelay: bound, AllowStale: stale, Rand: rand.New(rand.NewPCG(1, 1))})
 }
 
 // listed returns a feed that has completed its first list.
@@ -26,10 +26,10 @@
 	t.Helper()
 	f := newFeed(stale)
 	c := f.Next()
-	if !c.List || c.Stale {
+	if !c.List || c.AllowStale {
 		t.Fatalf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)}); !v.Complete || !v.Proof || v.Away {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)}); !v.Complete || !v.Current || v.AfterOutage {
 		t.Fatalf("%+v", v)
 	}
 	return f
@@ -40,7 +40,7 @@
 func TestPages(t *testing.T) {
 	f := newFeed(false)
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10), More: true, Last: "m"}); v.Complete || !v.Apply || v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10), More: true, Last: "m"}); v.Complete || !v.Apply || v.Current {
 		t.Errorf("%+v", v)
 	}
 	c = f.Next()
@@ -65,7 +65,7 @@
 // list must follow at once.
 func TestForgottenHistory(t *testing.T) {
 	f := listed(t, false)
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten}); v.Apply || v.Lost {
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten}); v.Apply || v.OutageBegan {
 		t.Errorf("%+v", v)
 	}
 	if c := f.Next(); !c.List || c.Pause != 0 {
@@ -81,23 +81,23 @@
 	now := start
 	lost := 0
 	for range 5 {
-		if f.Done(now, now, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}).Lost {
+		if f.Done(now, now, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}).OutageBegan {
 			lost++
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
-	if lost != 1 || !f.Lost() || !f.Failing().Equal(start) {
-		t.Error(lost, f.Lost(), f.Failing())
+	if lost != 1 || !f.Unreachable() || !f.FailingSince().Equal(start) {
+		t.Error(lost, f.Unreachable(), f.FailingSince())
 	}
 	if c := f.Next(); c.Pause <= 0 || c.Pause > 1100*time.Millisecond || c.Wait > time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 	v := f.Done(now, now, f.Next(), stoatfeed.Result{AsOf: revision(20), Changes: 3})
-	if v.Apply || !v.Back || f.Lost() {
+	if v.Apply || !v.OutageEnded || f.Unreachable() {
 		t.Errorf("%+v", v)
 	}
 	c := f.Next()
-	if v = f.Done(now, now, c, stoatfeed.Result{AsOf: revision(20)}); !c.List || !v.Complete || !v.Away || v.Back {
+	if v = f.Done(now, now, c, stoatfeed.Result{AsOf: revision(20)}); !c.List || !v.Complete || !v.AfterOutage || v.OutageEnded {
 		t.Errorf("%+v %+v", c, v)
 	}
 }
@@ -106,11 +106,11 @@
 // lapse in so short a time, and a new list is not needed.
 func TestOneFailure(t *testing.T) {
 	f := listed(t, true)
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}); v.Lost {
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}); v.OutageBegan {
 		t.Errorf("%+v", v)
 	}
 	v := f.Done(start.Add(200*time.Millisecond), start.Add(200*time.Millisecond), f.Next(), stoatfeed.Result{AsOf: revision(11)})
-	if !v.Apply || v.Back || f.Next().List {
+	if !v.Apply || v.OutageEnded || f.Next().List {
 		t.Errorf("%+v", v)
 	}
 }
@@ -120,16 +120,16 @@
 func TestLaggingReplica(t *testing.T) {
 	f := listed(t, true)
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(7)}); !c.Stale || v.Apply || v.Proof || f.Position() != revision(10) {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(7)}); !c.AllowStale || v.Apply || v.Current || f.Position() != revision(10) {
 		t.Errorf("%+v", v)
 	}
-	if c = f.Next(); c.Stale || c.Wait > time.Millisecond {
+	if c = f.Next(); c.AllowStale || c.Wait > time.Millisecond {
 		t.Errorf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(12)}); !v.Apply || !v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(12)}); !v.Apply || !v.Current {
 		t.Errorf("%+v", v)
 	}
-	if c = f.Next(); !c.Stale {
+	if c = f.Next(); !c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 }
@@ -138,11 +138,11 @@
 // cancelled for this must not count as a failure.
 func TestRequestNow(t *testing.T) {
 	f := listed(t, true)
-	f.Hurry()
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Interrupted}); v != (stoatfeed.Verdict{}) || !f.Failing().IsZero() {
+	f.RequestNow()
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Interrupted}); v != (stoatfeed.Decision{}) || !f.FailingSince().IsZero() {
 		t.Errorf("%+v", v)
 	}
-	if c := f.Next(); !c.Stale || c.Wait > time.Millisecond || c.Pause != 0 {
+	if c := f.Next(); !c.AllowStale || c.Wait > time.Millisecond || c.Pause != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -151,7 +151,7 @@
 func TestPausesAreSpread(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(50) {
-		f := stoatfeed.New(stoatfeed.Config{Bound: bound, Rand: rand.New(rand.NewPCG(seed, 1))})
+		f := stoatfeed.New(stoatfeed.Config{MaxDelay: bound, Rand: rand.New(rand.NewPCG(seed, 1))})
 		for range 6 {
 			f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Refused})
 		}
@@ -169,22 +169,22 @@
 	f := newFeed(false)
 	c := f.Next()
 	f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.Refused})
-	if c = f.Next(); !c.List || !c.Stale {
+	if c = f.Next(); !c.List || !c.AllowStale {
 		t.Fatalf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)}); !v.Complete || v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)}); !v.Complete || v.Current {
 		t.Errorf("%+v", v)
 	}
-	if c = f.Next(); c.List || c.Stale {
+	if c = f.Next(); c.List || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 	for at := time.Duration(0); at < 3*time.Second; at += time.Second {
 		f.Done(start.Add(at), start.Add(at), c, stoatfeed.Result{Outcome: stoatfeed.Refused})
-		if c = f.Next(); !c.Stale || c.Wait < 500*time.Millisecond {
+		if c = f.Next(); !c.AllowStale || c.Wait < 500*time.Millisecond {
 			t.Errorf("no changes are read from a replica meanwhile: %+v", c)
 		}
 		f.Done(start.Add(at), start.Add(at), c, stoatfeed.Result{Outcome: stoatfeed.Interrupted})
-		if c = f.Next(); c.Stale {
+		if c = f.Next(); c.AllowStale {
 			t.Errorf("the exact call is not repeated: %+v", c)
 		}
 	}
@@ -200,10 +200,10 @@
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Refused})
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(8)}); !c.Stale || v.Complete {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(8)}); !c.AllowStale || v.Complete {
 		t.Errorf("%+v %+v", c, v)
 	}
-	if c = f.Next(); !c.List || c.Stale {
+	if c = f.Next(); !c.List || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 }
@@ -217,7 +217,7 @@
 	if c := f.Next(); c.Pause != 150*time.Millisecond || c.Pause+c.Timeout > bound*9/10 {
 		t.Errorf("%+v", c)
 	}
-	f.Doubt()
+	f.RequestExact()
 	if c := f.Next(); c.Pause != 0 {
 		t.Errorf("%+v", c)
 	}
@@ -232,7 +232,7 @@
 // never older than half of MaxDelay when the next one comes.
 func TestConfirmationsForFollowers(t *testing.T) {
 	f := newFeed(false)
-	f.SetStart(false, true)
+	f.SetStartOptions(false, true)
 	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: revision(10)})
 	c := f.Next()
 	if c.Wait != 1350*time.Millisecond {
@@ -266,14 +266,14 @@
 // registrations came back.
 func TestStartFromReplica(t *testing.T) {
 	f := newFeed(true)
-	f.SetStart(true, false)
+	f.SetStartOptions(true, false)
 	c := f.Next()
-	if !c.List || !c.Stale {
+	if !c.List || !c.AllowStale {
 		t.Fatalf("%+v", c)
 	}
 	f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)})
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
-	if c = f.Next(); !c.List || c.Stale {
+	if c = f.Next(); !c.List || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 }
@@ -283,7 +283,7 @@
 	f := newFeed(true)
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed})
 	f.Adopt(revision(20))
-	if c := f.Next(); c.List || c.From != 20 || c.Pause != 0 || !f.Failing().IsZero() {
+	if c := f.Next(); c.List || c.From != 20 || c.Pause != 0 || !f.FailingSince().IsZero() {
 		t.Errorf("%+v", c)
 	}
 	f.Adopt(revision(15))
@@ -297,7 +297,7 @@
 // platform that answers slowly must get more time with each attempt.
 func TestCallsAreGivenUpSoon(t *testing.T) {
 	f := listed(t, false)
-	f.Doubt()
+	f.RequestExact()
 	last := time.Duration(0)
 	for range 4 {
 		c := f.Next()
--- a/stoatfeed/restore_test.go
+++ b/stoatfeed/restore_test.go
@@ -16,7 +16,7 @@
 func inEra(t *testing.T, stale bool) *stoatfeed.Feed {
 	t.Helper()
 	f := newFeed(stale)
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: position(1, 10)}); !v.Complete || v.Away || f.Position() != position(1, 10) {
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: position(1, 10)}); !v.Complete || v.AfterOutage || f.Position() != position(1, 10) {
 		t.Fatalf("%+v %s", v, f.Position())
 	}
 	if c := f.Next(); c.List {
@@ -34,14 +34,14 @@
 		"forgotten": {Outcome: stoatfeed.Forgotten, AsOf: position(2, 0)},
 	} {
 		f := inEra(t, true)
-		if v := f.Done(start, start, f.Next(), r); v.Apply || v.Proof {
+		if v := f.Done(start, start, f.Next(), r); v.Apply || v.Current {
 			t.Errorf("%s: applied: %+v", name, v)
 		}
 		c := f.Next()
-		if !c.List || c.After != "" || c.Stale {
+		if !c.List || c.After != "" || c.AllowStale {
 			t.Errorf("%s: no list: %+v", name, c)
 		}
-		if v := f.Done(start, start, c, stoatfeed.Result{AsOf: position(2, 7)}); !v.Complete || !v.Away || !v.Proof || f.Position() != position(2, 7) {
+		if v := f.Done(start, start, c, stoatfeed.Result{AsOf: position(2, 7)}); !v.Complete || !v.AfterOutage || !v.Current || f.Position() != position(2, 7) {
 			t.Errorf("%s: %+v %s", name, v, f.Position())
 		}
 		if c = f.Next(); c.List || c.From != 7 {
@@ -67,13 +67,13 @@
 // and must not be applied.
 func TestReplicaOfAnEarlierEra(t *testing.T) {
 	f := inEra(t, true)
-	f.Restored(2)
+	f.BeginEra(2)
 	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: position(2, 7)})
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: position(1, 40), Changes: 1}); !c.Stale || v.Apply || !v.Behind || f.Position() != position(2, 7) {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: position(1, 40), Changes: 1}); !c.AllowStale || v.Apply || !v.Outdated || f.Position() != position(2, 7) {
 		t.Errorf("%+v %s", v, f.Position())
 	}
-	if c = f.Next(); c.Stale || c.List {
+	if c = f.Next(); c.AllowStale || c.List {
 		t.Errorf("the platform itself is not called: %+v", c)
 	}
 	// An answer without an era, for example through a proxy that drops headers, belongs to the known era.
@@ -87,7 +87,7 @@
 // knows the new era takes the place of that list.
 func TestRestoreReportedByAnotherEntry(t *testing.T) {
 	f := inEra(t, true)
-	f.Heard(position(2, 7))
+	f.Advance(position(2, 7))
 	if c := f.Next(); !c.List {
 		t.Errorf("%+v", c)
 	}
@@ -113,7 +113,7 @@
 		var passed time.Duration
 		for n := range 30 {
 			c := f.Next()
-			if c.List != list || n > 0 && c.Stale {
+			if c.List != list || n > 0 && c.AllowStale {
 				t.Fatalf("%s: %+v", name, c)
 			}
 			if n == 1 && c.Pause > 0 {
@@ -146,7 +146,7 @@
 		case c.List:
 			lists++
 			f.Done(start, start, c, stoatfeed.Result{AsOf: position(1, 10)})
-		case c.Stale:
+		case c.AllowStale:
 			f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.Forgotten, AsOf: position(1, 0)})
 		case lists != 2:
 			t.Fatalf("the platform itself is watched after %d lists, call %d", lists, n)
