--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -85,7 +85,7 @@
 	if u.MaxFlows > 0 && h.flows >= u.MaxFlows {
 		return
 	}
-	v := e.filter.Open(c.now, t, c.route, u, h.coldLoad(c.now, u))
+	v := e.filter.CheckNewFlow(c.now, t, c.route, u, h.coldLoad(c.now, u))
 	if v > stoatfilter.Spare {
 		excluded[v]++
 		return
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -101,7 +101,7 @@
 type Engine struct {
 	cfg     Config
 	filter  stoatfilter.Filter
-	placing stoatfilter.Placing
+	placing stoatfilter.RankTracker
 	health  map[stoatpaddle.UpstreamKey]*health // of upstreams that this entry met
 	// unsettled are those of them to look at with the next table whatever changes in it: they are new, perhaps
 	// by a packet that came with the table before, or have something in progress though they are in none.
@@ -144,9 +144,9 @@
 }
 
 // SetPlace takes in this entry's place among those of its data centre.
-func (e *Engine) SetPlace(now time.Time, p stoatfilter.Place) {
-	e.placing.Set(now, p)
-	e.filter.Place = e.placing.At(now)
+func (e *Engine) SetPlace(now time.Time, p stoatfilter.EntryRank) {
+	e.placing.Update(now, p)
+	e.filter.EntryRank = e.placing.At(now)
 }
 
 // SetRegions replaces the regions of data centres.
--- a/stoatecho/health.go
+++ b/stoatecho/health.go
@@ -253,11 +253,11 @@
 }
 
 // coldLoad is what a new flow would ask of the upstream, where a limit asks for it.
-func (h *health) coldLoad(now time.Time, u *stoatroute.Upstream) stoatfilter.Load {
+func (h *health) coldLoad(now time.Time, u *stoatroute.Upstream) stoatfilter.ColdLoad {
 	if u.ColdRate == 0 || !now.Before(u.WarmAt) {
-		return stoatfilter.Load{}
+		return stoatfilter.ColdLoad{}
 	}
-	return stoatfilter.Load{Requests: h.group.load.perFlow(now), Taken: h.taken}
+	return stoatfilter.ColdLoad{RequestsPerFlow: h.group.load.perFlow(now), LastSent: h.taken}
 }
 
 // load is the part of the upstream's slots that this entry has taken.
--- a/stoatecho/open.go
+++ b/stoatecho/open.go
@@ -92,7 +92,7 @@
 // life since then says that the packet was lost, not the upstream: at another one the flow
 // would be open twice, and the caller's packets would bring either cookie.
 func (e *Engine) sameAgain(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, f *flow, a *Action) bool {
-	if u == nil || !u.AcceptsFlows() || e.filter.Allowed(t, r, u) != stoatfilter.Eligible {
+	if u == nil || !u.AcceptsFlows() || e.filter.CheckPolicy(t, r, u) != stoatfilter.Eligible {
 		return false
 	}
 	if now.Sub(f.seen) < repeatLeast {
--- a/stoatfilter/cold.go
+++ b/stoatfilter/cold.go
@@ -30,24 +30,24 @@
 	turnOpenFraction = 0.5
 )
 
-// Load describes what this entry knows about the load on a cold upstream.
-type Load struct {
+// ColdLoad describes what this entry knows about the load on a cold upstream.
+type ColdLoad struct {
 	// RequestsPerFlow is how many requests a flow of the service was seen to carry while its upstream
 	// was cold.
-	Requests float64
+	RequestsPerFlow float64
 	// LastSent is when this entry last sent a flow to the upstream while the upstream was cold.
-	Taken time.Time
+	LastSent time.Time
 }
 
 // hasTurn reports whether it is this entry's turn to send a flow to the upstream and the entry has not
 // used that turn yet.
-func (p Place) hasTurn(now time.Time, u *stoatroute.Upstream, load Load) bool {
+func (p EntryRank) hasTurn(now time.Time, u *stoatroute.Upstream, load ColdLoad) bool {
 	if p.Entries <= 0 || p.Rank < 0 || p.Rank >= p.Entries {
 		return false
 	}
 	// The number of requests is rounded up, so that entries whose estimates differ a little compute the same
 	// turns.
-	requests := math.Ceil(math.Max(1, load.Requests))
+	requests := math.Ceil(math.Max(1, load.RequestsPerFlow))
 	interval := time.Duration(float64(time.Second) * requests / (allottedFraction * u.ColdRate))
 	// The first turn goes to a different entry for each upstream. Otherwise one entry would have its turn
 	// at all upstreams at the same time.
@@ -55,7 +55,7 @@
 	period := interval * time.Duration(p.Entries)
 	sinceTurn := time.Duration(now.UnixNano()-int64(interval)*int64(first)) % period
 	openFor := time.Duration(turnOpenFraction * float64(interval))
-	return sinceTurn < openFor && now.Sub(load.Taken) > openFor
+	return sinceTurn < openFor && now.Sub(load.LastSent) > openFor
 }
 
 // hashMultiplier and hashShift distribute the first turns over the entries with Knuth's multiplicative
--- a/stoatfilter/filter.go
+++ b/stoatfilter/filter.go
@@ -34,26 +34,26 @@
 type Filter struct {
 	DataCentre stoatpaddle.DataCentreID // of the entry
 	Regions    Regions
-	Place      Place // the entry's rank among those that share the capacity of a cold upstream
+	EntryRank  EntryRank // the entry's rank among those that share the capacity of a cold upstream
 }
 
-// Open decides whether the upstream may receive a new flow of the route.
-func (f *Filter) Open(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, load Load) Verdict {
-	if v := f.Allowed(t, r, u); v != Eligible {
+// CheckNewFlow decides whether the upstream may receive a new flow of the route.
+func (f *Filter) CheckNewFlow(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, load ColdLoad) Verdict {
+	if v := f.CheckPolicy(t, r, u); v != Eligible {
 		return v
 	}
 	if u.ColdRate == 0 || !now.Before(u.WarmAt) {
 		return Eligible
 	}
-	if u.DataCentre != f.DataCentre || !f.Place.hasTurn(now, u, load) {
+	if u.DataCentre != f.DataCentre || !f.EntryRank.hasTurn(now, u, load) {
 		return Cold
 	}
 	return Spare
 }
 
-// Allowed decides by the operators' settings alone: evacuations and the regions of the route. It also
+// CheckPolicy decides by the operators' settings alone: evacuations and the regions of the route. It also
 // decides whether a repeated opening packet may follow the first one to its upstream.
-func (f *Filter) Allowed(t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream) Verdict {
+func (f *Filter) CheckPolicy(t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream) Verdict {
 	switch {
 	case t.Evacuated(u.DataCentre):
 		return Evacuated
--- a/stoatfilter/rank.go
+++ b/stoatfilter/rank.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Place is the rank of an entry among the entries of its data centre.
-type Place struct {
+// EntryRank is the rank of an entry among the entries of its data centre.
+type EntryRank struct {
 	Rank    int // counts from 0
 	Entries int // number of entries; 0 means unknown, and the entry then gets no turns
 }
@@ -19,17 +19,17 @@
 	maxEntriesRetention = time.Minute
 )
 
-// Placing tracks the rank of one entry over time.
-type Placing struct {
-	last        Place
+// RankTracker tracks the rank of one entry over time.
+type RankTracker struct {
+	last        EntryRank
 	rankedSince time.Time // when the entry first had a rank
 	maxEntries  int       // greatest number of entries counted lately
 	maxSeenAt   time.Time // when that number was counted last
 }
 
-// Set records the rank that the relay tree reports now. An unknown rank leaves the last one in force,
+// Update records the rank that the relay tree reports now. An unknown rank leaves the last one in force,
 // because the parent in the relay tree may be back in a moment.
-func (p *Placing) Set(now time.Time, x Place) {
+func (p *RankTracker) Update(now time.Time, x EntryRank) {
 	if x.Entries <= 0 {
 		return
 	}
@@ -43,9 +43,9 @@
 }
 
 // At returns the rank to use at the given time; its Entries is 0 while the rank is not settled.
-func (p *Placing) At(now time.Time) Place {
+func (p *RankTracker) At(now time.Time) EntryRank {
 	if p.last.Entries == 0 || now.Sub(p.rankedSince) < rankSettleTime {
-		return Place{}
+		return EntryRank{}
 	}
-	return Place{Rank: p.last.Rank, Entries: max(p.last.Entries, p.maxEntries)}
+	return EntryRank{Rank: p.last.Rank, Entries: max(p.last.Entries, p.maxEntries)}
 }
