--- a/stoatecho/admit.go
+++ b/stoatecho/admit.go
@@ -25,35 +25,35 @@
 	// admitShare is the part of a route's objective that an answer may take, as a mean, for one
 	// more flow to be admitted, while few are refused; what is left covers the spread around the mean.
 	admitShare = 0.5
-	// admitLeast is the same once refusedMost of the openings are refused.
-	admitLeast  = 0.3
-	refusedMost = 0.25
+	// overloadAdmitShare is the same once refusedMost of the openings are refused.
+	overloadAdmitShare   = 0.3
+	overloadRefusedShare = 0.25
 	// urgentShare and urgentLeast are the same for a route that is more urgent than another one to
 	// the same service: at 0.5 one in twelve of its requests was refused, at 0.65 one in forty.
-	urgentShare = 0.75
-	urgentLeast = 0.65
-	// admitBase keeps requests whose work alone takes most of the objective from being refused
+	urgentShare         = 0.75
+	overloadUrgentShare = 0.65
+	// admitFloorFactor keeps requests whose work alone takes most of the objective from being refused
 	// for it, and upstreams from standing idle: three in five more than without a queue, which is
 	// how much longer some kinds of requests take than others.
-	admitBase = 1.6
-	// baseGrowth lets the base follow work that becomes longer: by half in 800 requests.
-	baseGrowth = 1.0005
-	// groupWeight is how many answers of an upstream its group's mean counts for: one of nine
+	admitFloorFactor = 1.6
+	// floorGrowth lets the base follow work that becomes longer: by half in 800 requests.
+	floorGrowth = 1.0005
+	// maxGroupWeight is how many answers of an upstream its group's mean counts for: one of nine
 	// entries sees ten answers of an upstream in answerAge, and goes by them.
 	//
 	// The failure without it: an entry has nothing in progress at most upstreams at most moments.
 	// While that alone was taken for an empty queue, lower bounds changed nothing.
-	groupWeight = 2
-	// refuseLeast is how many answers of late it takes to refuse anyone. One alone says little: a
+	maxGroupWeight = 2
+	// minAnswerWeight is how many answers of late it takes to refuse anyone. One alone says little: a
 	// packet that was lost and came again 0.2 s later looks like a queue.
-	refuseLeast = 2
-	// leastScale bounds by how much an upstream with less in progress from here than usual is
+	minAnswerWeight = 2
+	// minAnswerScale bounds by how much an upstream with less in progress from here than usual is
 	// expected to answer sooner: most of its queue is other entries'. More in progress counts in
 	// full: the mean lags by a queue's length, and what this entry has sent since is known.
 	//
 	// The failure without it: all entries admit until the mean is over the bound, by then the
 	// queue is twice as long, and all refuse until it is empty.
-	leastScale = 0.9
+	minAnswerScale = 0.9
 )
 
 // expectedAnswer is how long an answer of the upstream takes now, as far as this entry can
@@ -63,17 +63,17 @@
 // request of it took 0.2 s since a packet was lost. For a second all new flows were refused there,
 // with nothing in progress.
 func expectedAnswer(now time.Time, h *health) time.Duration {
-	own, others := h.recent.weightAt(now), h.group.answers.weightAt(now)
-	if others < refuseLeast || h.group.inProgress == 0 {
+	own, others := h.recentAnswers.weightAt(now), h.group.recentAnswers.weightAt(now)
+	if others < minAnswerWeight || h.group.inProgress == 0 {
 		return 0
 	}
-	others = min(groupWeight, others)
-	mean := (own*float64(h.recent.mean) + others*float64(h.group.answers.mean)) / (own + others)
-	if h.beside == 0 {
+	others = min(maxGroupWeight, others)
+	mean := (own*float64(h.recentAnswers.mean) + others*float64(h.group.recentAnswers.mean)) / (own + others)
+	if h.concurrency == 0 {
 		// This entry had no answer of it yet: it is as full as its like.
 		return time.Duration(mean)
 	}
-	return time.Duration(mean * max(leastScale, float64(h.busy+h.opening)/h.beside))
+	return time.Duration(mean * max(minAnswerScale, float64(h.pendingRequests+h.pendingOpenings)/h.concurrency))
 }
 
 // admits tells whether the upstream may get one more flow of the route.
@@ -83,19 +83,19 @@
 
 // admitBound is what an answer may take for one more flow of the route to be admitted.
 func admitBound(h *health, r *stoatroute.Route) time.Duration {
-	most, least := admitShare, admitLeast
+	most, least := admitShare, overloadAdmitShare
 	if r.Urgent {
-		most, least = urgentShare, urgentLeast
+		most, least = urgentShare, overloadUrgentShare
 	}
-	share := most - (most-least)*min(1, h.group.refused/refusedMost)
-	return max(time.Duration(share*float64(r.Objective)), time.Duration(admitBase*float64(leastBase(h))))
+	share := most - (most-least)*min(1, h.group.refusedShare/overloadRefusedShare)
+	return max(time.Duration(share*float64(r.Objective)), time.Duration(admitFloorFactor*float64(unqueuedAnswer(h))))
 }
 
-// leastBase is how long an answer takes without a queue. An upstream's own may have been learned in
+// unqueuedAnswer is how long an answer takes without a queue. An upstream's own may have been learned in
 // the overload: where an entry sees few of its answers, the first ones were late already.
-func leastBase(h *health) time.Duration {
-	own, group := h.usual.least, h.group.usual.least
-	if own == 0 || float64(own) > admitBase*float64(group) {
+func unqueuedAnswer(h *health) time.Duration {
+	own, group := h.answerTimes.floor, h.group.answerTimes.floor
+	if own == 0 || float64(own) > admitFloorFactor*float64(group) {
 		return group
 	}
 	return own
--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -10,19 +10,19 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// objectives declares feed and pledge with an objective, to one service.
-func (w *world) objectives(d time.Duration) {
+// declareObjectives declares feed and pledge with an objective, to one service.
+func (w *world) declareObjectives(d time.Duration) {
 	w.rev++
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
 	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
-		{Listen: feed, Backends: to, Idempotent: true, Objective: d, Priority: 2},
-		{Listen: pledge, Backends: to, Objective: d, Priority: 1},
+		{Listen: idempotentAddr, Backends: to, Idempotent: true, Objective: d, Priority: 2},
+		{Listen: nonIdempotentAddr, Backends: to, Objective: d, Priority: 1},
 	}}, w.rev)
 }
 
-// leaveOne takes the second upstream of this data centre away, and makes the first one anew; a
+// keepOneUpstream takes the second upstream of this data centre away, and makes the first one anew; a
 // new one may be slow at first.
-func (w *world) leaveOne(cold time.Duration) {
+func (w *world) keepOneUpstream(cold time.Duration) {
 	w.book.Remove(w.now, "i-2", w.rev+1)
 	w.book.Remove(w.now, "i-1", w.rev+2)
 	w.rev += 3
@@ -31,11 +31,11 @@
 	}, w.rev)
 }
 
-// newLoneWorld is a data centre with one upstream left, whose routes have an objective.
-func newLoneWorld(t *testing.T, cold time.Duration) *world {
+// newSingleUpstreamWorld is a data centre with one upstream left, whose routes have an objective.
+func newSingleUpstreamWorld(t *testing.T, cold time.Duration) *world {
 	w := newWorld(t)
-	w.objectives(400 * ms)
-	w.leaveOne(cold)
+	w.declareObjectives(400 * ms)
+	w.keepOneUpstream(cold)
 	return w
 }
 
@@ -43,24 +43,24 @@
 func (w *world) request(to netip.AddrPort, takes time.Duration) {
 	f := w.caller(to)
 	f.open()
-	f.ask()
+	f.sendRequest()
 	w.after(takes)
-	f.done()
+	f.ackAnswer()
 }
 
-// queue has six flows ask at once, of which all but one are answered after a while: one request
+// fillQueue has six flows ask at once, of which all but one are answered after a while: one request
 // stays in progress.
-func (w *world) queue(to netip.AddrPort, takes time.Duration) {
+func (w *world) fillQueue(to netip.AddrPort, takes time.Duration) {
 	var flows []*caller
 	for range 6 {
 		f := w.caller(to)
 		f.open()
-		f.ask()
+		f.sendRequest()
 		flows = append(flows, f)
 	}
 	w.after(takes)
 	for _, f := range flows[1:] {
-		f.done()
+		f.ackAnswer()
 	}
 }
 
@@ -68,15 +68,15 @@
 // lost and comes again 0.2 s later, so that an answer seems to have taken 0.24 s. The next callers
 // open flows; refused, they would come back and be refused for a second, with nothing in progress.
 func TestOneSlowAnswerIsNoOverload(t *testing.T) {
-	w := newLoneWorld(t, 0)
+	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
-		w.request(feed, 30*ms)
+		w.request(idempotentAddr, 30*ms)
 		w.after(100 * ms)
 	}
-	w.request(feed, 240*ms)
+	w.request(idempotentAddr, 240*ms)
 	for range 5 {
 		w.after(20 * ms)
-		if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
+		if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
 			t.Fatalf("refused: %+v", a)
 		}
 	}
@@ -85,9 +85,9 @@
 // The only upstream left has just started and takes five times as long as usual. It is slow
 // without a queue, and nothing better is near: callers wait for it rather than being turned away.
 func TestColdIsNoOverload(t *testing.T) {
-	w := newLoneWorld(t, 3*time.Second)
-	w.queue(feed, 300*ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
+	w := newSingleUpstreamWorld(t, 3*time.Second)
+	w.fillQueue(idempotentAddr, 300*ms)
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
 		t.Fatalf("refused: %+v", a)
 	}
 }
@@ -95,10 +95,10 @@
 // What answers slowly when it is warm and has requests in progress is full: the same callers are
 // refused.
 func TestQueueIsOverload(t *testing.T) {
-	w := newLoneWorld(t, 0)
-	w.request(feed, 30*ms)
-	w.queue(feed, 300*ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Reset {
+	w := newSingleUpstreamWorld(t, 0)
+	w.request(idempotentAddr, 30*ms)
+	w.fillQueue(idempotentAddr, 300*ms)
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Reset {
 		t.Fatalf("not refused: %+v", a)
 	}
 }
@@ -107,21 +107,21 @@
 // whoever waits is in time. Nobody is refused for it. Far over, when most are refused, the same
 // queue is too long: it grows between two answers, and those behind it would be late.
 func TestShortQueueIsNoOverload(t *testing.T) {
-	w := newLoneWorld(t, 0)
-	w.request(feed, 30*ms)
-	w.queue(pledge, 130*ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
+	w := newSingleUpstreamWorld(t, 0)
+	w.request(idempotentAddr, 30*ms)
+	w.fillQueue(nonIdempotentAddr, 130*ms)
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
 		t.Fatalf("refused after a short queue: %+v", a)
 	}
-	w.queue(pledge, 550*ms)
+	w.fillQueue(nonIdempotentAddr, 550*ms)
 	for range 20 {
-		if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Reset {
+		if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Reset {
 			t.Fatalf("not refused after a long queue: %+v", a)
 		}
 	}
 	w.after(time.Second)
-	w.queue(pledge, 130*ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Reset {
+	w.fillQueue(nonIdempotentAddr, 130*ms)
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Reset {
 		t.Fatalf("not refused though most were: %+v", a)
 	}
 }
@@ -135,37 +135,37 @@
 //	59.737 s SP1422 answer was late, took 1.613s, busy 0, upstream i-50000008
 //	59.951 s SP1411 overload, busy 0, mean 204ms, bound 200ms, upstream i-5000000a
 func TestAnswerElsewhereIsNoOverload(t *testing.T) {
-	w := newLoneWorld(t, 0)
+	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
-		w.request(feed, 30*ms)
+		w.request(idempotentAddr, 30*ms)
 		w.after(100 * ms)
 	}
 	var away []*caller
 	for range 2 {
-		f := w.caller(feed)
+		f := w.caller(idempotentAddr)
 		f.open()
-		f.ask()
+		f.sendRequest()
 		w.after(30 * ms)
-		f.done()
+		f.ackAnswer()
 		away = append(away, f)
 	}
 	w.after(800 * ms)
 	for _, f := range away {
-		f.ask()
+		f.sendRequest()
 	}
 	for range 4 {
 		w.after(200 * ms)
-		w.request(feed, 30*ms)
+		w.request(idempotentAddr, 30*ms)
 	}
 	for _, f := range away {
 		f.seq += 600 // of requests that other entries saw
 		f.ack += 6000
-		if a := f.ask(); a.Late || a.Took > 500*ms {
+		if a := f.sendRequest(); a.Late || a.Took > 500*ms {
 			t.Errorf("an answer is said to have taken %s", a.Took)
 		}
 	}
 	w.after(20 * ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
 		t.Fatalf("refused: mean %s, bound %s, busy %d", a.Mean, a.Bound, a.Busy)
 	}
 }
@@ -174,10 +174,10 @@
 // the entry. The next one has a number that is one higher, for the end: no data was sent elsewhere, and
 // the answer counts as one.
 func TestLostEndIsNoData(t *testing.T) {
-	w := newLoneWorld(t, 0)
-	f := w.caller(pledge)
+	w := newSingleUpstreamWorld(t, 0)
+	f := w.caller(nonIdempotentAddr)
 	f.open()
-	f.ask()
+	f.sendRequest()
 	w.after(60 * ms)
 	f.ack += 500
 	a := f.send(stoatpacket.Packet{Seq: f.seq + 101, Ack: f.ack})
--- a/stoatecho/bench_test.go
+++ b/stoatecho/bench_test.go
@@ -14,7 +14,7 @@
 
 func benchTable(n int) *stoatroute.Table {
 	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}}}, 1)
+	b.Declare(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}}}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
 	for i := range n {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
@@ -27,7 +27,7 @@
 
 func benchTuple(i int) stoatpacket.Tuple {
 	src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, byte(i >> 24), byte(i >> 16), byte(i >> 8)}), uint16(1024+i%60000))
-	return stoatpacket.Tuple{Src: src, Dst: feed, Protocol: stoatpaddle.ProtocolTCP}
+	return stoatpacket.Tuple{Src: src, Dst: idempotentAddr, Protocol: stoatpaddle.ProtocolTCP}
 }
 
 // A packet of an open flow, with so many flows remembered.
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -8,11 +8,11 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// spillGain is how much less of its slots the best upstream of another data centre must
+// spillFactor is how much less of its slots the best upstream of another data centre must
 // have taken than the best here before it gets a flow: bytes between data centres are
 // dear, a flow there breaks when they lose each other, and without the gain flows would
 // swing back and forth.
-const spillGain = 2.0
+const spillFactor = 2.0
 
 // pick is the best upstream of a group and its cost.
 type pick struct {
@@ -27,14 +27,14 @@
 	}
 }
 
-// offers are the best upstreams for a new flow, by what speaks for or against them.
-type offers struct {
-	own       pick // in this data centre
-	ownFull   pick // there, but one more flow would be answered late
-	ownSpare  pick // there, and cold: it bears one more flow now
-	other     pick // in another data centre
-	otherFull pick
-	last      pick // ejected, or the one that is left out
+// bestPicks are the best upstreams for a new flow, by what speaks for or against them.
+type bestPicks struct {
+	own        pick // in this data centre
+	ownFull    pick // there, but one more flow would be answered late
+	ownSpare   pick // there, and cold: it bears one more flow now
+	other      pick // in another data centre
+	otherFull  pick
+	lastResort pick // ejected, or the one that is left out
 }
 
 // Excluded counts upstreams that might not get a flow, by why.
@@ -50,37 +50,37 @@
 // upstreams are the last resort: if all are ejected the evidence speaks of this entry's network
 // rather than of them.
 // Again says that it is a copy of an opening which went unanswered.
-func (e *Engine) choose(now time.Time, t *stoatroute.Table, r *stoatroute.Route, except stoatpaddle.UpstreamKey, again bool) (*stoatroute.Upstream, bool, Excluded) {
-	var o offers
+func (e *Engine) choose(now time.Time, t *stoatroute.Table, r *stoatroute.Route, except stoatpaddle.UpstreamKey, retried bool) (*stoatroute.Upstream, bool, Excluded) {
+	var o bestPicks
 	var excluded Excluded
 	patience := e.handshake.patience()
-	c := candidate{now: now, route: r, patience: patience, except: except, again: again}
+	c := placement{now: now, route: r, patience: patience, except: except, retried: retried}
 	service := e.backend(r)
-	if all := t.Service(service); len(all) <= candidates {
+	if all := t.Service(service); len(all) <= maxCandidates {
 		for _, u := range all {
-			e.offer(t, &c, u, &o, &excluded)
+			e.consider(t, &c, u, &o, &excluded)
 		}
 	} else {
-		e.sampleGroups(t.Groups(service), len(all), func(u *stoatroute.Upstream) { e.offer(t, &c, u, &o, &excluded) })
+		e.sampleGroups(t.Groups(service), len(all), func(u *stoatroute.Upstream) { e.consider(t, &c, u, &o, &excluded) })
 	}
 	up, admitted := o.best(now, patience)
 	return up, admitted, excluded
 }
 
-// candidate is what is the same for all upstreams that a flow may go to.
-type candidate struct {
+// placement is what is the same for all upstreams that a flow may go to.
+type placement struct {
 	now      time.Time
 	route    *stoatroute.Route
 	patience time.Duration
 	except   stoatpaddle.UpstreamKey
-	again    bool
+	retried  bool
 }
 
-// offer weighs one upstream.
-func (e *Engine) offer(t *stoatroute.Table, c *candidate, u *stoatroute.Upstream, o *offers, excluded *Excluded) {
+// consider weighs one upstream.
+func (e *Engine) consider(t *stoatroute.Table, c *placement, u *stoatroute.Upstream, o *bestPicks, excluded *Excluded) {
 	h := e.health[u.Key]
 	if h == nil {
-		h = &e.groupOf(u).unmet
+		h = &e.groupOf(u).unseen
 	}
 	if u.Cap > 0 && h.flows >= u.Cap {
 		return
@@ -92,13 +92,13 @@
 	}
 	// The order of equals must differ from entry to entry, or all would start with the same.
 	cost := h.cost(c.now, u, c.patience) * (1 + jitter*e.rnd.Float64())
-	if h.suspected() && (c.again || c.now.Before(h.group.nextTrial)) {
+	if h.suspected() && (c.retried || c.now.Before(h.group.nextTrial)) {
 		cost *= slowPenalty
 	}
 	full := !admits(c.now, h, c.route)
 	switch home := u.DataCentre == e.cfg.DataCentre; {
 	case h.isEjected(c.now) || u.Key == c.except:
-		o.last.offer(u, h, cost)
+		o.lastResort.offer(u, h, cost)
 	case v == stoatfilter.Spare:
 		o.ownSpare.offer(u, h, cost)
 	case home && full:
@@ -112,48 +112,48 @@
 	}
 }
 
-// candidates bounds how many upstreams a new flow is weighed for, of the own data centre and of all others
+// maxCandidates bounds how many upstreams a new flow is weighed for, of the own data centre and of all others
 // together. An entry before 1,600 upstreams of a service meets each of them a few times an hour: what it knows
 // of one more is nothing, and an opening would cost as much as the service is large.
-const candidates = 128
+const maxCandidates = 128
 
 // sampleGroups calls do with some upstreams of the own data centre and some of the others, of each of these as
 // many as its part in the others.
-func (e *Engine) sampleGroups(groups []stoatroute.Group, all int, do func(u *stoatroute.Upstream)) {
-	others := all
+func (e *Engine) sampleGroups(groups []stoatroute.Group, total int, do func(u *stoatroute.Upstream)) {
+	others := total
 	for _, g := range groups {
 		if g.DataCentre == e.cfg.DataCentre {
 			others -= len(g.Upstreams)
 		}
 	}
 	for _, g := range groups {
-		most := candidates
+		size := maxCandidates
 		if g.DataCentre != e.cfg.DataCentre {
-			most = max(1, candidates*len(g.Upstreams)/others)
+			size = max(1, maxCandidates*len(g.Upstreams)/others)
 		}
-		e.sample(g.Upstreams, most, do)
+		e.sample(g.Upstreams, size, do)
 	}
 }
 
 // sample calls do with as many of a list, spread over it at random, each with the same chance; with all of a
 // list that is no longer.
-func (e *Engine) sample(list []*stoatroute.Upstream, most int, do func(u *stoatroute.Upstream)) {
-	if len(list) <= most {
+func (e *Engine) sample(list []*stoatroute.Upstream, size int, do func(u *stoatroute.Upstream)) {
+	if len(list) <= size {
 		for _, u := range list {
 			do(u)
 		}
 		return
 	}
-	for i := range most {
-		from, to := i*len(list)/most, (i+1)*len(list)/most
+	for i := range size {
+		from, to := i*len(list)/size, (i+1)*len(list)/size
 		do(list[from+e.rnd.IntN(to-from)])
 	}
 }
 
 // best returns the upstream to use, and whether it may get the flow.
-func (o *offers) best(now time.Time, patience time.Duration) (*stoatroute.Upstream, bool) {
+func (o *bestPicks) best(now time.Time, patience time.Duration) (*stoatroute.Upstream, bool) {
 	switch {
-	case o.own.up != nil && o.other.up != nil && spills(now, patience, &o.own, &o.other):
+	case o.own.up != nil && o.other.up != nil && spillsOver(now, patience, &o.own, &o.other):
 		return o.other.up, true
 	case o.own.up != nil:
 		return o.own.up, true
@@ -166,13 +166,13 @@
 	case o.otherFull.up != nil:
 		return o.otherFull.up, false
 	}
-	return o.last.up, true
+	return o.lastResort.up, true
 }
 
-// spills tells whether a flow goes to another data centre although the own one could take
+// spillsOver tells whether a flow goes to another data centre although the own one could take
 // it: when the best upstream here owes an answer and the best there does not, or when this
 // entry alone has filled the best one here, and left much of the best one there.
-func spills(now time.Time, patience time.Duration, own, other *pick) bool {
+func spillsOver(now time.Time, patience time.Duration, own, other *pick) bool {
 	if other.h.slowToAnswer(now, patience) {
 		return false
 	}
@@ -180,7 +180,7 @@
 		return true
 	}
 	here, there := own.h.load(own.up), other.h.load(other.up)
-	return here >= 1 && there*spillGain <= here
+	return here >= 1 && there*spillFactor <= here
 }
 
 // jitter spreads equal costs.
--- a/stoatecho/ended.go
+++ b/stoatecho/ended.go
@@ -31,7 +31,7 @@
 		return false
 	}
 	h := e.health[u.Key]
-	return h == nil || !h.answer.After(u.Ended)
+	return h == nil || !h.lastAnswer.After(u.Ended)
 }
 
 // TakeEnded returns the flows that wait for an answer of upstreams which ended since the last call.
@@ -47,7 +47,7 @@
 	ended := map[*stoatroute.Upstream]bool{}
 	for _, u := range t.Since(e.endedUpTo) {
 		h := e.health[u.Key]
-		if u.Standing == stoatroute.Gone && h != nil && h.busy > 0 && now.Sub(h.sign) >= repeatLeast && t.Upstream(u.Key) == u {
+		if u.Standing == stoatroute.Gone && h != nil && h.pendingRequests > 0 && now.Sub(h.lastAlive) >= minRetransmitInterval && t.Upstream(u.Key) == u {
 			ended[u] = e.hasEnded(u)
 		}
 	}
@@ -57,10 +57,10 @@
 	}
 	for tuple, f := range e.flows {
 		u := t.Upstream(f.key)
-		if f.asked.IsZero() || now.Sub(f.asked) < repeatLeast || !ended[u] || t.Route(tuple.Dst) == nil {
+		if f.requestStart.IsZero() || now.Sub(f.requestStart) < minRetransmitInterval || !ended[u] || t.Route(tuple.Dst) == nil {
 			continue
 		}
-		out = append(out, Unanswered{Tuple: tuple, Ack: f.ack, Upstream: u})
+		out = append(out, Unanswered{Tuple: tuple, Ack: f.requestAck, Upstream: u})
 		e.forget(tuple)
 	}
 	e.stats.Resets[stoatpacket.DropGone] += int64(len(out))
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -9,8 +9,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// end has the platform say that the upstream's registration has ended.
-func (w *world) end(id stoatpaddle.UpstreamID) {
+// endRegistration has the platform say that the upstream's registration has ended.
+func (w *world) endRegistration(id stoatpaddle.UpstreamID) {
 	w.rev++
 	w.book.Remove(w.now, id, w.rev)
 }
@@ -24,8 +24,8 @@
 	return out
 }
 
-// mustGoOn fails if a packet of an open flow was answered with a reset.
-func mustGoOn(t *testing.T, when string, a stoatecho.Action) {
+// wantForward fails if a packet of an open flow was answered with a reset.
+func wantForward(t *testing.T, when string, a stoatecho.Action) {
 	t.Helper()
 	if a.Verdict != stoatecho.Forward {
 		t.Errorf("%s: an open flow was reset while its upstream serves: %+v", when, a)
@@ -42,24 +42,24 @@
 	w.after(time.Second)
 	for range 5 {
 		for _, c := range full {
-			mustGoOn(t, "first packet", c.ask())
+			wantForward(t, "first packet", c.sendRequest())
 		}
 		for n := range 3 {
 			w.after(200 * ms)
 			for _, c := range quick {
-				c.ask()
+				c.sendRequest()
 				w.after(5 * ms)
-				c.done()
+				c.ackAnswer()
 			}
 			for _, c := range full {
-				mustGoOn(t, "repeat", c.again())
+				wantForward(t, "repeat", c.retransmit())
 			}
 			if n == 1 {
-				mustGoOn(t, "next packet of an upload", full[3].ask())
+				wantForward(t, "next packet of an upload", full[3].sendRequest())
 			}
 		}
 		for _, c := range full {
-			c.done()
+			c.ackAnswer()
 		}
 	}
 }
@@ -73,21 +73,21 @@
 	for _, w := range x.list[:2] {
 		waiting = append(waiting, w.flowsTo(1, 2)...)
 	}
-	x.level()
-	x.sign()
+	x.syncClocks()
+	x.hearFromHealthy()
 	for _, c := range waiting {
-		mustGoOn(t, "request", c.ask())
+		wantForward(t, "request", c.sendRequest())
 	}
 	for range 6 {
 		x.after(210 * ms)
-		x.sign()
+		x.hearFromHealthy()
 		for _, c := range waiting {
-			mustGoOn(t, "repeat", c.again())
+			wantForward(t, "repeat", c.retransmit())
 		}
-		x.wait()
-		x.pool()
+		x.waitWithTraffic()
+		x.exchangeReports()
 	}
-	if got := x.list[2].opened(20); got["i-1"] != 0 {
+	if got := x.list[2].openFlows(20); got["i-1"] != 0 {
 		t.Error("new flows go on to the upstream that answers nobody:", got)
 	}
 }
@@ -97,20 +97,20 @@
 // answers. No flow of theirs may be reset.
 func TestEntryThatReadsLateResetsNothing(t *testing.T) {
 	w := newWorld(t)
-	there, others := w.openMany(12)
+	there, others := w.openAtBoth(12)
 	for _, f := range append(append([]*caller(nil), there...), others...) {
-		f.ask()
+		f.sendRequest()
 	}
 	for range 3 {
 		w.after(210 * ms)
-		others[0].done()
-		others[0].ask()
+		others[0].ackAnswer()
+		others[0].sendRequest()
 		for _, f := range there {
-			mustGoOn(t, "repeat that waited in the socket", f.again())
+			wantForward(t, "repeat that waited in the socket", f.retransmit())
 		}
 	}
 	for _, f := range there {
-		mustGoOn(t, "acknowledgement", f.done())
+		wantForward(t, "acknowledgement", f.ackAnswer())
 	}
 }
 
@@ -118,31 +118,31 @@
 // theirs comes here, or only 1.6 s later. When the platform says that it has ended, all that wait
 // there are told at once, whatever their requests; flows elsewhere are not, and idle ones are told
 // with their next packet.
-func TestWaitingFlowsAreToldOfTheEnd(t *testing.T) {
+func TestPendingFlowsAreResetAfterEnd(t *testing.T) {
 	w := newWorld(t)
 	waiting, idle, other := w.flowsTo(1, 3), w.flowTo(1), w.flowTo(2)
 	if list := w.e.TakeEnded(w.now, w.book.Table()); len(list) != 0 {
 		t.Errorf("nothing has ended: %+v", list)
 	}
 	for _, c := range append(waiting, other) {
-		c.ask()
+		c.sendRequest()
 	}
-	w.after(200 * ms).end("i-1")
-	told := map[stoatpacket.Tuple]bool{}
+	w.after(200 * ms).endRegistration("i-1")
+	taken := map[stoatpacket.Tuple]bool{}
 	for _, x := range w.e.TakeEnded(w.now, w.book.Table()) {
 		if x.Upstream.ID != "i-1" || x.Ack != 1 {
 			t.Errorf("%+v", x)
 		}
-		told[x.Tuple] = true
+		taken[x.Tuple] = true
 	}
-	if len(told) != 3 || told[other.tuple] || told[idle.tuple] {
-		t.Errorf("told: %v", told)
+	if len(taken) != 3 || taken[other.tuple] || taken[idle.tuple] {
+		t.Errorf("told: %v", taken)
 	}
 	if again := w.e.TakeEnded(w.now, w.book.Table()); len(again) != 0 {
 		t.Errorf("told twice: %+v", again)
 	}
-	wantReset(t, idle.ask(), stoatpacket.DropGone)
-	mustGoOn(t, "elsewhere", other.again())
+	wantReset(t, idle.sendRequest(), stoatpacket.DropGone)
+	wantForward(t, "elsewhere", other.retransmit())
 }
 
 // The registration of an upstream ends, since it alone cannot reach the platform. It answers a
@@ -150,33 +150,33 @@
 func TestEndedUpstreamThatAnsweredKeepsItsFlows(t *testing.T) {
 	w := newWorld(t)
 	one, two := w.flowTo(1), w.flowTo(1)
-	one.ask()
-	w.after(10 * ms).end("i-1")
+	one.sendRequest()
+	w.after(10 * ms).endRegistration("i-1")
 	w.after(10 * ms)
-	one.done()
-	two.ask()
+	one.ackAnswer()
+	two.sendRequest()
 	if list := w.e.TakeEnded(w.now, w.book.Table()); len(list) != 0 {
 		t.Errorf("told although it answers: %+v", list)
 	}
-	mustGoOn(t, "after the end", two.again())
+	wantForward(t, "after the end", two.retransmit())
 }
 
 // The registration of an upstream ends, since it alone cannot reach the platform, while it is at work on
 // requests of some milliseconds ago. It lives: their answers come, and none of their flows is reset.
-func TestRequestsAtWorkOutliveARegistration(t *testing.T) {
+func TestRecentRequestsOutliveRegistration(t *testing.T) {
 	w := newWorld(t)
 	flows := w.flowsTo(1, 3)
 	w.after(time.Second)
 	for _, c := range flows {
-		c.ask()
+		c.sendRequest()
 		w.after(20 * ms)
 	}
-	w.end("i-1")
+	w.endRegistration("i-1")
 	if list := w.e.TakeEnded(w.now, w.book.Table()); len(list) != 0 {
 		t.Errorf("told while their upstream is at work: %+v", list)
 	}
 	w.after(10 * ms)
 	for _, c := range flows {
-		mustGoOn(t, "acknowledgement", c.done())
+		wantForward(t, "acknowledgement", c.ackAnswer())
 	}
 }
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -23,11 +23,11 @@
 	// defaultMaxFlows bounds the memory: 200 bytes a flow. A flow that is not remembered is
 	// served like any other; it is only not counted.
 	defaultMaxFlows = 1 << 16
-	// young is how long after its start an entry without a table holds packets: the table
+	// startGrace is how long after its start an entry without a table holds packets: the table
 	// comes within 50 ms if the platform or a neighbour answers. Then it refuses at once.
-	young = time.Second
-	// idleKept is how long a flow is remembered of which no packet comes.
-	idleKept = 20 * time.Second
+	startGrace = time.Second
+	// flowIdleTimeout is how long a flow is remembered of which no packet comes.
+	flowIdleTimeout = 20 * time.Second
 )
 
 // Verdict tells what to do with a packet.
@@ -70,19 +70,19 @@
 
 // flow is what is remembered of a flow, to judge its upstream.
 type flow struct {
-	key  stoatpaddle.UpstreamKey
-	seen time.Time
-	// progress is when the caller last sent something new of its request.
-	progress time.Time
-	asked    time.Time // when its request began; zero: none is in progress
-	ack      uint32    // what the caller acknowledged when it began
-	seq      uint32    // last sequence number with data
-	end      uint32    // the one that follows that data
-	repeats  int
-	beside   int // requests in progress at its upstream when its own began, itself included
-	opening  bool
-	awaited  bool // it stands in Engine.answers
-	owes     bool // it stands in Engine.owed
+	key      stoatpaddle.UpstreamKey
+	lastSeen time.Time
+	// lastProgress is when the caller last sent something new of its request.
+	lastProgress      time.Time
+	requestStart      time.Time // when its request began; zero: none is in progress
+	requestAck        uint32    // what the caller acknowledged when it began
+	seq               uint32    // last sequence number with data
+	nextSeq           uint32    // the one that follows that data
+	retransmissions   int
+	concurrency       int // requests in progress at its upstream when its own began, itself included
+	opening           bool
+	hasRequestTimeout bool // it stands in Engine.answers
+	hasFailureTimeout bool // it stands in Engine.owed
 }
 
 // Stats counts what the engine did since its start.
@@ -103,32 +103,32 @@
 	filter  stoatfilter.Filter
 	placing stoatfilter.Placing
 	health  map[stoatpaddle.UpstreamKey]*health // of upstreams that this entry met
-	// unsettled are those of them to look at with the next table whatever changes in it: they are new, perhaps
+	// recheck are those of them to look at with the next table whatever changes in it: they are new, perhaps
 	// by a packet that came with the table before, or have something in progress though they are in none.
-	unsettled map[stoatpaddle.UpstreamKey]bool
-	retained  *stoatroute.Table // the last one that Retain took in
-	flows     map[stoatpacket.Tuple]*flow
-	unproven  map[stoatpaddle.UpstreamKey]time.Time // since when a cookie waits for proof
-	rnd       *rand.Rand
-	stats     Stats
-	swept     time.Time
-	// last is the latest opening of each caller: one that comes back at once was refused.
-	last      map[callerKey]stoatpacket.Tuple
-	handshake handshake
-	sign      time.Time // the last one of any upstream
-	openings  expectations
-	owed      expectations // requests, until they count as failed
-	together  map[stoatpaddle.UpstreamKey]shared
-	answers   expectations
-	// waitOpenings may turn out to wait in vain.
-	waitOpenings expectations
-	noted        time.Time // when these were looked through last
-	moved        time.Time // when a flow last came that another entry had placed
-	observed     bool      // what this entry says of upstreams changed
-	groups       map[groupKey]*group
-	sizes        answerSizes
-	endedUpTo    uint64    // the table's count of changes at the last TakeEnded
-	drained      time.Time // when everything that had come was handled; zero: always
+	recheck         map[stoatpaddle.UpstreamKey]bool
+	retainedTable   *stoatroute.Table // the last one that Retain took in
+	flows           map[stoatpacket.Tuple]*flow
+	unprovenCookies map[stoatpaddle.UpstreamKey]time.Time // since when a cookie waits for proof
+	rnd             *rand.Rand
+	stats           Stats
+	lastSweep       time.Time
+	// lastOpenings is the latest opening of each caller: one that comes back at once was refused.
+	lastOpenings    map[callerKey]stoatpacket.Tuple
+	handshake       handshake
+	lastAlive       time.Time // the last one of any upstream
+	openingTimeouts timeoutQueue
+	failureTimeouts timeoutQueue // requests, until they count as failed
+	dataCentreSums  map[stoatpaddle.UpstreamKey]dataCentreSum
+	requestTimeouts timeoutQueue
+	// patienceTimeouts may turn out to wait in vain.
+	patienceTimeouts timeoutQueue
+	openingsChecked  time.Time // when these were looked through last
+	lastAdoption     time.Time // when a flow last came that another entry had placed
+	reportChanged    bool      // what this entry says of upstreams changed
+	groups           map[groupKey]*group
+	answerSizes      answerSizes
+	endedUpTo        uint64    // the table's count of changes at the last TakeEnded
+	queueEmptied     time.Time // when everything that had come was handled; zero: always
 }
 
 // New returns an Engine.
@@ -137,9 +137,9 @@
 		cfg.MaxFlows = defaultMaxFlows
 	}
 	return &Engine{
-		cfg: cfg, filter: stoatfilter.Filter{DataCentre: cfg.DataCentre, Regions: cfg.Regions}, health: map[stoatpaddle.UpstreamKey]*health{}, unsettled: map[stoatpaddle.UpstreamKey]bool{}, groups: map[groupKey]*group{}, sizes: answerSizes{}, flows: map[stoatpacket.Tuple]*flow{},
-		unproven: map[stoatpaddle.UpstreamKey]time.Time{}, last: map[callerKey]stoatpacket.Tuple{},
-		rnd: rand.New(rand.NewPCG(cfg.Seed, ^cfg.Seed)), swept: cfg.Start,
+		cfg: cfg, filter: stoatfilter.Filter{DataCentre: cfg.DataCentre, Regions: cfg.Regions}, health: map[stoatpaddle.UpstreamKey]*health{}, recheck: map[stoatpaddle.UpstreamKey]bool{}, groups: map[groupKey]*group{}, answerSizes: answerSizes{}, flows: map[stoatpacket.Tuple]*flow{},
+		unprovenCookies: map[stoatpaddle.UpstreamKey]time.Time{}, lastOpenings: map[callerKey]stoatpacket.Tuple{},
+		rnd: rand.New(rand.NewPCG(cfg.Seed, ^cfg.Seed)), lastSweep: cfg.Start,
 	}
 }
 
@@ -174,19 +174,19 @@
 func (e *Engine) InProgress(now time.Time) []InProgress {
 	out := make([]InProgress, 0, len(e.health))
 	for k, h := range e.health {
-		out = append(out, InProgress{Upstream: k, Flows: h.flows, Requests: h.busy, Mean: h.usual.mean, Ejected: h.isEjected(now), Failing: now.Before(h.mark.until), Avoided: h.avoidance.active(now) || now.Before(h.preferOthers)})
+		out = append(out, InProgress{Upstream: k, Flows: h.flows, Requests: h.pendingRequests, Mean: h.answerTimes.mean, Ejected: h.isEjected(now), Failing: now.Before(h.failing.until), Avoided: h.avoidance.active(now) || now.Before(h.deprioritizedUntil)})
 	}
 	return out
 }
 
 // Drained takes in when everything that had come to this entry was handled: what has come since
 // may be waiting for it.
-func (e *Engine) Drained(at time.Time) { e.drained = at }
+func (e *Engine) Drained(at time.Time) { e.queueEmptied = at }
 
 // behind tells whether this entry handles packets so late that the silence of an upstream may be
 // its own: an answer's acknowledgement may be among what waits.
 func (e *Engine) behind(now time.Time) bool {
-	return !e.drained.IsZero() && now.Sub(e.drained) > ownSilence
+	return !e.queueEmptied.IsZero() && now.Sub(e.queueEmptied) > localFaultSilence
 }
 
 // Handle decides about one packet.
@@ -207,7 +207,7 @@
 
 func (e *Engine) decide(now time.Time, t *stoatroute.Table, p *stoatpacket.Packet) Action {
 	if !t.Ready() {
-		return e.early(now, p)
+		return e.beforeTable(now, p)
 	}
 	r := t.Route(p.Tuple.Dst)
 	if r == nil {
@@ -221,14 +221,14 @@
 	if p.Opens {
 		return e.open(now, t, r, p)
 	}
-	return e.follow(now, t, r, p)
+	return e.forwardOpen(now, t, r, p)
 }
 
-// early handles a packet that comes before there is a table. Only an opening is refused:
+// beforeTable handles a packet that comes before there is a table. Only an opening is refused:
 // whether an open flow can live is not known.
-func (e *Engine) early(now time.Time, p *stoatpacket.Packet) Action {
+func (e *Engine) beforeTable(now time.Time, p *stoatpacket.Packet) Action {
 	switch {
-	case now.Sub(e.cfg.Start) <= young:
+	case now.Sub(e.cfg.Start) <= startGrace:
 		return Action{Verdict: Wait, Reason: stoatpacket.DropYoung}
 	case p.Opens:
 		return Action{Verdict: Reset, Reason: stoatpacket.DropYoung}
@@ -236,11 +236,11 @@
 	return Action{Reason: stoatpacket.DropYoung}
 }
 
-// follow forwards a packet of an open flow to the upstream that its cookie names.
-func (e *Engine) follow(now time.Time, t *stoatroute.Table, r *stoatroute.Route, p *stoatpacket.Packet) Action {
+// forwardOpen forwards a packet of an open flow to the upstream that its cookie names.
+func (e *Engine) forwardOpen(now time.Time, t *stoatroute.Table, r *stoatroute.Route, p *stoatpacket.Packet) Action {
 	u := t.Upstream(p.Cookie)
 	if u == nil {
-		return e.unknown(now, t, p)
+		return e.unknownCookie(now, t, p)
 	}
 	// A caller can write any cookie; one of another service must not bring its packets there.
 	if !r.Had(u.Service) {
@@ -257,15 +257,15 @@
 	return a
 }
 
-// unknown handles a cookie of which this entry never heard. Its upstream may be younger
+// unknownCookie handles a cookie of which this entry never heard. Its upstream may be younger
 // than this entry's view; only an answer to a question that was sent after the packet came
 // proves that it is gone. Until then the caller repeats itself, and a reset would break a
 // flow that is alive.
-func (e *Engine) unknown(now time.Time, t *stoatroute.Table, p *stoatpacket.Packet) Action {
-	since, waits := e.unproven[p.Cookie]
+func (e *Engine) unknownCookie(now time.Time, t *stoatroute.Table, p *stoatpacket.Packet) Action {
+	since, waits := e.unprovenCookies[p.Cookie]
 	if !waits {
-		if len(e.unproven) < maxUnproven {
-			e.unproven[p.Cookie] = now
+		if len(e.unprovenCookies) < maxUnproven {
+			e.unprovenCookies[p.Cookie] = now
 		}
 		return Action{Reason: stoatpacket.DropUnproven}
 	}
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -13,10 +13,10 @@
 )
 
 var (
-	start  = time.Unix(1000, 0)
-	feed   = netip.MustParseAddrPort("198.18.0.1:8443") // its requests may run twice
-	pledge = netip.MustParseAddrPort("198.18.0.1:8080") // its requests may not
-	upload = netip.MustParseAddrPort("198.18.0.2:8443") // of another service
+	start             = time.Unix(1000, 0)
+	idempotentAddr    = netip.MustParseAddrPort("198.18.0.1:8443") // its requests may run twice
+	nonIdempotentAddr = netip.MustParseAddrPort("198.18.0.1:8080") // its requests may not
+	intakeAddr        = netip.MustParseAddrPort("198.18.0.2:8443") // of another service
 )
 
 const ms = time.Millisecond
@@ -51,7 +51,7 @@
 		return []stoatpaddle.Backend{{Service: s, Weight: 1}}
 	}
 	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
-		{Listen: feed, Backends: to(service), Idempotent: true}, {Listen: pledge, Backends: to(service)}, {Listen: upload, Backends: to("intake")},
+		{Listen: idempotentAddr, Backends: to(service), Idempotent: true}, {Listen: nonIdempotentAddr, Backends: to(service)}, {Listen: intakeAddr, Backends: to("intake")},
 	}}, w.rev)
 }
 
@@ -105,17 +105,17 @@
 	return a.Upstream
 }
 
-// ask sends a request; again sends it once more; done acknowledges its answer.
-func (c *caller) ask() stoatecho.Action {
+// sendRequest sends a request; again sends it once more; done acknowledges its answer.
+func (c *caller) sendRequest() stoatecho.Action {
 	c.seq += 100
-	return c.again()
+	return c.retransmit()
 }
 
-func (c *caller) again() stoatecho.Action {
+func (c *caller) retransmit() stoatecho.Action {
 	return c.send(stoatpacket.Packet{Seq: c.seq, Ack: c.ack, Size: 100})
 }
 
-func (c *caller) done() stoatecho.Action {
+func (c *caller) ackAnswer() stoatecho.Action {
 	c.ack += 1000
 	return c.send(stoatpacket.Packet{Seq: c.seq + 100, Ack: c.ack})
 }
@@ -135,15 +135,15 @@
 }
 
 // Ten flows open at once: they spread over the own data centre's two upstreams.
-func TestPlacesByLoadAtHome(t *testing.T) {
+func TestSpreadsByLoadInOwnDataCentre(t *testing.T) {
 	w := newWorld(t)
 	got := map[stoatpaddle.UpstreamID]int{}
 	for range 10 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		got[c.open().ID]++
-		c.ask()
+		c.sendRequest()
 		w.after(10 * ms)
-		c.done()
+		c.ackAnswer()
 	}
 	if got["i-1"] < 4 || got["i-2"] < 4 || got["i-3"] != 0 {
 		t.Error(got)
@@ -154,9 +154,9 @@
 // joins: the cookie alone decides.
 func TestUnseenFlowFollowsItsCookie(t *testing.T) {
 	w := newWorld(t)
-	c := w.caller(feed)
+	c := w.caller(idempotentAddr)
 	c.cookie = stoatroute.KeyOf(3)
-	if a := c.ask(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-3" {
+	if a := c.sendRequest(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-3" {
 		t.Errorf("%+v", a)
 	}
 }
@@ -164,21 +164,21 @@
 // A caller writes the cookie of another service's upstream into its packets: none may get there.
 func TestForgedCookie(t *testing.T) {
 	w := newWorld(t)
-	c := w.caller(feed)
+	c := w.caller(idempotentAddr)
 	c.cookie = stoatroute.KeyOf(9)
-	wantDrop(t, c.ask(), stoatpacket.DropForged)
+	wantDrop(t, c.sendRequest(), stoatpacket.DropForged)
 }
 
 // A route moves to another service: open flows stay where they are, new ones go there.
 func TestRouteMoves(t *testing.T) {
 	w := newWorld(t)
-	c := w.caller(feed)
+	c := w.caller(idempotentAddr)
 	was := c.open()
 	w.declare("intake")
-	if a := c.ask(); a.Verdict != stoatecho.Forward || a.Upstream.ID != was.ID {
+	if a := c.sendRequest(); a.Verdict != stoatecho.Forward || a.Upstream.ID != was.ID {
 		t.Errorf("%+v", a)
 	}
-	if up := w.caller(feed).open(); up.ID != "i-9" {
+	if up := w.caller(idempotentAddr).open(); up.ID != "i-9" {
 		t.Error(up.ID)
 	}
 }
@@ -187,12 +187,12 @@
 // a reset is not answered.
 func TestRouteRemoved(t *testing.T) {
 	w := newWorld(t)
-	c := w.caller(feed)
+	c := w.caller(idempotentAddr)
 	c.open()
 	w.rev++
 	w.book.Declare(stoatpaddle.Declaration{Version: w.rev}, w.rev)
-	wantReset(t, c.ask(), stoatpacket.DropNoRoute)
-	wantReset(t, w.caller(feed).syn(0), stoatpacket.DropNoRoute)
+	wantReset(t, c.sendRequest(), stoatpacket.DropNoRoute)
+	wantReset(t, w.caller(idempotentAddr).syn(0), stoatpacket.DropNoRoute)
 	wantDrop(t, c.send(stoatpacket.Packet{Reset: true, Ends: true}), stoatpacket.DropNoRoute)
 }
 
@@ -200,15 +200,15 @@
 // would break a live flow. An answer to a question sent after the packet proves it gone.
 func TestUnknownCookieWaitsForProof(t *testing.T) {
 	w := newWorld(t)
-	c := w.caller(feed)
+	c := w.caller(idempotentAddr)
 	c.cookie = stoatroute.KeyOf(77)
-	wantDrop(t, c.ask(), stoatpacket.DropUnproven)
-	wantDrop(t, c.again(), stoatpacket.DropUnproven)
+	wantDrop(t, c.sendRequest(), stoatpacket.DropUnproven)
+	wantDrop(t, c.retransmit(), stoatpacket.DropUnproven)
 	w.book.Prove(w.now) // sent at the same moment: it may have been first
-	wantDrop(t, c.again(), stoatpacket.DropUnproven)
+	wantDrop(t, c.retransmit(), stoatpacket.DropUnproven)
 	w.after(ms)
 	w.book.Prove(w.now)
-	wantReset(t, c.again(), stoatpacket.DropGone)
+	wantReset(t, c.retransmit(), stoatpacket.DropGone)
 }
 
 // An upstream ended: its caller is told at once. One that leaves keeps its open flows and
@@ -217,22 +217,22 @@
 	w := newWorld(t)
 	callers := map[stoatpaddle.UpstreamID]*caller{}
 	for len(callers) < 2 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		callers[c.open().ID] = c
 	}
 	w.rev++
 	w.book.Remove(w.now, "i-1", w.rev)
-	wantReset(t, callers["i-1"].ask(), stoatpacket.DropGone)
+	wantReset(t, callers["i-1"].sendRequest(), stoatpacket.DropGone)
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{ID: "i-2", Target: 2, Service: "app", DataCentre: "here", Slots: 3, Leaving: true}, w.rev)
-	if a := callers["i-2"].ask(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-2" {
+	if a := callers["i-2"].sendRequest(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-2" {
 		t.Errorf("%+v", a)
 	}
-	if up := w.caller(feed).open(); up.ID != "i-3" {
+	if up := w.caller(idempotentAddr).open(); up.ID != "i-3" {
 		t.Error(up.ID)
 	}
 	w.book.Listed(w.now, nil, true)
-	if up := w.caller(feed).open(); up.ID != "i-3" {
+	if up := w.caller(idempotentAddr).open(); up.ID != "i-3" {
 		t.Error(up.ID)
 	}
 }
@@ -243,61 +243,61 @@
 	w := newWorld(t)
 	var list []*caller
 	for len(list) < 3 {
-		if c := w.caller(feed); c.open().ID == "i-1" {
+		if c := w.caller(idempotentAddr); c.open().ID == "i-1" {
 			list = append(list, c)
 		}
 	}
-	list[0].ask()
+	list[0].sendRequest()
 	w.after(20 * ms)
 	w.rev++
 	w.book.Remove(w.now, "i-1", w.rev)
-	wantReset(t, list[1].ask(), stoatpacket.DropGone)
+	wantReset(t, list[1].sendRequest(), stoatpacket.DropGone)
 	w.after(20 * ms)
-	if a := list[0].done(); a.Verdict != stoatecho.Forward {
+	if a := list[0].ackAnswer(); a.Verdict != stoatecho.Forward {
 		t.Errorf("%+v", a)
 	}
-	if a := list[2].ask(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-1" {
+	if a := list[2].sendRequest(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-1" {
 		t.Errorf("%+v", a)
 	}
-	if up := w.caller(feed).open(); up.ID == "i-1" {
+	if up := w.caller(idempotentAddr).open(); up.ID == "i-1" {
 		t.Error("it gets new flows")
 	}
 }
 
 // No upstream can take the flow: the caller is told at once, not left until its patience ends.
-func TestNobodyAble(t *testing.T) {
+func TestNoUpstreamAvailable(t *testing.T) {
 	w := newWorld(t)
 	w.book.Remove(w.now, "i-9", 99)
-	wantReset(t, w.caller(upload).syn(0), stoatpacket.DropNoUpstream)
+	wantReset(t, w.caller(intakeAddr).syn(0), stoatpacket.DropNoUpstream)
 }
 
 // An entry starts. What comes before its table waits; after a second an opening is refused
 // at once, so that its caller tries another entry.
-func TestYoungEntry(t *testing.T) {
+func TestEntryWithoutTable(t *testing.T) {
 	w := newWorld(t)
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now, Seed: 1})
 	w.book = stoatroute.NewBook(stoatroute.Config{})
-	c := w.caller(feed)
+	c := w.caller(idempotentAddr)
 	if a := c.syn(0); a.Verdict != stoatecho.Wait {
 		t.Errorf("%+v", a)
 	}
 	w.after(1100 * ms)
 	wantReset(t, c.syn(2), stoatpacket.DropYoung)
-	wantDrop(t, c.ask(), stoatpacket.DropYoung)
+	wantDrop(t, c.sendRequest(), stoatpacket.DropYoung)
 }
 
 // An opening is lost on the way; its upstream answers others meanwhile. The copy goes to
 // the same one: at another the flow could be open twice.
 func TestLostOpeningGoesToTheSame(t *testing.T) {
 	w := newWorld(t)
-	c := w.caller(feed)
+	c := w.caller(idempotentAddr)
 	first := c.syn(0).Upstream
 	w.after(100 * ms)
-	other := w.caller(feed)
+	other := w.caller(idempotentAddr)
 	other.cookie = first.Key
-	other.ask()
+	other.sendRequest()
 	w.after(20 * ms)
-	other.done()
+	other.ackAnswer()
 	w.after(80 * ms)
 	if a := c.syn(1); a.Opened || a.Upstream.ID != first.ID {
 		t.Errorf("%+v", a)
@@ -308,11 +308,11 @@
 // after the first; new flows avoid it after 60 ms already.
 func TestDeadUpstreamIsAvoided(t *testing.T) {
 	w := newWorld(t)
-	c := w.caller(pledge)
+	c := w.caller(nonIdempotentAddr)
 	dead := c.syn(0).Upstream
 	w.after(70 * ms)
 	for range 5 {
-		if up := w.caller(pledge).open(); up.ID == dead.ID || up.DataCentre != "here" {
+		if up := w.caller(nonIdempotentAddr).open(); up.ID == dead.ID || up.DataCentre != "here" {
 			t.Error(up.ID, "got a flow")
 		}
 	}
@@ -327,43 +327,43 @@
 // looks the same; once the platform says that the upstream has ended, they are.
 func TestDeadUpstreamIsEjected(t *testing.T) {
 	w := newWorld(t)
-	var feeds []*caller
-	var sworn *caller
-	for len(feeds) < 3 || sworn == nil {
-		f, p := w.caller(feed), w.caller(pledge)
+	var idempotent []*caller
+	var nonIdempotent *caller
+	for len(idempotent) < 3 || nonIdempotent == nil {
+		f, p := w.caller(idempotentAddr), w.caller(nonIdempotentAddr)
 		if f.open().ID == "i-1" {
-			feeds = append(feeds, f)
+			idempotent = append(idempotent, f)
 		}
 		if p.open().ID == "i-1" {
-			sworn = p
+			nonIdempotent = p
 		}
 	}
 	w.after(time.Second)
-	for _, f := range feeds[:2] {
-		f.ask()
+	for _, f := range idempotent[:2] {
+		f.sendRequest()
 	}
-	sworn.ask()
+	nonIdempotent.sendRequest()
 	w.after(199 * ms)
-	for _, f := range feeds[:2] {
-		if a := f.again(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
+	for _, f := range idempotent[:2] {
+		if a := f.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
 			t.Errorf("too early: %+v", a)
 		}
 	}
 	w.after(401 * ms)
-	a := feeds[0].again()
+	a := idempotent[0].retransmit()
 	if a.Ejected == nil || a.Ejected.ID != "i-1" {
 		t.Fatalf("%+v", a)
 	}
 	if a.Waiting != 3 {
 		t.Errorf("%d requests wait there, of 3", a.Waiting)
 	}
-	for _, a := range []stoatecho.Action{a, feeds[1].again(), feeds[2].ask(), sworn.again()} {
+	for _, a := range []stoatecho.Action{a, idempotent[1].retransmit(), idempotent[2].sendRequest(), nonIdempotent.retransmit()} {
 		if a.Verdict != stoatecho.Forward {
 			t.Errorf("an open flow was reset on evidence: %+v", a)
 		}
 	}
 	for range 4 {
-		if up := w.caller(feed).open(); up.ID != "i-2" {
+		if up := w.caller(idempotentAddr).open(); up.ID != "i-2" {
 			t.Error(up.ID)
 		}
 	}
@@ -371,7 +371,7 @@
 	w.after(1100 * ms)
 	got := map[stoatpaddle.UpstreamID]int{}
 	for range 8 {
-		got[w.caller(feed).open().ID]++
+		got[w.caller(idempotentAddr).open().ID]++
 	}
 	if got["i-1"] == 0 {
 		t.Error(got)
@@ -381,7 +381,7 @@
 // An upstream has just started and works slowly: its callers repeat themselves while it is at
 // work, and others answer meanwhile. It lives, and no flow there may be reset; it is ejected
 // only when it has been silent for four times as long.
-func TestColdUpstreamIsNoDeadOne(t *testing.T) {
+func TestColdUpstreamIsEjectedLater(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{
@@ -389,25 +389,25 @@
 	}, w.rev)
 	var cold []*caller
 	for len(cold) < 2 {
-		if c := w.caller(feed); c.open().ID == "i-5" {
+		if c := w.caller(idempotentAddr); c.open().ID == "i-5" {
 			cold = append(cold, c)
 		}
 	}
 	for _, c := range cold {
-		c.ask()
+		c.sendRequest()
 	}
 	w.after(210 * ms)
-	w.caller(feed).open() // others give signs
+	w.caller(idempotentAddr).open() // others give signs
 	for _, c := range cold {
-		if a := c.again(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
+		if a := c.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
 			t.Errorf("%+v", a)
 		}
 	}
 	w.after(600 * ms)
-	w.caller(pledge).open()
+	w.caller(nonIdempotentAddr).open()
 	var ejected *stoatroute.Upstream
 	for _, c := range cold {
-		if a := c.again(); a.Ejected != nil {
+		if a := c.retransmit(); a.Ejected != nil {
 			ejected = a.Ejected
 		}
 	}
@@ -423,20 +423,20 @@
 	w := newWorld(t)
 	at1 := func() *caller {
 		for {
-			if c := w.caller(feed); c.open().ID == "i-1" {
+			if c := w.caller(idempotentAddr); c.open().ID == "i-1" {
 				return c
 			}
 		}
 	}
 	one, two, late, idle := at1(), at1(), at1(), at1()
 	eject := func() *stoatroute.Upstream {
-		one.ask()
-		two.ask()
+		one.sendRequest()
+		two.sendRequest()
 		w.after(210 * ms)
-		if a := one.again(); a.Ejected != nil {
+		if a := one.retransmit(); a.Ejected != nil {
 			return a.Ejected
 		}
-		return two.again().Ejected
+		return two.retransmit().Ejected
 	}
 	w.after(time.Second)
 	if eject() == nil {
@@ -448,13 +448,13 @@
 		t.Fatal("not ejected again")
 	}
 	w.after(1500 * ms)
-	if a := late.ask(); a.Verdict != stoatecho.Forward {
+	if a := late.sendRequest(); a.Verdict != stoatecho.Forward {
 		t.Errorf("reset for what was seen 1.5 s ago: %+v", a)
 	}
 	w.after(210 * ms)
-	late.again()
+	late.retransmit()
 	w.after(10 * ms)
-	if a := idle.ask(); a.Verdict != stoatecho.Forward {
+	if a := idle.sendRequest(); a.Verdict != stoatecho.Forward {
 		t.Errorf("reset for what was seen on another flow: %+v", a)
 	}
 }
@@ -463,29 +463,29 @@
 // packets wait in it, so that callers repeat themselves and no answer is acknowledged. Both
 // upstreams live, and no flow there may be reset. Once one answers again and the other stays
 // silent, it is the upstream.
-func TestOwnLinkIsSlow(t *testing.T) {
+func TestSlowLocalLinkEjectsNothing(t *testing.T) {
 	w := newWorld(t)
 	at := map[stoatpaddle.UpstreamID]*caller{}
 	for len(at) < 2 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		at[c.open().ID] = c
 	}
 	w.after(time.Second)
-	at["i-1"].ask()
-	at["i-2"].ask()
+	at["i-1"].sendRequest()
+	at["i-2"].sendRequest()
 	for _, gap := range []time.Duration{210 * ms, 400 * ms} {
 		w.after(gap)
 		for id, c := range at {
-			if a := c.again(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
+			if a := c.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
 				t.Errorf("%s is blamed for this entry's link: %+v", id, a)
 			}
 		}
 	}
-	at["i-2"].done()
+	at["i-2"].ackAnswer()
 	w.after(300 * ms)
-	at["i-1"].again()
+	at["i-1"].retransmit()
 	w.after(300 * ms)
-	if a := at["i-1"].again(); a.Ejected == nil {
+	if a := at["i-1"].retransmit(); a.Ejected == nil {
 		t.Errorf("one that stays silent while the other answers: %+v", a)
 	}
 }
@@ -495,8 +495,8 @@
 // the next callers avoid the upstream for longer than the opening is remembered.
 func TestRefusedCallerComesBackAtOnce(t *testing.T) {
 	w := newWorld(t)
-	w.caller(upload).open() // a handshake takes 10 ms
-	c := w.caller(pledge)
+	w.caller(intakeAddr).open() // a handshake takes 10 ms
+	c := w.caller(nonIdempotentAddr)
 	dead := c.syn(0).Upstream
 	w.after(10 * ms)
 	again := *c
@@ -506,14 +506,14 @@
 	}
 	w.after(300 * ms)
 	for range 6 {
-		if up := w.caller(pledge).open(); up.ID == dead.ID {
+		if up := w.caller(nonIdempotentAddr).open(); up.ID == dead.ID {
 			t.Error("it gets flows again after", w.now.Sub(start))
 		}
 	}
 	w.after(400 * ms)
 	got := map[stoatpaddle.UpstreamID]int{}
 	for range 6 {
-		got[w.caller(pledge).open().ID]++
+		got[w.caller(nonIdempotentAddr).open().ID]++
 	}
 	if got[dead.ID] == 0 {
 		t.Error("it is never tried again", got)
@@ -521,11 +521,11 @@
 }
 
 // Callers far away take 120 ms for a handshake. That is no silence, once it is known.
-func TestDistantCallersAreNoSilence(t *testing.T) {
+func TestLongHandshakeIsNotSilence(t *testing.T) {
 	w := newWorld(t)
 	got := map[stoatpaddle.DataCentreID]int{}
 	for range 20 {
-		c := w.caller(pledge)
+		c := w.caller(nonIdempotentAddr)
 		a := c.syn(0)
 		got[a.Upstream.DataCentre]++
 		c.cookie = a.Upstream.Key
@@ -534,7 +534,7 @@
 		c.send(stoatpacket.Packet{Ends: true})
 	}
 	for range 6 {
-		got[w.caller(pledge).syn(0).Upstream.DataCentre]++
+		got[w.caller(nonIdempotentAddr).syn(0).Upstream.DataCentre]++
 		w.after(20 * ms)
 	}
 	if got["there"] > 0 {
@@ -544,28 +544,28 @@
 
 // An answer takes longer than its route's objective: the log can say so, with what else the
 // upstream had to do.
-func TestLateAnswerIsSaid(t *testing.T) {
+func TestLateAnswerIsReported(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
 	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
-		{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Objective: 200 * ms},
+		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Objective: 200 * ms},
 	}}, w.rev)
-	c := w.caller(feed)
+	c := w.caller(idempotentAddr)
 	c.open()
-	c.ask()
+	c.sendRequest()
 	w.after(199 * ms)
-	if a := c.done(); a.Late || a.Took != 199*ms {
+	if a := c.ackAnswer(); a.Late || a.Took != 199*ms {
 		t.Errorf("%+v", a)
 	}
-	c.ask()
+	c.sendRequest()
 	w.after(250 * ms)
-	if a := c.done(); !a.Late || a.Took != 250*ms || a.Busy != 0 {
+	if a := c.ackAnswer(); !a.Late || a.Took != 250*ms || a.Busy != 0 {
 		t.Errorf("%+v", a)
 	}
 	if s := w.e.Stats(); s.Answered != 2 || s.Late != 1 {
 		t.Errorf("%+v", s)
 	}
-	c.ask()
+	c.sendRequest()
 	for _, x := range w.e.InProgress(w.now) {
 		if x.Upstream == c.cookie && (x.Requests != 1 || x.Flows != 1 || x.Mean < 199*ms || x.Ejected) {
 			t.Errorf("%+v", x)
@@ -574,38 +574,38 @@
 }
 
 // Callers repeat a packet that was lost while their upstream answers others: no ejection.
-func TestLossIsNoDeath(t *testing.T) {
+func TestPacketLossEjectsNothing(t *testing.T) {
 	w := newWorld(t)
 	var list []*caller
 	for len(list) < 4 {
-		if c := w.caller(feed); c.open().ID == "i-1" {
+		if c := w.caller(idempotentAddr); c.open().ID == "i-1" {
 			list = append(list, c)
 		}
 	}
 	for range 20 {
 		for _, c := range list[:3] {
-			c.ask()
+			c.sendRequest()
 		}
 		w.after(100 * ms)
-		list[3].ask()
+		list[3].sendRequest()
 		w.after(100 * ms)
-		list[3].done()
+		list[3].ackAnswer()
 		for _, c := range list[:3] {
-			if a := c.again(); a.Ejected != nil || a.Verdict != stoatecho.Forward {
+			if a := c.retransmit(); a.Ejected != nil || a.Verdict != stoatecho.Forward {
 				t.Fatalf("%+v", a)
 			}
-			c.done()
+			c.ackAnswer()
 		}
 	}
 }
 
 // All upstreams of the data centre give no sign: flows go to the other one. If none gives a
 // sign anywhere, the fault is this entry's, and flows go on to the least bad.
-func TestEverybodySilent(t *testing.T) {
+func TestAllUpstreamsSilent(t *testing.T) {
 	w := newWorld(t)
-	w.caller(upload).open() // tells how far callers are
+	w.caller(intakeAddr).open() // tells how far callers are
 	for _, want := range []string{"here", "here", "there", "any"} {
-		c := w.caller(pledge)
+		c := w.caller(nonIdempotentAddr)
 		a := c.syn(0)
 		if a.Verdict != stoatecho.Forward || want != "any" && string(a.Upstream.DataCentre) != want {
 			t.Errorf("%+v, expected %s", a, want)
@@ -620,19 +620,19 @@
 func TestFlowsThatMoveAwayStopCounting(t *testing.T) {
 	w := newWorld(t)
 	for range 30 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		c.open()
-		c.ask()
+		c.sendRequest()
 	}
 	w.after(1100 * ms)
 	for range 10 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		if up := c.open(); up.DataCentre != "here" {
 			t.Error(up.ID)
 		}
-		c.ask()
+		c.sendRequest()
 		w.after(30 * ms)
-		c.done()
+		c.ackAnswer()
 	}
 }
 
@@ -641,16 +641,16 @@
 	w := newWorld(t)
 	got := map[stoatpaddle.UpstreamID]int{}
 	for range 60 {
-		c := w.caller(pledge)
+		c := w.caller(nonIdempotentAddr)
 		up := c.open()
 		got[up.ID]++
-		c.ask()
+		c.sendRequest()
 		took := 40 * ms
 		if up.ID == "i-1" {
 			took = 300 * ms
 		}
 		w.after(took)
-		c.done()
+		c.ackAnswer()
 		c.send(stoatpacket.Packet{Ends: true})
 	}
 	if got["i-1"]*3 > got["i-2"] {
@@ -660,26 +660,26 @@
 
 // A burst fills both upstreams here: the flow that finds them full goes to the other data
 // centre, which is idle, and home again when the burst is over.
-func TestBurstSpillsAndComesHome(t *testing.T) {
+func TestBurstSpillsOverAndReturns(t *testing.T) {
 	w := newWorld(t)
 	var list []*caller
 	away := 0
 	for range 12 {
-		c := w.caller(pledge)
+		c := w.caller(nonIdempotentAddr)
 		if c.open().DataCentre == "there" {
 			away++
 		}
-		c.ask()
+		c.sendRequest()
 		list = append(list, c)
 	}
 	if away == 0 || away > 5 {
 		t.Error(away, "of 12 went away")
 	}
 	for _, c := range list {
-		c.done()
+		c.ackAnswer()
 		c.send(stoatpacket.Packet{Ends: true})
 	}
-	if up := w.caller(pledge).open(); up.DataCentre != "here" {
+	if up := w.caller(nonIdempotentAddr).open(); up.DataCentre != "here" {
 		t.Error(up.ID)
 	}
 }
@@ -690,12 +690,12 @@
 	w.rev++
 	w.book.Declare(stoatpaddle.Declaration{
 		Version: w.rev, Caps: map[stoatpaddle.ServiceID]int{"app": 2},
-		Routes: []stoatpaddle.Route{{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}},
+		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}},
 	}, w.rev)
 	for range 6 {
-		w.caller(feed).open()
+		w.caller(idempotentAddr).open()
 	}
-	wantReset(t, w.caller(feed).syn(0), stoatpacket.DropNoUpstream)
+	wantReset(t, w.caller(idempotentAddr).syn(0), stoatpacket.DropNoUpstream)
 }
 
 // A flood of openings and of forged cookies must not grow the memory without bound.
@@ -703,16 +703,16 @@
 	w := newWorld(t)
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now.Add(-time.Hour), MaxFlows: 100, Seed: 1})
 	for i := range 5000 {
-		w.caller(feed).syn(0)
-		c := w.caller(feed)
+		w.caller(idempotentAddr).syn(0)
+		c := w.caller(idempotentAddr)
 		c.cookie = stoatpaddle.UpstreamKey(i + 1000)
-		c.ask()
+		c.sendRequest()
 	}
 	if n := w.e.Stats().Flows; n > 100 {
 		t.Error(n, "flows")
 	}
 	w.after(time.Minute)
-	w.caller(feed).syn(0)
+	w.caller(idempotentAddr).syn(0)
 	if n := w.e.Stats().Flows; n > 1 {
 		t.Error(n, "flows after a minute")
 	}
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -13,8 +13,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// six returns a world with six upstreams of the service here.
-func six(t *testing.T) *world {
+// newSixUpstreamWorld returns a world with newSixUpstreamWorld upstreams of the service here.
+func newSixUpstreamWorld(t *testing.T) *world {
 	w := newWorld(t)
 	for i := stoatpaddle.Target(4); i <= 7; i++ {
 		w.register(i, "app", "here")
@@ -22,28 +22,28 @@
 	return w
 }
 
-// told judges by what the entries of the data centre saw, as it stands from then on.
-func (w *world) told(counts map[stoatpaddle.Target]stoatoutlier.Counts) []stoatpaddle.UpstreamID {
+// ejectFailing judges by what the entries of the data centre saw, as it stands from then on.
+func (w *world) ejectFailing(counts map[stoatpaddle.Target]stoatoutlier.Counts) []stoatpaddle.UpstreamID {
 	var list []stoatoutlier.Report
 	for target, c := range counts {
 		list = append(list, stoatoutlier.Report{Key: stoatroute.KeyOf(target), Counts: c})
 	}
-	var marked []stoatpaddle.UpstreamID
+	var ejected []stoatpaddle.UpstreamID
 	for range 4 {
 		w.e.TakeSum(w.now, list)
 		for _, m := range w.e.Judge(w.now, w.book.Table()) {
-			marked = append(marked, m.Upstream.ID)
+			ejected = append(ejected, m.Upstream.ID)
 		}
 		w.after(stoatecho.JudgeEvery)
 	}
-	return marked
+	return ejected
 }
 
-// opened returns how many of n new flows go to each upstream.
-func (w *world) opened(n int) map[stoatpaddle.UpstreamID]int {
+// openFlows returns how many of n new flows go to each upstream.
+func (w *world) openFlows(n int) map[stoatpaddle.UpstreamID]int {
 	got := map[stoatpaddle.UpstreamID]int{}
 	for range n {
-		got[w.caller(pledge).open().ID]++
+		got[w.caller(nonIdempotentAddr).open().ID]++
 	}
 	return got
 }
@@ -52,23 +52,23 @@
 // health is good. No entry sees enough; together they do. It gets no new flows for 4 s, then
 // it is tried, and as it still fails it is marked for twice as long.
 func TestUpstreamThatFailsAPart(t *testing.T) {
-	w := six(t)
+	w := newSixUpstreamWorld(t)
 	bad := map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 36, Failed: 24}, 2: {Answered: 60, Failed: 1}}
-	if got := w.told(bad); len(got) != 1 || got[0] != "i-1" {
+	if got := w.ejectFailing(bad); len(got) != 1 || got[0] != "i-1" {
 		t.Fatal(got)
 	}
-	if got := w.opened(20); got["i-1"] != 0 {
+	if got := w.openFlows(20); got["i-1"] != 0 {
 		t.Error(got)
 	}
 	w.after(4 * time.Second)
-	if got := w.opened(20); got["i-1"] == 0 {
+	if got := w.openFlows(20); got["i-1"] == 0 {
 		t.Error("never tried again:", got)
 	}
-	if got := w.told(bad); len(got) != 1 {
+	if got := w.ejectFailing(bad); len(got) != 1 {
 		t.Fatal("not marked anew:", got)
 	}
 	w.after(4 * time.Second)
-	if got := w.opened(20); got["i-1"] != 0 {
+	if got := w.openFlows(20); got["i-1"] != 0 {
 		t.Error("the second mark is no longer than the first:", got)
 	}
 }
@@ -76,14 +76,14 @@
 // What is no upstream's fault marks none: an overload in which all are late; entries that
 // restart, so that flows go to others in the middle of requests and look unanswered, a few at
 // each upstream; one failure here or there.
-func TestNoUpstreamIsToBlame(t *testing.T) {
+func TestNoEjectionWithoutUpstreamFault(t *testing.T) {
 	for name, counts := range map[string]map[stoatpaddle.Target]stoatoutlier.Counts{
 		"overload":          {1: {Answered: 20, Failed: 30}, 2: {Answered: 20, Failed: 24}, 4: {Answered: 20, Failed: 26}, 5: {Answered: 20, Failed: 28}, 6: {Answered: 20, Failed: 22}, 7: {Answered: 20, Failed: 25}},
 		"entries restart":   {1: {Answered: 15, Failed: 5}, 2: {Answered: 15, Failed: 2}, 4: {Answered: 15, Failed: 1}, 5: {Answered: 15, Failed: 2}, 6: {Answered: 15, Failed: 3}, 7: {Answered: 15, Failed: 1}},
 		"a few":             {1: {Answered: 2, Failed: 4}},
 		"few of a thousand": {1: {Answered: 1000, Failed: 20}},
 	} {
-		if got := six(t).told(counts); len(got) != 0 {
+		if got := newSixUpstreamWorld(t).ejectFailing(counts); len(got) != 0 {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -92,7 +92,7 @@
 // A release: upstreams that have just started are slow, and a third of their requests owe an
 // answer for half a second. They said so when they registered, and are not marked for it;
 // one that still fails four seconds after it should be warm is.
-func TestColdUpstreamsAreNotToBlame(t *testing.T) {
+func TestColdUpstreamsMayFailRequests(t *testing.T) {
 	w := newWorld(t)
 	for i := stoatpaddle.Target(4); i <= 7; i++ {
 		w.rev++
@@ -102,19 +102,19 @@
 	}
 	slow := map[stoatpaddle.Target]stoatoutlier.Counts{4: {Answered: 16, Failed: 8}, 5: {Answered: 60}, 6: {Answered: 60}, 7: {Answered: 60}}
 	w.after(4 * time.Second)
-	if got := w.told(slow); len(got) != 0 {
+	if got := w.ejectFailing(slow); len(got) != 0 {
 		t.Error(got)
 	}
 	w.after(5 * time.Second)
-	if got := w.told(slow); len(got) != 1 {
+	if got := w.ejectFailing(slow); len(got) != 1 {
 		t.Error("not marked when it should be warm:", got)
 	}
 }
 
 // Half of the upstreams fail requests. Without a bound their load would go to the others,
 // which could not bear it: two of six are marked, the worst ones.
-func TestMarksAreBounded(t *testing.T) {
-	got := six(t).told(map[stoatpaddle.Target]stoatoutlier.Counts{
+func TestFailureEjectionsAreBounded(t *testing.T) {
+	got := newSixUpstreamWorld(t).ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{
 		1: {Answered: 40, Failed: 40}, 2: {Answered: 40, Failed: 50}, 4: {Answered: 40, Failed: 15}, 5: {Answered: 60, Failed: 0}, 6: {Answered: 60, Failed: 0}, 7: {Answered: 60, Failed: 0},
 	})
 	if diff := cmp.Diff([]stoatpaddle.UpstreamID{"i-2", "i-1"}, got); diff != "" {
@@ -124,12 +124,12 @@
 
 // Guards against marks of upstreams that have gone, on which flows are still remembered, that use up the bound: the
 // next one that fails would go on getting flows.
-func TestGoneUpstreamsAreNotInTheBound(t *testing.T) {
-	w := six(t)
+func TestGoneUpstreamsDoNotCountInBound(t *testing.T) {
+	w := newSixUpstreamWorld(t)
 	w.flowTo(1)
 	w.flowTo(2)
 	bad, good := stoatoutlier.Counts{Answered: 40, Failed: 40}, stoatoutlier.Counts{Answered: 60}
-	if got := w.told(map[stoatpaddle.Target]stoatoutlier.Counts{1: bad, 2: bad, 4: good, 5: good, 6: good, 7: good}); len(got) != 2 {
+	if got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{1: bad, 2: bad, 4: good, 5: good, 6: good, 7: good}); len(got) != 2 {
 		t.Fatal("marked", got)
 	}
 	for _, id := range []stoatpaddle.UpstreamID{"i-1", "i-2"} {
@@ -137,7 +137,7 @@
 		w.book.Remove(w.now, id, w.rev)
 	}
 	w.e.Retain(w.now, w.book.Table())
-	got := w.told(map[stoatpaddle.Target]stoatoutlier.Counts{4: bad, 5: good, 6: good, 7: good})
+	got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{4: bad, 5: good, 6: good, 7: good})
 	if diff := cmp.Diff([]stoatpaddle.UpstreamID{"i-4"}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -146,12 +146,12 @@
 // An upstream is named for the first time: those entries that saw no failure have not said
 // yet that they saw answers, so that it seems to fail most of its requests.
 func TestFirstCountsAreNotEnough(t *testing.T) {
-	w := six(t)
+	w := newSixUpstreamWorld(t)
 	w.e.TakeSum(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
 	if got := w.e.Judge(w.now, w.book.Table()); len(got) != 0 {
 		t.Error(got)
 	}
-	if got := w.told(map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 60, Failed: 6}}); len(got) != 0 {
+	if got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 60, Failed: 6}}); len(got) != 0 {
 		t.Error(got)
 	}
 }
@@ -160,19 +160,19 @@
 // goes on, and after four seconds nothing any more.
 func TestCounts(t *testing.T) {
 	w := newWorld(t)
-	answered, hangs, sends := w.caller(feed), w.caller(pledge), w.caller(upload)
+	answered, hangs, sends := w.caller(idempotentAddr), w.caller(nonIdempotentAddr), w.caller(intakeAddr)
 	key := map[*caller]stoatpaddle.UpstreamKey{}
 	for _, c := range []*caller{answered, hangs, sends} {
 		key[c] = c.open().Key
-		c.ask()
+		c.sendRequest()
 	}
 	w.after(50 * ms)
-	answered.done()
+	answered.ackAnswer()
 	for range 6 {
 		w.after(100 * ms)
-		sends.ask()
+		sends.sendRequest()
 	}
-	w.caller(upload).syn(0) // time passes with packets only
+	w.caller(intakeAddr).syn(0) // time passes with packets only
 	seen := w.e.Observed(w.now, map[stoatpaddle.UpstreamKey]bool{key[answered]: true, key[sends]: true})
 	got := map[stoatpaddle.UpstreamKey]stoatoutlier.Counts{}
 	for _, s := range seen {
--- a/stoatecho/expect_test.go
+++ b/stoatecho/expect_test.go
@@ -12,7 +12,7 @@
 
 // A caller asks without a pause on one flow for a minute. What is kept about the answers it
 // awaits must not grow with its requests: an entry would be killed for its memory at night.
-func TestBusyFlowIsAwaitedOnce(t *testing.T) {
+func TestBusyFlowHasOneTimeout(t *testing.T) {
 	start := time.Unix(1000, 0)
 	listen := netip.MustParseAddrPort("198.18.0.1:443")
 	b := stoatroute.NewBook(stoatroute.Config{})
@@ -26,10 +26,10 @@
 		p.Seq, p.Ack = i*100, i*1000
 		e.Handle(start.Add(time.Duration(i)*20*time.Millisecond), b.Table(), &p)
 	}
-	if n := len(e.answers.list) - e.answers.head; n > 1 {
+	if n := len(e.requestTimeouts.list) - e.requestTimeouts.head; n > 1 {
 		t.Error(n, "answers awaited on one flow")
 	}
-	if n := cap(e.answers.list); n > 2*compactAt+2 {
+	if n := cap(e.requestTimeouts.list); n > 2*compactAt+2 {
 		t.Error("the list has grown to", n)
 	}
 }
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -16,21 +16,21 @@
 	w.book.Evacuate(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
 }
 
-// only declares one route, to flows of which those regions are open.
-func (w *world) only(regions ...stoatpaddle.RegionID) {
+// declareRegions declares one route, to flows of which those regions are open.
+func (w *world) declareRegions(regions ...stoatpaddle.RegionID) {
 	w.rev++
 	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
-		{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true, Regions: regions},
+		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true, Regions: regions},
 	}}, w.rev)
 }
 
 // The own data centre is evacuated. Its callers' new flows go to the other one, also copies of
 // openings that were sent there before; open flows go on, whatever they carry. Taken back, it gets
 // flows again at once.
-func TestEvacuatedDataCentreGetsNothingNew(t *testing.T) {
+func TestEvacuatedDataCentreGetsNoNewFlows(t *testing.T) {
 	w := newWorld(t)
 	open := w.flowTo(1)
-	opening := w.caller(feed)
+	opening := w.caller(idempotentAddr)
 	if a := opening.syn(0); a.Upstream.DataCentre != "here" {
 		t.Fatalf("%+v", a)
 	}
@@ -40,16 +40,16 @@
 		t.Errorf("the copy of an opening: %+v", a)
 	}
 	for range 20 {
-		if up := w.caller(feed).open(); up.ID != "i-3" {
+		if up := w.caller(idempotentAddr).open(); up.ID != "i-3" {
 			t.Error("a new flow went to", up.ID)
 		}
-		mustGoOn(t, "open flow", open.ask())
-		open.done()
+		wantForward(t, "open flow", open.sendRequest())
+		open.ackAnswer()
 	}
 	w.evacuate("here", true)
 	home := 0
 	for range 20 {
-		if w.caller(feed).open().DataCentre == "here" {
+		if w.caller(idempotentAddr).open().DataCentre == "here" {
 			home++
 		}
 	}
@@ -63,13 +63,13 @@
 func TestEvacuatedIsNoLastResort(t *testing.T) {
 	w := newWorld(t)
 	w.evacuate("here", false)
-	a := w.caller(upload).syn(0)
+	a := w.caller(intakeAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
 	if a.Excluded[stoatfilter.Evacuated] != 1 {
 		t.Errorf("%v", a.Excluded)
 	}
 	w.evacuate("there", false)
-	a = w.caller(feed).syn(0)
+	a = w.caller(idempotentAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
 	if a.Excluded[stoatfilter.Evacuated] != 3 {
 		t.Errorf("%v", a.Excluded)
@@ -82,7 +82,7 @@
 	w := newWorld(t)
 	w.evacuate("here", false)
 	for range 4 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		for copies, gap := range []time.Duration{200 * ms, 400 * ms, 700 * ms} {
 			if a := c.syn(copies); a.Verdict == stoatecho.Forward && a.Upstream.DataCentre == "here" {
 				t.Errorf("copy %d went to %s", copies, a.Upstream.ID)
@@ -99,20 +99,20 @@
 	w := newWorld(t)
 	open := w.flowTo(1)
 	w.e.SetRegions(stoatfilter.Regions{"here": "south", "there": "north"})
-	w.only("north")
+	w.declareRegions("north")
 	for range 10 {
-		if up := w.caller(feed).open(); up.DataCentre != "there" {
+		if up := w.caller(idempotentAddr).open(); up.DataCentre != "there" {
 			t.Error("outside its regions:", up.ID)
 		}
 	}
-	mustGoOn(t, "open flow outside", open.ask())
-	w.only("north", "south")
-	if up := w.caller(feed).open(); up.DataCentre != "here" {
+	wantForward(t, "open flow outside", open.sendRequest())
+	w.declareRegions("north", "south")
+	if up := w.caller(idempotentAddr).open(); up.DataCentre != "here" {
 		t.Error("not at home though that is allowed:", up.ID)
 	}
 	w.e.SetRegions(stoatfilter.Regions{"here": "south"})
-	w.only("north")
-	a := w.caller(feed).syn(0)
+	w.declareRegions("north")
+	a := w.caller(idempotentAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
 	if a.Excluded[stoatfilter.Outside] != 3 {
 		t.Errorf("%v", a.Excluded)
@@ -130,9 +130,9 @@
 	w.evacuate("here", false)
 	got := map[stoatpaddle.DataCentreID]int{}
 	for range 60 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		got[c.open().DataCentre]++
-		c.ask()
+		c.sendRequest()
 	}
 	if got["here"] != 0 || got["there"] < 20 || got["yonder"] < 20 {
 		t.Error(got)
@@ -142,12 +142,12 @@
 // All upstreams of the own data centre are cold, and bear few requests. As long as this entry has no
 // turn there, its flows go to the other data centre, which is warm; if that is evacuated, they are
 // refused at once. Once they are warm they get flows again.
-func TestColdUpstreamsAreSpared(t *testing.T) {
+func TestColdUpstreamsGetLimitedFlows(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
 	w.book.Declare(stoatpaddle.Declaration{
 		Version: w.rev, ColdRates: map[stoatpaddle.ServiceID]float64{"app": 3},
-		Routes: []stoatpaddle.Route{{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true}},
+		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true}},
 	}, w.rev)
 	for target := stoatpaddle.Target(1); target <= 2; target++ {
 		w.rev++
@@ -156,18 +156,18 @@
 		}, w.rev)
 	}
 	for range 10 {
-		if up := w.caller(feed).open(); up.DataCentre != "there" {
+		if up := w.caller(idempotentAddr).open(); up.DataCentre != "there" {
 			t.Error("a cold upstream got a flow that it may not bear:", up.ID)
 		}
 	}
 	w.evacuate("there", false)
-	a := w.caller(feed).syn(0)
+	a := w.caller(idempotentAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
 	if a.Excluded[stoatfilter.Cold] != 2 || a.Excluded[stoatfilter.Evacuated] != 1 {
 		t.Errorf("%v", a.Excluded)
 	}
 	w.after(4 * time.Second)
-	if up := w.caller(feed).open(); up.DataCentre != "here" {
+	if up := w.caller(idempotentAddr).open(); up.DataCentre != "here" {
 		t.Error(up.ID)
 	}
 }
--- a/stoatecho/fleet_test.go
+++ b/stoatecho/fleet_test.go
@@ -10,7 +10,7 @@
 
 // Guards against an entry that knows each upstream of a large service after one opening: it remembers those that
 // it met, spreads its flows over all, and forgets those of which it heard nothing for a minute.
-func TestLargeServiceIsNotHeldWhole(t *testing.T) {
+func TestLargeServiceIsSampled(t *testing.T) {
 	const upstreams, flows = 8000, 4000
 	table := benchTable(upstreams)
 	e := stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start, Seed: 1})
--- a/stoatecho/group_test.go
+++ b/stoatecho/group_test.go
@@ -9,17 +9,17 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// manyHere adds upstreams of service app to this data centre, forty in all.
-func (w *world) manyHere() {
+// registerForty adds upstreams of service app to this data centre, forty in all.
+func (w *world) registerForty() {
 	for target := stoatpaddle.Target(100); target < 138; target++ {
 		w.register(target, "app", "here")
 	}
 }
 
-// tryThere sends an opening, and completes the handshake if it went to the other data centre; it tells
+// opensElsewhere sends an opening, and completes the handshake if it went to the other data centre; it tells
 // whether it did.
-func (w *world) tryThere() bool {
-	c := w.caller(feed)
+func (w *world) opensElsewhere() bool {
+	c := w.caller(idempotentAddr)
 	a := c.syn(0)
 	if a.Upstream.DataCentre == "here" {
 		return false
@@ -36,14 +36,14 @@
 // forty, new flows go to the other data centre.
 func TestWholeGroupIsLost(t *testing.T) {
 	w := newWorld(t)
-	w.manyHere()
+	w.registerForty()
 	for range 5 {
-		w.caller(feed).open()
+		w.caller(idempotentAddr).open()
 	}
 	w.after(time.Second)
 	lost := 0
 	for range 40 {
-		if !w.tryThere() {
+		if !w.opensElsewhere() {
 			lost++
 		}
 		w.after(20 * ms)
@@ -57,16 +57,16 @@
 // The same, and it is back after a second: some flows find out, and the others come home.
 func TestLostGroupComesBack(t *testing.T) {
 	w := newWorld(t)
-	w.manyHere()
-	w.caller(feed).open()
+	w.registerForty()
+	w.caller(idempotentAddr).open()
 	w.after(time.Second)
 	for range 50 {
-		w.tryThere()
+		w.opensElsewhere()
 		w.after(20 * ms)
 	}
 	home, last := 0, 0
 	for i := range 100 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		if c.open().DataCentre == "here" {
 			home++
 			last = i
@@ -82,10 +82,10 @@
 // flows stay in this data centre, which costs no bytes between two.
 func TestGroupThatAnswersIsNotLost(t *testing.T) {
 	w := newWorld(t)
-	w.manyHere()
+	w.registerForty()
 	away := 0
 	for i := range 300 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		switch a := c.syn(0); {
 		case a.Upstream.DataCentre != "here":
 			away++
@@ -94,9 +94,9 @@
 			c.cookie = a.Upstream.Key
 			w.after(10 * ms)
 			c.ack = 1
-			c.ask()
+			c.sendRequest()
 			w.after(20 * ms)
-			c.done()
+			c.ackAnswer()
 		}
 		w.after(20 * ms)
 	}
@@ -110,11 +110,11 @@
 // the same they get a flow now and then only, and a copy of its opening goes to one that serves.
 func TestLostUpstreamsAreTriedRarely(t *testing.T) {
 	w := newWorld(t)
-	w.manyHere()
+	w.registerForty()
 	dead := func(u *stoatroute.Upstream) bool { return u.Target >= 100 && u.Target < 110 }
 	lost, copies := 0, 0
 	for range 1000 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		a := c.syn(0)
 		if dead(a.Upstream) {
 			lost++
@@ -141,22 +141,22 @@
 // to leave openings unanswered says nothing of the group: flows stay in this data centre.
 func TestMovedFlowsAreNoLostGroup(t *testing.T) {
 	w := newWorld(t)
-	w.manyHere()
+	w.registerForty()
 	for range 5 {
-		w.caller(feed).open()
+		w.caller(idempotentAddr).open()
 	}
 	w.after(time.Second)
 	for range 4 {
-		w.caller(feed).syn(0)
+		w.caller(idempotentAddr).syn(0)
 	}
 	w.after(5 * ms)
-	adopted := w.caller(feed)
+	adopted := w.caller(idempotentAddr)
 	adopted.cookie, adopted.ack = 100, 1
 	adopted.send(stoatpacket.Packet{Ack: 1})
 	away := 0
 	for range 5 {
 		w.after(10 * ms)
-		if w.caller(feed).syn(0).Upstream.DataCentre != "here" {
+		if w.caller(idempotentAddr).syn(0).Upstream.DataCentre != "here" {
 			away++
 		}
 	}
--- a/stoatecho/hold.go
+++ b/stoatecho/hold.go
@@ -35,8 +35,8 @@
 const (
 	// maxHeld bounds the memory, at 1.3 kB a packet; it is two seconds of the busiest entry.
 	maxHeld = 2048
-	// heldFor is how long a packet may wait. A caller gives an opening up after 1.4 s.
-	heldFor = time.Second
+	// holdTimeout is how long a packet may wait. A caller gives an opening up after 1.4 s.
+	holdTimeout = time.Second
 )
 
 // Add keeps a copy of the packet, and tells whether there was room.
@@ -67,7 +67,7 @@
 // Overdue returns what has waited too long, and keeps the rest.
 func (h *Hold) Overdue(now time.Time) []Held {
 	n := 0
-	for n < len(h.list) && now.Sub(h.list[n].At) >= heldFor {
+	for n < len(h.list) && now.Sub(h.list[n].At) >= holdTimeout {
 		n++
 	}
 	if n == 0 {
--- a/stoatecho/hold_test.go
+++ b/stoatecho/hold_test.go
@@ -13,7 +13,7 @@
 func TestHoldKeepsTheLastCopy(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
-	a, b := w.caller(feed), w.caller(pledge)
+	a, b := w.caller(idempotentAddr), w.caller(nonIdempotentAddr)
 	for i, c := range []*caller{a, b, a, a} {
 		if !h.Add(w.now, &stoatpacket.Packet{Tuple: c.tuple, Opens: true, Copies: i}, []byte{byte(i)}) {
 			t.Fatal("no room")
@@ -29,11 +29,11 @@
 }
 
 // No table comes: what waited for a second is given back to be refused, the rest waits on.
-func TestHoldGivesUp(t *testing.T) {
+func TestHoldExpires(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
-	h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(feed).tuple}, nil)
-	h.Add(w.now.Add(500*ms), &stoatpacket.Packet{Tuple: w.caller(feed).tuple}, nil)
+	h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple}, nil)
+	h.Add(w.now.Add(500*ms), &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple}, nil)
 	if got := h.Overdue(w.now.Add(time.Second)); len(got) != 1 {
 		t.Error(len(got))
 	}
@@ -48,7 +48,7 @@
 	var h stoatecho.Hold
 	kept := 0
 	for i := range uint32(5000) {
-		if h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(feed).tuple, Seq: i}, nil) {
+		if h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple, Seq: i}, nil) {
 			kept++
 		}
 	}
--- a/stoatecho/open.go
+++ b/stoatecho/open.go
@@ -16,14 +16,14 @@
 	var except stoatpaddle.UpstreamKey
 	if f := e.flows[p.Tuple]; f != nil && f.opening && p.Copies > 0 {
 		u := t.Upstream(f.key)
-		if e.sameAgain(now, t, r, u, f, &a) {
+		if e.keepsUpstream(now, t, r, u, f, &a) {
 			return Action{Verdict: Forward, Upstream: u}
 		}
 		except, a.Moved = f.key, true
 	}
 	e.forget(p.Tuple)
 	if p.Copies == 0 {
-		except = e.refusedBefore(now, p)
+		except = e.lastRefusedBy(now, p)
 	}
 	u, admitted, excluded := e.choose(now, t, r, except, a.Moved)
 	if a.Upstream = u; u == nil {
@@ -31,13 +31,13 @@
 		return e.refuse(a, stoatpacket.DropNoUpstream)
 	}
 	h := e.healthOf(u)
-	a.Busy, a.Mean, a.Bound = h.busy+h.opening, expectedAnswer(now, h), admitBound(h, r)
-	h.group.decided(admitted)
+	a.Busy, a.Mean, a.Bound = h.pendingRequests+h.pendingOpenings, expectedAnswer(now, h), admitBound(h, r)
+	h.group.noteAdmission(admitted)
 	if !admitted {
 		return e.refuse(a, stoatpacket.DropOverload)
 	}
 	if e.yields(r, h.group) {
-		a.TurnedAway = h.group.turnedAway
+		a.TurnedAway = h.group.rejectedShare
 		return e.refuse(a, stoatpacket.DropOverload)
 	}
 	a.Moved = a.Moved && a.Upstream.Key != except
@@ -45,17 +45,17 @@
 		e.stats.Moved++
 	}
 	e.stats.Opened++
-	h.taken = now
+	h.lastPlaced = now
 	if h.suspected() {
-		h.group.nextTrial = now.Add(trialEvery/2 + time.Duration(e.rnd.Int64N(int64(trialEvery))))
+		h.group.nextTrial = now.Add(trialInterval/2 + time.Duration(e.rnd.Int64N(int64(trialInterval))))
 	}
-	h.group.load.opened(now)
+	h.group.requestsPerFlow.flowOpened(now)
 	if len(e.flows) < e.cfg.MaxFlows {
-		h.opened(now)
-		e.flows[p.Tuple] = &flow{key: a.Upstream.Key, seen: now, opening: true}
-		e.openings.add(p.Tuple, now)
-		e.waitOpenings.add(p.Tuple, now)
-		e.last[callerOf(p)] = p.Tuple
+		h.openingStarted(now)
+		e.flows[p.Tuple] = &flow{key: a.Upstream.Key, lastSeen: now, opening: true}
+		e.openingTimeouts.add(p.Tuple, now)
+		e.patienceTimeouts.add(p.Tuple, now)
+		e.lastOpenings[callerOf(p)] = p.Tuple
 	}
 	return a
 }
@@ -77,40 +77,40 @@
 	return callerKey{caller: p.Tuple.Src.Addr(), service: p.Tuple.Dst}
 }
 
-// refusedBefore returns the upstream that this caller's last opening went to, if nothing
+// lastRefusedBy returns the upstream that this caller's last opening went to, if nothing
 // came of it by now although a handshake takes no longer: it may have been refused, and the
 // caller has few tries. Others behind the same address lose nothing by another choice.
-func (e *Engine) refusedBefore(now time.Time, p *stoatpacket.Packet) stoatpaddle.UpstreamKey {
-	f := e.flows[e.last[callerOf(p)]]
-	if f == nil || !f.opening || e.handshake.mean == 0 || now.Sub(f.seen) < e.handshake.mean*3/4 {
+func (e *Engine) lastRefusedBy(now time.Time, p *stoatpacket.Packet) stoatpaddle.UpstreamKey {
+	f := e.flows[e.lastOpenings[callerOf(p)]]
+	if f == nil || !f.opening || e.handshake.mean == 0 || now.Sub(f.lastSeen) < e.handshake.mean*3/4 {
 		return 0
 	}
 	return f.key
 }
 
-// sameAgain tells whether the copy of an opening goes where the one before went. A sign of
+// keepsUpstream tells whether the copy of an opening goes where the one before went. A sign of
 // life since then says that the packet was lost, not the upstream: at another one the flow
 // would be open twice, and the caller's packets would bring either cookie.
-func (e *Engine) sameAgain(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, f *flow, a *Action) bool {
+func (e *Engine) keepsUpstream(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, f *flow, a *Action) bool {
 	if u == nil || !u.Opens() || e.filter.Allowed(t, r, u) != stoatfilter.Eligible {
 		return false
 	}
-	if now.Sub(f.seen) < repeatLeast {
+	if now.Sub(f.lastSeen) < minRetransmitInterval {
 		return true
 	}
 	h := e.healthOf(u)
-	e.suspect(now, u, h, a)
-	return h.sign.After(f.seen) && !h.isEjected(now)
+	e.noteRetransmission(now, u, h, a)
+	return h.lastAlive.After(f.lastSeen) && !h.isEjected(now)
 }
 
-// suspect takes a repeated packet as evidence against its upstream, which may get no new flows for it.
-func (e *Engine) suspect(now time.Time, u *stoatroute.Upstream, h *health, a *Action) {
+// noteRetransmission takes a repeated packet as evidence against its upstream, which may get no new flows for it.
+func (e *Engine) noteRetransmission(now time.Time, u *stoatroute.Upstream, h *health, a *Action) {
 	silence := h.silence(now)
-	if e.ownTrouble(now, h, silence) {
+	if e.isLocalFault(now, h, silence) {
 		return
 	}
-	if h.repeated(now, e.silenceOf(now, u)) {
-		a.Ejected, a.Silence, a.Waiting = u, silence, h.busy
+	if h.noteRetransmission(now, e.allowedSilence(now, u)) {
+		a.Ejected, a.Silence, a.Waiting = u, silence, h.pendingRequests
 		e.stats.Ejected++
 	}
 }
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -14,15 +14,15 @@
 
 // restarted registers an upstream's start under the id that it has.
 func (w *world) restarted(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
-	w.startAgain(target, born, 0)
+	w.registerRestart(target, born, 0)
 }
 
-// startCold does the same for one that is slow for some seconds.
-func (w *world) startCold(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
-	w.startAgain(target, born, 5*time.Second)
+// restartedCold does the same for one that is slow for some seconds.
+func (w *world) restartedCold(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
+	w.registerRestart(target, born, 5*time.Second)
 }
 
-func (w *world) startAgain(target stoatpaddle.Target, born stoatpaddle.Incarnation, cold time.Duration) {
+func (w *world) registerRestart(target stoatpaddle.Target, born stoatpaddle.Incarnation, cold time.Duration) {
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{
 		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: "app", DataCentre: "here", Slots: 3, Incarnation: born, Cold: cold,
@@ -45,14 +45,14 @@
 func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
-	there, _ := w.openMany(12)
+	there, _ := w.openAtBoth(12)
 	for _, c := range there {
-		c.ask()
+		c.sendRequest()
 	}
 	for range 3 {
 		w.after(250 * ms)
 		for _, c := range there {
-			c.again()
+			c.retransmit()
 		}
 	}
 	if x := w.inProgress(1); !x.Ejected {
@@ -64,7 +64,7 @@
 	}
 	got := map[stoatpaddle.Target]int{}
 	for range 8 {
-		got[w.caller(feed).open().Target]++
+		got[w.caller(idempotentAddr).open().Target]++
 	}
 	if got[1] == 0 {
 		t.Error("no flow for the upstream that is back:", got)
@@ -77,25 +77,25 @@
 func TestNoResetForARestart(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
-	flows, _ := w.openMany(12)
+	flows, _ := w.openAtBoth(12)
 	for _, c := range flows {
-		c.ask()
+		c.sendRequest()
 	}
 	for range 2 {
 		w.after(220 * ms)
 		for _, c := range flows[1:] {
-			c.again() // evidence against the earlier life
+			c.retransmit() // evidence against the earlier life
 		}
 	}
-	lives := flows[0]
+	pending := flows[0]
 	w.restarted(1, 6)
 	for range 4 {
-		if a := lives.again(); a.Verdict != stoatecho.Forward {
+		if a := pending.retransmit(); a.Verdict != stoatecho.Forward {
 			t.Fatalf("%+v", a)
 		}
 		w.after(50 * ms)
 	}
-	if a := lives.done(); a.Verdict != stoatecho.Forward {
+	if a := pending.ackAnswer(); a.Verdict != stoatecho.Forward {
 		t.Errorf("%+v", a)
 	}
 }
@@ -106,15 +106,15 @@
 	w := newWorld(t)
 	w.restarted(1, 5)
 	w.after(time.Minute)
-	w.startCold(1, 6)
-	there, _ := w.openMany(12)
+	w.restartedCold(1, 6)
+	there, _ := w.openAtBoth(12)
 	for _, c := range there {
-		c.ask()
+		c.sendRequest()
 	}
 	w.after(300 * ms)
 	for range 2 {
 		for _, c := range there {
-			if a := c.again(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
+			if a := c.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
 				t.Fatalf("%+v", a)
 			}
 		}
@@ -130,7 +130,7 @@
 	var c *caller
 	var to stoatpaddle.Target
 	for to != 1 {
-		c = w.caller(feed)
+		c = w.caller(idempotentAddr)
 		to = c.syn(0).Upstream.Target
 	}
 	w.after(100 * ms)
@@ -152,7 +152,7 @@
 	w.register(4, "app", "here")
 	w.register(5, "app", "here")
 	w.restarted(1, 5)
-	w.caller(feed).open()
+	w.caller(idempotentAddr).open()
 	bad := []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 4, Failed: 20}}}
 	w.e.TakeSum(w.now, bad)
 	w.after(time.Second)
--- a/stoatecho/retain_test.go
+++ b/stoatecho/retain_test.go
@@ -65,7 +65,7 @@
 			e.Retain(now, last)
 			for k, h := range e.health {
 				u := last.Upstream(k)
-				if u == nil && h.flows+h.opening+h.busy == 0 {
+				if u == nil && h.flows+h.pendingOpenings+h.pendingRequests == 0 {
 					t.Fatalf("kept of %d, which is in no table and has nothing in progress", k)
 				}
 				if u != nil && !h.life.Same(stoatroute.LifeOf(&u.Registration)) {
--- a/stoatecho/shed.go
+++ b/stoatecho/shed.go
@@ -37,8 +37,8 @@
 // answerSizes are the usual sizes of routes' answers, bytes.
 type answerSizes map[netip.AddrPort]float64
 
-// short takes in an answer's size, and tells whether it is much shorter than usual.
-func (s answerSizes) short(r *stoatroute.Route, bytes uint32) bool {
+// isShort takes in an answer's size, and tells whether it is much shorter than usual.
+func (s answerSizes) isShort(r *stoatroute.Route, bytes uint32) bool {
 	bytes = min(bytes, onePacket)
 	usual, known := s[r.Listen]
 	if !known {
@@ -53,19 +53,19 @@
 	return short
 }
 
-// turnedAway tells whether an answer of that size, which took so long, is a refusal.
-func (e *Engine) turnedAway(r *stoatroute.Route, h *health, took time.Duration, bytes uint32) bool {
-	least := h.usual.least
+// isRejection tells whether an answer of that size, which took so long, is a refusal.
+func (e *Engine) isRejection(r *stoatroute.Route, h *health, took time.Duration, bytes uint32) bool {
+	least := h.answerTimes.floor
 	if least == 0 {
-		least = h.group.answers.mean
+		least = h.group.recentAnswers.mean
 	}
-	return e.sizes.short(r, bytes) && took < ackDelay+time.Duration(quickShare*float64(max(0, least-ackDelay)))
+	return e.answerSizes.isShort(r, bytes) && took < ackDelay+time.Duration(quickShare*float64(max(0, least-ackDelay)))
 }
 
-// refused notes that the upstream turned a request away: it is as full as its answers were slow.
-func (h *health) refused(now time.Time) {
-	h.answer = now
-	slow := max(h.recent.mean, h.group.answers.mean)
-	h.recent.add(now, slow)
-	h.group.answers.add(now, slow)
+// noteRejection notes that the upstream turned a request away: it is as full as its answers were slow.
+func (h *health) noteRejection(now time.Time) {
+	h.lastAnswer = now
+	slow := max(h.recentAnswers.mean, h.group.recentAnswers.mean)
+	h.recentAnswers.add(now, slow)
+	h.group.recentAnswers.add(now, slow)
 }
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -21,109 +21,109 @@
 // others for new flows, which costs nothing if it is wrong. Two that wait, with no sign of life at
 // any entry since, are what ejects. Open flows go on either way (ended.go).
 const (
-	// waitKept is how long a wait counts that nothing confirms: without new flows there, no packet
+	// unansweredTimeout is how long a wait counts that nothing confirms: without new flows there, no packet
 	// may come that shows the upstream alive.
-	waitKept = 2 * time.Second
-	// noteEvery bounds how often unanswered packets are looked through: an entry with a tenth of
+	unansweredTimeout = 2 * time.Second
+	// openingCheckInterval bounds how often unanswered packets are looked through: an entry with a tenth of
 	// a core in a burst has hundreds.
-	noteEvery = 10 * time.Millisecond
-	// movedEvery bounds how often flows that moved are taken in: thousands do within a second.
-	movedEvery = 20 * time.Millisecond
-	// preferKept is how long new flows prefer others on the word of one entry, unless it is said
+	openingCheckInterval = 10 * time.Millisecond
+	// adoptionInterval bounds how often flows that moved are taken in: thousands do within a second.
+	adoptionInterval = 20 * time.Millisecond
+	// deprioritizeTimeout is how long new flows prefer others on the word of one entry, unless it is said
 	// again: several times what the word takes through the relay tree.
-	preferKept = 400 * time.Millisecond
-	// heardKept is how long a sign of life is reported of an upstream that others wait for.
-	heardKept = 4 * time.Second
+	deprioritizeTimeout = 400 * time.Millisecond
+	// aliveReportWindow is how long a sign of life is reported of an upstream that others wait for.
+	aliveReportWindow = 4 * time.Second
 )
 
-// waits notes that a packet, sent at that time, is unanswered though an answer usually takes less.
+// noteUnanswered notes that a packet, sent at that time, is unanswered though an answer usually takes less.
 // It tells whether that is settled; if not, it is looked at again. A network of this entry's own
 // that fails, or an entry behind its own socket, hears nothing from any upstream: then it says
 // nothing of this one.
-func (e *Engine) waits(now time.Time, h *health, sent time.Time) (settled bool) {
-	if h.sign.After(sent) || e.moved.After(sent) {
+func (e *Engine) noteUnanswered(now time.Time, h *health, sent time.Time) (settled bool) {
+	if h.lastAlive.After(sent) || e.lastAdoption.After(sent) {
 		return true
 	}
-	if e.behind(now) || !e.sign.After(sent) {
+	if e.behind(now) || !e.lastAlive.After(sent) {
 		return false
 	}
-	if h.waitFrom.IsZero() {
-		h.waitFrom, e.observed = sent, true
+	if h.unansweredSince.IsZero() {
+		h.unansweredSince, e.reportChanged = sent, true
 	}
-	h.waitSeen = now
+	h.unansweredSeen = now
 	return true
 }
 
-// flowsMoved notes that a packet came of a flow which another entry placed.
+// noteAdoption notes that a packet came of a flow which another entry placed.
 //
 // The failure: an entry joins or leaves, and the fabric hands nearly all flows to other entries than
 // before. Whatever was under way is answered there: forty entries wait in vain for all upstreams at
 // once, two of them for the same one, and eject upstreams that live. What was sent before
 // flows moved is therefore no evidence, and an entry that said so takes it back.
-func (e *Engine) flowsMoved(now time.Time) {
-	if now.Sub(e.moved) < movedEvery {
+func (e *Engine) noteAdoption(now time.Time) {
+	if now.Sub(e.lastAdoption) < adoptionInterval {
 		return
 	}
-	e.moved = now
+	e.lastAdoption = now
 	for _, h := range e.health {
-		if !h.waitFrom.IsZero() {
-			h.waitFrom, e.observed = time.Time{}, true
+		if !h.unansweredSince.IsZero() {
+			h.unansweredSince, e.reportChanged = time.Time{}, true
 		}
 	}
 }
 
-// noteWaits looks for openings that are unanswered for longer than usual. A request counts once
+// checkOpenings looks for openings that are unanswered for longer than usual. A request counts once
 // its caller repeats it: one on a flow that its upstream has ended is refused towards the caller,
 // past this entry, and looks unanswered here though the upstream is well.
-func (e *Engine) noteWaits(now time.Time) {
-	if now.Sub(e.noted) < noteEvery {
+func (e *Engine) checkOpenings(now time.Time) {
+	if now.Sub(e.openingsChecked) < openingCheckInterval {
 		return
 	}
-	e.noted = now
-	var again []expected
+	e.openingsChecked = now
+	var again []timeoutEntry
 	for {
-		x, due := e.waitOpenings.due(now, e.handshake.patience())
+		x, due := e.patienceTimeouts.due(now, e.handshake.patience())
 		if !due {
 			break
 		}
 		f := e.flows[x.tuple]
-		if f == nil || !f.opening || !f.seen.Equal(x.since) {
+		if f == nil || !f.opening || !f.lastSeen.Equal(x.since) {
 			continue
 		}
 		h := e.health[f.key]
-		if !e.behind(now) && !h.sign.After(x.since) && !e.moved.After(x.since) {
+		if !e.behind(now) && !h.lastAlive.After(x.since) && !e.lastAdoption.After(x.since) {
 			h.group.silence.unanswered(now, h, x.since)
 		}
-		if !e.waits(now, h, x.since) {
+		if !e.noteUnanswered(now, h, x.since) {
 			again = append(again, x)
 		}
 	}
 	for _, x := range again {
-		e.waitOpenings.add(x.tuple, x.since)
+		e.patienceTimeouts.add(x.tuple, x.since)
 	}
 }
 
-// claims tells whether this entry still says that it waits for the upstream.
-func (h *health) claims(now time.Time) bool {
-	return !h.waitFrom.IsZero() && now.Sub(h.waitSeen) < waitKept
+// reportsSilence tells whether this entry still says that it waits for the upstream.
+func (h *health) reportsSilence(now time.Time) bool {
+	return !h.unansweredSince.IsZero() && now.Sub(h.unansweredSeen) < unansweredTimeout
 }
 
-// silenceSeen is what this entry says of the upstream.
-func (h *health) silenceSeen(now time.Time, named bool) stoatoutlier.Silence {
+// silenceReport is what this entry says of the upstream.
+func (h *health) silenceReport(now time.Time, named bool) stoatoutlier.Silence {
 	var s stoatoutlier.Silence
-	if h.claims(now) {
-		s.Entries, s.First = 1, h.waitFrom
+	if h.reportsSilence(now) {
+		s.Entries, s.First = 1, h.unansweredSince
 	}
-	if (named || s.Entries > 0) && now.Sub(h.sign) < heardKept {
-		s.Heard = h.sign
+	if (named || s.Entries > 0) && now.Sub(h.lastAlive) < aliveReportWindow {
+		s.Heard = h.lastAlive
 	}
 	return s
 }
 
 // TakeObserved tells whether what this entry says of upstreams changed since the last call.
 func (e *Engine) TakeObserved() bool {
-	changed := e.observed
-	e.observed = false
+	changed := e.reportChanged
+	e.reportChanged = false
 	return changed
 }
 
@@ -140,11 +140,11 @@
 // happen. Upstreams of other data centres are judged too: while the own one is evacuated, all of its
 // flows go there.
 func (e *Engine) JudgeSilence(now time.Time, t *stoatroute.Table, delay time.Duration) []Silent {
-	if len(e.together) == 0 {
+	if len(e.dataCentreSums) == 0 {
 		return nil
 	}
 	named := map[groupKey][]*stoatroute.Upstream{}
-	for k, s := range e.together {
+	for k, s := range e.dataCentreSums {
 		if u := t.Upstream(k); s.Entries > 0 && u != nil && u.Opens() {
 			key := groupKey{service: u.Service, centre: u.DataCentre}
 			named[key] = append(named[key], u)
@@ -152,33 +152,33 @@
 	}
 	var out []Silent
 	for _, k := range slices.SortedFunc(maps.Keys(named), groupKey.compare) {
-		out = append(out, e.judgeSilence(now, t, named[k], delay)...)
+		out = append(out, e.ejectSilentInGroup(now, t, named[k], delay)...)
 	}
 	return out
 }
 
-// judgeSilence judges upstreams of one service in one data centre for which entries wait, those first for which
+// ejectSilentInGroup judges upstreams of one service in one data centre for which entries wait, those first for which
 // most do.
-func (e *Engine) judgeSilence(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []Silent {
+func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []Silent {
 	var out []Silent
 	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
-		return cmp.Or(cmp.Compare(e.together[b.Key].Entries, e.together[a.Key].Entries), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(e.dataCentreSums[b.Key].Entries, e.dataCentreSums[a.Key].Entries), cmp.Compare(a.Key, b.Key))
 	})
 	quota := silentQuota{upstreams: len(t.Group(named[0].Service, named[0].DataCentre))}
-	e.eachMet(t, e.groupOf(named[0]), func(h *health) { quota.count(now, h) })
+	e.eachSeen(t, e.groupOf(named[0]), func(h *health) { quota.count(now, h) })
 	for _, u := range named {
-		h, s := e.healthOf(u), e.together[u.Key].Silence
+		h, s := e.healthOf(u), e.dataCentreSums[u.Key].Silence
 		if s.Ended() {
-			h.ended(s.Heard)
+			h.aliveElsewhere(s.Heard)
 			continue
 		}
 		// What others waited for was the life before, or this entry knows better.
-		if u.Renewed.After(s.First) || h.sign.After(s.First) {
+		if u.Renewed.After(s.First) || h.lastAlive.After(s.First) {
 			continue
 		}
-		quota.prefer(now, h)
-		if !h.isEjected(now) && s.Together(now) >= e.silenceOf(now, u)+delay && quota.eject() {
-			out = append(out, e.ejectTogether(now, u, h, s))
+		quota.deprioritize(now, h)
+		if !h.isEjected(now) && s.Together(now) >= e.allowedSilence(now, u)+delay && quota.eject() {
+			out = append(out, e.ejectJointly(now, u, h, s))
 		}
 	}
 	return out
@@ -187,54 +187,54 @@
 // silentQuota bounds how many upstreams of a group are avoided on the word of other entries: for
 // each way a third, since the others would not bear the load of more, and one entry that is
 // confused must not empty a service.
-type silentQuota struct{ upstreams, preferred, ejected int }
+type silentQuota struct{ upstreams, deprioritized, ejected int }
 
 func (q *silentQuota) count(now time.Time, h *health) {
-	if now.Before(h.preferOthers) {
-		q.preferred++
+	if now.Before(h.deprioritizedUntil) {
+		q.deprioritized++
 	}
-	if h.together && h.isEjected(now) {
+	if h.jointlyEjected && h.isEjected(now) {
 		q.ejected++
 	}
 }
 
-// prefer has new flows prefer others, if there is room.
-func (q *silentQuota) prefer(now time.Time, h *health) {
-	if !now.Before(h.preferOthers) {
-		if q.preferred >= q.upstreams/failCap {
+// deprioritize has new flows deprioritize others, if there is room.
+func (q *silentQuota) deprioritize(now time.Time, h *health) {
+	if !now.Before(h.deprioritizedUntil) {
+		if q.deprioritized >= q.upstreams/ejectableDivisor {
 			return
 		}
-		q.preferred++
+		q.deprioritized++
 	}
-	h.preferOthers = now.Add(preferKept)
+	h.deprioritizedUntil = now.Add(deprioritizeTimeout)
 }
 
 // eject tells whether there is room for one more ejection, and takes it.
 func (q *silentQuota) eject() bool {
-	if q.ejected >= q.upstreams/failCap {
+	if q.ejected >= q.upstreams/ejectableDivisor {
 		return false
 	}
 	q.ejected++
 	return true
 }
 
-// ejectTogether keeps new flows from the upstream on what the data centre saw.
-func (e *Engine) ejectTogether(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) Silent {
+// ejectJointly keeps new flows from the upstream on what the data centre saw.
+func (e *Engine) ejectJointly(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) Silent {
 	h.eject(now)
-	h.together = true
+	h.jointlyEjected = true
 	e.stats.Ejected++
 	e.stats.Together++
-	return Silent{Upstream: u, Entries: s.Entries, Silence: s.Together(now), Waiting: h.busy}
+	return Silent{Upstream: u, Entries: s.Entries, Silence: s.Together(now), Waiting: h.pendingRequests}
 }
 
-// ended takes in that another entry had a sign of the upstream at that time. What this entry saw
+// aliveElsewhere takes in that another entry had a sign of the upstream at that time. What this entry saw
 // itself stays: the path from here may be the one that fails.
-func (h *health) ended(heard time.Time) {
-	if heard.After(h.waitFrom) {
-		h.waitFrom = time.Time{}
+func (h *health) aliveElsewhere(heard time.Time) {
+	if heard.After(h.unansweredSince) {
+		h.unansweredSince = time.Time{}
 	}
-	h.preferOthers = time.Time{}
-	if h.together {
-		h.ejection, h.together = backoff{}, false
+	h.deprioritizedUntil = time.Time{}
+	if h.jointlyEjected {
+		h.ejection, h.jointlyEjected = backoff{}, false
 	}
 }
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -14,24 +14,24 @@
 // entries are several entries of one data centre with one clock, which pool what they see. The
 // first upstreams of each are i-1, i-2 and i-4 to i-7.
 type entries struct {
-	list []*world
-	well []*caller // an open flow of each at i-2, which is well
+	list         []*world
+	healthyFlows []*caller // an open flow of each at i-2, which is well
 }
 
 func newEntries(t *testing.T, n int) *entries {
 	x := &entries{}
 	for i := range n {
-		w := six(t)
+		w := newSixUpstreamWorld(t)
 		w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start.Add(-time.Minute), Seed: uint64(i) + 1})
-		w.objectives(400 * ms)
-		x.list, x.well = append(x.list, w), append(x.well, w.flowTo(2))
+		w.declareObjectives(400 * ms)
+		x.list, x.healthyFlows = append(x.list, w), append(x.healthyFlows, w.flowTo(2))
 	}
-	x.level()
+	x.syncClocks()
 	return x
 }
 
-// level gives all entries the same time.
-func (x *entries) level() {
+// syncClocks gives all entries the same time.
+func (x *entries) syncClocks() {
 	latest := x.list[0].now
 	for _, w := range x.list {
 		if w.now.After(latest) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// pool adds up what all entries saw and has each judge by it; it returns what each ejects.
-func (x *entries) pool() [][]stoatecho.Silent {
-	x.level()
+// exchangeReports adds up what all entries saw and has each judge by it; it returns what each ejects.
+func (x *entries) exchangeReports() [][]stoatecho.Silent {
+	x.syncClocks()
 	sums := map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
 	// Once to learn who is waited for, once more with what the others heard of them.
 	for range 2 {
@@ -85,7 +85,7 @@
 func (w *world) flowTo(target stoatpaddle.Target) *caller {
 	w.t.Helper()
 	for range 200 {
-		f := w.caller(feed)
+		f := w.caller(idempotentAddr)
 		if f.open().Target == target {
 			return f
 		}
@@ -94,11 +94,11 @@
 	return nil
 }
 
-// opening sends openings until one goes to the upstream, which does not answer it.
-func (w *world) opening(target stoatpaddle.Target) *caller {
+// openUnanswered sends openings until one goes to the upstream, which does not answer it.
+func (w *world) openUnanswered(target stoatpaddle.Target) *caller {
 	w.t.Helper()
 	for range 200 {
-		f := w.caller(pledge)
+		f := w.caller(nonIdempotentAddr)
 		a := f.syn(0)
 		f.cookie = a.Upstream.Key
 		if a.Upstream.Target == target {
@@ -112,20 +112,20 @@
 	return nil
 }
 
-// sign lets each entry hear of i-2, so that its own network is known to be well.
-func (x *entries) sign() {
+// hearFromHealthy lets each entry hear of i-2, so that its own network is known to be well.
+func (x *entries) hearFromHealthy() {
 	for i, w := range x.list {
-		x.well[i].ask()
+		x.healthyFlows[i].sendRequest()
 		w.after(ms)
-		x.well[i].done()
+		x.healthyFlows[i].ackAnswer()
 	}
 }
 
-// wait lets time pass, 0.42 s, in which all entries hear of i-2 only.
-func (x *entries) wait() {
+// waitWithTraffic lets time pass, 0.42 s, in which all entries hear of i-2 only.
+func (x *entries) waitWithTraffic() {
 	for range 20 {
 		x.after(20 * ms)
-		x.sign()
+		x.hearFromHealthy()
 	}
 }
 
@@ -135,16 +135,16 @@
 func TestSilenceIsPooled(t *testing.T) {
 	x := newEntries(t, 4)
 	waiting := x.list[2].flowTo(1)
-	x.level()
-	x.sign()
-	x.list[0].opening(1)
-	x.list[1].opening(1)
-	waiting.ask()
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(1)
+	x.list[1].openUnanswered(1)
+	waiting.sendRequest()
 	x.after(210 * ms)
-	x.sign()
-	waiting.again()
-	x.wait()
-	all := x.pool()
+	x.hearFromHealthy()
+	waiting.retransmit()
+	x.waitWithTraffic()
+	all := x.exchangeReports()
 	for i, silent := range all {
 		if len(silent) != 1 || silent[0].Upstream.Target != 1 || silent[0].Entries < 2 {
 			t.Fatalf("entry %d: %+v", i, silent)
@@ -153,10 +153,10 @@
 	if n := all[2][0].Waiting; n != 1 {
 		t.Errorf("%d requests wait at the third entry, expected one", n)
 	}
-	if a := waiting.again(); a.Verdict != stoatecho.Forward {
+	if a := waiting.retransmit(); a.Verdict != stoatecho.Forward {
 		t.Errorf("an open flow was reset on what entries saw: %+v", a)
 	}
-	if got := x.list[3].opened(30); got["i-1"] != 0 {
+	if got := x.list[3].openFlows(30); got["i-1"] != 0 {
 		t.Error("the entry that sent it nothing goes on:", got)
 	}
 }
@@ -166,19 +166,19 @@
 func TestOneEntryThatWaitsEjectsNothing(t *testing.T) {
 	x := newEntries(t, 3)
 	open := x.list[1].flowTo(1)
-	x.level()
-	x.sign()
-	x.list[0].opening(1)
-	x.wait()
-	for i, silent := range x.pool() {
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(1)
+	x.waitWithTraffic()
+	for i, silent := range x.exchangeReports() {
 		if len(silent) != 0 {
 			t.Errorf("entry %d: %+v", i, silent)
 		}
 	}
-	if got := x.list[2].opened(30); got["i-1"] != 0 {
+	if got := x.list[2].openFlows(30); got["i-1"] != 0 {
 		t.Error("others are not preferred:", got)
 	}
-	if a := open.ask(); a.Verdict != stoatecho.Forward {
+	if a := open.sendRequest(); a.Verdict != stoatecho.Forward {
 		t.Errorf("an open flow was reset: %+v", a)
 	}
 }
@@ -188,39 +188,39 @@
 func TestSignOfLifeEndsSilence(t *testing.T) {
 	x := newEntries(t, 3)
 	open := x.list[2].flowTo(1)
-	x.level()
-	x.sign()
-	x.list[0].opening(1)
-	x.list[1].opening(1)
-	x.wait()
-	if all := x.pool(); len(all[2]) != 1 {
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(1)
+	x.list[1].openUnanswered(1)
+	x.waitWithTraffic()
+	if all := x.exchangeReports(); len(all[2]) != 1 {
 		t.Fatalf("not ejected: %+v", all)
 	}
 	x.after(1100 * ms)
-	x.sign()
-	open.ask()
+	x.hearFromHealthy()
+	open.sendRequest()
 	x.after(30 * ms)
-	open.done()
+	open.ackAnswer()
 	if !x.list[2].e.TakeObserved() {
 		t.Error("a sign of life is not passed on")
 	}
-	x.pool()
+	x.exchangeReports()
 	x.after(ms)
-	if got := x.list[0].opened(40); got["i-1"] == 0 {
+	if got := x.list[0].openFlows(40); got["i-1"] == 0 {
 		t.Error("still avoided at another entry:", got)
 	}
 }
 
 // An entry's own link is cut: every packet it sends is lost, and it waits for all upstreams. With no
 // sign from anyone it says nothing, or one broken entry would empty a data centre.
-func TestCutEntrySaysNothing(t *testing.T) {
+func TestIsolatedEntryReportsNothing(t *testing.T) {
 	x := newEntries(t, 2)
 	w := x.list[0]
 	for range 12 {
-		w.caller(pledge).syn(0)
+		w.caller(nonIdempotentAddr).syn(0)
 	}
 	w.after(250 * ms)
-	w.caller(pledge).syn(0)
+	w.caller(nonIdempotentAddr).syn(0)
 	if got := w.e.Observed(w.now, nil); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
@@ -228,8 +228,8 @@
 
 // Entries that are confused, or lie, wait for every upstream. At most a third of a group is avoided
 // on their word: the others would not bear the load of more.
-func TestThirdIsAvoidedAtMost(t *testing.T) {
-	w := six(t)
+func TestAtMostAThirdIsEjected(t *testing.T) {
+	w := newSixUpstreamWorld(t)
 	w.after(time.Second)
 	var sum []stoatoutlier.Report
 	for _, target := range []stoatpaddle.Target{1, 2, 4, 5, 6, 7} {
@@ -250,7 +250,7 @@
 	if avoided != 2 {
 		t.Error(avoided, "of 6 are ejected")
 	}
-	if got := w.opened(60); len(got) != 4 {
+	if got := w.openFlows(60); len(got) != 4 {
 		t.Error("new flows go to", got)
 	}
 }
@@ -260,22 +260,22 @@
 // no silence. One whose packets are lost does repeat itself.
 func TestEndedFlowIsNoSilence(t *testing.T) {
 	for name, c := range map[string]struct {
-		repeats bool
-		want    int
+		retransmits bool
+		want        int
 	}{"ended": {false, 0}, "silent": {true, 1}} {
 		x := newEntries(t, 1)
 		w := x.list[0]
 		f := w.flowTo(1)
-		x.sign()
-		f.ask()
+		x.hearFromHealthy()
+		f.sendRequest()
 		w.after(100 * ms)
-		x.sign()
+		x.hearFromHealthy()
 		w.after(110 * ms)
-		if c.repeats {
-			f.again()
+		if c.retransmits {
+			f.retransmit()
 		}
 		w.after(20 * ms)
-		x.sign()
+		x.hearFromHealthy()
 		if got := w.e.Observed(w.now, nil); len(got) != c.want {
 			t.Errorf("%s: %+v", name, got)
 		}
@@ -288,14 +288,14 @@
 func TestMovedFlowsAreNoSilence(t *testing.T) {
 	x := newEntries(t, 3)
 	moved := x.list[2].flowTo(2)
-	x.level()
-	x.sign()
-	x.list[0].opening(1)
-	x.list[1].opening(1)
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(1)
+	x.list[1].openUnanswered(1)
 	x.after(100 * ms)
-	x.sign()
+	x.hearFromHealthy()
 	x.after(20 * ms)
-	x.sign()
+	x.hearFromHealthy()
 	for _, w := range x.list[:2] {
 		if got := w.e.Observed(w.now, nil); len(got) != 1 {
 			t.Fatalf("they do not wait: %+v", got)
@@ -304,9 +304,9 @@
 	}
 	for range 20 {
 		x.after(20 * ms)
-		x.sign()
+		x.hearFromHealthy()
 	}
-	for i, silent := range x.pool() {
+	for i, silent := range x.exchangeReports() {
 		if len(silent) != 0 {
 			t.Errorf("entry %d: %+v", i, silent)
 		}
@@ -324,19 +324,19 @@
 	for _, w := range x.list {
 		w.evacuate("here", false)
 	}
-	x.level()
-	x.sign()
-	x.list[0].opening(3)
-	x.list[1].opening(3)
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(3)
+	x.list[1].openUnanswered(3)
 	x.after(210 * ms)
-	x.sign()
-	x.wait()
-	for i, silent := range x.pool() {
+	x.hearFromHealthy()
+	x.waitWithTraffic()
+	for i, silent := range x.exchangeReports() {
 		if len(silent) != 1 || silent[0].Upstream.Target != 3 {
 			t.Errorf("entry %d: %+v", i, silent)
 		}
 	}
-	if got := x.list[2].opened(30); got["i-3"] != 0 {
+	if got := x.list[2].openFlows(30); got["i-3"] != 0 {
 		t.Error("new flows go on to it:", got)
 	}
 }
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -21,21 +21,21 @@
 			return a
 		}
 	}
-	before := f.seen
-	f.seen = now
+	before := f.lastSeen
+	f.lastSeen = now
 	if f.opening {
 		f.opening = false
-		e.handshake.took(now.Sub(before))
+		e.handshake.add(now.Sub(before))
 		h.openingEnded()
 		h.flows++
-		e.heard(now, h)
-		f.ack = p.Ack
+		e.noteAlive(now, h)
+		f.requestAck = p.Ack
 	}
-	if !f.asked.IsZero() && p.Ack != f.ack {
-		if f.wasAway(p) {
+	if !f.requestStart.IsZero() && p.Ack != f.requestAck {
+		if f.skippedData(p) {
 			e.answeredElsewhere(now, h, f)
 		} else {
-			e.answered(now, r, u, h, f, p.Ack-f.ack, &a)
+			e.answered(now, r, u, h, f, p.Ack-f.requestAck, &a)
 		}
 	}
 	if p.Ends {
@@ -43,60 +43,60 @@
 		return a
 	}
 	if p.Size > 0 {
-		e.data(now, before, h, f, p, &a)
+		e.noteData(now, before, h, f, p, &a)
 	}
 	return a
 }
 
-// heard notes a proof of life of an upstream, which is one of this entry's network too.
-func (e *Engine) heard(now time.Time, h *health) {
-	if !h.waitFrom.IsZero() || now.Before(h.preferOthers) || h.together {
+// noteAlive notes a proof of life of an upstream, which is one of this entry's network too.
+func (e *Engine) noteAlive(now time.Time, h *health) {
+	if !h.unansweredSince.IsZero() || now.Before(h.deprioritizedUntil) || h.jointlyEjected {
 		// Others wait for it, or go by what this entry said.
-		e.observed = true
+		e.reportChanged = true
 	}
 	if h.suspected() {
 		// It is back, and others may be.
 		h.group.nextTrial = now
 	}
-	h.heard(now)
-	h.group.silence.ended(now)
-	e.sign = now
+	h.noteAlive(now)
+	h.group.silence.reset(now)
+	e.lastAlive = now
 }
 
 // answered takes in that the caller has an answer.
 func (e *Engine) answered(now time.Time, r *stoatroute.Route, u *stoatroute.Upstream, h *health, f *flow, bytes uint32, a *Action) {
-	took := now.Sub(f.asked)
+	took := now.Sub(f.requestStart)
 	h.requestEnded()
 	switch {
-	case e.turnedAway(r, h, took, bytes):
-		h.refused(now)
-		h.group.replied(true)
-		h.full.replied(now, true)
+	case e.isRejection(r, h, took, bytes):
+		h.noteRejection(now)
+		h.group.noteAnswer(true)
+		h.saturation.noteAnswer(now, true)
 		e.stats.TurnedAway++
 	default:
-		h.group.replied(false)
-		h.full.replied(now, false)
-		h.answered(now, took, f.beside)
+		h.group.noteAnswer(false)
+		h.saturation.noteAnswer(now, false)
+		h.answered(now, took, f.concurrency)
 		// One that has just started is slow without a queue.
 		if !now.Before(u.Warm) {
-			h.recent.add(now, took)
+			h.recentAnswers.add(now, took)
 			h.group.answered(now, took)
 		}
 	}
-	e.heard(now, h)
-	f.asked = time.Time{}
+	e.noteAlive(now, h)
+	f.requestStart = time.Time{}
 	e.stats.Answered++
-	a.Took, a.Busy = took, h.busy
+	a.Took, a.Busy = took, h.pendingRequests
 	if r.Objective > 0 && took > r.Objective {
 		e.stats.Late++
 		a.Late = true
 	}
 }
 
-// wasAway tells whether the caller sent data on the flow that this entry did not see: its packets went to
+// skippedData tells whether the caller sent data on the flow that this entry did not see: its packets went to
 // another entry for a while, as happens to most when one joins or leaves. An end of the flow that was lost on
 // the way here takes one number, and is no data.
-func (f *flow) wasAway(p *stoatpacket.Packet) bool { return int32(p.Seq-f.end) > 1 }
+func (f *flow) skippedData(p *stoatpacket.Packet) bool { return int32(p.Seq-f.nextSeq) > 1 }
 
 // answeredElsewhere takes in that another entry saw the answer to the request that was noted here, at a
 // time that is not known.
@@ -105,8 +105,8 @@
 // answer's. Two of them were a queue, and openings were refused at upstreams with nothing in progress.
 func (e *Engine) answeredElsewhere(now time.Time, h *health, f *flow) {
 	h.requestEnded()
-	e.heard(now, h)
-	f.asked = time.Time{}
+	e.noteAlive(now, h)
+	f.requestStart = time.Time{}
 	e.stats.Elsewhere++
 }
 
@@ -115,39 +115,39 @@
 	if len(e.flows) >= e.cfg.MaxFlows || p.Ends {
 		return nil
 	}
-	e.flowsMoved(now)
-	f := &flow{key: u.Key, seen: now, ack: p.Ack}
+	e.noteAdoption(now)
+	f := &flow{key: u.Key, lastSeen: now, requestAck: p.Ack}
 	e.flows[p.Tuple] = f
 	e.healthOf(u).flows++
 	return f
 }
 
-// data takes in a packet that carries a request, or a part of one; before is when the
+// noteData takes in a packet that carries a request, or a part of one; before is when the
 // flow's last packet came.
-func (e *Engine) data(now, before time.Time, h *health, f *flow, p *stoatpacket.Packet, a *Action) {
-	if int32(p.Seq-f.seq) > 0 || f.asked.IsZero() {
-		f.end = p.Seq + uint32(p.Size)
+func (e *Engine) noteData(now, before time.Time, h *health, f *flow, p *stoatpacket.Packet, a *Action) {
+	if int32(p.Seq-f.seq) > 0 || f.requestStart.IsZero() {
+		f.nextSeq = p.Seq + uint32(p.Size)
 	}
-	if f.asked.IsZero() {
-		f.asked, f.ack, f.seq, f.repeats = now, p.Ack, p.Seq, 0
-		f.progress = now
-		h.asked(now)
-		f.beside = h.busy + h.opening
-		e.await(now, p.Tuple, f)
-		e.owe(now, p.Tuple, f)
+	if f.requestStart.IsZero() {
+		f.requestStart, f.requestAck, f.seq, f.retransmissions = now, p.Ack, p.Seq, 0
+		f.lastProgress = now
+		h.requestStarted(now)
+		f.concurrency = h.pendingRequests + h.pendingOpenings
+		e.startRequestTimeout(now, p.Tuple, f)
+		e.startFailureTimeout(now, p.Tuple, f)
 		return
 	}
 	if int32(p.Seq-f.seq) > 0 {
-		f.seq, f.repeats, f.progress = p.Seq, 0, now
+		f.seq, f.retransmissions, f.lastProgress = p.Seq, 0, now
 		return
 	}
-	if now.Sub(before) < repeatLeast {
+	if now.Sub(before) < minRetransmitInterval {
 		return
 	}
-	f.repeats++
-	a.Repeats = f.repeats
-	e.waits(now, h, f.progress)
-	e.suspect(now, a.Upstream, h, a)
+	f.retransmissions++
+	a.Repeats = f.retransmissions
+	e.noteUnanswered(now, h, f.lastProgress)
+	e.noteRetransmission(now, a.Upstream, h, a)
 }
 
 // forget takes a flow out of the table and its upstream's counts.
@@ -162,50 +162,50 @@
 	} else {
 		h.flows--
 	}
-	if !f.asked.IsZero() {
+	if !f.requestStart.IsZero() {
 		h.requestEnded()
 	}
 	delete(e.flows, t)
 }
 
-const sweepEvery = time.Second
+const sweepInterval = time.Second
 
 // sweep forgets flows that ended elsewhere, for their later packets reached other entries,
 // and cookies that nobody sends any more.
 func (e *Engine) sweep(now time.Time) {
-	if now.Sub(e.swept) < sweepEvery {
+	if now.Sub(e.lastSweep) < sweepInterval {
 		return
 	}
-	e.swept = now
+	e.lastSweep = now
 	for t, f := range e.flows {
-		if now.Sub(f.seen) > idleKept {
+		if now.Sub(f.lastSeen) > flowIdleTimeout {
 			e.forget(t)
 		}
 	}
 	e.forgetCallers()
 	e.forgetIdle(now)
-	for k, since := range e.unproven {
-		if now.Sub(since) > idleKept {
-			delete(e.unproven, k)
+	for k, since := range e.unprovenCookies {
+		if now.Sub(since) > flowIdleTimeout {
+			delete(e.unprovenCookies, k)
 		}
 	}
 }
 
-// healthKept is how long is remembered what this entry saw of an upstream with nothing in progress: longer than
+// healthIdleTimeout is how long is remembered what this entry saw of an upstream with nothing in progress: longer than
 // any backoff, and than an upstream may be cold after a start.
-const healthKept = time.Minute
+const healthIdleTimeout = time.Minute
 
 // forgetIdle forgets what was seen of upstreams long ago: before 8,000 of a service, an entry meets all of them
 // within hours.
 func (e *Engine) forgetIdle(now time.Time) {
 	before := len(e.health)
 	for k, h := range e.health {
-		if h.met.IsZero() {
-			h.met = now
+		if h.firstSwept.IsZero() {
+			h.firstSwept = now
 		}
-		if h.flows+h.opening+h.busy == 0 && now.Sub(h.latest()) > healthKept {
+		if h.flows+h.pendingOpenings+h.pendingRequests == 0 && now.Sub(h.latest()) > healthIdleTimeout {
 			delete(e.health, k)
-			delete(e.unsettled, k)
+			delete(e.recheck, k)
 		}
 	}
 	if len(e.health) < before {
@@ -215,9 +215,9 @@
 
 // forgetCallers forgets callers whose last flow is forgotten.
 func (e *Engine) forgetCallers() {
-	for k, t := range e.last {
+	for k, t := range e.lastOpenings {
 		if e.flows[t] == nil {
-			delete(e.last, k)
+			delete(e.lastOpenings, k)
 		}
 	}
 }
@@ -225,50 +225,50 @@
 // Retain forgets the health of upstreams that are not in the table any more, and of those that
 // started again under the name that they had.
 func (e *Engine) Retain(now time.Time, t *stoatroute.Table) {
-	renewed := map[stoatpaddle.UpstreamKey]bool{}
+	restarted := map[stoatpaddle.UpstreamKey]bool{}
 	before := len(e.health)
 	retain := func(k stoatpaddle.UpstreamKey) {
 		h, u := e.health[k], t.Upstream(k)
 		switch {
 		case h == nil:
-			delete(e.unsettled, k)
+			delete(e.recheck, k)
 			return
 		case u == nil:
 			e.forgetHealth(k, h)
 			return
 		}
-		delete(e.unsettled, k)
+		delete(e.recheck, k)
 		life := stoatroute.LifeOf(&u.Registration)
 		if h.life.Same(life) {
 			h.life = life
 			return
 		}
-		h.group.inProgress -= h.opening + h.busy
+		h.group.inProgress -= h.pendingOpenings + h.pendingRequests
 		e.health[k] = e.newHealth(u)
-		e.health[k].group.silence.ended(now)
-		renewed[k] = true
+		e.health[k].group.silence.reset(now)
+		restarted[k] = true
 	}
-	t.Differing(e.retained, retain)
-	for k := range e.unsettled {
+	t.Differing(e.retainedTable, retain)
+	for k := range e.recheck {
 		retain(k)
 	}
-	e.retained = t
-	if len(renewed) > 0 {
-		e.renew(now, renewed)
+	e.retainedTable = t
+	if len(restarted) > 0 {
+		e.forgetRestarted(now, restarted)
 	}
-	if len(renewed) > 0 || len(e.health) < before {
+	if len(restarted) > 0 || len(e.health) < before {
 		e.forgetGroups()
 	}
 }
 
 // forgetHealth forgets that of an upstream which is in the table no more, once nothing is in progress there.
 func (e *Engine) forgetHealth(k stoatpaddle.UpstreamKey, h *health) {
-	if h.flows+h.opening+h.busy == 0 {
+	if h.flows+h.pendingOpenings+h.pendingRequests == 0 {
 		delete(e.health, k)
-		delete(e.unsettled, k)
+		delete(e.recheck, k)
 		return
 	}
-	e.unsettled[k] = true
+	e.recheck[k] = true
 }
 
 // forgetGroups forgets the groups of which no upstream is left.
@@ -284,7 +284,7 @@
 	}
 }
 
-// renew forgets the flows that were remembered at upstreams which started again.
+// forgetRestarted forgets the flows that were remembered at upstreams which started again.
 //
 // The failure: an upstream crashes with thirty requests in progress and starts again. Counted
 // on, they would make it look full and silent for a second, and what it answers late since it
@@ -297,12 +297,12 @@
 // its caller then, since its flow had opened; whether it ran nobody can tell.
 //
 // Openings stay: they wait for an answer of whoever lives there now.
-func (e *Engine) renew(now time.Time, renewed map[stoatpaddle.UpstreamKey]bool) {
+func (e *Engine) forgetRestarted(now time.Time, restarted map[stoatpaddle.UpstreamKey]bool) {
 	for tuple, f := range e.flows {
 		switch {
-		case !renewed[f.key]:
+		case !restarted[f.key]:
 		case f.opening:
-			e.health[f.key].opened(now)
+			e.health[f.key].openingStarted(now)
 		default:
 			delete(e.flows, tuple)
 		}
--- a/stoatecho/yield.go
+++ b/stoatecho/yield.go
@@ -10,18 +10,18 @@
 	// of a less urgent route give way. Below the first, a caller with three tries fails once in three hundred; at
 	// the second, one in sixteen of the urgent ones does.
 	yieldFrom, yieldAll = 0.15, 0.40
-	// turnedAwayWeight is the weight of the newest answer in the share of refusals: an entry that hears fifty
+	// rejectedWeight is the weight of the newest answer in the share of refusals: an entry that hears fifty
 	// answers a second of a service follows the load within half a second.
-	turnedAwayWeight = 1.0 / 24
+	rejectedWeight = 1.0 / 24
 )
 
-// replied takes in whether an answer was a refusal.
-func (g *group) replied(refused bool) {
-	x := 0.0
+// noteAnswer takes in whether an answer was a refusal.
+func (g *group) noteAnswer(refused bool) {
+	sample := 0.0
 	if refused {
-		x = 1
+		sample = 1
 	}
-	g.turnedAway += turnedAwayWeight * (x - g.turnedAway)
+	g.rejectedShare += rejectedWeight * (sample - g.rejectedShare)
 }
 
 // yields tells whether an opening of the route gives way.
@@ -29,11 +29,11 @@
 	if !r.Yields {
 		return false
 	}
-	part := g.yield()
-	return part > 0 && e.rnd.Float64() < part
+	share := g.yieldShare()
+	return share > 0 && e.rnd.Float64() < share
 }
 
-// yield is the part of a less urgent route's openings that give way.
-func (g *group) yield() float64 {
-	return min(1, max(0, (g.turnedAway-yieldFrom)/(yieldAll-yieldFrom)))
+// yieldShare is the part of a less urgent route's openings that give way.
+func (g *group) yieldShare() float64 {
+	return min(1, max(0, (g.rejectedShare-yieldFrom)/(yieldAll-yieldFrom)))
 }
