--- a/stoatecho/admit.go
+++ b/stoatecho/admit.go
@@ -6,62 +6,63 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// The load: a burst of twice the usual, or more, while a part of the upstreams is slow or
-// lost. Upstreams queue a dozen requests and turn the rest away, so that each of them
-// works at full speed, and nearly every answer is late by the queue; those turned away
-// come back at once and keep it full. Requests on open flows cannot be refused here, new
-// flows can: where one would wait so long that it is late, and make the next ones late,
-// its caller is told at once, before anything ran.
+// Admission control: new flows are refused where their requests would be answered late.
 //
-// The queue is what limits: the same number of requests is answered with a short one, but in
-// time. So the bounds are on the mean answer time, and as low as keeps upstreams at work.
+// In a burst of twice the usual traffic or more, while some upstreams are slow or lost, upstreams queue a dozen
+// requests each and reject the rest. All of them work at full speed, but nearly every answer is late because of the
+// queue, and rejected callers come back at once and keep it full. Requests on open flows cannot be refused here, but
+// new flows can. An opening whose request would wait so long that it is late, and make the next ones late, is refused
+// at once, before any of it has run.
 //
-// How much queue is right depends on how far the load is over what the upstreams can do. A little
-// over, a queue that is short of the objective costs no caller anything, and each refusal is a
-// request that would have been answered. Far over, the queue grows between two answers by more
-// than it should be long, so it has to be kept short. The share of openings that were refused
-// tells which it is.
+// The queue is the limit: with a short one the same number of requests is answered, but in time. So the bounds are
+// on the mean answer time, and as low as they can be without leaving upstreams idle.
+//
+// The right length of the queue depends on the overload. In a slight overload, a queue that is short compared with
+// the objective harms no caller, and each refusal is a request that would have been answered. In a heavy overload, the
+// queue grows between two answers by more than its permitted length, so it has to be kept short. The share of openings
+// that were refused shows which of the two it is.
 const (
-	// admitShare is the part of a route's objective that an answer may take, as a mean, for one
-	// more flow to be admitted, while few are refused; what is left covers the spread around the mean.
+	// admitShare is the share of a route's latency objective that a mean answer may take for one more flow to be
+	// admitted, while few are refused. The rest allows for the spread around the mean.
 	admitShare = 0.5
-	// overloadAdmitShare is the same once refusedMost of the openings are refused.
+	// The share falls linearly as more openings are refused: to overloadAdmitShare, once overloadRefusedShare of them
+	// are.
 	overloadAdmitShare   = 0.3
 	overloadRefusedShare = 0.25
-	// urgentShare and urgentLeast are the same for a route that is more urgent than another one to
-	// the same service: at 0.5 one in twelve of its requests was refused, at 0.65 one in forty.
+	// urgentShare and overloadUrgentShare are the same for a route that is more urgent than another one to the same
+	// service. With an overloadUrgentShare of 0.5, one in twelve of its requests was refused; with 0.65, one in forty.
 	urgentShare         = 0.75
 	overloadUrgentShare = 0.65
-	// admitFloorFactor keeps requests whose work alone takes most of the objective from being refused
-	// for it, and upstreams from standing idle: three in five more than without a queue, which is
-	// how much longer some kinds of requests take than others.
+	// admitFloorFactor is the factor on the answer time without a queue up to which flows are admitted whatever the
+	// objective. It keeps requests whose work alone takes most of the objective from being refused, and upstreams from
+	// idling. It covers kinds of requests that take three fifths longer than others.
 	admitFloorFactor = 1.6
-	// floorGrowth lets the base follow work that becomes longer: by half in 800 requests.
+	// floorGrowth lets the answer time without a queue follow work that takes longer: by half in 800 requests.
 	floorGrowth = 1.0005
-	// maxGroupWeight is how many answers of an upstream its group's mean counts for: one of nine
-	// entries sees ten answers of an upstream in answerAge, and goes by them.
+	// maxGroupWeight is the number of answers of the upstream that the mean of its group counts for at most. One of
+	// nine entries sees ten answers of an upstream within answerDecay, and relies on those.
 	//
-	// The failure without it: an entry has nothing in progress at most upstreams at most moments.
-	// While that alone was taken for an empty queue, lower bounds changed nothing.
+	// At most times an entry has nothing in progress at most upstreams. While that alone was taken for an empty
+	// queue, lower bounds had no effect.
 	maxGroupWeight = 2
-	// minAnswerWeight is how many answers of late it takes to refuse anyone. One alone says little: a
-	// packet that was lost and came again 0.2 s later looks like a queue.
+	// minAnswerWeight is the number of recent answers of a group without which no flow is refused. A single one says
+	// little: a packet that was lost and retransmitted 0.2 s later looks like a queue.
 	minAnswerWeight = 2
-	// minAnswerScale bounds by how much an upstream with less in progress from here than usual is
-	// expected to answer sooner: most of its queue is other entries'. More in progress counts in
-	// full: the mean lags by a queue's length, and what this entry has sent since is known.
+	// minAnswerScale bounds how much sooner an upstream is expected to answer because this entry has fewer requests
+	// than usual in progress there, since most of its queue is from other entries. More than usual counts in full:
+	// the mean lags behind by the length of the queue, but what this entry has sent since then is known.
 	//
-	// The failure without it: all entries admit until the mean is over the bound, by then the
-	// queue is twice as long, and all refuse until it is empty.
+	// Without the bound, all entries admit flows until the mean exceeds the bound, by when the queue is twice as
+	// long, and then all refuse them until it is empty.
 	minAnswerScale = 0.9
 )
 
-// expectedAnswer is how long an answer of the upstream takes now, as far as this entry can
-// tell; 0: it cannot, and flows have to find out, as after a start.
+// expectedAnswer returns how long an answer of the upstream would take now, or 0 if this entry cannot tell, as after
+// a start; then flows are admitted and provide the first samples.
 //
-// The failure without these conditions: a data centre has one upstream of a service left, and one
-// request of it took 0.2 s since a packet was lost. For a second all new flows were refused there,
-// with nothing in progress.
+// Without the condition on recent answers and on something in progress, an idle upstream can be taken for a full one:
+// in a data centre with one upstream of a service left, a lost packet made one answer take 0.2 s, and all new flows
+// were refused for a second with nothing in progress.
 func expectedAnswer(now time.Time, h *health) time.Duration {
 	own, others := h.recentAnswers.weightAt(now), h.group.recentAnswers.weightAt(now)
 	if others < minAnswerWeight || h.group.inProgress == 0 {
@@ -70,18 +71,18 @@
 	others = min(maxGroupWeight, others)
 	mean := (own*float64(h.recentAnswers.mean) + others*float64(h.group.recentAnswers.mean)) / (own + others)
 	if h.concurrency == 0 {
-		// This entry had no answer of it yet: it is as full as its like.
+		// This entry has had no answer of the upstream yet: it is assumed to be as full as the rest of its group.
 		return time.Duration(mean)
 	}
 	return time.Duration(mean * max(minAnswerScale, float64(h.pendingRequests+h.pendingOpenings)/h.concurrency))
 }
 
-// admits tells whether the upstream may get one more flow of the route.
+// admits reports whether the upstream may get one more flow of the route.
 func admits(now time.Time, h *health, r *stoatroute.Route) bool {
 	return r.Objective == 0 || expectedAnswer(now, h) <= admitBound(h, r)
 }
 
-// admitBound is what an answer may take for one more flow of the route to be admitted.
+// admitBound returns the greatest expected answer time with which one more flow of the route is admitted.
 func admitBound(h *health, r *stoatroute.Route) time.Duration {
 	most, least := admitShare, overloadAdmitShare
 	if r.Urgent {
@@ -91,8 +92,9 @@
 	return max(time.Duration(share*float64(r.Objective)), time.Duration(admitFloorFactor*float64(unqueuedAnswer(h))))
 }
 
-// unqueuedAnswer is how long an answer takes without a queue. An upstream's own may have been learned in
-// the overload: where an entry sees few of its answers, the first ones were late already.
+// unqueuedAnswer returns how long an answer takes without a queue. The upstream's own floor may be too high, since an
+// entry that sees few of its answers may have learned it during an overload, when all were late; then the floor of the
+// group is used.
 func unqueuedAnswer(h *health) time.Duration {
 	own, group := h.answerTimes.floor, h.group.answerTimes.floor
 	if own == 0 || float64(own) > admitFloorFactor*float64(group) {
--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -10,7 +10,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// declareObjectives declares feed and pledge with an objective, to one service.
+// declareObjectives declares two routes of one service, both with the given latency objective.
 func (w *world) declareObjectives(d time.Duration) {
 	w.rev++
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
@@ -20,8 +20,7 @@
 	}}, w.rev)
 }
 
-// keepOneUpstream takes the second upstream of this data centre away, and makes the first one anew; a
-// new one may be slow at first.
+// keepOneUpstream leaves this data centre a single upstream, which has just started and is cold for the given time.
 func (w *world) keepOneUpstream(cold time.Duration) {
 	w.book.Remove(w.now, "i-2", w.rev+1)
 	w.book.Remove(w.now, "i-1", w.rev+2)
@@ -31,7 +30,8 @@
 	}, w.rev)
 }
 
-// newSingleUpstreamWorld is a data centre with one upstream left, whose routes have an objective.
+// newSingleUpstreamWorld returns a world whose own data centre has one upstream left, and whose routes have a latency
+// objective.
 func newSingleUpstreamWorld(t *testing.T, cold time.Duration) *world {
 	w := newWorld(t)
 	w.declareObjectives(400 * ms)
@@ -39,7 +39,7 @@
 	return w
 }
 
-// request opens a flow and has one answer on it.
+// request opens a flow and completes one request on it.
 func (w *world) request(to netip.AddrPort, takes time.Duration) {
 	f := w.caller(to)
 	f.open()
@@ -48,8 +48,8 @@
 	f.ackAnswer()
 }
 
-// fillQueue has six flows ask at once, of which all but one are answered after a while: one request
-// stays in progress.
+// fillQueue sends a request on each of six flows at once. All but one are answered after the given time; one stays in
+// progress.
 func (w *world) fillQueue(to netip.AddrPort, takes time.Duration) {
 	var flows []*caller
 	for range 6 {
@@ -64,9 +64,9 @@
 	}
 }
 
-// A data centre has one upstream of a service left, and it is idle. One packet of a caller is
-// lost and comes again 0.2 s later, so that an answer seems to have taken 0.24 s. The next callers
-// open flows; refused, they would come back and be refused for a second, with nothing in progress.
+// A data centre has one upstream of a service left, which is idle. A packet is lost and retransmitted after 0.2 s, so that
+// an answer seems to take 0.24 s. Openings must not be refused for it: they were refused for a second with nothing in
+// progress.
 func TestOneSlowAnswerIsNoOverload(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
@@ -82,8 +82,8 @@
 	}
 }
 
-// The only upstream left has just started and takes five times as long as usual. It is slow
-// without a queue, and nothing better is near: callers wait for it rather than being turned away.
+// The only upstream left has just started and takes five times as long as usual. It is slow without a queue, and no other
+// one is near: openings must not be refused.
 func TestColdIsNoOverload(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 3*time.Second)
 	w.fillQueue(idempotentAddr, 300*ms)
@@ -92,8 +92,7 @@
 	}
 }
 
-// What answers slowly when it is warm and has requests in progress is full: the same callers are
-// refused.
+// A warm upstream that answers slowly and has requests in progress is full: openings are refused.
 func TestQueueIsOverload(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	w.request(idempotentAddr, 30*ms)
@@ -103,9 +102,9 @@
 	}
 }
 
-// A burst is a little over what the upstreams can do: answers take 0.45 of the objective, and
-// whoever waits is in time. Nobody is refused for it. Far over, when most are refused, the same
-// queue is too long: it grows between two answers, and those behind it would be late.
+// In a slight overload, answers take 0.45 of the objective and are still in time: no opening is refused. In a heavy one,
+// when most openings are refused, the same queue is too long: it grows between two answers, and the next ones would be
+// late.
 func TestShortQueueIsNoOverload(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	w.request(idempotentAddr, 30*ms)
@@ -126,10 +125,10 @@
 	}
 }
 
-// Entries are replaced in turn, and a caller's flow goes to another entry while its request waits here. It
-// has its answer there, goes on asking there, and is back 1.5 s later. What it acknowledges then is not the
-// request that was noted here: taken for an answer of 1.5 s, two such flows had an entry refuse openings
-// for a quarter of a second, 3.5 s after the last queue, at upstreams with nothing in progress:
+// Entries are replaced one after another, and a flow is at another entry while its request is pending here. The flow is
+// answered there, carries more requests there, and comes back after 1.5 s; what its caller acknowledges then is not the
+// request that began here. Counted as answers of 1.5 s, two such flows made an entry refuse openings for a quarter of a
+// second, 3.5 s after the last queue, at upstreams with nothing in progress:
 //
 //	59.666 s SP1422 answer was late, took 1.532s, busy 0, upstream i-50000009
 //	59.737 s SP1422 answer was late, took 1.613s, busy 0, upstream i-50000008
@@ -158,10 +157,10 @@
 		w.request(idempotentAddr, 30*ms)
 	}
 	for _, f := range away {
-		f.seq += 600 // of requests that other entries saw
+		f.seq += 600 // requests that other entries saw
 		f.ack += 6000
 		if a := f.sendRequest(); a.Late || a.Took > 500*ms {
-			t.Errorf("an answer is said to have taken %s", a.Took)
+			t.Errorf("an answer was reported to have taken %s", a.Took)
 		}
 	}
 	w.after(20 * ms)
@@ -170,9 +169,9 @@
 	}
 }
 
-// A caller ends its flow with the packet that acknowledges the answer, and that packet is lost on the way to
-// the entry. The next one has a number that is one higher, for the end: no data was sent elsewhere, and
-// the answer counts as one.
+// A caller ends its flow with the packet that acknowledges the answer, and that packet is lost on the way to the entry.
+// The next sequence number is one higher because of the FIN. No data was sent through another entry, and the answer
+// counts as one.
 func TestLostEndIsNoData(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	f := w.caller(nonIdempotentAddr)
--- a/stoatecho/behind_test.go
+++ b/stoatecho/behind_test.go
@@ -7,7 +7,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatecho"
 )
 
-// openAtBoth opens so many flows, and returns those at the two upstreams of this data centre.
+// openAtBoth opens n flows, and returns those at each of the two upstreams of this data centre.
 func (w *world) openAtBoth(n int) (first, second []*caller) {
 	for range n {
 		switch f := w.caller(idempotentAddr); f.open().Target {
@@ -20,17 +20,16 @@
 	return first, second
 }
 
-// A burst of six times the traffic meets an entry with a twentieth of a core. It reads packets a
-// quarter of a second after they came: callers' repeats of requests that were answered long ago,
-// whose acknowledgements wait behind them. No upstream is ejected and no flow is reset for that.
-// Once everything is handled, silence counts again.
+// In a burst of six times the usual traffic, an entry with a twentieth of a core handles packets a quarter of a second
+// late. It sees retransmissions of requests that were answered long ago, as the acknowledgements are still queued. No
+// upstream may be ejected and no flow reset for that. Once the queue is empty, silence counts again.
 func TestDelayedPacketProcessing(t *testing.T) {
 	for name, c := range map[string]struct {
 		behind time.Duration
 		ejects bool
 	}{
-		"behind":  {250 * ms, false},
-		"abreast": {20 * ms, true},
+		"behind":     {250 * ms, false},
+		"up to date": {20 * ms, true},
 	} {
 		w := newWorld(t)
 		there, others := w.openAtBoth(12)
@@ -57,9 +56,9 @@
 	}
 }
 
-// A burst fills the queues of all upstreams: they answer after 0.3 s, at full speed, and callers
-// repeat after 0.2 s. An entry that hears little of each must not take one for dead, or its open
-// flows would be reset while it serves. One that is silent three times as long is.
+// A burst fills the queues of all upstreams: they work at full speed and answer after 0.3 s, but callers retransmit after
+// 0.2 s. An entry that hears little from each must not take one for dead. An upstream that is silent three times as long
+// is ejected.
 func TestFullQueueIsNotSilence(t *testing.T) {
 	w := newWorld(t)
 	there, others := w.openAtBoth(24)
@@ -67,7 +66,7 @@
 		f.sendRequest()
 	}
 	for n := range 5 {
-		// All have an answer after 0.3 s, but for those of the upstream that is watched.
+		// All requests are answered after 0.3 s, except those to the upstream under test.
 		w.after(300 * ms)
 		for _, f := range others {
 			f.ackAnswer()
@@ -79,11 +78,11 @@
 			ejected = ejected || a.Ejected != nil || a.Verdict != stoatecho.Forward
 		}
 		if early := n < 2; ejected && early {
-			t.Fatalf("taken for dead after %s", time.Duration(n+1)*300*ms)
+			t.Fatalf("ejected after %s", time.Duration(n+1)*300*ms)
 		}
 		if ejected {
 			return
 		}
 	}
-	t.Error("one that is dead is never ejected")
+	t.Error("a dead upstream is never ejected")
 }
--- a/stoatecho/bench_test.go
+++ b/stoatecho/bench_test.go
@@ -30,7 +30,7 @@
 	return stoatpacket.Tuple{Src: src, Dst: idempotentAddr, Protocol: stoatpaddle.ProtocolTCP}
 }
 
-// A packet of an open flow, with so many flows remembered.
+// BenchmarkFollow handles a packet of an open flow, by the number of remembered flows.
 func BenchmarkFollow(b *testing.B) {
 	for _, flows := range []int{100, 13000} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
@@ -48,7 +48,7 @@
 	}
 }
 
-// An opening, with so many upstreams to choose from.
+// BenchmarkOpen handles an opening, by the number of upstreams of the service.
 func BenchmarkOpen(b *testing.B) {
 	for _, n := range []int{11, 120, 1600, 8000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -64,8 +64,8 @@
 	}
 }
 
-// One of 43,000 upstreams of 4,000 services changes, and the engine takes the new table in. 16.7 ms when
-// the health of every upstream was looked at, 0.08 ms where those in shards that changed are.
+// BenchmarkRetain has the engine retain a table in which one of 43,000 upstreams of 4,000 services has changed. It took
+// 16.7 ms when the health of every upstream was checked, and 0.08 ms when only the upstreams in changed shards were.
 func BenchmarkRetain(b *testing.B) {
 	const services, each = 4000, 11
 	book := stoatroute.NewBook(stoatroute.Config{})
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -8,13 +8,12 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// spillFactor is how much less of its slots the best upstream of another data centre must
-// have taken than the best here before it gets a flow: bytes between data centres are
-// dear, a flow there breaks when they lose each other, and without the gain flows would
-// swing back and forth.
+// spillFactor is how many times more loaded the best upstream here must be than the best one of another data centre
+// before a flow goes there. Traffic between data centres is expensive, a flow there breaks when the two lose their
+// connection, and without the factor flows would oscillate between them.
 const spillFactor = 2.0
 
-// pick is the best upstream of a group and its cost.
+// pick is the cheapest upstream of those offered.
 type pick struct {
 	up   *stoatroute.Upstream
 	h    *health
@@ -27,29 +26,28 @@
 	}
 }
 
-// bestPicks are the best upstreams for a new flow, by what speaks for or against them.
+// bestPicks are the best upstreams for a new flow, by category.
 type bestPicks struct {
 	own        pick // in this data centre
-	ownFull    pick // there, but one more flow would be answered late
-	ownSpare   pick // there, and cold: it bears one more flow now
+	ownFull    pick // in this data centre, but one more flow would be answered late
+	ownSpare   pick // in this data centre and cold, with capacity for one more flow now
 	other      pick // in another data centre
-	otherFull  pick
-	lastResort pick // ejected, or the one that is left out
+	otherFull  pick // in another data centre, but one more flow would be answered late
+	lastResort pick // ejected, or the one to leave out
 }
 
-// Excluded counts upstreams that might not get a flow, by why.
+// Excluded counts the upstreams that are not eligible for a flow, by reason.
 type Excluded [stoatfilter.VerdictCount]int
 
-// choose returns the upstream for a new flow and whether it may get one, or nil when there is
-// none, and what was left out. except is left out as long as there is another one.
+// choose returns the upstream for a new flow, or nil if there is none; whether the flow is admitted; and how many
+// upstreams were not eligible. The upstream except is used only as a last resort; retried says that the opening is
+// a retransmission of one that was not answered.
 //
-// Which upstreams may get it at all is decided before (stoatfilter); of these the best one is chosen.
-// The own data centre goes first, and in it those that would answer in time: the one with the
-// least load may be full for all entries while another one is not. Where none would, the flow is
-// refused: sent to another data centre, it fills that one next when all have too much. Ejected
-// upstreams are the last resort: if all are ejected the evidence speaks of this entry's network
-// rather than of them.
-// Again says that it is a copy of an opening which went unanswered.
+// Package stoatfilter decides which upstreams are eligible at all; choose takes the best of them. The own data
+// centre is preferred, and in it the upstreams that would answer in time: the one with the least load may be full
+// while another one is not. If none would answer in time, the flow is refused, since sending it to another data
+// centre would fill that one next in a general overload. Ejected upstreams are the last resort: if all are
+// ejected, the cause is more likely this entry's network than the upstreams.
 func (e *Engine) choose(now time.Time, t *stoatroute.Table, r *stoatroute.Route, except stoatpaddle.UpstreamKey, retried bool) (*stoatroute.Upstream, bool, Excluded) {
 	var o bestPicks
 	var excluded Excluded
@@ -67,7 +65,7 @@
 	return up, admitted, excluded
 }
 
-// placement is what is the same for all upstreams that a flow may go to.
+// placement is what all candidate upstreams of a new flow have in common.
 type placement struct {
 	now      time.Time
 	route    *stoatroute.Route
@@ -76,7 +74,7 @@
 	retried  bool
 }
 
-// consider weighs one upstream.
+// consider evaluates one upstream.
 func (e *Engine) consider(t *stoatroute.Table, c *placement, u *stoatroute.Upstream, o *bestPicks, excluded *Excluded) {
 	h := e.health[u.Key]
 	if h == nil {
@@ -90,7 +88,7 @@
 		excluded[v]++
 		return
 	}
-	// The order of equals must differ from entry to entry, or all would start with the same.
+	// Equal costs must be ordered differently at each entry, or all entries would start with the same upstream.
 	cost := h.cost(c.now, u, c.patience) * (1 + jitter*e.rnd.Float64())
 	if h.suspected() && (c.retried || c.now.Before(h.group.nextTrial)) {
 		cost *= slowPenalty
@@ -112,13 +110,13 @@
 	}
 }
 
-// maxCandidates bounds how many upstreams a new flow is weighed for, of the own data centre and of all others
-// together. An entry before 1,600 upstreams of a service meets each of them a few times an hour: what it knows
-// of one more is nothing, and an opening would cost as much as the service is large.
+// maxCandidates bounds how many upstreams are evaluated for a new flow, in the own data centre and in all others
+// together. An entry in front of 1,600 upstreams of a service sends each of them a few flows an hour, and so knows
+// nothing about most of them. Without the bound, an opening would cost time in proportion to the size of the service.
 const maxCandidates = 128
 
-// sampleGroups calls do with some upstreams of the own data centre and some of the others, of each of these as
-// many as its part in the others.
+// sampleGroups calls do with a sample of the upstreams of the own data centre and a sample of the others, in which
+// each data centre has a share in proportion to its size.
 func (e *Engine) sampleGroups(groups []stoatroute.Group, total int, do func(u *stoatroute.Upstream)) {
 	others := total
 	for _, g := range groups {
@@ -135,8 +133,8 @@
 	}
 }
 
-// sample calls do with as many of a list, spread over it at random, each with the same chance; with all of a
-// list that is no longer.
+// sample calls do with a random stratified sample of at most the given size, in which each element of the list has
+// the same chance; with all elements if the list is no longer than that.
 func (e *Engine) sample(list []*stoatroute.Upstream, size int, do func(u *stoatroute.Upstream)) {
 	if len(list) <= size {
 		for _, u := range list {
@@ -150,7 +148,7 @@
 	}
 }
 
-// best returns the upstream to use, and whether it may get the flow.
+// best returns the upstream to use, and whether the flow is admitted.
 func (o *bestPicks) best(now time.Time, patience time.Duration) (*stoatroute.Upstream, bool) {
 	switch {
 	case o.own.up != nil && o.other.up != nil && spillsOver(now, patience, &o.own, &o.other):
@@ -169,9 +167,9 @@
 	return o.lastResort.up, true
 }
 
-// spillsOver tells whether a flow goes to another data centre although the own one could take
-// it: when the best upstream here owes an answer and the best there does not, or when this
-// entry alone has filled the best one here, and left much of the best one there.
+// spillsOver reports whether a flow goes to another data centre although the own one could take it: if the best
+// upstream here is slow to answer and the best one there is not, or if this entry alone has filled the slots of the
+// best one here and taken far fewer of the best one there.
 func spillsOver(now time.Time, patience time.Duration, own, other *pick) bool {
 	if other.h.slowToAnswer(now, patience) {
 		return false
@@ -183,10 +181,10 @@
 	return here >= 1 && there*spillFactor <= here
 }
 
-// jitter spreads equal costs.
+// jitter randomizes the order of equal costs.
 const jitter = 0.05
 
-// backend returns the service for a new flow, by weight.
+// backend picks the service for a new flow, at random by weight.
 func (e *Engine) backend(r *stoatroute.Route) stoatpaddle.ServiceID {
 	if len(r.Backends) == 1 {
 		return r.Backends[0].Service
--- a/stoatecho/doc.go
+++ b/stoatecho/doc.go
@@ -1,7 +1,13 @@
-// Package stoatecho decides where each packet of a flow goes on a fabric whose packets
-// bring back what an entry wrote into them.
+// Package stoatecho decides where each packet of a flow goes on an echo fabric: one whose packets carry back the
+// cookie that an entry wrote into them.
 //
-// The cookie of an opening packet names the upstream that was chosen, and every later
-// packet brings it to whichever entry it reaches. Nothing has to be remembered for a flow
-// to survive; what is remembered serves only to judge upstreams. No I/O, no clock.
+// A flow begins with an opening (a TCP SYN or a first UDP packet). The entry that receives the opening chooses an
+// upstream and names it in the cookie. Every later packet brings that cookie to whichever entry it reaches, so
+// that no entry has to remember a flow for the flow to survive. What an entry does remember serves only to judge
+// upstreams: their load, and whether they are alive. Upstreams answer callers directly, so an entry sees only the
+// callers' packets and infers answers from their acknowledgements.
+//
+// An entry refuses an opening; an upstream rejects a request.
+//
+// The package performs no I/O and reads no clock.
 package stoatecho
--- a/stoatecho/ended.go
+++ b/stoatecho/ended.go
@@ -7,25 +7,26 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// When an open flow is reset for its upstream's end: only when the platform says that it has ended.
+// Open flows are reset because of their upstream only when the platform says that the upstream has ended.
 //
-// The failure: nine times the usual traffic. Upstreams answer after half a second, callers repeat
-// after 0.2 s, links of entries and their sockets hold packets for as long, and two entries wait for
-// the same full upstream. An entry sees callers' packets only, so that all of this looks like an
-// upstream that is dead; flows of minutes of age were reset, hundreds at once, whose upstreams served.
-// No evidence of an entry's own tells a queue from a death, and what two entries see is one queue. So
-// silence keeps new flows away (ejection), which costs nothing if it is wrong, and nothing else.
+// Silence is no proof of that. Under nine times the usual traffic, upstreams answer after half a second and callers
+// retransmit after 0.2 s. The links and sockets of entries delay packets for as long, and two entries wait for the same
+// full upstream. As an entry sees only the callers' packets, all of this looks like a dead upstream: hundreds of flows,
+// minutes old, were reset at once although their upstreams were serving. An entry's own evidence cannot tell a queue
+// from a dead upstream, and two entries may see the same queue. So silence only ejects the upstream, which keeps new
+// flows away and does no harm if it is wrong.
 
-// Unanswered is a flow to reset of which no packet is at hand: its caller waits for an answer.
+// OrphanedFlow is a flow to reset that waits for an answer of an upstream which has ended. There is no packet of its
+// caller to answer with a reset.
 type Unanswered struct {
 	Tuple    stoatpacket.Tuple
-	Ack      uint32 // what its caller acknowledged last
+	Ack      uint32 // the caller's last acknowledgement number
 	Upstream *stoatroute.Upstream
 }
 
-// hasEnded tells whether flows of the upstream are to be reset. A registration ends too when its
-// upstream alone cannot reach the platform: one that has answered since keeps its open flows, and
-// gets no new ones.
+// hasEnded reports whether flows of the upstream are to be reset. A registration also ends if only the upstream's
+// connection to the platform is lost: an upstream that has answered since then keeps its open flows and gets no new
+// ones.
 func (e *Engine) hasEnded(u *stoatroute.Upstream) bool {
 	if u.Standing != stoatroute.Gone {
 		return false
@@ -34,14 +35,16 @@
 	return h == nil || !h.lastAnswer.After(u.Ended)
 }
 
-// TakeEnded returns the flows that wait for an answer of upstreams which ended since the last call.
+// TakeOrphanedFlows forgets and returns the flows that wait for an answer of an upstream which has ended since the
+// last call.
 //
-// The failure: an upstream takes a request and dies. Its caller has nothing to repeat and waits until
-// it gives up, or its next repeat is 1.6 s away; told now, it is served elsewhere in time.
+// If an upstream dies after it received a request, its caller has nothing to retransmit and waits until it gives up, or
+// retransmits only after 1.6 s. A reset lets the caller try elsewhere in time.
 //
-// A registration ends too when its upstream alone cannot reach the platform. One that lives is at work
-// on what it was asked a moment ago, and its answers must reach their callers: so only requests are given
-// up that wait for longer than callers wait until they repeat, at an upstream that gave no sign for as long.
+// A registration also ends if only the upstream's connection to the platform is lost. Such an upstream still works on
+// recent requests, and their answers have to reach the callers. So a flow is returned only if its request has been
+// pending for as long as callers wait before they retransmit, at an upstream that has given no sign of life for as
+// long.
 func (e *Engine) TakeEnded(now time.Time, t *stoatroute.Table) []Unanswered {
 	var out []Unanswered
 	ended := map[*stoatroute.Upstream]bool{}
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -15,7 +15,7 @@
 	w.book.Remove(w.now, id, w.rev)
 }
 
-// flows opens so many flows to the upstream.
+// flowsTo opens n flows to the upstream.
 func (w *world) flowsTo(target stoatpaddle.Target, n int) []*caller {
 	var out []*caller
 	for len(out) < n {
@@ -24,7 +24,7 @@
 	return out
 }
 
-// wantForward fails if a packet of an open flow was answered with a reset.
+// wantForward fails the test if a packet of an open flow was not forwarded.
 func wantForward(t *testing.T, when string, a stoatecho.Action) {
 	t.Helper()
 	if a.Verdict != stoatecho.Forward {
@@ -32,10 +32,9 @@
 	}
 }
 
-// A burst of nine times the traffic with large uploads. Each is sixteen packets on their way, of
-// which callers repeat what is not acknowledged after 0.2 s; the upstream works off its queue and
-// answers each after 0.6 s, while another one, without a queue, answers at once. Callers see slow
-// uploads; none of their flows may be reset.
+// Large uploads in a burst of nine times the usual traffic: each has many packets under way, and callers retransmit after
+// 0.2 s what is not acknowledged. One upstream has a queue and answers after 0.6 s, while another one answers at once.
+// The uploads are slow, but none of their flows may be reset.
 func TestUploadsThroughAQueueGoOn(t *testing.T) {
 	w := newWorld(t)
 	full, quick := w.flowsTo(1, 4), w.flowsTo(2, 2)
@@ -52,7 +51,7 @@
 				c.ackAnswer()
 			}
 			for _, c := range full {
-				wantForward(t, "repeat", c.retransmit())
+				wantForward(t, "retransmission", c.retransmit())
 			}
 			if n == 1 {
 				wantForward(t, "next packet of an upload", full[3].sendRequest())
@@ -64,9 +63,9 @@
 	}
 }
 
-// Two entries have requests in the queue of one upstream that is full, and hear from all others.
-// Both wait for it in vain, and each tells the other: new flows go elsewhere, which is right. But a
-// second entry sees the same queue, so that it is no proof of a death: no open flow is reset.
+// Two entries have requests in the queue of one full upstream, and hear from all others. Both report that they wait in
+// vain, so that new flows go elsewhere. But both see the same queue, which does not prove that the upstream is dead: no
+// open flow may be reset.
 func TestTwoEntriesThatWaitForAFullUpstream(t *testing.T) {
 	x := newEntries(t, 3)
 	var waiting []*caller
@@ -82,19 +81,18 @@
 		x.after(210 * ms)
 		x.hearFromHealthy()
 		for _, c := range waiting {
-			wantForward(t, "repeat", c.retransmit())
+			wantForward(t, "retransmission", c.retransmit())
 		}
 		x.waitWithTraffic()
 		x.exchangeReports()
 	}
 	if got := x.list[2].openFlows(20); got["i-1"] != 0 {
-		t.Error("new flows go on to the upstream that answers nobody:", got)
+		t.Error("new flows still go to the silent upstream:", got)
 	}
 }
 
-// An entry with little of a core reads its socket 0.6 s late in a burst, and does not know it yet:
-// repeats of requests that were answered long ago come before the packets that acknowledge the
-// answers. No flow of theirs may be reset.
+// In a burst, an entry with little CPU reads its socket 0.6 s late and does not know it yet: retransmissions of requests
+// that were answered long ago come before the acknowledgements of the answers. None of those flows may be reset.
 func TestEntryThatReadsLateResetsNothing(t *testing.T) {
 	w := newWorld(t)
 	there, others := w.openAtBoth(12)
@@ -106,7 +104,7 @@
 		others[0].ackAnswer()
 		others[0].sendRequest()
 		for _, f := range there {
-			wantForward(t, "repeat that waited in the socket", f.retransmit())
+			wantForward(t, "retransmission that was queued in the socket", f.retransmit())
 		}
 	}
 	for _, f := range there {
@@ -114,10 +112,9 @@
 	}
 }
 
-// An upstream takes requests and dies. Its callers have nothing to repeat, so that no packet of
-// theirs comes here, or only 1.6 s later. When the platform says that it has ended, all that wait
-// there are told at once, whatever their requests; flows elsewhere are not, and idle ones are told
-// with their next packet.
+// An upstream accepts requests and dies. Its callers have nothing to retransmit, or retransmit only 1.6 s later. When the
+// platform says that the upstream has ended, the flows with pending requests are reset at once. Flows at other upstreams
+// are not, and idle flows are reset with their next packet.
 func TestPendingFlowsAreResetAfterEnd(t *testing.T) {
 	w := newWorld(t)
 	waiting, idle, other := w.flowsTo(1, 3), w.flowTo(1), w.flowTo(2)
@@ -136,17 +133,17 @@
 		taken[x.Tuple] = true
 	}
 	if len(taken) != 3 || taken[other.tuple] || taken[idle.tuple] {
-		t.Errorf("told: %v", taken)
+		t.Errorf("returned: %v", taken)
 	}
 	if again := w.e.TakeEnded(w.now, w.book.Table()); len(again) != 0 {
-		t.Errorf("told twice: %+v", again)
+		t.Errorf("returned twice: %+v", again)
 	}
 	wantReset(t, idle.sendRequest(), stoatpacket.DropGone)
 	wantForward(t, "elsewhere", other.retransmit())
 }
 
-// The registration of an upstream ends, since it alone cannot reach the platform. It answers a
-// caller after that: it lives, and whoever waits there goes on.
+// An upstream loses its connection to the platform, so that its registration ends, and answers a caller after that. It is
+// alive, and its pending flows go on.
 func TestEndedUpstreamThatAnsweredKeepsItsFlows(t *testing.T) {
 	w := newWorld(t)
 	one, two := w.flowTo(1), w.flowTo(1)
@@ -156,13 +153,13 @@
 	one.ackAnswer()
 	two.sendRequest()
 	if list := w.e.TakeEnded(w.now, w.book.Table()); len(list) != 0 {
-		t.Errorf("told although it answers: %+v", list)
+		t.Errorf("returned although the upstream answers: %+v", list)
 	}
 	wantForward(t, "after the end", two.retransmit())
 }
 
-// The registration of an upstream ends, since it alone cannot reach the platform, while it is at work on
-// requests of some milliseconds ago. It lives: their answers come, and none of their flows is reset.
+// An upstream loses its connection to the platform, so that its registration ends, while it works on requests that are
+// some milliseconds old. It is alive: their answers come, and none of their flows may be reset.
 func TestRecentRequestsOutliveRegistration(t *testing.T) {
 	w := newWorld(t)
 	flows := w.flowsTo(1, 3)
@@ -173,7 +170,7 @@
 	}
 	w.endRegistration("i-1")
 	if list := w.e.TakeEnded(w.now, w.book.Table()); len(list) != 0 {
-		t.Errorf("told while their upstream is at work: %+v", list)
+		t.Errorf("returned while their upstream works on them: %+v", list)
 	}
 	w.after(10 * ms)
 	for _, c := range flows {
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -15,28 +15,28 @@
 	DataCentre stoatpaddle.DataCentreID
 	Start      time.Time
 	Regions    stoatfilter.Regions
-	MaxFlows   int // remembered at once
+	MaxFlows   int // how many flows are remembered at once
 	Seed       uint64
 }
 
 const (
-	// defaultMaxFlows bounds the memory: 200 bytes a flow. A flow that is not remembered is
-	// served like any other; it is only not counted.
+	// defaultMaxFlows bounds the memory, at 200 bytes a flow. A flow that is not remembered is served like any
+	// other, but is not counted.
 	defaultMaxFlows = 1 << 16
-	// startGrace is how long after its start an entry without a table holds packets: the table
-	// comes within 50 ms if the platform or a neighbour answers. Then it refuses at once.
+	// startGrace is how long after its start an entry without a table holds packets: the table arrives within
+	// 50 ms if the platform or a neighbour answers. After that, the entry refuses openings at once.
 	startGrace = time.Second
-	// flowIdleTimeout is how long a flow is remembered of which no packet comes.
+	// flowIdleTimeout is how long a flow without packets is remembered.
 	flowIdleTimeout = 20 * time.Second
 )
 
-// Verdict tells what to do with a packet.
+// Verdict says what to do with a packet.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Drop    Verdict = iota
-	Forward         // to Upstream, with its cookie
+	Forward         // send it to Upstream, with its cookie
 	Reset           // answer the caller with a reset
 	Wait            // hold the packet until there is a table
 )
@@ -44,91 +44,93 @@
 // Action is the decision about one packet.
 type Action struct {
 	Verdict  Verdict
-	Upstream *stoatroute.Upstream // also of a flow that is reset, where it is known
+	Upstream *stoatroute.Upstream // set for a flow that is reset too, if its upstream is known
 	Reason   stoatpacket.DropReason
-	Opened   bool // a flow was placed
-	Moved    bool // its opening went elsewhere before and got no answer
-	Repeats  int  // how often the packet's flow repeated itself, where known
-	// Took is how long the answer took that the packet acknowledges; Late says that this is
-	// more than its route's objective.
+	Opened   bool // a new flow was placed
+	Moved    bool // its opening went to another upstream before and was not answered
+	Repeats  int  // retransmissions of the flow's packet, where known
+	// AnswerTime is how long the answer took that the packet acknowledges; Late reports that this exceeds the
+	// latency objective of the route.
 	Took time.Duration
 	Late bool
-	// Busy and Mean are what the upstream had in progress from here and the answer time that was
-	// expected of it (0: not known), where they decided; Bound is what Mean may be for the flow to be admitted.
+	// InProgress is the number of requests of this entry that are pending at the upstream, for an opening together with
+	// the pending openings. ExpectedAnswer is the answer time expected of the upstream (0: unknown), and AnswerBound the
+	// greatest ExpectedAnswer with which the flow is admitted; both are set for openings.
 	Busy  int
 	Mean  time.Duration
 	Bound time.Duration
-	// TurnedAway is which part of their requests of late the upstreams refused, where the flow gave way for it.
+	// RejectedShare is the share of recent requests that the upstreams rejected, if the flow was refused for it.
 	TurnedAway float64
-	// Excluded counts the upstreams that might not get the flow, where it was refused.
+	// Excluded counts the upstreams that were not eligible for the flow, if it was refused.
 	Excluded Excluded
-	// Ejected is the upstream that gets no flows for a while, on the packet's evidence, or nil.
+	// Ejected is the upstream that the packet caused to be ejected, so that it gets no new flows for a while, or nil.
 	Ejected *stoatroute.Upstream
-	Silence time.Duration // of Ejected
-	Waiting int           // requests from here that wait at Ejected
+	Silence time.Duration // how long Ejected has been silent
+	Waiting int           // requests of this entry that are pending at Ejected
 }
 
-// flow is what is remembered of a flow, to judge its upstream.
+// flow is what an entry remembers of a flow in order to judge its upstream.
 type flow struct {
 	key      stoatpaddle.UpstreamKey
 	lastSeen time.Time
-	// lastProgress is when the caller last sent something new of its request.
+	// lastProgress is when the caller last sent new data of its request.
 	lastProgress      time.Time
-	requestStart      time.Time // when its request began; zero: none is in progress
-	requestAck        uint32    // what the caller acknowledged when it began
+	requestStart      time.Time // when its pending request began; zero: none is pending
+	requestAck        uint32    // the caller's acknowledgement number when the request began
 	seq               uint32    // last sequence number with data
-	nextSeq           uint32    // the one that follows that data
+	nextSeq           uint32    // the sequence number after that data
 	retransmissions   int
-	concurrency       int // requests in progress at its upstream when its own began, itself included
+	concurrency       int // requests and openings pending at its upstream when its request began, itself included
 	opening           bool
-	hasRequestTimeout bool // it stands in Engine.answers
-	hasFailureTimeout bool // it stands in Engine.owed
+	hasRequestTimeout bool // it is in Engine.requestTimeouts
+	hasFailureTimeout bool // it is in Engine.failureTimeouts
 }
 
-// Stats counts what the engine did since its start.
+// Stats counts what the engine did since it was created.
 type Stats struct {
 	Opened, Moved, Ejected, Refused int64
-	Together                        int64 // ejections by what the data centre saw together
-	Answered, Late                  int64 // requests; late: over their route's objective
-	TurnedAway                      int64 // of those answered: upstreams refused them, as far as can be told
-	Elsewhere                       int64 // requests noted here whose answer another entry saw
+	Together                        int64 // ejections that follow from the reports of all entries of the data centre
+	Answered, Late                  int64 // requests; late: longer than the latency objective of the route
+	TurnedAway                      int64 // answered requests that the upstream rejected, as far as can be inferred
+	Elsewhere                       int64 // requests that began here and whose answer another entry saw
 	Resets, Drops                   [stoatpacket.DropCount]int64
 	Forwarded                       int64
 	Flows                           int
 }
 
-// Engine decides for one entry. One goroutine uses it at a time.
+// Engine decides for one entry. It is not safe for concurrent use.
 type Engine struct {
 	cfg     Config
 	filter  stoatfilter.Filter
 	placing stoatfilter.Placing
-	health  map[stoatpaddle.UpstreamKey]*health // of upstreams that this entry met
-	// recheck are those of them to look at with the next table whatever changes in it: they are new, perhaps
-	// by a packet that came with the table before, or have something in progress though they are in none.
+	health  map[stoatpaddle.UpstreamKey]*health // of the upstreams that this entry has seen
+	// recheck has the upstreams that the next Retain looks at even if the table does not differ there: those that
+	// are new, since the packet may have come with the previous table, and those that are in no table but still have
+	// something in progress.
 	recheck         map[stoatpaddle.UpstreamKey]bool
-	retainedTable   *stoatroute.Table // the last one that Retain took in
+	retainedTable   *stoatroute.Table // the table of the last Retain
 	flows           map[stoatpacket.Tuple]*flow
-	unprovenCookies map[stoatpaddle.UpstreamKey]time.Time // since when a cookie waits for proof
+	unprovenCookies map[stoatpaddle.UpstreamKey]time.Time // unknown cookies, and when each was first seen
 	rnd             *rand.Rand
 	stats           Stats
 	lastSweep       time.Time
-	// lastOpenings is the latest opening of each caller: one that comes back at once was refused.
+	// lastOpenings is the latest opening of each caller: a caller that comes back at once was refused.
 	lastOpenings    map[callerKey]stoatpacket.Tuple
 	handshake       handshake
-	lastAlive       time.Time // the last one of any upstream
+	lastAlive       time.Time // latest sign of life of any upstream
 	openingTimeouts timeoutQueue
-	failureTimeouts timeoutQueue // requests, until they count as failed
+	failureTimeouts timeoutQueue // requests that count as failed when they expire
 	dataCentreSums  map[stoatpaddle.UpstreamKey]dataCentreSum
-	requestTimeouts timeoutQueue
-	// patienceTimeouts may turn out to wait in vain.
+	requestTimeouts timeoutQueue // requests that no longer count as pending when they expire
+	// patienceTimeouts has the openings that are reported as unanswered when they expire.
 	patienceTimeouts timeoutQueue
-	openingsChecked  time.Time // when these were looked through last
-	lastAdoption     time.Time // when a flow last came that another entry had placed
-	reportChanged    bool      // what this entry says of upstreams changed
+	openingsChecked  time.Time // when patienceTimeouts was last checked
+	lastAdoption     time.Time // when a packet last came of a flow that another entry had placed
+	reportChanged    bool      // what this entry reports about upstreams has changed
 	groups           map[groupKey]*group
 	answerSizes      answerSizes
-	endedUpTo        uint64    // the table's count of changes at the last TakeEnded
-	queueEmptied     time.Time // when everything that had come was handled; zero: always
+	endedUpTo        uint64    // the table's change counter at the last TakeOrphanedFlows
+	queueEmptied     time.Time // when this entry had last handled all packets received; zero: it never lags
 }
 
 // New returns an Engine.
@@ -143,34 +145,34 @@
 	}
 }
 
-// SetPlace takes in this entry's place among those of its data centre.
+// SetPlace sets this entry's place among the entries of its data centre.
 func (e *Engine) SetPlace(now time.Time, p stoatfilter.Place) {
 	e.placing.Set(now, p)
 	e.filter.Place = e.placing.At(now)
 }
 
-// SetRegions replaces the regions of data centres.
+// SetRegions replaces the regions of the data centres.
 func (e *Engine) SetRegions(r stoatfilter.Regions) { e.filter.Regions = r }
 
-// Stats returns what was done so far.
+// Stats returns the counts so far.
 func (e *Engine) Stats() Stats {
 	s := e.stats
 	s.Flows = len(e.flows)
 	return s
 }
 
-// InProgress is what this entry has in progress at one upstream.
+// UpstreamState is what this entry knows of one upstream.
 type InProgress struct {
 	Upstream stoatpaddle.UpstreamKey
-	Flows    int
-	Requests int
-	Mean     time.Duration // of answers
+	Flows    int           // open flows seen here
+	Requests int           // pending requests of this entry
+	Mean     time.Duration // mean answer time
 	Ejected  bool
 	Failing  bool // it gets no new flows since it fails requests
-	Avoided  bool // new flows prefer others, on what this entry or another one saw
+	Avoided  bool // new flows prefer other upstreams, on the evidence of this entry or of another one
 }
 
-// InProgress returns what is in progress at each upstream that this entry met, in any order.
+// UpstreamStates returns the state of each upstream that this entry has seen, in no particular order.
 func (e *Engine) InProgress(now time.Time) []InProgress {
 	out := make([]InProgress, 0, len(e.health))
 	for k, h := range e.health {
@@ -179,17 +181,17 @@
 	return out
 }
 
-// Drained takes in when everything that had come to this entry was handled: what has come since
-// may be waiting for it.
+// NoteQueueEmpty records when this entry had last handled every packet it received; packets that came later may
+// still be queued.
 func (e *Engine) Drained(at time.Time) { e.queueEmptied = at }
 
-// behind tells whether this entry handles packets so late that the silence of an upstream may be
-// its own: an answer's acknowledgement may be among what waits.
+// behind reports whether this entry handles packets so late that an upstream may only seem silent: the
+// acknowledgement of its answer may still be queued here.
 func (e *Engine) behind(now time.Time) bool {
 	return !e.queueEmptied.IsZero() && now.Sub(e.queueEmptied) > localFaultSilence
 }
 
-// Handle decides about one packet.
+// Handle decides what to do with one packet.
 func (e *Engine) Handle(now time.Time, t *stoatroute.Table, p *stoatpacket.Packet) Action {
 	e.sweep(now)
 	e.expire(now)
@@ -211,7 +213,7 @@
 	}
 	r := t.Route(p.Tuple.Dst)
 	if r == nil {
-		// Resets must not answer resets.
+		// A reset must not be answered with a reset.
 		if p.Reset {
 			return Action{Reason: stoatpacket.DropNoRoute}
 		}
@@ -224,8 +226,8 @@
 	return e.forwardOpen(now, t, r, p)
 }
 
-// beforeTable handles a packet that comes before there is a table. Only an opening is refused:
-// whether an open flow can live is not known.
+// beforeTable handles a packet that comes before there is a table. Only an opening is refused: whether the
+// upstream of an open flow is alive is not known.
 func (e *Engine) beforeTable(now time.Time, p *stoatpacket.Packet) Action {
 	switch {
 	case now.Sub(e.cfg.Start) <= startGrace:
@@ -242,7 +244,7 @@
 	if u == nil {
 		return e.unknownCookie(now, t, p)
 	}
-	// A caller can write any cookie; one of another service must not bring its packets there.
+	// A caller can forge a cookie; the cookie of another service must not route its packets there.
 	if !r.Had(u.Service) {
 		return Action{Reason: stoatpacket.DropForged}
 	}
@@ -257,10 +259,9 @@
 	return a
 }
 
-// unknownCookie handles a cookie of which this entry never heard. Its upstream may be younger
-// than this entry's view; only an answer to a question that was sent after the packet came
-// proves that it is gone. Until then the caller repeats itself, and a reset would break a
-// flow that is alive.
+// unknownCookie handles a cookie that is not in the table. Its upstream may have registered after the table was
+// read; only a platform read that began after the packet came proves that the upstream is gone. Until then the
+// packet is dropped and the caller retransmits it, since a reset would break a live flow.
 func (e *Engine) unknownCookie(now time.Time, t *stoatroute.Table, p *stoatpacket.Packet) Action {
 	since, waits := e.unprovenCookies[p.Cookie]
 	if !waits {
@@ -275,5 +276,6 @@
 	return Action{Verdict: Reset, Reason: stoatpacket.DropGone}
 }
 
-// maxUnproven bounds the cookies that are waited for: a flood of forged ones must not fill the memory.
+// maxUnproven bounds the unknown cookies that are remembered, so that a flood of forged ones cannot exhaust the
+// memory.
 const maxUnproven = 4096
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -15,13 +15,13 @@
 var (
 	start             = time.Unix(1000, 0)
 	idempotentAddr    = netip.MustParseAddrPort("198.18.0.1:8443") // its requests may run twice
-	nonIdempotentAddr = netip.MustParseAddrPort("198.18.0.1:8080") // its requests may not
-	intakeAddr        = netip.MustParseAddrPort("198.18.0.2:8443") // of another service
+	nonIdempotentAddr = netip.MustParseAddrPort("198.18.0.1:8080") // its requests must not run twice
+	intakeAddr        = netip.MustParseAddrPort("198.18.0.2:8443") // an address of another service
 )
 
 const ms = time.Millisecond
 
-// world is an engine with a book and a clock.
+// world is a test fixture: an engine, the book that makes its tables, and a clock.
 type world struct {
 	t    *testing.T
 	now  time.Time
@@ -31,7 +31,8 @@
 	port uint16
 }
 
-// newWorld has upstreams 1 and 2 of service app here, 3 elsewhere, and 9 of service intake here.
+// newWorld returns a world with upstreams 1 and 2 of service app in this data centre, 3 in another one, and 9 of
+// service intake in this one.
 func newWorld(t *testing.T) *world {
 	w := &world{t: t, now: start, book: stoatroute.NewBook(stoatroute.Config{}), port: 40000}
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start.Add(-time.Minute), Seed: 1})
@@ -67,7 +68,7 @@
 	return w
 }
 
-// caller is one flow.
+// caller is the caller's side of one flow.
 type caller struct {
 	w      *world
 	tuple  stoatpacket.Tuple
@@ -91,7 +92,7 @@
 	return c.send(stoatpacket.Packet{Opens: true, Copies: copies})
 }
 
-// open sends a SYN and the packet that completes the handshake, 10 ms later.
+// open sends a SYN and, 10 ms later, the packet that completes the handshake.
 func (c *caller) open() *stoatroute.Upstream {
 	c.w.t.Helper()
 	a := c.syn(0)
@@ -105,7 +106,7 @@
 	return a.Upstream
 }
 
-// sendRequest sends a request; again sends it once more; done acknowledges its answer.
+// sendRequest sends a new request, retransmit sends it again, and ackAnswer acknowledges its answer.
 func (c *caller) sendRequest() stoatecho.Action {
 	c.seq += 100
 	return c.retransmit()
@@ -134,7 +135,7 @@
 	}
 }
 
-// Ten flows open at once: they spread over the own data centre's two upstreams.
+// Ten flows that open at once spread over the two upstreams of the own data centre.
 func TestSpreadsByLoadInOwnDataCentre(t *testing.T) {
 	w := newWorld(t)
 	got := map[stoatpaddle.UpstreamID]int{}
@@ -150,8 +151,8 @@
 	}
 }
 
-// A packet of an open flow reaches an entry that never saw it, as each does when an entry
-// joins: the cookie alone decides.
+// A packet of an open flow reaches an entry that never saw the flow, as happens when an entry joins. The cookie alone
+// decides where the packet goes.
 func TestUnseenFlowFollowsItsCookie(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -161,7 +162,7 @@
 	}
 }
 
-// A caller writes the cookie of another service's upstream into its packets: none may get there.
+// A caller forges the cookie of another service's upstream: its packets must not get there.
 func TestForgedCookie(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -169,7 +170,7 @@
 	wantDrop(t, c.sendRequest(), stoatpacket.DropForged)
 }
 
-// A route moves to another service: open flows stay where they are, new ones go there.
+// A route moves to another service: open flows stay where they are, and new ones go to the new service.
 func TestRouteMoves(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -183,8 +184,8 @@
 	}
 }
 
-// A route is removed: its flows end at once instead of waiting for their callers' patience;
-// a reset is not answered.
+// A route is removed: its flows are reset at once, so that callers need not wait until they give up. A reset is not
+// answered with one.
 func TestRouteRemoved(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -196,8 +197,8 @@
 	wantDrop(t, c.send(stoatpacket.Packet{Reset: true, Ends: true}), stoatpacket.DropNoRoute)
 }
 
-// A flow's upstream registered a moment ago and this entry has not heard of it yet. A reset
-// would break a live flow. An answer to a question sent after the packet proves it gone.
+// The upstream of a flow has just registered, and this entry has not heard of it yet: a reset would break a live flow.
+// Only a platform read that began after the packet came proves that the upstream is gone.
 func TestUnknownCookieWaitsForProof(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -211,8 +212,8 @@
 	wantReset(t, c.retransmit(), stoatpacket.DropGone)
 }
 
-// An upstream ended: its caller is told at once. One that leaves keeps its open flows and
-// gets no new ones. One whose registration lapsed with the platform goes on as before.
+// Callers of an upstream that has ended are reset at once. An upstream that is leaving keeps its open flows and gets no
+// new ones. An upstream whose registration expired while the platform was away goes on as before.
 func TestStandings(t *testing.T) {
 	w := newWorld(t)
 	callers := map[stoatpaddle.UpstreamID]*caller{}
@@ -237,8 +238,8 @@
 	}
 }
 
-// An upstream alone cannot reach the platform, so that its registration ends; it goes on
-// answering. Open flows stay, as soon as one of them shows that it lives; no new one goes there.
+// An upstream loses its connection to the platform, so that its registration ends, but still answers. Its open flows go
+// on once one of them shows that it is alive, and it gets no new ones.
 func TestEndedButAnswering(t *testing.T) {
 	w := newWorld(t)
 	var list []*caller
@@ -260,19 +261,19 @@
 		t.Errorf("%+v", a)
 	}
 	if up := w.caller(idempotentAddr).open(); up.ID == "i-1" {
-		t.Error("it gets new flows")
+		t.Error("an upstream that has ended gets new flows")
 	}
 }
 
-// No upstream can take the flow: the caller is told at once, not left until its patience ends.
+// No upstream can take the flow: the caller is refused at once, so that it need not wait until it gives up.
 func TestNoUpstreamAvailable(t *testing.T) {
 	w := newWorld(t)
 	w.book.Remove(w.now, "i-9", 99)
 	wantReset(t, w.caller(intakeAddr).syn(0), stoatpacket.DropNoUpstream)
 }
 
-// An entry starts. What comes before its table waits; after a second an opening is refused
-// at once, so that its caller tries another entry.
+// Packets that come before an entry has its first table are held. A second after the start, openings are refused at
+// once, so that callers try another entry.
 func TestEntryWithoutTable(t *testing.T) {
 	w := newWorld(t)
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now, Seed: 1})
@@ -286,8 +287,8 @@
 	wantDrop(t, c.sendRequest(), stoatpacket.DropYoung)
 }
 
-// An opening is lost on the way; its upstream answers others meanwhile. The copy goes to
-// the same one: at another the flow could be open twice.
+// An opening is lost while its upstream answers other callers. The retransmission goes to the same upstream: at another
+// one the flow could be open twice.
 func TestLostOpeningGoesToTheSame(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -304,8 +305,8 @@
 	}
 }
 
-// An upstream died and gives no sign. The copy of an opening goes to another one, 200 ms
-// after the first; new flows avoid it after 60 ms already.
+// An upstream is dead. An opening that is retransmitted after 200 ms goes to another one; new flows avoid the dead
+// upstream after 60 ms already.
 func TestDeadUpstreamIsAvoided(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(nonIdempotentAddr)
@@ -322,9 +323,9 @@
 	}
 }
 
-// An upstream with open flows dies. Two callers repeat themselves and nothing comes back
-// for 200 ms: it gets no flows for a second. No open flow is reset for it, since a full queue
-// looks the same; once the platform says that the upstream has ended, they are.
+// An upstream with open flows dies. Once two callers have retransmitted and nothing has come back for 200 ms, it gets no
+// flows for a second. No open flow is reset, since a full queue looks the same; that happens only once the platform
+// says that the upstream has ended.
 func TestDeadUpstreamIsEjected(t *testing.T) {
 	w := newWorld(t)
 	var idempotent []*caller
@@ -346,7 +347,7 @@
 	w.after(199 * ms)
 	for _, f := range idempotent[:2] {
 		if a := f.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
-			t.Errorf("too early: %+v", a)
+			t.Errorf("ejected or reset too early: %+v", a)
 		}
 	}
 	w.after(401 * ms)
@@ -355,7 +356,7 @@
 		t.Fatalf("%+v", a)
 	}
 	if a.Waiting != 3 {
-		t.Errorf("%d requests wait there, of 3", a.Waiting)
+		t.Errorf("%d requests are pending there, expected 3", a.Waiting)
 	}
 	for _, a := range []stoatecho.Action{a, idempotent[1].retransmit(), idempotent[2].sendRequest(), nonIdempotent.retransmit()} {
 		if a.Verdict != stoatecho.Forward {
@@ -367,7 +368,7 @@
 			t.Error(up.ID)
 		}
 	}
-	// It comes back: after the pause it gets flows again, one first.
+	// After the ejection it gets flows again, one at first.
 	w.after(1100 * ms)
 	got := map[stoatpaddle.UpstreamID]int{}
 	for range 8 {
@@ -378,9 +379,8 @@
 	}
 }
 
-// An upstream has just started and works slowly: its callers repeat themselves while it is at
-// work, and others answer meanwhile. It lives, and no flow there may be reset; it is ejected
-// only when it has been silent for four times as long.
+// An upstream has just started and works so slowly that callers retransmit while others answer. It is alive, and none of
+// its flows may be reset; it is ejected only after four times the usual silence.
 func TestColdUpstreamIsEjectedLater(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
@@ -397,7 +397,7 @@
 		c.sendRequest()
 	}
 	w.after(210 * ms)
-	w.caller(idempotentAddr).open() // others give signs
+	w.caller(idempotentAddr).open() // others give signs of life
 	for _, c := range cold {
 		if a := c.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
 			t.Errorf("%+v", a)
@@ -416,9 +416,8 @@
 	}
 }
 
-// An upstream is cut off for seconds, and ejected for longer each time. It has been back for a
-// while when the next request comes on an open flow: the flow lives, and must not be reset for
-// evidence that is that old, nor for evidence of another flow that is new.
+// An upstream is cut off for seconds, and ejected twice. It has been back for a while when the next request comes on an
+// open flow. That flow must not be reset, neither on old evidence nor on recent evidence of another flow.
 func TestOldEvidenceResetsNoFlow(t *testing.T) {
 	w := newWorld(t)
 	at1 := func() *caller {
@@ -459,10 +458,9 @@
 	}
 }
 
-// This entry's link is full for half a second: it sends a large configuration on. Callers'
-// packets wait in it, so that callers repeat themselves and no answer is acknowledged. Both
-// upstreams live, and no flow there may be reset. Once one answers again and the other stays
-// silent, it is the upstream.
+// This entry's link is full for half a second, since it forwards a large configuration. The callers' packets are
+// delayed, so that callers retransmit and no answer is acknowledged. Both upstreams are alive, and none of their flows
+// may be reset. Once one of them answers and the other stays silent, the silent one is ejected.
 func TestSlowLocalLinkEjectsNothing(t *testing.T) {
 	w := newWorld(t)
 	at := map[stoatpaddle.UpstreamID]*caller{}
@@ -477,7 +475,7 @@
 		w.after(gap)
 		for id, c := range at {
 			if a := c.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
-				t.Errorf("%s is blamed for this entry's link: %+v", id, a)
+				t.Errorf("%s was ejected or its flow reset because of this entry's link: %+v", id, a)
 			}
 		}
 	}
@@ -486,13 +484,13 @@
 	at["i-1"].retransmit()
 	w.after(300 * ms)
 	if a := at["i-1"].retransmit(); a.Ejected == nil {
-		t.Errorf("one that stays silent while the other answers: %+v", a)
+		t.Errorf("not ejected although it stays silent while the other one answers: %+v", a)
 	}
 }
 
-// A server crashed and its machine refuses openings towards the callers, past this entry.
-// A caller is back after 7 ms and has two tries left: it must not be sent there again. And
-// the next callers avoid the upstream for longer than the opening is remembered.
+// A server has crashed, and its machine refuses openings directly towards the callers, past this entry. A caller comes
+// back after 7 ms with two tries left, and must not be sent there again. The next callers avoid the upstream for longer
+// than the opening is remembered.
 func TestRefusedCallerComesBackAtOnce(t *testing.T) {
 	w := newWorld(t)
 	w.caller(intakeAddr).open() // a handshake takes 10 ms
@@ -520,7 +518,7 @@
 	}
 }
 
-// Callers far away take 120 ms for a handshake. That is no silence, once it is known.
+// Distant callers take 120 ms for a handshake. Once that is known, it must not be taken for silence of an upstream.
 func TestLongHandshakeIsNotSilence(t *testing.T) {
 	w := newWorld(t)
 	got := map[stoatpaddle.DataCentreID]int{}
@@ -542,8 +540,7 @@
 	}
 }
 
-// An answer takes longer than its route's objective: the log can say so, with what else the
-// upstream had to do.
+// An answer that takes longer than its route's latency objective is reported with the load of its upstream.
 func TestLateAnswerIsReported(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
@@ -573,7 +570,7 @@
 	}
 }
 
-// Callers repeat a packet that was lost while their upstream answers others: no ejection.
+// Callers retransmit lost packets while their upstream answers other callers: it must not be ejected.
 func TestPacketLossEjectsNothing(t *testing.T) {
 	w := newWorld(t)
 	var list []*caller
@@ -599,11 +596,11 @@
 	}
 }
 
-// All upstreams of the data centre give no sign: flows go to the other one. If none gives a
-// sign anywhere, the fault is this entry's, and flows go on to the least bad.
+// If all upstreams of the own data centre are silent, flows go to the other one. If all are silent everywhere, the fault
+// is this entry's, and flows still go to the best of them.
 func TestAllUpstreamsSilent(t *testing.T) {
 	w := newWorld(t)
-	w.caller(intakeAddr).open() // tells how far callers are
+	w.caller(intakeAddr).open() // provides a sample of the callers' handshake time
 	for _, want := range []string{"here", "here", "there", "any"} {
 		c := w.caller(nonIdempotentAddr)
 		a := c.syn(0)
@@ -614,9 +611,8 @@
 	}
 }
 
-// The fabric gives half of the flows to an entry that joined. Their requests were under way
-// here and end there; if they counted as load for long, new flows would flee to another
-// data centre.
+// An entry joins, and the fabric hands half of the flows to it. Their requests were pending here and end there; if they
+// still counted as load here, new flows would go to another data centre.
 func TestFlowsThatMoveAwayStopCounting(t *testing.T) {
 	w := newWorld(t)
 	for range 30 {
@@ -636,7 +632,7 @@
 	}
 }
 
-// An upstream is five times slower than its neighbour: it gets fewer of the new flows.
+// An upstream that is several times slower than another one gets fewer of the new flows.
 func TestSlowUpstreamGetsLess(t *testing.T) {
 	w := newWorld(t)
 	got := map[stoatpaddle.UpstreamID]int{}
@@ -658,8 +654,8 @@
 	}
 }
 
-// A burst fills both upstreams here: the flow that finds them full goes to the other data
-// centre, which is idle, and home again when the burst is over.
+// A burst fills both upstreams here, so that some flows go to the other data centre, which is idle. After the burst,
+// flows stay in the own data centre again.
 func TestBurstSpillsOverAndReturns(t *testing.T) {
 	w := newWorld(t)
 	var list []*caller
@@ -673,7 +669,7 @@
 		list = append(list, c)
 	}
 	if away == 0 || away > 5 {
-		t.Error(away, "of 12 went away")
+		t.Error(away, "of 12 flows went to the other data centre")
 	}
 	for _, c := range list {
 		c.ackAnswer()
@@ -684,7 +680,7 @@
 	}
 }
 
-// The cap on an upstream's flows holds; when all are full, the caller is told at once.
+// The cap on the flows of an upstream holds; if all upstreams are full, the caller is refused at once.
 func TestCap(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -11,59 +11,59 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Upstreams that open flows and fail requests.
+// Detection of upstreams that accept flows and fail requests.
 //
-// The load: an upstream whose health is good lets a part of its requests hang. It answers
-// openings and other requests, so that nothing here looks dead; each of thirty entries of a
-// data centre sees two of its requests in four seconds and cannot tell. Callers' requests of
-// that part fail, for hours at night.
+// An upstream whose health is good may let a part of its requests hang. It answers openings and other requests, so that
+// it does not look dead. Each of thirty entries of a data centre sees two of its requests in four seconds, too few to
+// tell, and callers' requests fail for hours.
 //
-// So each entry counts, for each upstream, the requests that had an answer and those that
-// owe one for too long, and entries of a data centre add their counts up. An upstream that
-// fails clearly more than its like gets no new flows for a while. Flows that are open there
-// go on: whether a request of them would fail is not known, and a reset would end them for sure.
+// So each entry counts, for each upstream, the requests that were answered and those that have been pending for too
+// long, and the entries of a data centre add up their counts. An upstream that clearly fails more requests than the
+// others of its service gets no new flows for a while. Its open flows go on: whether a request on them would fail is
+// not known, and a reset would certainly end them.
 const (
-	// failureTimeout is how long a request may owe its answer until it counts as failed: ten times
-	// a usual answer, and half of what a caller with a retry left can wait.
+	// failureTimeout is how long a request may be pending before it counts as failed: ten times a usual answer time,
+	// and half of what a caller with a retry left can wait.
 	failureTimeout = 500 * time.Millisecond
-	// failureWindow is how far back counts go, in evidenceParts buckets: at 15 requests a
-	// second of an upstream over a data centre it holds sixty.
+	// failureWindow is how far back counts go, in failureBuckets buckets. With 15 requests a second to an upstream
+	// from a data centre it covers sixty.
 	failureWindow  = 4 * time.Second
 	failureBuckets = 8
-	// minFailures and failShare are what marks an upstream: so many failures, which are such a
-	// part of its requests.
+	// minFailures and minFailureShare are the failures, and their share of the upstream's requests, without which it
+	// is not ejected.
 	minFailures     = 5
 	minFailureShare = 0.15
-	// peerFailureFactor is how many times the failures of its like come on top: in an overload all
-	// are late, and nothing is gained elsewhere. And when entries restart in turn, half of the
-	// flows go to others in the middle of requests, which looks like two failures at each
-	// upstream in four seconds; one of forty has eight by chance every few days.
+	// peerFailureFactor is how many times the mean failures of the other upstreams are needed in addition to
+	// minFailures. In an overload all upstreams are late, and nothing is gained by sending flows elsewhere. And when
+	// entries restart one after another, half of the flows move to other entries in the middle of requests, which
+	// looks like two failures at each upstream in four seconds; by chance, one of forty upstreams has eight every
+	// few days.
 	peerFailureFactor = 4
-	// ejectableDivisor is the part of a service's upstreams in a data centre that may be marked: the
-	// others would not bear the load of more.
+	// ejectableDivisor: a third of a service's upstreams in a data centre may be ejected, since the others could not
+	// bear the load of more.
 	ejectableDivisor = 3
-	// minFailureBackoff and holdMost bound how long a mark stays; each that follows soon doubles it.
-	// Then the upstream is tried again: failures of a few flows mark it anew.
+	// minFailureBackoff and maxFailureBackoff bound how long such an upstream gets no new flows; the time doubles if
+	// it soon fails again. Afterwards it is tried again, and failures of a few flows eject it anew.
 	minFailureBackoff = 4 * time.Second
 	maxFailureBackoff = 32 * time.Second
-	// sumDelay is how long the counts of all entries take: up and down four levels.
+	// sumDelay is how long it takes to add up the counts of all entries: up and down four levels of the relay tree.
 	sumDelay = 700 * time.Millisecond
 )
 
-// JudgeEvery is how often Judge has something new to say.
+// CheckInterval is how often EjectFailing and EjectSilent are to be called.
 const JudgeEvery = 250 * time.Millisecond
 
-// window counts over evidenceSpan.
+// window counts requests over failureWindow.
 type window struct {
 	buckets [failureBuckets]stoatoutlier.Counts
-	newest  int64 // number of the newest part, in parts since the epoch
+	newest  int64 // number of the newest bucket since the epoch
 }
 
 const bucketLength = failureWindow / failureBuckets
 
 func bucketOf(now time.Time) int64 { return now.UnixNano() / int64(bucketLength) }
 
-// advance empties the parts that are too old.
+// advance clears the buckets that are too old.
 func (w *window) advance(now time.Time) {
 	at := bucketOf(now)
 	for n := min(at-w.newest, failureBuckets); n > 0; n-- {
@@ -87,14 +87,15 @@
 	return c
 }
 
-// failureBackoff is the judgement on one upstream.
+// failureBackoff keeps new flows from an upstream that fails requests.
 type failureBackoff struct {
 	until time.Time
-	last  time.Duration // the last one
+	last  time.Duration // the latest duration
 }
 
-// Observed returns what this entry saw of upstreams that failed requests of late, here or, as
-// suspects names them, elsewhere: those that saw no failure count too. Ascending by key.
+// Reports returns what this entry saw of the upstreams that recently failed requests or left packets unanswered. For
+// the suspects, which other entries reported, it includes answers and signs of life even if this entry saw no failure.
+// The list ascends by key.
 func (e *Engine) Observed(now time.Time, suspects map[stoatpaddle.UpstreamKey]bool) []stoatoutlier.Report {
 	var out []stoatoutlier.Report
 	for k, h := range e.health {
@@ -108,14 +109,14 @@
 	return out
 }
 
-// dataCentreSum is what the entries of a data centre saw together of one upstream.
+// dataCentreSum is what the entries of a data centre together saw of one upstream.
 type dataCentreSum struct {
 	stoatoutlier.Counts
 	stoatoutlier.Silence
-	failingSince time.Time // it has been named for its failures
+	failingSince time.Time // since when it has been reported for failures
 }
 
-// TakeSum replaces what the entries of this data centre saw together.
+// SetSums replaces what the entries of this data centre together saw.
 func (e *Engine) TakeSum(now time.Time, list []stoatoutlier.Report) {
 	if len(list) == 0 && len(e.dataCentreSums) == 0 {
 		return
@@ -131,15 +132,15 @@
 	e.dataCentreSums = next
 }
 
-// Marked is an upstream that gets no new flows for a while, since it fails requests.
+// FailingUpstream is an upstream that gets no new flows for a while since it fails requests.
 type Marked struct {
 	Upstream *stoatroute.Upstream
 	stoatoutlier.Counts
 	Hold time.Duration
 }
 
-// Judge looks for upstreams that fail requests, and returns those that are marked now. Upstreams of this data
-// centre are judged: others are seen too rarely.
+// EjectFailing looks for upstreams that fail requests, ejects them, and returns those that it ejected. It considers
+// the upstreams of this data centre only: too little is seen of the others.
 func (e *Engine) Judge(now time.Time, t *stoatroute.Table) []Marked {
 	named := map[stoatpaddle.ServiceID][]Marked{}
 	for k, s := range e.dataCentreSums {
@@ -154,7 +155,7 @@
 	return out
 }
 
-// eachSeen calls do with what is known of each upstream of a group that may take new flows.
+// eachSeen calls do with the health of each known upstream of a group that may take new flows.
 func (e *Engine) eachSeen(t *stoatroute.Table, g *group, do func(h *health)) {
 	for k, h := range e.health {
 		if h.group != g {
@@ -166,7 +167,7 @@
 	}
 }
 
-// ejectFailingInService looks at those of one service that failed requests.
+// ejectFailingInService ejects upstreams of one service; failing has those with failures, and is not empty.
 func (e *Engine) ejectFailingInService(now time.Time, t *stoatroute.Table, failing []Marked) []Marked {
 	all := len(t.Group(failing[0].Upstream.Service, e.cfg.DataCentre))
 	if all < ejectableDivisor {
@@ -188,17 +189,17 @@
 			break
 		}
 		h := e.healthOf(m.Upstream)
-		// One that has just started is slow, and says so: its requests owe their answers for a
-		// while, in each release at a third of a service.
+		// An upstream that has just started is slow, as its registration says: for a while its requests are answered
+		// late, in each release at a third of a service's upstreams.
 		if m.Upstream.Started && now.Before(m.Upstream.Warm.Add(failureWindow)) {
 			continue
 		}
-		// What entries saw of the life before is in the counts for so long.
+		// The counts still include what entries saw before the upstream restarted.
 		if since := m.Upstream.Renewed; !since.IsZero() && now.Sub(since) < failureWindow+sumDelay {
 			continue
 		}
-		// Once an upstream is named, those entries that saw no failure need a moment to say so;
-		// until then it would seem to fail most requests.
+		// Once an upstream is reported, the entries that saw no failure need a moment to report its answers. Until
+		// then it would seem to fail most requests.
 		if m.Share() < minFailureShare || now.Sub(e.dataCentreSums[m.Upstream.Key].failingSince) < sumDelay {
 			continue
 		}
@@ -212,8 +213,8 @@
 	return out
 }
 
-// peerFailures is the mean of failures at the upstreams that cannot be marked, since they are not among the
-// worst of all; list has those that failed any, in descending order.
+// peerFailures returns the mean of the failures at those upstreams that cannot be ejected, as they are not among the
+// worst. The list has the upstreams with failures, in descending order of those.
 func peerFailures(list []Marked, all int) float64 {
 	worst := all / ejectableDivisor
 	sum := 0
@@ -223,7 +224,7 @@
 	return float64(sum) / float64(all-worst)
 }
 
-// begin marks for longer if the last mark ended a short while ago.
+// begin starts a period, twice as long as the previous one if that ended a short while ago.
 func (m *failureBackoff) begin(now time.Time) time.Duration {
 	if !m.until.IsZero() && now.Sub(m.until) < 2*failureWindow {
 		m.last = min(maxFailureBackoff, 2*m.last)
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// newSixUpstreamWorld returns a world with newSixUpstreamWorld upstreams of the service here.
+// newSixUpstreamWorld returns a world with six upstreams of service app in this data centre.
 func newSixUpstreamWorld(t *testing.T) *world {
 	w := newWorld(t)
 	for i := stoatpaddle.Target(4); i <= 7; i++ {
@@ -22,7 +22,7 @@
 	return w
 }
 
-// ejectFailing judges by what the entries of the data centre saw, as it stands from then on.
+// ejectFailing reports the counts as the sum of the data centre for a second, and returns the upstreams that are ejected.
 func (w *world) ejectFailing(counts map[stoatpaddle.Target]stoatoutlier.Counts) []stoatpaddle.UpstreamID {
 	var list []stoatoutlier.Report
 	for target, c := range counts {
@@ -39,7 +39,7 @@
 	return ejected
 }
 
-// openFlows returns how many of n new flows go to each upstream.
+// openFlows opens n flows, and returns how many went to each upstream.
 func (w *world) openFlows(n int) map[stoatpaddle.UpstreamID]int {
 	got := map[stoatpaddle.UpstreamID]int{}
 	for range n {
@@ -48,9 +48,9 @@
 	return got
 }
 
-// An upstream lets two of five requests hang, answers the others and every opening, and its
-// health is good. No entry sees enough; together they do. It gets no new flows for 4 s, then
-// it is tried, and as it still fails it is marked for twice as long.
+// An upstream with good health lets two of five requests hang, and answers the others and every opening. No single entry
+// sees enough, but together they do. It gets no new flows for 4 s; then it is tried again and, as it still fails, is
+// ejected for twice as long.
 func TestUpstreamThatFailsAPart(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	bad := map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 36, Failed: 24}, 2: {Answered: 60, Failed: 1}}
@@ -65,17 +65,16 @@
 		t.Error("never tried again:", got)
 	}
 	if got := w.ejectFailing(bad); len(got) != 1 {
-		t.Fatal("not marked anew:", got)
+		t.Fatal("not ejected again:", got)
 	}
 	w.after(4 * time.Second)
 	if got := w.openFlows(20); got["i-1"] != 0 {
-		t.Error("the second mark is no longer than the first:", got)
+		t.Error("the second ejection is no longer than the first:", got)
 	}
 }
 
-// What is no upstream's fault marks none: an overload in which all are late; entries that
-// restart, so that flows go to others in the middle of requests and look unanswered, a few at
-// each upstream; one failure here or there.
+// Failures that are not the fault of a single upstream eject none: an overload in which all upstreams are late; restarts
+// of entries, after which a few requests at each upstream look unanswered since their flows moved; a few failures.
 func TestNoEjectionWithoutUpstreamFault(t *testing.T) {
 	for name, counts := range map[string]map[stoatpaddle.Target]stoatoutlier.Counts{
 		"overload":          {1: {Answered: 20, Failed: 30}, 2: {Answered: 20, Failed: 24}, 4: {Answered: 20, Failed: 26}, 5: {Answered: 20, Failed: 28}, 6: {Answered: 20, Failed: 22}, 7: {Answered: 20, Failed: 25}},
@@ -89,9 +88,9 @@
 	}
 }
 
-// A release: upstreams that have just started are slow, and a third of their requests owe an
-// answer for half a second. They said so when they registered, and are not marked for it;
-// one that still fails four seconds after it should be warm is.
+// During a release, a third of the requests of upstreams that have just started are pending for half a second. Their
+// registrations say that they are cold, and they are not ejected for it. An upstream that still fails four seconds
+// after it should be warm is.
 func TestColdUpstreamsMayFailRequests(t *testing.T) {
 	w := newWorld(t)
 	for i := stoatpaddle.Target(4); i <= 7; i++ {
@@ -107,12 +106,12 @@
 	}
 	w.after(5 * time.Second)
 	if got := w.ejectFailing(slow); len(got) != 1 {
-		t.Error("not marked when it should be warm:", got)
+		t.Error("not ejected when it should be warm:", got)
 	}
 }
 
-// Half of the upstreams fail requests. Without a bound their load would go to the others,
-// which could not bear it: two of six are marked, the worst ones.
+// Half of the upstreams fail requests. The others could not bear the load of all of them: only the worst two of six are
+// ejected.
 func TestFailureEjectionsAreBounded(t *testing.T) {
 	got := newSixUpstreamWorld(t).ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{
 		1: {Answered: 40, Failed: 40}, 2: {Answered: 40, Failed: 50}, 4: {Answered: 40, Failed: 15}, 5: {Answered: 60, Failed: 0}, 6: {Answered: 60, Failed: 0}, 7: {Answered: 60, Failed: 0},
@@ -122,15 +121,15 @@
 	}
 }
 
-// Guards against marks of upstreams that have gone, on which flows are still remembered, that use up the bound: the
-// next one that fails would go on getting flows.
+// Ejected upstreams that are gone, but still have remembered flows, must not count towards the bound: otherwise the next
+// upstream that fails would still get flows.
 func TestGoneUpstreamsDoNotCountInBound(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.flowTo(1)
 	w.flowTo(2)
 	bad, good := stoatoutlier.Counts{Answered: 40, Failed: 40}, stoatoutlier.Counts{Answered: 60}
 	if got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{1: bad, 2: bad, 4: good, 5: good, 6: good, 7: good}); len(got) != 2 {
-		t.Fatal("marked", got)
+		t.Fatal("ejected", got)
 	}
 	for _, id := range []stoatpaddle.UpstreamID{"i-1", "i-2"} {
 		w.rev++
@@ -143,8 +142,8 @@
 	}
 }
 
-// An upstream is named for the first time: those entries that saw no failure have not said
-// yet that they saw answers, so that it seems to fail most of its requests.
+// An upstream is reported for the first time. The entries that saw no failure have not reported its answers yet, so that
+// it seems to fail most of its requests: it must not be ejected yet.
 func TestFirstCountsAreNotEnough(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.e.TakeSum(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
@@ -156,8 +155,8 @@
 	}
 }
 
-// What an entry counts: an answer, a request that hangs for half a second; not an upload that
-// goes on, and after four seconds nothing any more.
+// An entry counts an answer, and a request that has been pending for half a second. It does not count an upload that
+// goes on, and after four seconds it forgets the counts.
 func TestCounts(t *testing.T) {
 	w := newWorld(t)
 	answered, hangs, sends := w.caller(idempotentAddr), w.caller(nonIdempotentAddr), w.caller(intakeAddr)
@@ -186,7 +185,7 @@
 		t.Error(diff)
 	}
 	if seen := w.e.Observed(w.now, nil); len(seen) != 1 {
-		t.Error("upstreams without failures are reported, and nobody named them:", seen)
+		t.Error("upstreams without failures are reported although no other entry reported them:", seen)
 	}
 	w.after(5 * time.Second)
 	if seen := w.e.Observed(w.now, nil); len(seen) != 0 {
--- a/stoatecho/expect.go
+++ b/stoatecho/expect.go
@@ -8,22 +8,21 @@
 )
 
 const (
-	// openingTimeout and answerExpected are how long a flow may owe a packet before it
-	// stops counting. A caller that still waited would have repeated itself, after 200 ms:
-	// so the fabric gives its packets to another entry now. Without this bound, the flows of
-	// half a data centre count as load here for seconds each time an entry joins or leaves,
-	// and new flows flee to other data centres.
+	// openingTimeout and requestTimeout are how long an opening or a request without an answer counts as pending. A
+	// caller that still waited would have retransmitted it after 200 ms, so its packets now reach another entry.
+	// Without this bound, the flows of half a data centre would count as load here for seconds each time an entry
+	// joins or leaves, and new flows would go to other data centres.
 	openingTimeout = 300 * time.Millisecond
 	requestTimeout = time.Second
 )
 
-// timeoutEntry is a packet that a flow owes since a time.
+// timeoutEntry is a packet of a flow that has been unanswered since the given time.
 type timeoutEntry struct {
 	tuple stoatpacket.Tuple
 	since time.Time
 }
 
-// timeoutQueue are what flows owe, oldest first.
+// timeoutQueue is a FIFO queue of unanswered packets.
 type timeoutQueue struct {
 	list []timeoutEntry
 	head int
@@ -33,7 +32,7 @@
 	x.list = append(x.list, timeoutEntry{tuple: t, since: since})
 }
 
-// due takes out the oldest expectation if it is older than bound.
+// due removes and returns the oldest entry if it has reached the timeout.
 func (x *timeoutQueue) due(now time.Time, timeout time.Duration) (timeoutEntry, bool) {
 	if x.head == len(x.list) {
 		x.list, x.head = x.list[:0], 0
@@ -51,11 +50,11 @@
 	return e, true
 }
 
-// compactAt is how many taken expectations may stand before the list is moved up.
+// compactAt is the number of removed entries from which the list is compacted.
 const compactAt = 256
 
-// startRequestTimeout expects an answer on the flow. A flow stands in the list once, however many
-// requests it carries: an entry for each would be put back for as long as the flow is busy.
+// startRequestTimeout queues a pending request. A flow is in the queue at most once, whatever the number of its
+// requests: separate entries would be queued again for as long as the flow is busy.
 func (e *Engine) startRequestTimeout(now time.Time, t stoatpacket.Tuple, f *flow) {
 	if !f.hasRequestTimeout {
 		f.hasRequestTimeout = true
@@ -63,7 +62,7 @@
 	}
 }
 
-// expire stops counting what flows owe for too long.
+// expire handles the openings and requests that have reached a timeout.
 func (e *Engine) expire(now time.Time) {
 	e.checkOpenings(now)
 	for {
@@ -91,7 +90,7 @@
 			continue
 		}
 		if quiet := now.Sub(f.lastSeen); quiet < requestTimeout {
-			// It goes on, as an upload or with repeats: look again a while after its last packet.
+			// The flow still sends, as with an upload or retransmissions: check again some time after its last packet.
 			e.startRequestTimeout(now, x.tuple, f)
 			continue
 		}
@@ -100,7 +99,8 @@
 	}
 }
 
-// startFailureTimeout expects an answer soon enough not to count as a failure; a flow stands in the list once.
+// startFailureTimeout queues a pending request that counts as failed if it is not answered in time. A flow is in the
+// queue at most once.
 func (e *Engine) startFailureTimeout(now time.Time, t stoatpacket.Tuple, f *flow) {
 	if !f.hasFailureTimeout {
 		f.hasFailureTimeout = true
@@ -108,8 +108,8 @@
 	}
 }
 
-// countFailures counts requests that owe their answer for too long. One whose flow sends on,
-// such as an upload, is not asked yet.
+// countFailures counts the requests that have been pending for too long as failed. A request whose caller still sends
+// new data, such as an upload, is not complete yet.
 func (e *Engine) countFailures(now time.Time) {
 	for {
 		x, due := e.failureTimeouts.due(now, failureTimeout)
--- a/stoatecho/expect_test.go
+++ b/stoatecho/expect_test.go
@@ -10,8 +10,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// A caller asks without a pause on one flow for a minute. What is kept about the answers it
-// awaits must not grow with its requests: an entry would be killed for its memory at night.
+// A caller sends requests without a pause on one flow for a minute. The timeout queue must not grow with the requests, or
+// the entry would run out of memory.
 func TestBusyFlowHasOneTimeout(t *testing.T) {
 	start := time.Unix(1000, 0)
 	listen := netip.MustParseAddrPort("198.18.0.1:443")
@@ -27,7 +27,7 @@
 		e.Handle(start.Add(time.Duration(i)*20*time.Millisecond), b.Table(), &p)
 	}
 	if n := len(e.requestTimeouts.list) - e.requestTimeouts.head; n > 1 {
-		t.Error(n, "answers awaited on one flow")
+		t.Error(n, "timeouts for one flow")
 	}
 	if n := cap(e.requestTimeouts.list); n > 2*compactAt+2 {
 		t.Error("the list has grown to", n)
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -10,13 +10,13 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// evacuate has operators evacuate a data centre, or take it back.
+// evacuate evacuates a data centre, or withdraws its evacuation.
 func (w *world) evacuate(d stoatpaddle.DataCentreID, withdrawn bool) {
 	w.rev++
 	w.book.Evacuate(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
 }
 
-// declareRegions declares one route, to flows of which those regions are open.
+// declareRegions declares one route that is limited to the given regions.
 func (w *world) declareRegions(regions ...stoatpaddle.RegionID) {
 	w.rev++
 	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
@@ -24,9 +24,8 @@
 	}}, w.rev)
 }
 
-// The own data centre is evacuated. Its callers' new flows go to the other one, also copies of
-// openings that were sent there before; open flows go on, whatever they carry. Taken back, it gets
-// flows again at once.
+// The own data centre is evacuated. New flows go to the other one, and so do retransmitted openings that were sent to the
+// evacuated one before; open flows go on. Once the evacuation is withdrawn, it gets flows again at once.
 func TestEvacuatedDataCentreGetsNoNewFlows(t *testing.T) {
 	w := newWorld(t)
 	open := w.flowTo(1)
@@ -54,12 +53,12 @@
 		}
 	}
 	if home < 15 {
-		t.Errorf("%d of 20 flows came home", home)
+		t.Errorf("%d of 20 flows went to the own data centre", home)
 	}
 }
 
-// The only data centre that has a service is evacuated, or the other one's upstreams are ejected, or
-// full. No evacuated upstream is a last resort: the caller is refused at once, and told why.
+// All data centres that have a service are evacuated. An evacuated upstream is not used even as a last resort: the
+// caller is refused at once, and the reason is counted.
 func TestEvacuatedIsNoLastResort(t *testing.T) {
 	w := newWorld(t)
 	w.evacuate("here", false)
@@ -76,8 +75,8 @@
 	}
 }
 
-// The upstream that is left elsewhere has let openings go unanswered. That it is worse than the
-// evacuated ones does not matter: it is tried, or the caller refused.
+// The only upstream in a data centre that is not evacuated has left openings unanswered. It is still tried before the
+// evacuated ones, or the caller is refused.
 func TestEjectedGoesBeforeEvacuated(t *testing.T) {
 	w := newWorld(t)
 	w.evacuate("here", false)
@@ -92,9 +91,8 @@
 	}
 }
 
-// A route allows one region. Its flows go only to data centres there, also when those are elsewhere
-// and the own one has room; a data centre whose region nobody names is in none. Open flows go on
-// when the list changes.
+// A route allows one region. Its new flows go only to data centres in that region, even if the own one has room; a data
+// centre without a region is in none. Open flows go on when the regions of the route change.
 func TestRegionsOfARoute(t *testing.T) {
 	w := newWorld(t)
 	open := w.flowTo(1)
@@ -108,7 +106,7 @@
 	wantForward(t, "open flow outside", open.sendRequest())
 	w.declareRegions("north", "south")
 	if up := w.caller(idempotentAddr).open(); up.DataCentre != "here" {
-		t.Error("not at home though that is allowed:", up.ID)
+		t.Error("not in the own data centre though that is allowed:", up.ID)
 	}
 	w.e.SetRegions(stoatfilter.Regions{"here": "south"})
 	w.declareRegions("north")
@@ -119,8 +117,8 @@
 	}
 }
 
-// Three data centres of one service, of which the own one is evacuated. Both others get its flows, by
-// the room that they have.
+// The own one of three data centres of a service is evacuated. Both others get its flows in proportion to their free
+// slots.
 func TestEvacuatedTrafficSpreads(t *testing.T) {
 	w := newWorld(t)
 	for target := stoatpaddle.Target(20); target < 24; target++ {
@@ -139,9 +137,9 @@
 	}
 }
 
-// All upstreams of the own data centre are cold, and bear few requests. As long as this entry has no
-// turn there, its flows go to the other data centre, which is warm; if that is evacuated, they are
-// refused at once. Once they are warm they get flows again.
+// All upstreams of the own data centre are cold and have a rate limit. While this entry may not send them flows, its
+// flows go to the other data centre, which is warm; if that one is evacuated, they are refused at once. Once the upstreams
+// are warm, they get flows again.
 func TestColdUpstreamsGetLimitedFlows(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
@@ -157,7 +155,7 @@
 	}
 	for range 10 {
 		if up := w.caller(idempotentAddr).open(); up.DataCentre != "there" {
-			t.Error("a cold upstream got a flow that it may not bear:", up.ID)
+			t.Error("a cold upstream got a flow beyond its rate limit:", up.ID)
 		}
 	}
 	w.evacuate("there", false)
--- a/stoatecho/full.go
+++ b/stoatecho/full.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// An upstream that is full, or whose slots are taken by requests that hang, turns the next one away at once. It has
-// little in progress from here and answers fastest, so that without a penalty new flows would gather there.
+// Upstreams that reject requests get fewer new flows. An upstream that is full, or whose slots are held by requests
+// that hang, rejects the next request at once. It then has little in progress from here and answers fastest, so
+// that without a penalty new flows would gather there.
 const (
-	// saturationWeight is the weight of the newest answer: one refusal is a reason to go elsewhere.
+	// saturationWeight is the weight of the newest answer: one rejection is reason enough to prefer others.
 	saturationWeight = 0.5
-	// saturationPenalty is by how much more a flow costs at an upstream that turned all away.
+	// saturationPenalty is the factor, less one, on the cost of a flow at an upstream that rejected everything.
 	saturationPenalty = 8
-	// saturationDecay is the time in which it fades to a third: several times what a queue takes to empty.
+	// saturationDecay is the time in which the penalty falls to 1/e: several times as long as a queue takes to empty.
 	saturationDecay = 500 * time.Millisecond
 )
 
-// rejectionRate follows which part of its requests of late an upstream turned away.
+// rejectionRate tracks the share of recent requests that an upstream rejected.
 type rejectionRate struct {
-	share float64 // at the latest answer
+	share float64 // at the time of the latest answer
 	at    time.Time
 }
 
-// noteAnswer takes in whether an answer was a refusal.
-func (f *rejectionRate) noteAnswer(now time.Time, refused bool) {
+// noteAnswer records whether an answer was a rejection.
+func (f *rejectionRate) noteAnswer(now time.Time, rejected bool) {
 	share, sample := f.shareAt(now), 0.0
-	if refused {
+	if rejected {
 		sample = 1
 	}
 	f.share, f.at = share+saturationWeight*(sample-share), now
@@ -38,5 +39,5 @@
 	return f.share * math.Exp(-float64(now.Sub(f.at))/float64(saturationDecay))
 }
 
-// penalty is by how much a flow costs more for it.
+// penalty returns the factor on the cost of a flow.
 func (f *rejectionRate) penalty(now time.Time) float64 { return 1 + saturationPenalty*f.shareAt(now) }
--- a/stoatecho/group.go
+++ b/stoatecho/group.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// answerDecay is the time in which an answer's weight in a recent mean fades to a third: about
-	// what a queue takes to fill or to empty.
+	// answerDecay is the time in which the weight of an answer in a decaying mean falls to 1/e: about as long as a
+	// queue takes to fill or to empty.
 	answerDecay = 250 * time.Millisecond
-	// groupLatencyWeight is the share of the newest answer in a group's mean: twenty answers, so that
-	// a few short ones in a row are not taken for work without a queue.
+	// groupLatencyWeight is the weight of the newest answer in the mean of a group. It averages over twenty
+	// answers, so that a few short ones in a row are not taken for the time without a queue.
 	groupLatencyWeight = 0.05
-	// refusedWeight is the weight of the newest opening in the share of those refused: an entry
-	// that opens thirty flows a second follows the load within half a second.
+	// refusedWeight is the weight of the newest opening in the share of refused openings: an entry that opens
+	// thirty flows a second follows the load within half a second.
 	refusedWeight = 1.0 / 16
 )
 
-// groupKey names the upstreams of one service in one data centre: they share a load.
+// groupKey identifies the upstreams of one service in one data centre, which share a load.
 type groupKey struct {
 	service stoatpaddle.ServiceID
 	centre  stoatpaddle.DataCentreID
@@ -30,50 +30,50 @@
 	return cmp.Or(cmp.Compare(k.service, o.service), cmp.Compare(k.centre, o.centre))
 }
 
-// group is what this entry saw of upstreams that share a load.
+// group is what this entry has seen of the upstreams that share a load.
 type group struct {
 	recentAnswers   decayingMean
 	answerTimes     meanWithFloor
-	inProgress      int     // openings and requests from here
-	refusedShare    float64 // share of openings of late that were refused for overload
-	rejectedShare   float64 // share of answers of late that were refusals
+	inProgress      int     // pending openings and requests of this entry
+	refusedShare    float64 // share of recent openings that were refused for overload
+	rejectedShare   float64 // share of recent answers that were rejections
 	requestsPerFlow flowLoad
 	silence         groupSilence
-	nextTrial       time.Time // when a suspected upstream may get a flow next
-	unseen          health    // of each upstream that this entry did not meet of late
+	nextTrial       time.Time // when a suspected upstream may get the next flow
+	unseen          health    // stands in for each upstream that this entry has not seen recently
 }
 
-// trialInterval is the mean pause between two flows of this entry that find out whether suspected upstreams
-// of a group are back.
+// trialInterval is the mean interval between two flows of this entry that probe whether a suspected upstream of a
+// group is alive again.
 //
-// The load: thirty of 150 upstreams are lost for good while the store is silent, so that their
-// registrations stay for ten seconds. Each was ejected at all entries, and when that ends it has nothing
-// in progress: it looks better than any that serves, at eighty entries at once. One flow in five went
-// there, and the copies of its opening to two others of the kind.
+// Without it, an upstream whose ejection ends looks better than any other, as it has nothing in progress. When
+// thirty of 150 upstreams were lost for good while the store was silent, so that their registrations stayed for
+// ten seconds, eighty entries sent one flow in five there, and the retransmissions of its opening to two more of
+// the lost upstreams.
 const trialInterval = time.Second
 
-// groupSilence notices that a whole group answers nothing.
+// groupSilence detects that no upstream of a group answers.
 //
-// The load: the upstreams of a data centre are lost at once. Their machines refuse towards callers, past
-// the entries, and callers with three tries are back within milliseconds, at another entry. An entry
-// that learns of one upstream after the other sends some flows to each of forty, and hundreds of
-// entries do so each for itself. But no group that lives is silent: of its other upstreams an entry
-// hears many times a second. So two upstreams that leave openings unanswered while none of the group
-// gave a sign send new flows to other data centres, if these answer. Open flows go on.
+// When all upstreams of a data centre are lost at once, their machines refuse connections directly towards the
+// callers, and callers with three tries come back within milliseconds, at another entry. Hundreds of entries that
+// each learn of forty lost upstreams one by one would send several flows to each of them. A live group is never
+// silent, though: an entry hears from its other upstreams many times a second. So when two upstreams leave
+// openings unanswered and no upstream of the group has given a sign of life in between, new flows prefer other
+// data centres, if these answer. Open flows are not affected.
 type groupSilence struct {
-	lastAlive      time.Time // the last sign of any of the group
-	lastUnanswered *health   // the upstream that left an opening unanswered last, without a sign of the group since
+	lastAlive      time.Time // latest sign of life of any upstream of the group
+	lastUnanswered *health   // the upstream that last left an opening unanswered, with no sign of life of the group since
 	avoidance      backoff   // new flows prefer other data centres
 }
 
-// minGroupBackoff and maxGroupBackoff bound how long flows prefer others until some of them find
-// out whether the group is back; each time doubles it, a sign or a new upstream ends it.
+// minGroupBackoff and maxGroupBackoff bound how long new flows prefer other data centres until some flows probe the
+// group again. Each backoff is twice as long as the previous one; a sign of life or a new upstream ends it.
 const (
 	minGroupBackoff = 400 * time.Millisecond
 	maxGroupBackoff = 3200 * time.Millisecond
 )
 
-// unanswered notes that an opening to the upstream, sent at that time, waits for longer than usual.
+// unanswered records that an opening sent to the upstream at the given time has been pending for longer than usual.
 func (s *groupSilence) unanswered(now time.Time, h *health, sent time.Time) {
 	switch {
 	case !sent.After(s.lastAlive):
@@ -85,14 +85,14 @@
 	}
 }
 
-// reset takes in a sign of life of one of the group, or that an upstream is new in it.
+// reset records a sign of life of an upstream of the group, or a new upstream in it.
 func (s *groupSilence) reset(now time.Time) { *s = groupSilence{lastAlive: now} }
 
-// flowLoadDecay is the time in which what is known of flows fades to a third: some times as long as
-// upstreams are cold after a start, since few flows open in a quiet time.
+// flowLoadDecay is the time in which the weight of an observation falls to 1/e. It is several times as long as
+// upstreams are cold after a start, since few flows open in a quiet period.
 const flowLoadDecay = 10 * time.Second
 
-// flowLoad follows how many requests come for each flow that opens.
+// flowLoad tracks how many requests are sent for each flow that opens.
 type flowLoad struct {
 	flows, requests float64
 	at              time.Time
@@ -113,13 +113,13 @@
 	l.requests++
 }
 
-// perFlow is how many requests come for each flow that opens: long flows ask again and again.
+// perFlow returns the number of requests per opened flow; long flows carry many.
 func (l *flowLoad) perFlow(now time.Time) float64 {
 	l.decay(now)
 	return math.Max(1, l.requests/math.Max(1, l.flows))
 }
 
-// noteAdmission notes what became of an opening.
+// noteAdmission records whether an opening was admitted.
 func (g *group) noteAdmission(admitted bool) {
 	sample := 1.0
 	if admitted {
@@ -128,14 +128,14 @@
 	g.refusedShare += refusedWeight * (sample - g.refusedShare)
 }
 
-// answered takes in an answer of one of them.
+// answered records an answer of an upstream of the group.
 func (g *group) answered(now time.Time, took time.Duration) {
 	g.recentAnswers.add(now, took)
 	g.answerTimes.add(took, groupLatencyWeight)
 }
 
-// meanWithFloor is a mean of answer times, and the least that it was of late, which rises slowly: about
-// how long an answer takes without a queue.
+// meanWithFloor is a mean of answer times and its recent minimum, which rises slowly: about how long an answer
+// takes without a queue.
 type meanWithFloor struct{ mean, floor time.Duration }
 
 func (l *meanWithFloor) add(took time.Duration, weight float64) {
@@ -147,10 +147,10 @@
 	l.floor = min(l.mean, time.Duration(floorGrowth*float64(l.floor)))
 }
 
-// decayingMean is a mean of answer times in which each one fades.
+// decayingMean is a mean of answer times whose weights decay with age.
 type decayingMean struct {
 	mean   time.Duration
-	weight float64 // in answers, at the latest one
+	weight float64 // in answers, at the time of the latest one
 	at     time.Time
 }
 
--- a/stoatecho/group_test.go
+++ b/stoatecho/group_test.go
@@ -9,15 +9,15 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// registerForty adds upstreams of service app to this data centre, forty in all.
+// registerForty adds upstreams of service app in this data centre until there are forty.
 func (w *world) registerForty() {
 	for target := stoatpaddle.Target(100); target < 138; target++ {
 		w.register(target, "app", "here")
 	}
 }
 
-// opensElsewhere sends an opening, and completes the handshake if it went to the other data centre; it tells
-// whether it did.
+// opensElsewhere sends an opening and reports whether it went to the other data centre; if so, it completes the
+// handshake.
 func (w *world) opensElsewhere() bool {
 	c := w.caller(idempotentAddr)
 	a := c.syn(0)
@@ -30,10 +30,10 @@
 	return true
 }
 
-// All forty upstreams of this data centre are lost at once, and their machines refuse towards callers,
-// past the entries. A caller with three tries meets another entry each time, and none may have to
-// learn of forty upstreams one by one: after two openings without an answer, and no sign of any of the
-// forty, new flows go to the other data centre.
+// All forty upstreams of this data centre are lost at once, and their machines refuse openings directly towards the
+// callers, past the entries. A caller with three tries reaches another entry each time, so no entry may learn of forty
+// upstreams one by one: after two unanswered openings without a sign of life of the group, new flows go to the other
+// data centre.
 func TestWholeGroupIsLost(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -48,13 +48,14 @@
 		}
 		w.after(20 * ms)
 	}
-	// Callers take 10 ms, so that an opening is overdue after 30 ms at most.
+	// A handshake takes 10 ms, so an opening is overdue after 30 ms at most.
 	if lost > 5 {
 		t.Errorf("%d of 40 flows were sent to a data centre that answers nothing", lost)
 	}
 }
 
-// The same, and it is back after a second: some flows find out, and the others come home.
+// All upstreams of this data centre are lost and come back after a second: some flows probe them, and then new flows stay
+// in the own data centre again.
 func TestLostGroupComesBack(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -74,12 +75,12 @@
 		w.after(40 * ms)
 	}
 	if home < 20 || last < 95 {
-		t.Errorf("%d of 100 flows came home, the last one was number %d", home, last)
+		t.Errorf("%d of 100 flows went to the own data centre, the last one was number %d", home, last)
 	}
 }
 
-// One upstream of forty is dead, every tenth packet is lost, and the others answer. Its group is well:
-// flows stay in this data centre, which costs no bytes between two.
+// One upstream of forty is dead and every tenth packet is lost, but the others answer. Flows must stay in this data
+// centre, since traffic to another one is expensive.
 func TestGroupThatAnswersIsNotLost(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -105,9 +106,9 @@
 	}
 }
 
-// Ten of forty upstreams are lost for good, and their registrations stay, since the store is silent. They
-// are ejected. When that ends they have nothing in progress and look better than any that serves: all
-// the same they get a flow now and then only, and a copy of its opening goes to one that serves.
+// Ten of forty upstreams are lost for good, and their registrations stay since the store is silent. When their ejection
+// ends, they have nothing in progress and look better than the live ones. They must get a flow only now and then, and a
+// retransmitted opening must go to a live upstream.
 func TestLostUpstreamsAreTriedRarely(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -130,15 +131,15 @@
 		}
 		w.after(10 * ms)
 	}
-	// Each is met once, and then one of them every second of the 25 that this takes.
+	// Each is tried once, and then one of them in each of the 25 seconds that the test takes.
 	if lost > 10+2*25 || copies > 10 {
 		t.Errorf("of 1000 flows %d were sent to upstreams that are lost, and %d of their copies", lost, copies)
 	}
 }
 
-// An entry joins, and the fabric hands nearly all flows to other entries than before: openings that were
-// sent from here are followed up elsewhere, and flows come that others placed. That two upstreams seem
-// to leave openings unanswered says nothing of the group: flows stay in this data centre.
+// An entry joins, and the fabric hands nearly all flows to other entries than before: openings that were sent from here
+// are continued elsewhere, and flows arrive that other entries placed. The openings that seem unanswered are no evidence
+// against the group, and flows must stay in this data centre.
 func TestMovedFlowsAreNoLostGroup(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
--- a/stoatecho/health.go
+++ b/stoatecho/health.go
@@ -9,75 +9,78 @@
 )
 
 const (
-	// minPatience and patienceMost bound how long an opening may wait for its caller's
-	// next packet before new flows avoid the upstream. A caller repeats its opening after
-	// 200 ms, which is as late as a request may be.
+	// minPatience and maxPatience bound how long an opening may wait for its caller's next packet before new flows
+	// avoid the upstream. A caller retransmits its opening after 200 ms, which is as late as a request may be.
 	minPatience = 20 * time.Millisecond
 	maxPatience = 150 * time.Millisecond
-	// minAvoidance and avoidMost bound how long an upstream that let an opening go unanswered
-	// gets no flows while others can take them; each time doubles it, a sign ends it.
+	// minAvoidance and maxAvoidance bound how long an upstream that left an opening unanswered gets no flows while
+	// others can take them; the time doubles with each such opening, and a sign of life ends it.
 	minAvoidance = 400 * time.Millisecond
 	maxAvoidance = 3200 * time.Millisecond
-	// requestPatience is the same for a request: twice the slowest usual one.
+	// requestPatience is how long a request may wait before new flows avoid the upstream: twice the slowest usual
+	// answer time.
 	requestPatience = 500 * time.Millisecond
-	// minRetransmitInterval is the least time between a packet and its copy that counts as a repeat:
-	// callers repeat after 200 ms.
+	// minRetransmitInterval is the least time between a packet and its copy for the copy to count as a
+	// retransmission by the caller, which happens after 200 ms.
 	minRetransmitInterval = 150 * time.Millisecond
-	// ejectRetransmissions and ejectSilence are the evidence that an upstream is dead: so many
-	// packets were repeated, and nothing came back on any flow for so long.
+	// ejectRetransmissions and ejectSilence are the evidence on which an upstream is ejected: that many
+	// retransmissions, and no sign of life on any flow for that long.
 	ejectRetransmissions = 2
 	ejectSilence         = 200 * time.Millisecond
-	// coldSilenceFactor is how many times longer an upstream that has just started may be silent: it
-	// works several times slower, so that its callers repeat themselves while it is at work.
+	// coldSilenceFactor is how many times longer an upstream that has just started may be silent: it works several
+	// times slower, so that callers retransmit while it works.
 	coldSilenceFactor = 4
-	// queueSilenceFactor is how many mean answer times of its like an upstream may be silent: a queue
-	// that is full takes two or three times as long as the mean one.
+	// queueSilenceFactor is how many mean answer times of its group an upstream may be silent: a full queue takes two
+	// or three times as long as the mean one.
 	queueSilenceFactor = 3
-	// minKnownWeight is the weight of answers below which nothing is known of a queue, as after a start.
+	// minKnownWeight is the weight of recent answers below which the length of the queue is unknown, as after a
+	// start.
 	minKnownWeight = 0.5
-	// minEjection and ejectMost bound how long it gets no flows; each time doubles it.
+	// minEjection and maxEjection bound how long an ejected upstream gets no flows; the time doubles with each
+	// ejection.
 	minEjection = time.Second
 	maxEjection = 8 * time.Second
-	// localFaultSilence is how long another upstream must owe a sign for the trouble to be this
-	// entry's: longer than a usual answer takes.
+	// localFaultSilence is how long another upstream must be silent too for the fault to be this entry's: longer than
+	// a usual answer takes.
 	localFaultSilence = 100 * time.Millisecond
-	// latencyWeight is the share of the newest sample in the mean.
+	// latencyWeight is the weight of the newest sample in the mean.
 	latencyWeight = 0.2
-	// latencyFloor keeps small differences from moving flows: below it all are alike.
+	// latencyFloor is the mean answer time below which differences do not matter, so that small ones do not move
+	// flows.
 	latencyFloor = 50 * time.Millisecond
 )
 
-// health is what this entry saw of one upstream: callers' packets only, for the answers
-// go past it.
+// health is what this entry has seen of one upstream. It sees only the callers' packets, as answers do not pass
+// through it.
 type health struct {
-	flows              int            // open ones that this entry saw
+	flows              int            // open flows seen here
 	pendingRequests    int            // requests without an answer
-	pendingOpenings    int            // openings without their caller's next packet
-	lastAlive          time.Time      // last proof of life: a caller acknowledged something new
-	lastAnswer         time.Time      // last answer to a request, the surest sign
-	openingsSince      time.Time      // since when an opening waits, without a sign since
-	requestsSince      time.Time      // since when a request waits, without a sign since
+	pendingOpenings    int            // openings without the caller's next packet
+	lastAlive          time.Time      // last sign of life: a caller acknowledged something new
+	lastAnswer         time.Time      // last answer to a request, the most reliable sign of life
+	openingsSince      time.Time      // since when an opening has been pending without a sign of life
+	requestsSince      time.Time      // since when a request has been pending without a sign of life
 	answerTimes        meanWithFloor  // from a request to its answer
-	saturation         rejectionRate  // it turned requests away
-	recentAnswers      decayingMean   // the same, of answers of late
-	concurrency        float64        // mean of requests in progress from here, itself included, when it was asked
-	retransmissions    int            // repeated packets since the last sign
+	saturation         rejectionRate  // requests that it rejected
+	recentAnswers      decayingMean   // answer times of recent requests
+	concurrency        float64        // mean number of requests in progress from here when one was sent, itself included
+	retransmissions    int            // since the last sign of life
 	ejection           backoff        // it gets no flows
 	onTrial            bool           // it got a flow after an ejection and has not answered
 	avoidance          backoff        // it gets no flows while others can take them
-	window             window         // requests of late
-	failing            failureBackoff // it fails requests
+	window             window         // recent requests
+	failing            failureBackoff // no new flows, since it fails requests
 	life               stoatroute.Life
-	unansweredSince    time.Time // since when this entry waits for it in vain, as it reports; zero: it does not
+	unansweredSince    time.Time // since when this entry reports that it waits in vain; zero: it does not
 	unansweredSeen     time.Time // when the latest unanswered packet was noted
-	deprioritizedUntil time.Time // until when new flows prefer others, since another entry waits for it
-	jointlyEjected     bool      // its ejection follows from what the data centre saw together
-	group              *group    // of the upstreams that share a load with it
-	firstSwept         time.Time // when it was first looked through; zero: it was not
+	deprioritizedUntil time.Time // new flows prefer others until then, since another entry waits for it
+	jointlyEjected     bool      // its ejection follows from the reports of all entries of the data centre
+	group              *group    // upstreams that share a load with it
+	firstSwept         time.Time // when forgetIdle first saw it; zero: it has not
 	lastPlaced         time.Time // when it last got a flow from here
 }
 
-// latest is when something of the upstream was last seen, sent or decided.
+// latest returns when something of the upstream was last seen, sent or decided.
 func (h *health) latest() time.Time {
 	latest := h.firstSwept
 	for _, t := range [...]time.Time{h.lastAlive, h.lastAnswer, h.lastPlaced, h.ejection.until, h.avoidance.until, h.failing.until, h.unansweredSeen, h.deprioritizedUntil} {
@@ -88,16 +91,16 @@
 	return latest
 }
 
-// noteAlive notes a proof of life.
+// noteAlive records a sign of life.
 func (h *health) noteAlive(now time.Time) {
 	h.lastAlive, h.openingsSince, h.requestsSince = now, now, now
 	h.retransmissions, h.onTrial, h.ejection, h.avoidance = 0, false, backoff{}, backoff{}
 	h.unansweredSince, h.deprioritizedUntil, h.jointlyEjected = time.Time{}, time.Time{}, false
 }
 
-// openingExpired notes that an opening sent at that time went unanswered for good. A machine whose
-// server crashed refuses openings towards the caller, past this entry; the caller is back
-// within milliseconds, and would be sent there again.
+// openingExpired records that an opening sent at the given time was not answered at all. A machine whose server has
+// crashed refuses openings directly towards the caller, past this entry; the caller is back within milliseconds, and
+// would be sent there again.
 func (h *health) openingExpired(now, sent time.Time) {
 	if h.lastAlive.After(sent) {
 		return
@@ -105,7 +108,7 @@
 	h.avoidance.begin(now, minAvoidance, maxAvoidance)
 }
 
-// silence is how long the upstream has owed an answer.
+// silence returns how long the upstream has left a packet unanswered.
 func (h *health) silence(now time.Time) time.Duration {
 	var d time.Duration
 	if h.pendingOpenings > 0 {
@@ -117,15 +120,15 @@
 	return d
 }
 
-// isLocalFault tells whether the silence speaks of this entry rather than of the upstream: for
-// as long as this one has been silent nobody gave a sign, although others owe one too.
+// isLocalFault reports whether the silence of an upstream is likely to be this entry's fault: no upstream has given a
+// sign of life for as long, and another one has left a packet unanswered too.
 //
-// The load: an entry sends a large configuration on, its link is full for half a second, and
-// callers' packets wait in it. A dozen upstreams look dead at once, and would get no new flows
-// although they serve. A dead upstream among others that live is told by their signs.
+// When an entry forwards a large configuration, its link may be full for half a second and delay the callers' packets.
+// A dozen upstreams then look dead at once and would get no new flows although they serve. A dead upstream among live
+// ones is recognized by the signs of life of the others.
 //
-// An entry that is behind with its own packets sees signs of others among them, as old as the
-// repeats that look like evidence; so it takes none.
+// An entry that lags behind with its own packets uses no such evidence: among the packets that it handles late, signs
+// of life of other upstreams are as old as the retransmissions that seem to be evidence.
 func (e *Engine) isLocalFault(now time.Time, h *health, silence time.Duration) bool {
 	if e.behind(now) {
 		return true
@@ -141,17 +144,17 @@
 	return false
 }
 
-// slowToAnswer tells whether new flows should rather go elsewhere for now.
+// slowToAnswer reports whether new flows should prefer other upstreams for now.
 func (h *health) slowToAnswer(now time.Time, patience time.Duration) bool {
 	return h.onTrial || h.group.silence.avoidance.active(now) || h.avoidance.active(now) || now.Before(h.deprioritizedUntil) || now.Before(h.failing.until) ||
 		h.pendingOpenings > 0 && now.Sub(h.openingsSince) > patience || h.pendingRequests > 0 && now.Sub(h.requestsSince) > requestPatience
 }
 
-// handshake follows how long callers take from an opening to their next packet, which is
-// their distance: mean and mean deviation, as TCP does for its timer (RFC 6298).
+// handshake tracks how long callers take from an opening to their next packet, which reflects their distance: mean and
+// mean deviation, as TCP does for its retransmission timer (RFC 6298).
 type handshake struct{ mean, deviation time.Duration }
 
-const handshakeWeight = 8 // a new sample counts an eighth
+const handshakeWeight = 8 // the weight of a new sample is one eighth
 
 func (x *handshake) add(d time.Duration) {
 	if x.mean == 0 {
@@ -162,7 +165,7 @@
 	x.mean += (d - x.mean) / handshakeWeight
 }
 
-// patience is how long an opening may wait before its upstream is suspected.
+// patience returns how long an opening may wait before its upstream is suspected.
 func (x *handshake) patience() time.Duration {
 	if x.mean == 0 {
 		return maxPatience
@@ -170,17 +173,17 @@
 	return min(maxPatience, max(minPatience, x.mean+4*x.deviation))
 }
 
-// suspected tells whether the upstream let packets go unanswered and gave no sign since.
+// suspected reports whether the upstream left packets unanswered and has given no sign of life since.
 func (h *health) suspected() bool { return h.ejection.begun() || h.avoidance.begun() }
 
 func (h *health) isEjected(now time.Time) bool { return h.ejection.active(now) }
 
-// allowedSilence is how long the upstream may be silent: longer where its like take long to answer.
+// allowedSilence returns how long the upstream may be silent before it is ejected: longer if its group takes long to
+// answer.
 //
-// The load: a burst of six times the traffic before 120 upstreams. Each has a dozen requests
-// in its queue and answers after 0.3 s; callers repeat after 0.2 s, and one of sixteen entries
-// hears of an answer of it three times a second. Upstreams that work at full speed would be
-// ejected, and get no new flows.
+// In a burst of six times the usual traffic to 120 upstreams, each has a dozen requests in its queue and answers after
+// 0.3 s, callers retransmit after 0.2 s, and each of sixteen entries sees three answers a second of an upstream. With a
+// fixed bound, upstreams that work at full speed would be ejected.
 func (e *Engine) allowedSilence(now time.Time, u *stoatroute.Upstream) time.Duration {
 	silence := ejectSilence
 	if now.Before(u.Warm) {
@@ -192,8 +195,8 @@
 	return silence
 }
 
-// noteRetransmission notes that a caller noteRetransmission a packet, and tells whether that ejects the upstream,
-// which may be silent for so long.
+// noteRetransmission records a retransmission by a caller, and reports whether that ejects the upstream, which may be
+// silent for the allowed time.
 func (h *health) noteRetransmission(now time.Time, allowed time.Duration) bool {
 	h.retransmissions++
 	if h.retransmissions < ejectRetransmissions || h.silence(now) < allowed {
@@ -230,13 +233,13 @@
 	h.group.requestsPerFlow.requestStarted(now)
 }
 
-// openingEnded notes that an opening does not wait any more.
+// openingEnded records that an opening is no longer pending.
 func (h *health) openingEnded() {
 	h.pendingOpenings--
 	h.group.inProgress--
 }
 
-// requestEnded notes that a request does not wait any more.
+// requestEnded records that a request is no longer pending.
 func (h *health) requestEnded() {
 	h.pendingRequests--
 	h.group.inProgress--
@@ -252,7 +255,7 @@
 	h.answerTimes.add(took, latencyWeight)
 }
 
-// coldLoad is what a new flow would ask of the upstream, where a limit asks for it.
+// coldLoad returns the load that a new flow would put on the upstream while it is cold and has a rate limit.
 func (h *health) coldLoad(now time.Time, u *stoatroute.Upstream) stoatfilter.Load {
 	if u.ColdRate == 0 || !now.Before(u.Warm) {
 		return stoatfilter.Load{}
@@ -260,22 +263,22 @@
 	return stoatfilter.Load{Requests: h.group.requestsPerFlow.perFlow(now), Taken: h.lastPlaced}
 }
 
-// load is the part of the upstream's slots that this entry has taken.
+// load returns the part of the upstream's slots that this entry uses.
 func (h *health) load(u *stoatroute.Upstream) float64 {
 	return float64(h.pendingRequests+h.pendingOpenings) / float64(max(1, u.Slots))
 }
 
 const (
-	// idleLoad is what an open flow without a request counts: a caller on a long flow asks
-	// about once a second for 40 ms.
+	// idleLoad is the load of an open flow without a request: a caller on a long flow sends a request of 40 ms about
+	// once a second.
 	idleLoad = 0.04
-	// coldPenalty is how much longer a cold upstream takes, as its cost.
+	// coldPenalty is the factor on the cost of a cold upstream, which takes that much longer.
 	coldPenalty = 1.6
-	// slowPenalty keeps flows away from an upstream that owes an answer while others do not.
+	// slowPenalty is the factor on the cost of an upstream that is slow to answer, so that flows prefer others.
 	slowPenalty = 20
 )
 
-// cost is the expected wait at the upstream, in units of a request alone there.
+// cost returns the expected wait at the upstream, relative to a single request there.
 func (h *health) cost(now time.Time, u *stoatroute.Upstream, patience time.Duration) float64 {
 	c := h.load(u) + (1+idleLoad*float64(h.flows))/float64(max(1, u.Slots))
 	if h.answerTimes.mean > latencyFloor {
@@ -291,7 +294,7 @@
 	return c
 }
 
-// healthOf returns the health of an upstream, which is kept for each one that this entry met.
+// healthOf returns the health of an upstream, and starts to track it if this entry has not seen it yet.
 func (e *Engine) healthOf(u *stoatroute.Upstream) *health {
 	h := e.health[u.Key]
 	if h == nil {
@@ -306,7 +309,7 @@
 	return &health{life: stoatroute.LifeOf(&u.Registration), group: e.groupOf(u)}
 }
 
-// groupOf returns the group of an upstream.
+// groupOf returns the group of an upstream, and creates it if it is new.
 func (e *Engine) groupOf(u *stoatroute.Upstream) *group {
 	k := groupKey{service: u.Service, centre: u.DataCentre}
 	g := e.groups[k]
--- a/stoatecho/hold.go
+++ b/stoatecho/hold.go
@@ -7,25 +7,25 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// Held is a packet that waits until this entry has something to decide by.
+// HeldPacket is a packet that is held until this entry has a table.
 type Held struct {
 	Packet stoatpacket.Packet
 	Data   []byte
 	At     time.Time
 }
 
-// Hold keeps packets while an entry is young.
+// HoldQueue holds packets during the first second after the entry's start.
 //
-// The load: after a power loss all entries start at once, and callers have repeated
-// themselves for seconds. A packet dropped in the 40 ms before the first table waits for
-// its caller's next try, which by then is 1.6 s away and past most deadlines.
+// After a power loss all entries start at once, and callers have been retransmitting for seconds. If a packet were
+// dropped in the 40 ms before the first table arrives, its caller's next retransmission would come 1.6 s later, after
+// most deadlines.
 type Hold struct {
 	list  []Held
 	index map[heldKey]int
 }
 
-// heldKey tells copies of a packet: only the last one is kept, or the copies would look
-// like an upstream that does not answer.
+// heldKey identifies copies of a packet. Only the last copy is kept: several would look like an upstream that does not
+// answer.
 type heldKey struct {
 	tuple stoatpacket.Tuple
 	seq   uint32
@@ -33,13 +33,13 @@
 }
 
 const (
-	// maxHeld bounds the memory, at 1.3 kB a packet; it is two seconds of the busiest entry.
+	// maxHeld bounds the memory, at 1.3 kB a packet; it covers two seconds of the busiest entry's traffic.
 	maxHeld = 2048
-	// holdTimeout is how long a packet may wait. A caller gives an opening up after 1.4 s.
+	// holdTimeout is how long a packet is held. A caller gives up on an opening after 1.4 s.
 	holdTimeout = time.Second
 )
 
-// Add keeps a copy of the packet, and tells whether there was room.
+// Add holds a copy of the packet, and reports whether there was room.
 func (h *Hold) Add(now time.Time, p *stoatpacket.Packet, data []byte) bool {
 	if h.index == nil {
 		h.index = map[heldKey]int{}
@@ -57,14 +57,14 @@
 	return true
 }
 
-// Take returns what is held, oldest first, and keeps nothing.
+// Take removes and returns all held packets, oldest first.
 func (h *Hold) Take() []Held {
 	list := h.list
 	h.list, h.index = nil, nil
 	return list
 }
 
-// Overdue returns what has waited too long, and keeps the rest.
+// TakeExpired removes and returns the packets that have been held for too long.
 func (h *Hold) Overdue(now time.Time) []Held {
 	n := 0
 	for n < len(h.list) && now.Sub(h.list[n].At) >= holdTimeout {
--- a/stoatecho/hold_test.go
+++ b/stoatecho/hold_test.go
@@ -8,8 +8,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// All entries lost power; callers repeat their openings until an entry is back. Each flow's
-// last copy waits, so that the copies do not look like an upstream that does not answer.
+// After a power loss of all entries, callers retransmit their openings until an entry is back. Only the last copy of each
+// is kept, so that the copies do not look like an upstream that does not answer.
 func TestHoldKeepsTheLastCopy(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
@@ -28,7 +28,7 @@
 	}
 }
 
-// No table comes: what waited for a second is given back to be refused, the rest waits on.
+// No table arrives: packets that were held for a second are returned to be refused, and the others are still held.
 func TestHoldExpires(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
@@ -42,7 +42,7 @@
 	}
 }
 
-// A flood before the first table is bounded.
+// The number of held packets is bounded, so that a flood before the first table cannot exhaust the memory.
 func TestHoldIsBounded(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
--- a/stoatecho/open.go
+++ b/stoatecho/open.go
@@ -10,7 +10,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// open places a new flow, or a copy of its opening.
+// open places a new flow, or handles a retransmitted opening.
 func (e *Engine) open(now time.Time, t *stoatroute.Table, r *stoatroute.Route, p *stoatpacket.Packet) Action {
 	a := Action{Verdict: Forward, Opened: true}
 	var except stoatpaddle.UpstreamKey
@@ -60,14 +60,14 @@
 	return a
 }
 
-// refuse turns an opening away; what its packet proved about other flows stays in a.
+// refuse refuses an opening; what its packet showed about other flows stays in a.
 func (e *Engine) refuse(a Action, reason stoatpacket.DropReason) Action {
 	e.stats.Refused++
 	a.Verdict, a.Reason, a.Opened, a.Moved = Reset, reason, false, false
 	return a
 }
 
-// callerKey is a caller at one address of the service.
+// callerKey identifies a caller's address at one address of the service.
 type callerKey struct {
 	caller  netip.Addr
 	service netip.AddrPort
@@ -77,9 +77,9 @@
 	return callerKey{caller: p.Tuple.Src.Addr(), service: p.Tuple.Dst}
 }
 
-// lastRefusedBy returns the upstream that this caller's last opening went to, if nothing
-// came of it by now although a handshake takes no longer: it may have been refused, and the
-// caller has few tries. Others behind the same address lose nothing by another choice.
+// lastRefusedBy returns the upstream that the last opening from the caller's address went to, if nothing followed
+// that opening for longer than a handshake takes. The upstream may have refused the caller, which has few tries
+// left. Other callers behind the same address lose nothing by another choice.
 func (e *Engine) lastRefusedBy(now time.Time, p *stoatpacket.Packet) stoatpaddle.UpstreamKey {
 	f := e.flows[e.lastOpenings[callerOf(p)]]
 	if f == nil || !f.opening || e.handshake.mean == 0 || now.Sub(f.lastSeen) < e.handshake.mean*3/4 {
@@ -88,9 +88,9 @@
 	return f.key
 }
 
-// keepsUpstream tells whether the copy of an opening goes where the one before went. A sign of
-// life since then says that the packet was lost, not the upstream: at another one the flow
-// would be open twice, and the caller's packets would bring either cookie.
+// keepsUpstream reports whether a retransmitted opening goes to the same upstream as before. If that upstream has
+// given a sign of life since, the packet was lost rather than the upstream: sent to another one, the flow would be
+// open twice, and the caller's packets would carry either cookie.
 func (e *Engine) keepsUpstream(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, f *flow, a *Action) bool {
 	if u == nil || !u.Opens() || e.filter.Allowed(t, r, u) != stoatfilter.Eligible {
 		return false
@@ -103,7 +103,8 @@
 	return h.lastAlive.After(f.lastSeen) && !h.isEjected(now)
 }
 
-// noteRetransmission takes a repeated packet as evidence against its upstream, which may get no new flows for it.
+// noteRetransmission takes a retransmitted packet as evidence against its upstream, and ejects the upstream if the
+// evidence suffices.
 func (e *Engine) noteRetransmission(now time.Time, u *stoatroute.Upstream, h *health, a *Action) {
 	silence := h.silence(now)
 	if e.isLocalFault(now, h, silence) {
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -12,12 +12,12 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// restarted registers an upstream's start under the id that it has.
+// restarted registers a restart of an upstream under its id.
 func (w *world) restarted(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
 	w.registerRestart(target, born, 0)
 }
 
-// restartedCold does the same for one that is slow for some seconds.
+// restartedCold does the same for an upstream that is cold for five seconds.
 func (w *world) restartedCold(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
 	w.registerRestart(target, born, 5*time.Second)
 }
@@ -39,9 +39,8 @@
 	return stoatecho.InProgress{}
 }
 
-// An upstream crashes with requests in progress, is ejected for its silence, and starts again
-// under its id. What was counted of the earlier life must not make the new one look full, or
-// dead: it takes flows at once, and as many as another.
+// An upstream crashes with requests in progress, is ejected for its silence, and restarts under its id. What was counted
+// before the restart must not make it look full or dead: it gets flows at once.
 func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
@@ -67,13 +66,13 @@
 		got[w.caller(idempotentAddr).open().Target]++
 	}
 	if got[1] == 0 {
-		t.Error("no flow for the upstream that is back:", got)
+		t.Error("no flow for the restarted upstream:", got)
 	}
 }
 
-// An upstream started again a second ago; its registration arrives only now. Flows that opened
-// there since carry the cookie that flows of the earlier life carry. None is reset here: not for
-// the restart, and not on evidence against the earlier life. The upstream resets what it lacks.
+// An upstream restarted a second ago, and its registration arrives only now. Flows that opened since then carry the same
+// cookie as flows from before the restart. None may be reset here, neither for the restart nor on evidence from before:
+// the upstream resets the flows that it does not know.
 func TestNoResetForARestart(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
@@ -84,7 +83,7 @@
 	for range 2 {
 		w.after(220 * ms)
 		for _, c := range flows[1:] {
-			c.retransmit() // evidence against the earlier life
+			c.retransmit() // evidence from before the restart
 		}
 	}
 	pending := flows[0]
@@ -100,8 +99,8 @@
 	}
 }
 
-// The upstream is slow after its start, and says so. Its callers repeat themselves while it
-// works; that is no evidence yet, as with any upstream that has just started.
+// An upstream is cold after a restart, as its registration says. Callers retransmit while it works, which is not enough
+// evidence to eject it, as with any cold upstream.
 func TestRestartedColdUpstreamIsGivenTime(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
@@ -122,8 +121,8 @@
 	}
 }
 
-// An opening was under way when the registration of the new life arrived. It still counts, and
-// its copy goes where it went: at another upstream the flow would open twice.
+// An opening is pending when the registration of the restarted upstream arrives. It still counts, and its retransmission
+// goes to the same upstream: at another one the flow would open twice.
 func TestOpeningOverARestart(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
@@ -145,8 +144,8 @@
 	}
 }
 
-// Entries of the data centre counted failures at the earlier life; their sums go on to say so
-// for some seconds after the start. They are no reason to keep flows from the new life.
+// Entries counted failures of an upstream before it restarted, and their sums include these for some seconds after the
+// restart. The restarted upstream must not be ejected for them.
 func TestOldCountsDoNotJudgeANewLife(t *testing.T) {
 	w := newWorld(t)
 	w.register(4, "app", "here")
@@ -164,6 +163,6 @@
 	w.after(6 * time.Second)
 	w.e.TakeSum(w.now, bad)
 	if got := w.e.Judge(w.now, w.book.Table()); len(got) != 1 {
-		t.Error("failures of the new life do not count either")
+		t.Error("failures after the restart do not count either")
 	}
 }
--- a/stoatecho/retain_test.go
+++ b/stoatecho/retain_test.go
@@ -14,17 +14,17 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// The same histories each time: a run that fails must fail again.
+// A fixed seed makes a failing run reproducible.
 func init() {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
 	}
 }
 
-// Upstreams come, end, are forgotten and start again elsewhere, packets come with a table that is one behind,
-// and the engine looks only at what differs between two tables. After each one, what it keeps on an upstream
-// is of the life that the table has; on one that the table lacks it keeps something only while requests are
-// in progress there.
+// Upstreams register, end, are forgotten and restart, packets are handled with a table that is one behind, and Retain
+// looks only at what differs between two tables. After each step, the health that is kept of an upstream must be of the
+// same life as in the table, and an upstream that is not in the table may have health only while something is in
+// progress there.
 func TestRetainKeepsWhatTheTableHas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		listen := netip.MustParseAddrPort("198.18.0.1:443")
@@ -66,10 +66,10 @@
 			for k, h := range e.health {
 				u := last.Upstream(k)
 				if u == nil && h.flows+h.pendingOpenings+h.pendingRequests == 0 {
-					t.Fatalf("kept of %d, which is in no table and has nothing in progress", k)
+					t.Fatalf("health kept of upstream %d, which is in no table and has nothing in progress", k)
 				}
 				if u != nil && !h.life.Same(stoatroute.LifeOf(&u.Registration)) {
-					t.Fatalf("kept of %d: life %+v, the table has %+v", k, h.life, stoatroute.LifeOf(&u.Registration))
+					t.Fatalf("health kept of upstream %d: life %+v, the table has %+v", k, h.life, stoatroute.LifeOf(&u.Registration))
 				}
 			}
 		}
--- a/stoatecho/shed.go
+++ b/stoatecho/shed.go
@@ -7,37 +7,35 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Answers that are refusals.
+// Detection of answers that are rejections.
 //
-// The load: nine times the usual traffic. An upstream whose queue is full turns a request away at
-// once, and its caller acknowledges that like any answer. Half of all answers are such and take
-// five milliseconds: the mean is then that of a calm day, entries admit everybody, and a full
-// upstream looks like the quickest one.
+// Under nine times the usual traffic, an upstream whose queue is full rejects a request at once, and its caller
+// acknowledges that like any answer. Half of all answers are rejections and take five milliseconds, so that the mean is
+// as low as on a quiet day, entries admit every flow, and a full upstream looks like the fastest one.
 //
-// What an answer says is not read here, only how many bytes of it callers acknowledge, and when. A
-// refusal is shorter than what the route usually answers, and comes sooner than any work.
+// Entries do not see the answers, only how many bytes of them callers acknowledge, and when. A rejection is shorter
+// than the usual answers of its route and comes sooner than any real work could take.
 const (
-	// shortShare and quickShare are the parts of a route's usual size and of an upstream's least
-	// usual time below which an answer counts as a refusal: both, since some answers are short and
-	// others quick.
+	// shortShare and quickShare are the parts of a route's usual answer size and of an upstream's minimum answer time
+	// below which an answer counts as a rejection. Both must hold, since some answers are short and others quick.
 	shortShare = 0.5
 	quickShare = 0.5
-	// ackDelay is how long callers may keep the acknowledgement of a single packet back (RFC 1122, 4.2.3.2), which
-	// is in the time of each answer that is one packet: quick is what is left.
+	// ackDelay is how long callers may delay the acknowledgement of a single packet (RFC 1122, 4.2.3.2). It is part of
+	// the time of each answer of one packet, so only the rest of the time is compared.
 	ackDelay = 45 * time.Millisecond
-	// onePacket is the data of a full packet: a first acknowledgement may cover no more of a long answer.
+	// onePacket is the data of a full packet, in bytes; the first acknowledgement of a long answer may cover no more.
 	onePacket = 1200
-	// sizeWeight is the share of the newest answer in a route's usual size; that of a short one is
-	// smaller, so that refusals do not become usual within a burst, and a route whose answers have
-	// become short is followed within some thousands.
+	// sizeWeight is the weight of the newest answer in the usual size. The weight of a short answer is smaller, so
+	// that rejections do not become usual within a burst; a route whose answers have become short for good is
+	// followed within some thousands of answers.
 	sizeWeight  = 1.0 / 32
 	shortWeight = 1.0 / 2048
 )
 
-// answerSizes are the usual sizes of routes' answers, bytes.
+// answerSizes are the usual answer sizes of routes, in bytes.
 type answerSizes map[netip.AddrPort]float64
 
-// isShort takes in an answer's size, and tells whether it is much shorter than usual.
+// isShort records the size of an answer, and reports whether the answer is much shorter than usual.
 func (s answerSizes) isShort(r *stoatroute.Route, bytes uint32) bool {
 	bytes = min(bytes, onePacket)
 	usual, known := s[r.Listen]
@@ -53,7 +51,7 @@
 	return short
 }
 
-// isRejection tells whether an answer of that size, which took so long, is a refusal.
+// isRejection reports whether an answer of the given time and size is a rejection.
 func (e *Engine) isRejection(r *stoatroute.Route, h *health, took time.Duration, bytes uint32) bool {
 	least := h.answerTimes.floor
 	if least == 0 {
@@ -62,7 +60,8 @@
 	return e.answerSizes.isShort(r, bytes) && took < ackDelay+time.Duration(quickShare*float64(max(0, least-ackDelay)))
 }
 
-// noteRejection notes that the upstream turned a request away: it is as full as its answers were slow.
+// noteRejection records that the upstream rejected a request. It counts as an answer that was as slow as the recent
+// ones, since an upstream that rejects requests is full.
 func (h *health) noteRejection(now time.Time) {
 	h.lastAnswer = now
 	slow := max(h.recentAnswers.mean, h.group.recentAnswers.mean)
--- a/stoatecho/shed_test.go
+++ b/stoatecho/shed_test.go
@@ -7,15 +7,15 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// ackBytes has the caller acknowledge an ackBytes of so many bytes.
+// ackBytes acknowledges an answer of the given size.
 func (c *caller) ackBytes(bytes uint32) {
 	c.ack += bytes
 	c.send(stoatpacket.Packet{Seq: c.seq + 100, Ack: c.ack})
 }
 
-// The only upstream is full: it answers what it takes after 0.6 s and turns the rest away at once, with
-// an answer that is short. Taken for an answer, that makes the mean that of a calm day, and callers
-// whose requests cannot be answered in time go on being let in.
+// The only upstream is full: it answers what it accepts after 0.6 s and rejects the rest at once with a short answer. If
+// rejections counted as answers, the mean would be as low as on a quiet day, and openings would be admitted whose requests
+// cannot be answered in time.
 func TestRejectionsAreNotAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes uint32
@@ -57,8 +57,8 @@
 	}
 }
 
-// A route's answers become short for good, as after a new version of its service. They are taken for
-// refusals at first, and for answers once they are what is usual.
+// A route's answers become short for good, as after a new version of its service. They count as rejections at first, and
+// as answers once they are usual.
 func TestShortAnswersBecomeUsual(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
@@ -78,6 +78,6 @@
 		f.ackBytes(150)
 	}
 	if after := w.e.Stats().TurnedAway; after != before || before == 0 {
-		t.Error(before, "refusals at first,", after-before, "of the last hundred answers")
+		t.Error(before, "rejections at first,", after-before, "of the last hundred answers")
 	}
 }
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -10,36 +10,35 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Upstreams that answer nobody, as the entries of a data centre notice it together.
+// Detection of silent upstreams by all entries of a data centre together.
 //
-// The load: a third of fifty upstreams fall silent. Forty entries each send two flows a second
-// and fifteen requests over all of them, so that one entry meets a silent upstream every few
-// seconds: each finds out by itself, at the cost of its own callers, until the registrations
-// lapse seconds later. Together they meet it six times a second.
+// When a third of fifty upstreams fall silent, and forty entries each spread two flows and fifteen requests a second
+// over all of them, one entry meets a silent upstream every few seconds. Each entry would find out separately, at the
+// cost of its own callers, until the registrations expire seconds later. Together, the entries meet a silent upstream
+// six times a second.
 //
-// So an entry that waits for an upstream in vain says so. One that waits is reason to prefer
-// others for new flows, which costs nothing if it is wrong. Two that wait, with no sign of life at
-// any entry since, are what ejects. Open flows go on either way (ended.go).
+// So an entry that waits for an upstream in vain reports it. One such entry is reason to prefer other upstreams for new
+// flows, which does no harm if it is wrong. Two such entries, with no sign of life at any entry since, are reason to
+// eject the upstream. Open flows go on in both cases (see ended.go).
 const (
-	// unansweredTimeout is how long a wait counts that nothing confirms: without new flows there, no packet
-	// may come that shows the upstream alive.
+	// unansweredTimeout is how long an unanswered packet is reported without further evidence: without new flows to
+	// the upstream, no packet may come that shows it to be alive.
 	unansweredTimeout = 2 * time.Second
-	// openingCheckInterval bounds how often unanswered packets are looked through: an entry with a tenth of
-	// a core in a burst has hundreds.
+	// openingCheckInterval bounds how often unanswered openings are checked: in a burst, an entry with a tenth of a
+	// core has hundreds.
 	openingCheckInterval = 10 * time.Millisecond
-	// adoptionInterval bounds how often flows that moved are taken in: thousands do within a second.
+	// adoptionInterval bounds how often adopted flows are processed: thousands of flows move within a second.
 	adoptionInterval = 20 * time.Millisecond
-	// deprioritizeTimeout is how long new flows prefer others on the word of one entry, unless it is said
-	// again: several times what the word takes through the relay tree.
+	// deprioritizeTimeout is how long new flows prefer other upstreams after the report of one entry, unless it is
+	// repeated: several times as long as a report takes through the relay tree.
 	deprioritizeTimeout = 400 * time.Millisecond
-	// aliveReportWindow is how long a sign of life is reported of an upstream that others wait for.
+	// aliveReportWindow is how long a sign of life of an upstream is reported that other entries wait for.
 	aliveReportWindow = 4 * time.Second
 )
 
-// noteUnanswered notes that a packet, sent at that time, is unanswered though an answer usually takes less.
-// It tells whether that is settled; if not, it is looked at again. A network of this entry's own
-// that fails, or an entry behind its own socket, hears nothing from any upstream: then it says
-// nothing of this one.
+// noteUnanswered records that a packet, sent at the given time, is unanswered for longer than usual. It reports
+// whether that is settled; if not, the packet has to be checked again. If this entry's own network fails or the entry
+// lags behind, it hears nothing from any upstream, and so reports nothing about this one.
 func (e *Engine) noteUnanswered(now time.Time, h *health, sent time.Time) (settled bool) {
 	if h.lastAlive.After(sent) || e.lastAdoption.After(sent) {
 		return true
@@ -54,12 +53,12 @@
 	return true
 }
 
-// noteAdoption notes that a packet came of a flow which another entry placed.
+// noteAdoption records a packet of a flow that another entry placed.
 //
-// The failure: an entry joins or leaves, and the fabric hands nearly all flows to other entries than
-// before. Whatever was under way is answered there: forty entries wait in vain for all upstreams at
-// once, two of them for the same one, and eject upstreams that live. What was sent before
-// flows moved is therefore no evidence, and an entry that said so takes it back.
+// When an entry joins or leaves, the fabric hands nearly all flows to other entries than before. Pending packets are
+// then answered elsewhere: forty entries wait in vain for all upstreams at once, two of them for the same one, and
+// would eject live upstreams. So packets that were sent before flows moved are no evidence, and an entry withdraws what
+// it reported about them.
 func (e *Engine) noteAdoption(now time.Time) {
 	if now.Sub(e.lastAdoption) < adoptionInterval {
 		return
@@ -72,9 +71,9 @@
 	}
 }
 
-// checkOpenings looks for openings that are unanswered for longer than usual. A request counts once
-// its caller repeats it: one on a flow that its upstream has ended is refused towards the caller,
-// past this entry, and looks unanswered here though the upstream is well.
+// checkOpenings looks for openings that are unanswered for longer than usual. A request counts only when its caller
+// retransmits it: if the upstream has ended the flow, it refuses the request directly towards the caller, past this
+// entry, and the request looks unanswered here though the upstream is healthy.
 func (e *Engine) checkOpenings(now time.Time) {
 	if now.Sub(e.openingsChecked) < openingCheckInterval {
 		return
@@ -103,12 +102,13 @@
 	}
 }
 
-// reportsSilence tells whether this entry still says that it waits for the upstream.
+// reportsSilence reports whether this entry currently reports that the upstream is silent.
 func (h *health) reportsSilence(now time.Time) bool {
 	return !h.unansweredSince.IsZero() && now.Sub(h.unansweredSeen) < unansweredTimeout
 }
 
-// silenceReport is what this entry says of the upstream.
+// silenceReport returns what this entry reports about the upstream's silence; named says that other entries wait for
+// the upstream.
 func (h *health) silenceReport(now time.Time, named bool) stoatoutlier.Silence {
 	var s stoatoutlier.Silence
 	if h.reportsSilence(now) {
@@ -120,25 +120,24 @@
 	return s
 }
 
-// TakeObserved tells whether what this entry says of upstreams changed since the last call.
+// TakeReportChange reports whether the result of Reports has changed, other than by counts, since the last call.
 func (e *Engine) TakeObserved() bool {
 	changed := e.reportChanged
 	e.reportChanged = false
 	return changed
 }
 
-// Silent is an upstream that gets no flows for a while, since nobody in the data centre hears of it.
+// SilentUpstream is an upstream that gets no flows for a while, since no entry of the data centre hears from it.
 type Silent struct {
 	Upstream *stoatroute.Upstream
-	Entries  int // that wait for it
+	Entries  int // entries that wait for it
 	Silence  time.Duration
-	Waiting  int // requests from here that wait there
+	Waiting  int // requests of this entry that are pending there
 }
 
-// JudgeSilence looks for upstreams that answer nobody, by what the entries of this data centre saw
-// together, and returns those that are ejected now. What is not heard of within the delay did not
-// happen. Upstreams of other data centres are judged too: while the own one is evacuated, all of its
-// flows go there.
+// EjectSilent looks for upstreams that answer no entry, judging by the reports of all entries of this data centre,
+// ejects them, and returns those that it ejected. A sign of life has to arrive within the delay to count. Upstreams of
+// other data centres are considered too: while the own one is evacuated, all of its flows go there.
 func (e *Engine) JudgeSilence(now time.Time, t *stoatroute.Table, delay time.Duration) []Silent {
 	if len(e.dataCentreSums) == 0 {
 		return nil
@@ -157,8 +156,8 @@
 	return out
 }
 
-// ejectSilentInGroup judges upstreams of one service in one data centre for which entries wait, those first for which
-// most do.
+// ejectSilentInGroup ejects upstreams of one service in one data centre; named has those that entries wait for, and is
+// not empty. Those that most entries wait for come first.
 func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []Silent {
 	var out []Silent
 	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
@@ -172,7 +171,7 @@
 			h.aliveElsewhere(s.Heard)
 			continue
 		}
-		// What others waited for was the life before, or this entry knows better.
+		// The upstream has restarted since, or this entry has had a more recent sign of life.
 		if u.Renewed.After(s.First) || h.lastAlive.After(s.First) {
 			continue
 		}
@@ -184,9 +183,8 @@
 	return out
 }
 
-// silentQuota bounds how many upstreams of a group are avoided on the word of other entries: for
-// each way a third, since the others would not bear the load of more, and one entry that is
-// confused must not empty a service.
+// silentQuota bounds how many upstreams of a group are deprioritized or ejected on the reports of other entries: a
+// third for each, since the others could not bear the load of more, and one faulty entry must not disable a service.
 type silentQuota struct{ upstreams, deprioritized, ejected int }
 
 func (q *silentQuota) count(now time.Time, h *health) {
@@ -198,7 +196,7 @@
 	}
 }
 
-// deprioritize has new flows deprioritize others, if there is room.
+// deprioritize has new flows prefer other upstreams, if the quota permits.
 func (q *silentQuota) deprioritize(now time.Time, h *health) {
 	if !now.Before(h.deprioritizedUntil) {
 		if q.deprioritized >= q.upstreams/ejectableDivisor {
@@ -209,7 +207,7 @@
 	h.deprioritizedUntil = now.Add(deprioritizeTimeout)
 }
 
-// eject tells whether there is room for one more ejection, and takes it.
+// eject reports whether the quota permits one more ejection, and uses it.
 func (q *silentQuota) eject() bool {
 	if q.ejected >= q.upstreams/ejectableDivisor {
 		return false
@@ -218,7 +216,7 @@
 	return true
 }
 
-// ejectJointly keeps new flows from the upstream on what the data centre saw.
+// ejectJointly ejects the upstream on the reports of all entries of the data centre.
 func (e *Engine) ejectJointly(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) Silent {
 	h.eject(now)
 	h.jointlyEjected = true
@@ -227,8 +225,8 @@
 	return Silent{Upstream: u, Entries: s.Entries, Silence: s.Together(now), Waiting: h.pendingRequests}
 }
 
-// aliveElsewhere takes in that another entry had a sign of the upstream at that time. What this entry saw
-// itself stays: the path from here may be the one that fails.
+// aliveElsewhere records that another entry had a sign of life of the upstream at the given time. Evidence of this
+// entry alone stays: the path from here may be what fails.
 func (h *health) aliveElsewhere(heard time.Time) {
 	if heard.After(h.unansweredSince) {
 		h.unansweredSince = time.Time{}
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -11,11 +11,11 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// entries are several entries of one data centre with one clock, which pool what they see. The
-// first upstreams of each are i-1, i-2 and i-4 to i-7.
+// entries are several entries of one data centre with synchronized clocks, which exchange reports. Each has the upstreams
+// i-1, i-2 and i-4 to i-7 in its data centre.
 type entries struct {
 	list         []*world
-	healthyFlows []*caller // an open flow of each at i-2, which is well
+	healthyFlows []*caller // an open flow of each entry at i-2, which is alive
 }
 
 func newEntries(t *testing.T, n int) *entries {
@@ -30,7 +30,7 @@
 	return x
 }
 
-// syncClocks gives all entries the same time.
+// syncClocks sets the clocks of all entries to the latest one.
 func (x *entries) syncClocks() {
 	latest := x.list[0].now
 	for _, w := range x.list {
@@ -49,11 +49,12 @@
 	}
 }
 
-// exchangeReports adds up what all entries saw and has each judge by it; it returns what each ejects.
+// exchangeReports adds up the reports of all entries and has each entry act on the sum; it returns what each entry
+// ejects.
 func (x *entries) exchangeReports() [][]stoatecho.Silent {
 	x.syncClocks()
 	sums := map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
-	// Once to learn who is waited for, once more with what the others heard of them.
+	// The first round finds the upstreams that entries wait for, the second one adds the signs of life of the others.
 	for range 2 {
 		named := map[stoatpaddle.UpstreamKey]bool{}
 		for k := range sums {
@@ -81,7 +82,7 @@
 	return out
 }
 
-// flowTo opens flows at one entry until one is at the upstream, and returns it.
+// flowTo opens flows at one entry until one goes to the upstream, and returns that flow.
 func (w *world) flowTo(target stoatpaddle.Target) *caller {
 	w.t.Helper()
 	for range 200 {
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// hearFromHealthy lets each entry hear of i-2, so that its own network is known to be well.
+// hearFromHealthy has each entry hear from i-2, which shows that the entry's own network works.
 func (x *entries) hearFromHealthy() {
 	for i, w := range x.list {
 		x.healthyFlows[i].sendRequest()
@@ -121,7 +122,7 @@
 	}
 }
 
-// waitWithTraffic lets time pass, 0.42 s, in which all entries hear of i-2 only.
+// waitWithTraffic lets 0.42 s pass, in which all entries hear from i-2 only.
 func (x *entries) waitWithTraffic() {
 	for range 20 {
 		x.after(20 * ms)
@@ -129,9 +130,9 @@
 	}
 }
 
-// An upstream falls silent. Three entries have each sent it something; none alone has enough for an
-// ejection. Together they have: it is ejected at all of them, also at the fourth one that sent
-// nothing. The caller who waits there keeps its flow: the upstream may only be full.
+// An upstream falls silent. Three entries have each sent it something, too little to eject it on their own. On their
+// combined reports it is ejected at all of them, and at a fourth entry that sent nothing. The pending flow there is not
+// reset, since the upstream may only be full.
 func TestSilenceIsPooled(t *testing.T) {
 	x := newEntries(t, 4)
 	waiting := x.list[2].flowTo(1)
@@ -151,18 +152,18 @@
 		}
 	}
 	if n := all[2][0].Waiting; n != 1 {
-		t.Errorf("%d requests wait at the third entry, expected one", n)
+		t.Errorf("%d requests are pending at the third entry, expected one", n)
 	}
 	if a := waiting.retransmit(); a.Verdict != stoatecho.Forward {
-		t.Errorf("an open flow was reset on what entries saw: %+v", a)
+		t.Errorf("an open flow was reset on the reports of entries: %+v", a)
 	}
 	if got := x.list[3].openFlows(30); got["i-1"] != 0 {
-		t.Error("the entry that sent it nothing goes on:", got)
+		t.Error("the entry that sent it nothing still opens flows there:", got)
 	}
 }
 
-// The same, but one entry alone waits: a packet of it may be lost. Others are preferred for new
-// flows, at all entries, and nothing is ejected or reset.
+// Only one entry waits for an upstream, whose packet may have been lost. New flows at all entries prefer other upstreams,
+// and nothing is ejected or reset.
 func TestOneEntryThatWaitsEjectsNothing(t *testing.T) {
 	x := newEntries(t, 3)
 	open := x.list[1].flowTo(1)
@@ -183,8 +184,8 @@
 	}
 }
 
-// Two entries lost a packet to the same upstream. A third one hears from it meanwhile: it lives,
-// and nobody avoids it. If they had ejected it before, that ends.
+// Two entries lost a packet to the same upstream, and a third one hears from it. The upstream is alive: no entry avoids it
+// any more, and an ejection ends.
 func TestSignOfLifeEndsSilence(t *testing.T) {
 	x := newEntries(t, 3)
 	open := x.list[2].flowTo(1)
@@ -202,7 +203,7 @@
 	x.after(30 * ms)
 	open.ackAnswer()
 	if !x.list[2].e.TakeObserved() {
-		t.Error("a sign of life is not passed on")
+		t.Error("a sign of life is not reported")
 	}
 	x.exchangeReports()
 	x.after(ms)
@@ -211,8 +212,8 @@
 	}
 }
 
-// An entry's own link is cut: every packet it sends is lost, and it waits for all upstreams. With no
-// sign from anyone it says nothing, or one broken entry would empty a data centre.
+// An entry's own link is cut: all packets it sends are lost, and it waits for all upstreams. Without a sign of life of
+// any upstream it must report nothing, or a single faulty entry would disable a data centre.
 func TestIsolatedEntryReportsNothing(t *testing.T) {
 	x := newEntries(t, 2)
 	w := x.list[0]
@@ -226,8 +227,8 @@
 	}
 }
 
-// Entries that are confused, or lie, wait for every upstream. At most a third of a group is avoided
-// on their word: the others would not bear the load of more.
+// Faulty or malicious entries report that they wait for every upstream. At most a third of a group may be avoided on their
+// reports, since the others could not bear the load of more.
 func TestAtMostAThirdIsEjected(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.after(time.Second)
@@ -255,9 +256,9 @@
 	}
 }
 
-// An upstream has ended a flow that was idle, and refuses the caller's next request towards the
-// caller, past the entry. Nothing comes back here, and the caller does not repeat itself: that is
-// no silence. One whose packets are lost does repeat itself.
+// An upstream has ended an idle flow, and refuses the caller's next request directly towards the caller, past the entry.
+// Nothing comes back here, and the caller does not retransmit: that is not silence of the upstream. A caller whose
+// packets are lost does retransmit.
 func TestEndedFlowIsNoSilence(t *testing.T) {
 	for name, c := range map[string]struct {
 		retransmits bool
@@ -282,9 +283,9 @@
 	}
 }
 
-// An entry joins: the fabric hands nearly all flows to other entries than before. What three entries
-// sent is answered elsewhere, and they wait in vain for an upstream that is well. As soon as a flow
-// comes to them that another one placed, they take that back.
+// An entry joins, and the fabric hands nearly all flows to other entries than before. What these entries sent is answered
+// elsewhere, and they wait in vain for a healthy upstream. They must withdraw their reports as soon as they receive a flow
+// that another entry placed.
 func TestMovedFlowsAreNoSilence(t *testing.T) {
 	x := newEntries(t, 3)
 	moved := x.list[2].flowTo(2)
@@ -298,7 +299,7 @@
 	x.hearFromHealthy()
 	for _, w := range x.list[:2] {
 		if got := w.e.Observed(w.now, nil); len(got) != 1 {
-			t.Fatalf("they do not wait: %+v", got)
+			t.Fatalf("an entry does not report that it waits: %+v", got)
 		}
 		w.e.Handle(w.now, w.book.Table(), &stoatpacket.Packet{Tuple: moved.tuple, Cookie: moved.cookie, Seq: 100, Ack: 1, Size: 100})
 	}
@@ -313,8 +314,8 @@
 	}
 }
 
-// The own data centre is evacuated, and all flows of its entries go to another one. An upstream there
-// falls silent: two entries that wait for it are enough here too.
+// The own data centre is evacuated, so that all flows go to another one. An upstream there falls silent: the reports of two
+// entries are enough to eject it there too.
 func TestSilenceElsewhereIsPooled(t *testing.T) {
 	x := newEntries(t, 3)
 	for _, w := range x.list {
@@ -337,6 +338,6 @@
 		}
 	}
 	if got := x.list[2].openFlows(30); got["i-3"] != 0 {
-		t.Error("new flows go on to it:", got)
+		t.Error("new flows still go to it:", got)
 	}
 }
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -8,10 +8,10 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// track updates what is known of the flow and its upstream.
+// track updates what is known of a flow and its upstream.
 //
-// A request begins with data and ends when the caller acknowledges something new: an
-// upstream's answers do not pass here.
+// A request begins with data and ends when the caller acknowledges something new, since an upstream's answers do
+// not pass through the entry.
 func (e *Engine) track(now time.Time, r *stoatroute.Route, u *stoatroute.Upstream, p *stoatpacket.Packet) Action {
 	a := Action{Verdict: Forward, Upstream: u}
 	f, h := e.flows[p.Tuple], e.healthOf(u)
@@ -48,14 +48,14 @@
 	return a
 }
 
-// noteAlive notes a proof of life of an upstream, which is one of this entry's network too.
+// noteAlive records a sign of life of an upstream, which also shows that this entry's network works.
 func (e *Engine) noteAlive(now time.Time, h *health) {
 	if !h.unansweredSince.IsZero() || now.Before(h.deprioritizedUntil) || h.jointlyEjected {
-		// Others wait for it, or go by what this entry said.
+		// Other entries wait for the upstream as well, or act on what this entry reported.
 		e.reportChanged = true
 	}
 	if h.suspected() {
-		// It is back, and others may be.
+		// The upstream is alive again, and other suspected ones may be.
 		h.group.nextTrial = now
 	}
 	h.noteAlive(now)
@@ -63,7 +63,7 @@
 	e.lastAlive = now
 }
 
-// answered takes in that the caller has an answer.
+// answered records that the caller has received an answer.
 func (e *Engine) answered(now time.Time, r *stoatroute.Route, u *stoatroute.Upstream, h *health, f *flow, bytes uint32, a *Action) {
 	took := now.Sub(f.requestStart)
 	h.requestEnded()
@@ -77,7 +77,7 @@
 		h.group.noteAnswer(false)
 		h.saturation.noteAnswer(now, false)
 		h.answered(now, took, f.concurrency)
-		// One that has just started is slow without a queue.
+		// A cold upstream is slow without a queue.
 		if !now.Before(u.Warm) {
 			h.recentAnswers.add(now, took)
 			h.group.answered(now, took)
@@ -93,16 +93,15 @@
 	}
 }
 
-// skippedData tells whether the caller sent data on the flow that this entry did not see: its packets went to
-// another entry for a while, as happens to most when one joins or leaves. An end of the flow that was lost on
-// the way here takes one number, and is no data.
+// skippedData reports whether the caller has sent data that this entry did not see, since its packets went to
+// another entry for a while; this happens to most flows when an entry joins or leaves. A FIN that was lost on the
+// way here takes up one sequence number and is not data.
 func (f *flow) skippedData(p *stoatpacket.Packet) bool { return int32(p.Seq-f.nextSeq) > 1 }
 
-// answeredElsewhere takes in that another entry saw the answer to the request that was noted here, at a
-// time that is not known.
+// answeredElsewhere records that another entry saw the answer to the request that began here, at an unknown time.
 //
-// The failure: entries are replaced in turn, flows come back after 1.5 s, and that time counted as an
-// answer's. Two of them were a queue, and openings were refused at upstreams with nothing in progress.
+// When entries are replaced one after another, flows come back after 1.5 s. Counted as the answer time, that looks
+// like a queue: two such flows had openings refused at upstreams with nothing in progress.
 func (e *Engine) answeredElsewhere(now time.Time, h *health, f *flow) {
 	h.requestEnded()
 	e.noteAlive(now, h)
@@ -122,8 +121,8 @@
 	return f
 }
 
-// noteData takes in a packet that carries a request, or a part of one; before is when the
-// flow's last packet came.
+// noteData records a packet that carries a request or a part of one; before is when the previous packet of the flow
+// came.
 func (e *Engine) noteData(now, before time.Time, h *health, f *flow, p *stoatpacket.Packet, a *Action) {
 	if int32(p.Seq-f.seq) > 0 || f.requestStart.IsZero() {
 		f.nextSeq = p.Seq + uint32(p.Size)
@@ -150,7 +149,7 @@
 	e.noteRetransmission(now, a.Upstream, h, a)
 }
 
-// forget takes a flow out of the table and its upstream's counts.
+// forget removes a flow and its share in the counts of its upstream.
 func (e *Engine) forget(t stoatpacket.Tuple) {
 	f := e.flows[t]
 	if f == nil {
@@ -170,8 +169,8 @@
 
 const sweepInterval = time.Second
 
-// sweep forgets flows that ended elsewhere, for their later packets reached other entries,
-// and cookies that nobody sends any more.
+// sweep forgets flows without recent packets, whose later packets reached other entries, and unknown cookies that
+// nobody sends any more.
 func (e *Engine) sweep(now time.Time) {
 	if now.Sub(e.lastSweep) < sweepInterval {
 		return
@@ -191,11 +190,11 @@
 	}
 }
 
-// healthIdleTimeout is how long is remembered what this entry saw of an upstream with nothing in progress: longer than
-// any backoff, and than an upstream may be cold after a start.
+// healthIdleTimeout is how long an entry remembers an upstream with nothing in progress: longer than any backoff,
+// and than an upstream may be cold after a start.
 const healthIdleTimeout = time.Minute
 
-// forgetIdle forgets what was seen of upstreams long ago: before 8,000 of a service, an entry meets all of them
+// forgetIdle forgets upstreams that were last seen long ago. Of a service with 8,000 upstreams, an entry sees each
 // within hours.
 func (e *Engine) forgetIdle(now time.Time) {
 	before := len(e.health)
@@ -222,8 +221,8 @@
 	}
 }
 
-// Retain forgets the health of upstreams that are not in the table any more, and of those that
-// started again under the name that they had.
+// Retain forgets the health of upstreams that are no longer in the table, and of those that restarted under their
+// id.
 func (e *Engine) Retain(now time.Time, t *stoatroute.Table) {
 	restarted := map[stoatpaddle.UpstreamKey]bool{}
 	before := len(e.health)
@@ -261,7 +260,8 @@
 	}
 }
 
-// forgetHealth forgets that of an upstream which is in the table no more, once nothing is in progress there.
+// forgetHealth forgets the health of an upstream that is no longer in the table, unless something is in progress
+// there; then it is checked again with the next table.
 func (e *Engine) forgetHealth(k stoatpaddle.UpstreamKey, h *health) {
 	if h.flows+h.pendingOpenings+h.pendingRequests == 0 {
 		delete(e.health, k)
@@ -271,7 +271,7 @@
 	e.recheck[k] = true
 }
 
-// forgetGroups forgets the groups of which no upstream is left.
+// forgetGroups forgets the groups without any known upstream.
 func (e *Engine) forgetGroups() {
 	used := make(map[*group]bool, len(e.groups))
 	for _, h := range e.health {
@@ -284,19 +284,19 @@
 	}
 }
 
-// forgetRestarted forgets the flows that were remembered at upstreams which started again.
+// forgetRestarted forgets the flows that were remembered at upstreams which restarted.
 //
-// The failure: an upstream crashes with thirty requests in progress and starts again. Counted
-// on, they would make it look full and silent for a second, and what it answers late since it
-// is cold would be evidence against it: it would be ejected although it lives.
+// When an upstream crashes with thirty requests in progress and restarts, these would make it look full and silent
+// for a second. Its late answers while it is cold would be evidence against it, and it would be ejected although
+// it is alive.
 //
-// Which life a flow opened at is not known here: the upstream may have started long before its
-// registration arrived, and the cookie is the same. So no flow is reset for the restart. Its
-// packets go on to the upstream, which resets what it does not hold: at the caller's next
-// repeat, 0.2 s after its request at first. A request that may not repeat is not sent again by
-// its caller then, since its flow had opened; whether it ran nobody can tell.
+// Whether a flow opened before or after the restart is not known here: the upstream may have started long before
+// its new registration arrived, and the cookie is the same. So no flow is reset because of the restart. Its packets
+// still go to the upstream, which resets the flows that it does not know, with the caller's next retransmission: the
+// first one comes 0.2 s after the request. After such a reset a caller does not resend a request that must not run
+// twice, since its flow had opened and nobody can tell whether the request ran.
 //
-// Openings stay: they wait for an answer of whoever lives there now.
+// Openings are kept: they wait for an answer of the restarted upstream.
 func (e *Engine) forgetRestarted(now time.Time, restarted map[stoatpaddle.UpstreamKey]bool) {
 	for tuple, f := range e.flows {
 		switch {
--- a/stoatecho/yield_test.go
+++ b/stoatecho/yield_test.go
@@ -10,8 +10,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// playAnswers plays answers of a full upstream on open flows of the feed, half of them refusals, each acknowledged
-// as late as a single packet may be.
+// playAnswers plays answers of a full upstream on open flows. Those that rejected selects are rejections, which callers
+// acknowledge as late as they may acknowledge a single packet.
 func (w *world) playAnswers(rounds int, rejected func(i int) bool) {
 	var flows []*caller
 	for range 4 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// admittedShare tells which part of openings of a route is let in.
+// admittedShare returns the share of a route's openings that is admitted.
 func (w *world) admittedShare(to netip.AddrPort) float64 {
 	const tries = 200
 	n := 0
@@ -51,21 +51,21 @@
 	return float64(n) / tries
 }
 
-// Guards against an overload in which who finds the queue full decides: where upstreams turn half of the requests
-// away, openings of the less urgent route give way, and those of the more urgent one go in. Afterwards all do.
+// In an overload, chance must not decide who finds the queue full: while upstreams reject half of the requests, openings
+// of the less urgent route are refused and those of the more urgent one admitted. Afterwards all are admitted.
 func TestLessUrgentOpeningsYield(t *testing.T) {
 	for name, c := range map[string]struct {
 		rejected     func(i int) bool
 		feed, pledge [2]float64 // least and most part that is let in
 	}{
-		"nobody is turned away":  {func(int) bool { return false }, [2]float64{1, 1}, [2]float64{1, 1}},
-		"one in ten is":          {func(i int) bool { return i%10 == 0 }, [2]float64{0.9, 1}, [2]float64{1, 1}},
-		"half are":               {func(i int) bool { return i%2 == 0 }, [2]float64{0, 0.1}, [2]float64{1, 1}},
-		"nine in ten are":        {func(i int) bool { return i%10 != 0 }, [2]float64{0, 0}, [2]float64{1, 1}},
-		"half were, a while ago": {func(i int) bool { return i < 100 && i%2 == 0 }, [2]float64{1, 1}, [2]float64{1, 1}},
+		"no request is rejected":          {func(int) bool { return false }, [2]float64{1, 1}, [2]float64{1, 1}},
+		"one in ten is rejected":          {func(i int) bool { return i%10 == 0 }, [2]float64{0.9, 1}, [2]float64{1, 1}},
+		"half are rejected":               {func(i int) bool { return i%2 == 0 }, [2]float64{0, 0.1}, [2]float64{1, 1}},
+		"nine in ten are rejected":        {func(i int) bool { return i%10 != 0 }, [2]float64{0, 0}, [2]float64{1, 1}},
+		"half were rejected, a while ago": {func(i int) bool { return i < 100 && i%2 == 0 }, [2]float64{1, 1}, [2]float64{1, 1}},
 	} {
 		w := newSingleUpstreamWorld(t, 0)
-		// The objective is far: it is not the time of answers that decides here.
+		// The objective is so long that answer times do not matter here.
 		w.declareObjectives(20 * time.Second)
 		w.rev++
 		w.book.Remove(w.now, "i-3", w.rev)
@@ -78,18 +78,18 @@
 			f.ackBytes(1200)
 		}
 		w.playAnswers(200, c.rejected)
-		// The times of the last answers are of no account any more.
+		// By then, the times of the last answers no longer count.
 		w.after(time.Second)
 		for route, want := range map[netip.AddrPort][2]float64{idempotentAddr: c.feed, nonIdempotentAddr: c.pledge} {
 			if got := w.admittedShare(route); got < want[0] || got > want[1] {
-				t.Errorf("%s: %.2f of %v are let in, expected %.2f to %.2f", name, got, route, want[0], want[1])
+				t.Errorf("%s: %.2f of %v are admitted, expected %.2f to %.2f", name, got, route, want[0], want[1])
 			}
 		}
 	}
 }
 
-// Guards against a long answer that is taken for a refusal since the first acknowledgement covers one packet of it,
-// where others cover several.
+// A long answer must not be taken for a rejection because the first acknowledgement covers only one packet of it, while
+// those of other answers cover several.
 func TestFirstPacketIsNotARejection(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	w.declareObjectives(20 * time.Second)
@@ -101,12 +101,12 @@
 		f.ackBytes([]uint32{4800, 1200}[i%2])
 	}
 	if n := w.e.Stats().TurnedAway; n > 0 {
-		t.Error(n, "answers were taken for refusals")
+		t.Error(n, "answers were taken for rejections")
 	}
 }
 
-// Guards against flows that are sent to an upstream which has just turned one away, since it has nothing in
-// progress and answers fastest: the next ones go to others, and after a while it is tried again.
+// An upstream that has just rejected a request has nothing in progress and answers fastest. New flows must go to others,
+// and the upstream is tried again after a while.
 func TestSaturatedUpstreamIsAvoided(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.declareObjectives(20 * time.Second)
@@ -130,7 +130,7 @@
 		f.send(stoatpacket.Packet{Ack: f.ack, Ends: true})
 	}
 	if to(1) == 0 {
-		t.Fatal("it gets no flows as it is")
+		t.Fatal("it gets no flows even without rejections")
 	}
 	full := w.flowTo(1)
 	full.sendRequest()
