--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -20,7 +20,8 @@
 	}}, w.rev)
 }
 
-// keepOneUpstream leaves this data centre a single upstream, which has just started and is cold for the given time.
+// keepOneUpstream leaves this data centre a single upstream, which has just started and is cold for the given
+// time.
 func (w *world) keepOneUpstream(cold time.Duration) {
 	w.book.Remove(w.now, "i-2", w.rev+1)
 	w.book.Remove(w.now, "i-1", w.rev+2)
@@ -30,8 +31,8 @@
 	}, w.rev)
 }
 
-// newSingleUpstreamWorld returns a world whose own data centre has one upstream left, and whose routes have a latency
-// objective.
+// newSingleUpstreamWorld returns a world whose own data centre has one upstream left, and whose routes have a
+// latency objective.
 func newSingleUpstreamWorld(t *testing.T, cold time.Duration) *world {
 	w := newWorld(t)
 	w.declareObjectives(400 * ms)
@@ -48,8 +49,8 @@
 	f.ackAnswer()
 }
 
-// fillQueue sends a request on each of six flows at once. All but one are answered after the given time; one stays in
-// progress.
+// fillQueue sends a request on each of six flows at once. All but one are answered after the given time; one
+// stays in progress.
 func (w *world) fillQueue(to netip.AddrPort, takes time.Duration) {
 	var flows []*caller
 	for range 6 {
@@ -64,9 +65,9 @@
 	}
 }
 
-// A data centre has one upstream of a service left, which is idle. A packet is lost and retransmitted after 0.2 s, so that
-// an answer seems to take 0.24 s. Openings must not be refused for it: they were refused for a second with nothing in
-// progress.
+// A data centre has one upstream of a service left, which is idle. A packet is lost and retransmitted after 0.2
+// s, so that an answer seems to take 0.24 s. Openings must not be refused for it: they were refused for a
+// second with nothing in progress.
 func TestOneSlowAnswerIsNoOverload(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
@@ -82,8 +83,8 @@
 	}
 }
 
-// The only upstream left has just started and takes five times as long as usual. It is slow without a queue, and no other
-// one is near: openings must not be refused.
+// The only upstream left has just started and takes five times as long as usual. It is slow without a queue,
+// and no other one is near: openings must not be refused.
 func TestColdIsNoOverload(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 3*time.Second)
 	w.fillQueue(idempotentAddr, 300*ms)
@@ -102,9 +103,9 @@
 	}
 }
 
-// In a slight overload, answers take 0.45 of the objective and are still in time: no opening is refused. In a heavy one,
-// when most openings are refused, the same queue is too long: it grows between two answers, and the next ones would be
-// late.
+// In a slight overload, answers take 0.45 of the objective and are still in time: no opening is refused. In a
+// heavy one, when most openings are refused, the same queue is too long: it grows between two answers, and the
+// next ones would be late.
 func TestShortQueueIsNoOverload(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	w.request(idempotentAddr, 30*ms)
@@ -125,10 +126,10 @@
 	}
 }
 
-// Entries are replaced one after another, and a flow is at another entry while its request is pending here. The flow is
-// answered there, carries more requests there, and comes back after 1.5 s; what its caller acknowledges then is not the
-// request that began here. Counted as answers of 1.5 s, two such flows made an entry refuse openings for a quarter of a
-// second, 3.5 s after the last queue, at upstreams with nothing in progress:
+// Entries are replaced one after another, and a flow is at another entry while its request is pending here. The
+// flow is answered there, carries more requests there, and comes back after 1.5 s; what its caller acknowledges
+// then is not the request that began here. Counted as answers of 1.5 s, two such flows made an entry refuse
+// openings for a quarter of a second, 3.5 s after the last queue, at upstreams with nothing in progress:
 //
 //	59.666 s SP1422 answer was late, took 1.532s, busy 0, upstream i-50000009
 //	59.737 s SP1422 answer was late, took 1.613s, busy 0, upstream i-50000008
@@ -169,9 +170,9 @@
 	}
 }
 
-// A caller ends its flow with the packet that acknowledges the answer, and that packet is lost on the way to the entry.
-// The next sequence number is one higher because of the FIN. No data was sent through another entry, and the answer
-// counts as one.
+// A caller ends its flow with the packet that acknowledges the answer, and that packet is lost on the way to
+// the entry. The next sequence number is one higher because of the FIN. No data was sent through another entry,
+// and the answer counts as one.
 func TestLostEndIsNoData(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	f := w.caller(nonIdempotentAddr)
--- a/stoatecho/behind_test.go
+++ b/stoatecho/behind_test.go
@@ -20,9 +20,10 @@
 	return first, second
 }
 
-// In a burst of six times the usual traffic, an entry with a twentieth of a core handles packets a quarter of a second
-// late. It sees retransmissions of requests that were answered long ago, as the acknowledgements are still queued. No
-// upstream may be ejected and no flow reset for that. Once the queue is empty, silence counts again.
+// In a burst of six times the usual traffic, an entry with a twentieth of a core handles packets a quarter of a
+// second late. It sees retransmissions of requests that were answered long ago, as the acknowledgements are
+// still queued. No upstream may be ejected and no flow reset for that. Once the queue is empty, silence counts
+// again.
 func TestDelayedPacketProcessing(t *testing.T) {
 	for name, c := range map[string]struct {
 		behind time.Duration
@@ -32,8 +33,8 @@
 		"up to date": {20 * ms, true},
 	} {
 		w := newWorld(t)
-		there, others := w.openAtBoth(12)
-		for _, f := range append(append([]*caller(nil), there...), others...) {
+		watched, others := w.openAtBoth(12)
+		for _, f := range append(append([]*caller(nil), watched...), others...) {
 			f.sendRequest()
 		}
 		ejected, reset := false, false
@@ -44,7 +45,7 @@
 				f.sendRequest()
 			}
 			w.e.Drained(w.now.Add(-c.behind))
-			for _, f := range there {
+			for _, f := range watched {
 				a := f.retransmit()
 				ejected = ejected || a.Ejected != nil
 				reset = reset || a.Verdict == stoatecho.Reset
@@ -56,13 +57,13 @@
 	}
 }
 
-// A burst fills the queues of all upstreams: they work at full speed and answer after 0.3 s, but callers retransmit after
-// 0.2 s. An entry that hears little from each must not take one for dead. An upstream that is silent three times as long
-// is ejected.
+// A burst fills the queues of all upstreams: they work at full speed and answer after 0.3 s, but callers
+// retransmit after 0.2 s. An entry that hears little from each must not take one for dead. An upstream that is
+// silent three times as long is ejected.
 func TestFullQueueIsNotSilence(t *testing.T) {
 	w := newWorld(t)
-	there, others := w.openAtBoth(24)
-	for _, f := range append(append([]*caller(nil), there...), others...) {
+	watched, others := w.openAtBoth(24)
+	for _, f := range append(append([]*caller(nil), watched...), others...) {
 		f.sendRequest()
 	}
 	for n := range 5 {
@@ -73,7 +74,7 @@
 			f.sendRequest()
 		}
 		ejected := false
-		for _, f := range there {
+		for _, f := range watched {
 			a := f.retransmit()
 			ejected = ejected || a.Ejected != nil || a.Verdict != stoatecho.Forward
 		}
--- a/stoatecho/bench_test.go
+++ b/stoatecho/bench_test.go
@@ -64,8 +64,9 @@
 	}
 }
 
-// BenchmarkRetain has the engine retain a table in which one of 43,000 upstreams of 4,000 services has changed. It took
-// 16.7 ms when the health of every upstream was checked, and 0.08 ms when only the upstreams in changed shards were.
+// BenchmarkRetain has the engine retain a table in which one of 43,000 upstreams of 4,000 services has changed.
+// It took 16.7 ms when the health of every upstream was checked, and 0.08 ms when only the upstreams in changed
+// shards were.
 func BenchmarkRetain(b *testing.B) {
 	const services, each = 4000, 11
 	book := stoatroute.NewBook(stoatroute.Config{})
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -8,9 +8,9 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// spillFactor is how many times more loaded the best upstream here must be than the best one of another data centre
-// before a flow goes there. Traffic between data centres is expensive, a flow there breaks when the two lose their
-// connection, and without the factor flows would oscillate between them.
+// spillFactor is how many times more loaded the best upstream here must be than the best one of another data
+// centre before a flow goes there. Traffic between data centres is expensive, a flow there breaks when the two
+// lose their connection, and without the factor flows would oscillate between them.
 const spillFactor = 2.0
 
 // pick is the cheapest upstream of those offered.
@@ -94,14 +94,14 @@
 		cost *= slowPenalty
 	}
 	full := !admits(c.now, h, c.route)
-	switch home := u.DataCentre == e.cfg.DataCentre; {
+	switch own := u.DataCentre == e.cfg.DataCentre; {
 	case h.isEjected(c.now) || u.Key == c.except:
 		o.lastResort.offer(u, h, cost)
 	case v == stoatfilter.Spare:
 		o.ownSpare.offer(u, h, cost)
-	case home && full:
+	case own && full:
 		o.ownFull.offer(u, h, cost)
-	case home:
+	case own:
 		o.own.offer(u, h, cost)
 	case full:
 		o.otherFull.offer(u, h, cost)
@@ -110,9 +110,10 @@
 	}
 }
 
-// maxCandidates bounds how many upstreams are evaluated for a new flow, in the own data centre and in all others
-// together. An entry in front of 1,600 upstreams of a service sends each of them a few flows an hour, and so knows
-// nothing about most of them. Without the bound, an opening would cost time in proportion to the size of the service.
+// maxCandidates bounds how many upstreams are evaluated for a new flow, in the own data centre and in all
+// others together. An entry in front of 1,600 upstreams of a service sends each of them a few flows an hour,
+// and so knows nothing about most of them. Without the bound, an opening would cost time in proportion to the
+// size of the service.
 const maxCandidates = 128
 
 // sampleGroups calls do with a sample of the upstreams of the own data centre and a sample of the others, in which
@@ -168,8 +169,8 @@
 }
 
 // spillsOver reports whether a flow goes to another data centre although the own one could take it: if the best
-// upstream here is slow to answer and the best one there is not, or if this entry alone has filled the slots of the
-// best one here and taken far fewer of the best one there.
+// upstream here is slow to answer and the best one there is not, or if this entry alone has filled the slots of
+// the best one here and taken far fewer of the best one there.
 func spillsOver(now time.Time, patience time.Duration, own, other *pick) bool {
 	if other.h.slowToAnswer(now, patience) {
 		return false
--- a/stoatecho/ended.go
+++ b/stoatecho/ended.go
@@ -9,24 +9,24 @@
 
 // Open flows are reset because of their upstream only when the platform says that the upstream has ended.
 //
-// Silence is no proof of that. Under nine times the usual traffic, upstreams answer after half a second and callers
-// retransmit after 0.2 s. The links and sockets of entries delay packets for as long, and two entries wait for the same
-// full upstream. As an entry sees only the callers' packets, all of this looks like a dead upstream: hundreds of flows,
-// minutes old, were reset at once although their upstreams were serving. An entry's own evidence cannot tell a queue
-// from a dead upstream, and two entries may see the same queue. So silence only ejects the upstream, which keeps new
-// flows away and does no harm if it is wrong.
+// Silence is no proof of that. Under nine times the usual traffic, upstreams answer after half a second and
+// callers retransmit after 0.2 s. The links and sockets of entries delay packets for as long, and two entries
+// wait for the same full upstream. As an entry sees only the callers' packets, all of this looks like a dead
+// upstream: hundreds of flows, minutes old, were reset at once although their upstreams were serving. An
+// entry's own evidence cannot tell a queue from a dead upstream, and two entries may see the same queue. So
+// silence only ejects the upstream, which keeps new flows away and does no harm if it is wrong.
 
-// OrphanedFlow is a flow to reset that waits for an answer of an upstream which has ended. There is no packet of its
-// caller to answer with a reset.
+// OrphanedFlow is a flow to reset that waits for an answer of an upstream which has ended. There is no packet
+// of its caller to answer with a reset.
 type Unanswered struct {
 	Tuple    stoatpacket.Tuple
 	Ack      uint32 // the caller's last acknowledgement number
 	Upstream *stoatroute.Upstream
 }
 
-// hasEnded reports whether flows of the upstream are to be reset. A registration also ends if only the upstream's
-// connection to the platform is lost: an upstream that has answered since then keeps its open flows and gets no new
-// ones.
+// hasEnded reports whether flows of the upstream are to be reset. A registration also ends if only the
+// upstream's connection to the platform is lost: an upstream that has answered since then keeps its open flows
+// and gets no new ones.
 func (e *Engine) hasEnded(u *stoatroute.Upstream) bool {
 	if u.Standing != stoatroute.Gone {
 		return false
@@ -38,13 +38,13 @@
 // TakeOrphanedFlows forgets and returns the flows that wait for an answer of an upstream which has ended since the
 // last call.
 //
-// If an upstream dies after it received a request, its caller has nothing to retransmit and waits until it gives up, or
-// retransmits only after 1.6 s. A reset lets the caller try elsewhere in time.
+// If an upstream dies after it received a request, its caller has nothing to retransmit and waits until it
+// gives up, or retransmits only after 1.6 s. A reset lets the caller try elsewhere in time.
 //
-// A registration also ends if only the upstream's connection to the platform is lost. Such an upstream still works on
-// recent requests, and their answers have to reach the callers. So a flow is returned only if its request has been
-// pending for as long as callers wait before they retransmit, at an upstream that has given no sign of life for as
-// long.
+// A registration also ends if only the upstream's connection to the platform is lost. Such an upstream still
+// works on recent requests, and their answers have to reach the callers. So a flow is returned only if its
+// request has been pending for as long as callers wait before they retransmit, at an upstream that has given no
+// sign of life for as long.
 func (e *Engine) TakeEnded(now time.Time, t *stoatroute.Table) []Unanswered {
 	var out []Unanswered
 	ended := map[*stoatroute.Upstream]bool{}
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// Large uploads in a burst of nine times the usual traffic: each has many packets under way, and callers retransmit after
-// 0.2 s what is not acknowledged. One upstream has a queue and answers after 0.6 s, while another one answers at once.
-// The uploads are slow, but none of their flows may be reset.
+// Large uploads in a burst of nine times the usual traffic: each has many packets under way, and callers
+// retransmit after 0.2 s what is not acknowledged. One upstream has a queue and answers after 0.6 s, while
+// another one answers at once. The uploads are slow, but none of their flows may be reset.
 func TestUploadsThroughAQueueGoOn(t *testing.T) {
 	w := newWorld(t)
 	full, quick := w.flowsTo(1, 4), w.flowsTo(2, 2)
@@ -63,9 +63,9 @@
 	}
 }
 
-// Two entries have requests in the queue of one full upstream, and hear from all others. Both report that they wait in
-// vain, so that new flows go elsewhere. But both see the same queue, which does not prove that the upstream is dead: no
-// open flow may be reset.
+// Two entries have requests in the queue of one full upstream, and hear from all others. Both report that they
+// wait in vain, so that new flows go elsewhere. But both see the same queue, which does not prove that the
+// upstream is dead: no open flow may be reset.
 func TestTwoEntriesThatWaitForAFullUpstream(t *testing.T) {
 	x := newEntries(t, 3)
 	var waiting []*caller
@@ -91,30 +91,31 @@
 	}
 }
 
-// In a burst, an entry with little CPU reads its socket 0.6 s late and does not know it yet: retransmissions of requests
-// that were answered long ago come before the acknowledgements of the answers. None of those flows may be reset.
+// In a burst, an entry with little CPU reads its socket 0.6 s late and does not know it yet: retransmissions of
+// requests that were answered long ago come before the acknowledgements of the answers. None of those flows may
+// be reset.
 func TestEntryThatReadsLateResetsNothing(t *testing.T) {
 	w := newWorld(t)
-	there, others := w.openAtBoth(12)
-	for _, f := range append(append([]*caller(nil), there...), others...) {
+	watched, others := w.openAtBoth(12)
+	for _, f := range append(append([]*caller(nil), watched...), others...) {
 		f.sendRequest()
 	}
 	for range 3 {
 		w.after(210 * ms)
 		others[0].ackAnswer()
 		others[0].sendRequest()
-		for _, f := range there {
+		for _, f := range watched {
 			wantForward(t, "retransmission that was queued in the socket", f.retransmit())
 		}
 	}
-	for _, f := range there {
+	for _, f := range watched {
 		wantForward(t, "acknowledgement", f.ackAnswer())
 	}
 }
 
-// An upstream accepts requests and dies. Its callers have nothing to retransmit, or retransmit only 1.6 s later. When the
-// platform says that the upstream has ended, the flows with pending requests are reset at once. Flows at other upstreams
-// are not, and idle flows are reset with their next packet.
+// An upstream accepts requests and dies. Its callers have nothing to retransmit, or retransmit only 1.6 s
+// later. When the platform says that the upstream has ended, the flows with pending requests are reset at once.
+// Flows at other upstreams are not, and idle flows are reset with their next packet.
 func TestPendingFlowsAreResetAfterEnd(t *testing.T) {
 	w := newWorld(t)
 	waiting, idle, other := w.flowsTo(1, 3), w.flowTo(1), w.flowTo(2)
@@ -142,8 +143,8 @@
 	wantForward(t, "elsewhere", other.retransmit())
 }
 
-// An upstream loses its connection to the platform, so that its registration ends, and answers a caller after that. It is
-// alive, and its pending flows go on.
+// An upstream loses its connection to the platform, so that its registration ends, and answers a caller after
+// that. It is alive, and its pending flows go on.
 func TestEndedUpstreamThatAnsweredKeepsItsFlows(t *testing.T) {
 	w := newWorld(t)
 	one, two := w.flowTo(1), w.flowTo(1)
@@ -158,8 +159,8 @@
 	wantForward(t, "after the end", two.retransmit())
 }
 
-// An upstream loses its connection to the platform, so that its registration ends, while it works on requests that are
-// some milliseconds old. It is alive: their answers come, and none of their flows may be reset.
+// An upstream loses its connection to the platform, so that its registration ends, while it works on requests
+// that are some milliseconds old. It is alive: their answers come, and none of their flows may be reset.
 func TestRecentRequestsOutliveRegistration(t *testing.T) {
 	w := newWorld(t)
 	flows := w.flowsTo(1, 3)
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -53,9 +53,10 @@
 	// latency objective of the route.
 	Took time.Duration
 	Late bool
-	// InProgress is the number of requests of this entry that are pending at the upstream, for an opening together with
-	// the pending openings. ExpectedAnswer is the answer time expected of the upstream (0: unknown), and AnswerBound the
-	// greatest ExpectedAnswer with which the flow is admitted; both are set for openings.
+	// InProgress is the number of requests of this entry that are pending at the upstream, for an opening
+	// together with the pending openings. ExpectedAnswer is the answer time expected of the upstream (0:
+	// unknown), and AnswerBound the greatest ExpectedAnswer with which the flow is admitted; both are set for
+	// openings.
 	Busy  int
 	Mean  time.Duration
 	Bound time.Duration
@@ -63,7 +64,8 @@
 	TurnedAway float64
 	// Excluded counts the upstreams that were not eligible for the flow, if it was refused.
 	Excluded Excluded
-	// Ejected is the upstream that the packet caused to be ejected, so that it gets no new flows for a while, or nil.
+	// Ejected is the upstream that the packet caused to be ejected, so that it gets no new flows for a while,
+	// or nil.
 	Ejected *stoatroute.Upstream
 	Silence time.Duration // how long Ejected has been silent
 	Waiting int           // requests of this entry that are pending at Ejected
@@ -104,9 +106,9 @@
 	filter  stoatfilter.Filter
 	placing stoatfilter.Placing
 	health  map[stoatpaddle.UpstreamKey]*health // of the upstreams that this entry has seen
-	// recheck has the upstreams that the next Retain looks at even if the table does not differ there: those that
-	// are new, since the packet may have come with the previous table, and those that are in no table but still have
-	// something in progress.
+	// recheck has the upstreams that the next Retain looks at even if the table does not differ there: those
+	// that are new, since the packet may have come with the previous table, and those that are in no table but
+	// still have something in progress.
 	recheck         map[stoatpaddle.UpstreamKey]bool
 	retainedTable   *stoatroute.Table // the table of the last Retain
 	flows           map[stoatpacket.Tuple]*flow
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// A packet of an open flow reaches an entry that never saw the flow, as happens when an entry joins. The cookie alone
-// decides where the packet goes.
+// A packet of an open flow reaches an entry that never saw the flow, as happens when an entry joins. The cookie
+// alone decides where the packet goes.
 func TestUnseenFlowFollowsItsCookie(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -184,8 +184,8 @@
 	}
 }
 
-// A route is removed: its flows are reset at once, so that callers need not wait until they give up. A reset is not
-// answered with one.
+// A route is removed: its flows are reset at once, so that callers need not wait until they give up. A reset is
+// not answered with one.
 func TestRouteRemoved(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -197,8 +197,8 @@
 	wantDrop(t, c.send(stoatpacket.Packet{Reset: true, Ends: true}), stoatpacket.DropNoRoute)
 }
 
-// The upstream of a flow has just registered, and this entry has not heard of it yet: a reset would break a live flow.
-// Only a platform read that began after the packet came proves that the upstream is gone.
+// The upstream of a flow has just registered, and this entry has not heard of it yet: a reset would break a
+// live flow. Only a platform read that began after the packet came proves that the upstream is gone.
 func TestUnknownCookieWaitsForProof(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -212,8 +212,8 @@
 	wantReset(t, c.retransmit(), stoatpacket.DropGone)
 }
 
-// Callers of an upstream that has ended are reset at once. An upstream that is leaving keeps its open flows and gets no
-// new ones. An upstream whose registration expired while the platform was away goes on as before.
+// Callers of an upstream that has ended are reset at once. An upstream that is leaving keeps its open flows and
+// gets no new ones. An upstream whose registration expired while the platform was away goes on as before.
 func TestStandings(t *testing.T) {
 	w := newWorld(t)
 	callers := map[stoatpaddle.UpstreamID]*caller{}
@@ -238,8 +238,8 @@
 	}
 }
 
-// An upstream loses its connection to the platform, so that its registration ends, but still answers. Its open flows go
-// on once one of them shows that it is alive, and it gets no new ones.
+// An upstream loses its connection to the platform, so that its registration ends, but still answers. Its open
+// flows go on once one of them shows that it is alive, and it gets no new ones.
 func TestEndedButAnswering(t *testing.T) {
 	w := newWorld(t)
 	var list []*caller
@@ -272,8 +272,8 @@
 	wantReset(t, w.caller(intakeAddr).syn(0), stoatpacket.DropNoUpstream)
 }
 
-// Packets that come before an entry has its first table are held. A second after the start, openings are refused at
-// once, so that callers try another entry.
+// Packets that come before an entry has its first table are held. A second after the start, openings are
+// refused at once, so that callers try another entry.
 func TestEntryWithoutTable(t *testing.T) {
 	w := newWorld(t)
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now, Seed: 1})
@@ -287,8 +287,8 @@
 	wantDrop(t, c.sendRequest(), stoatpacket.DropYoung)
 }
 
-// An opening is lost while its upstream answers other callers. The retransmission goes to the same upstream: at another
-// one the flow could be open twice.
+// An opening is lost while its upstream answers other callers. The retransmission goes to the same upstream: at
+// another one the flow could be open twice.
 func TestLostOpeningGoesToTheSame(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
@@ -323,9 +323,9 @@
 	}
 }
 
-// An upstream with open flows dies. Once two callers have retransmitted and nothing has come back for 200 ms, it gets no
-// flows for a second. No open flow is reset, since a full queue looks the same; that happens only once the platform
-// says that the upstream has ended.
+// An upstream with open flows dies. Once two callers have retransmitted and nothing has come back for 200 ms,
+// it gets no flows for a second. No open flow is reset, since a full queue looks the same; that happens only
+// once the platform says that the upstream has ended.
 func TestDeadUpstreamIsEjected(t *testing.T) {
 	w := newWorld(t)
 	var idempotent []*caller
@@ -379,8 +379,8 @@
 	}
 }
 
-// An upstream has just started and works so slowly that callers retransmit while others answer. It is alive, and none of
-// its flows may be reset; it is ejected only after four times the usual silence.
+// An upstream has just started and works so slowly that callers retransmit while others answer. It is alive,
+// and none of its flows may be reset; it is ejected only after four times the usual silence.
 func TestColdUpstreamIsEjectedLater(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
@@ -416,8 +416,9 @@
 	}
 }
 
-// An upstream is cut off for seconds, and ejected twice. It has been back for a while when the next request comes on an
-// open flow. That flow must not be reset, neither on old evidence nor on recent evidence of another flow.
+// An upstream is cut off for seconds, and ejected twice. It has been back for a while when the next request
+// comes on an open flow. That flow must not be reset, neither on old evidence nor on recent evidence of another
+// flow.
 func TestOldEvidenceResetsNoFlow(t *testing.T) {
 	w := newWorld(t)
 	at1 := func() *caller {
@@ -458,9 +459,9 @@
 	}
 }
 
-// This entry's link is full for half a second, since it forwards a large configuration. The callers' packets are
-// delayed, so that callers retransmit and no answer is acknowledged. Both upstreams are alive, and none of their flows
-// may be reset. Once one of them answers and the other stays silent, the silent one is ejected.
+// This entry's link is full for half a second, since it forwards a large configuration. The callers' packets
+// are delayed, so that callers retransmit and no answer is acknowledged. Both upstreams are alive, and none of
+// their flows may be reset. Once one of them answers and the other stays silent, the silent one is ejected.
 func TestSlowLocalLinkEjectsNothing(t *testing.T) {
 	w := newWorld(t)
 	at := map[stoatpaddle.UpstreamID]*caller{}
@@ -488,9 +489,9 @@
 	}
 }
 
-// A server has crashed, and its machine refuses openings directly towards the callers, past this entry. A caller comes
-// back after 7 ms with two tries left, and must not be sent there again. The next callers avoid the upstream for longer
-// than the opening is remembered.
+// A server has crashed, and its machine refuses openings directly towards the callers, past this entry. A
+// caller comes back after 7 ms with two tries left, and must not be sent there again. The next callers avoid
+// the upstream for longer than the opening is remembered.
 func TestRefusedCallerComesBackAtOnce(t *testing.T) {
 	w := newWorld(t)
 	w.caller(intakeAddr).open() // a handshake takes 10 ms
@@ -518,7 +519,8 @@
 	}
 }
 
-// Distant callers take 120 ms for a handshake. Once that is known, it must not be taken for silence of an upstream.
+// Distant callers take 120 ms for a handshake. Once that is known, it must not be taken for silence of an
+// upstream.
 func TestLongHandshakeIsNotSilence(t *testing.T) {
 	w := newWorld(t)
 	got := map[stoatpaddle.DataCentreID]int{}
@@ -596,8 +598,8 @@
 	}
 }
 
-// If all upstreams of the own data centre are silent, flows go to the other one. If all are silent everywhere, the fault
-// is this entry's, and flows still go to the best of them.
+// If all upstreams of the own data centre are silent, flows go to the other one. If all are silent everywhere,
+// the fault is this entry's, and flows still go to the best of them.
 func TestAllUpstreamsSilent(t *testing.T) {
 	w := newWorld(t)
 	w.caller(intakeAddr).open() // provides a sample of the callers' handshake time
@@ -611,8 +613,8 @@
 	}
 }
 
-// An entry joins, and the fabric hands half of the flows to it. Their requests were pending here and end there; if they
-// still counted as load here, new flows would go to another data centre.
+// An entry joins, and the fabric hands half of the flows to it. Their requests were pending here and end there;
+// if they still counted as load here, new flows would go to another data centre.
 func TestFlowsThatMoveAwayStopCounting(t *testing.T) {
 	w := newWorld(t)
 	for range 30 {
@@ -654,8 +656,8 @@
 	}
 }
 
-// A burst fills both upstreams here, so that some flows go to the other data centre, which is idle. After the burst,
-// flows stay in the own data centre again.
+// A burst fills both upstreams here, so that some flows go to the other data centre, which is idle. After the
+// burst, flows stay in the own data centre again.
 func TestBurstSpillsOverAndReturns(t *testing.T) {
 	w := newWorld(t)
 	var list []*caller
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -13,40 +13,41 @@
 
 // Detection of upstreams that accept flows and fail requests.
 //
-// An upstream whose health is good may let a part of its requests hang. It answers openings and other requests, so that
-// it does not look dead. Each of thirty entries of a data centre sees two of its requests in four seconds, too few to
-// tell, and callers' requests fail for hours.
+// An upstream whose health is good may let a part of its requests hang. It answers openings and other requests,
+// so that it does not look dead. Each of thirty entries of a data centre sees two of its requests in four
+// seconds, too few to tell, and callers' requests fail for hours.
 //
-// So each entry counts, for each upstream, the requests that were answered and those that have been pending for too
-// long, and the entries of a data centre add up their counts. An upstream that clearly fails more requests than the
-// others of its service gets no new flows for a while. Its open flows go on: whether a request on them would fail is
-// not known, and a reset would certainly end them.
+// So each entry counts, for each upstream, the requests that were answered and those that have been pending for
+// too long, and the entries of a data centre add up their counts. An upstream that clearly fails more requests
+// than the others of its service gets no new flows for a while. Its open flows go on: whether a request on them
+// would fail is not known, and a reset would certainly end them.
 const (
-	// failureTimeout is how long a request may be pending before it counts as failed: ten times a usual answer time,
-	// and half of what a caller with a retry left can wait.
+	// failureTimeout is how long a request may be pending before it counts as failed: ten times a usual answer
+	// time, and half of what a caller with a retry left can wait.
 	failureTimeout = 500 * time.Millisecond
 	// failureWindow is how far back counts go, in failureBuckets buckets. With 15 requests a second to an upstream
 	// from a data centre it covers sixty.
 	failureWindow  = 4 * time.Second
 	failureBuckets = 8
-	// minFailures and minFailureShare are the failures, and their share of the upstream's requests, without which it
-	// is not ejected.
+	// minFailures and minFailureShare are the failures, and their share of the upstream's requests, without
+	// which it is not ejected.
 	minFailures     = 5
 	minFailureShare = 0.15
 	// peerFailureFactor is how many times the mean failures of the other upstreams are needed in addition to
-	// minFailures. In an overload all upstreams are late, and nothing is gained by sending flows elsewhere. And when
-	// entries restart one after another, half of the flows move to other entries in the middle of requests, which
-	// looks like two failures at each upstream in four seconds; by chance, one of forty upstreams has eight every
-	// few days.
+	// minFailures. In an overload all upstreams are late, and nothing is gained by sending flows elsewhere. And
+	// when entries restart one after another, half of the flows move to other entries in the middle of
+	// requests, which looks like two failures at each upstream in four seconds; by chance, one of forty
+	// upstreams has eight every few days.
 	peerFailureFactor = 4
-	// ejectableDivisor: a third of a service's upstreams in a data centre may be ejected, since the others could not
-	// bear the load of more.
+	// ejectableDivisor: a third of a service's upstreams in a data centre may be ejected, since the others
+	// could not bear the load of more.
 	ejectableDivisor = 3
-	// minFailureBackoff and maxFailureBackoff bound how long such an upstream gets no new flows; the time doubles if
-	// it soon fails again. Afterwards it is tried again, and failures of a few flows eject it anew.
+	// minFailureBackoff and maxFailureBackoff bound how long such an upstream gets no new flows; the time
+	// doubles if it soon fails again. Afterwards it is tried again, and failures of a few flows eject it anew.
 	minFailureBackoff = 4 * time.Second
 	maxFailureBackoff = 32 * time.Second
-	// sumDelay is how long it takes to add up the counts of all entries: up and down four levels of the relay tree.
+	// sumDelay is how long it takes to add up the counts of all entries: up and down four levels of the relay
+	// tree.
 	sumDelay = 700 * time.Millisecond
 )
 
@@ -93,9 +94,9 @@
 	last  time.Duration // the latest duration
 }
 
-// Reports returns what this entry saw of the upstreams that recently failed requests or left packets unanswered. For
-// the suspects, which other entries reported, it includes answers and signs of life even if this entry saw no failure.
-// The list ascends by key.
+// Reports returns what this entry saw of the upstreams that recently failed requests or left packets
+// unanswered. For the suspects, which other entries reported, it includes answers and signs of life even if
+// this entry saw no failure. The list ascends by key.
 func (e *Engine) Observed(now time.Time, suspects map[stoatpaddle.UpstreamKey]bool) []stoatoutlier.Report {
 	var out []stoatoutlier.Report
 	for k, h := range e.health {
@@ -139,8 +140,8 @@
 	Hold time.Duration
 }
 
-// EjectFailing looks for upstreams that fail requests, ejects them, and returns those that it ejected. It considers
-// the upstreams of this data centre only: too little is seen of the others.
+// EjectFailing looks for upstreams that fail requests, ejects them, and returns those that it ejected. It
+// considers the upstreams of this data centre only: too little is seen of the others.
 func (e *Engine) Judge(now time.Time, t *stoatroute.Table) []Marked {
 	named := map[stoatpaddle.ServiceID][]Marked{}
 	for k, s := range e.dataCentreSums {
@@ -189,8 +190,8 @@
 			break
 		}
 		h := e.healthOf(m.Upstream)
-		// An upstream that has just started is slow, as its registration says: for a while its requests are answered
-		// late, in each release at a third of a service's upstreams.
+		// An upstream that has just started is slow, as its registration says: for a while its requests are
+		// answered late, in each release at a third of a service's upstreams.
 		if m.Upstream.Started && now.Before(m.Upstream.Warm.Add(failureWindow)) {
 			continue
 		}
@@ -213,8 +214,8 @@
 	return out
 }
 
-// peerFailures returns the mean of the failures at those upstreams that cannot be ejected, as they are not among the
-// worst. The list has the upstreams with failures, in descending order of those.
+// peerFailures returns the mean of the failures at those upstreams that cannot be ejected, as they are not
+// among the worst. The list has the upstreams with failures, in descending order of those.
 func peerFailures(list []Marked, all int) float64 {
 	worst := all / ejectableDivisor
 	sum := 0
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -22,7 +22,8 @@
 	return w
 }
 
-// ejectFailing reports the counts as the sum of the data centre for a second, and returns the upstreams that are ejected.
+// ejectFailing reports the counts as the sum of the data centre for a second, and returns the upstreams that
+// are ejected.
 func (w *world) ejectFailing(counts map[stoatpaddle.Target]stoatoutlier.Counts) []stoatpaddle.UpstreamID {
 	var list []stoatoutlier.Report
 	for target, c := range counts {
@@ -48,9 +49,9 @@
 	return got
 }
 
-// An upstream with good health lets two of five requests hang, and answers the others and every opening. No single entry
-// sees enough, but together they do. It gets no new flows for 4 s; then it is tried again and, as it still fails, is
-// ejected for twice as long.
+// An upstream with good health lets two of five requests hang, and answers the others and every opening. No
+// single entry sees enough, but together they do. It gets no new flows for 4 s; then it is tried again and, as
+// it still fails, is ejected for twice as long.
 func TestUpstreamThatFailsAPart(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	bad := map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 36, Failed: 24}, 2: {Answered: 60, Failed: 1}}
@@ -73,8 +74,9 @@
 	}
 }
 
-// Failures that are not the fault of a single upstream eject none: an overload in which all upstreams are late; restarts
-// of entries, after which a few requests at each upstream look unanswered since their flows moved; a few failures.
+// Failures that are not the fault of a single upstream eject none: an overload in which all upstreams are late;
+// restarts of entries, after which a few requests at each upstream look unanswered since their flows moved; a
+// few failures.
 func TestNoEjectionWithoutUpstreamFault(t *testing.T) {
 	for name, counts := range map[string]map[stoatpaddle.Target]stoatoutlier.Counts{
 		"overload":          {1: {Answered: 20, Failed: 30}, 2: {Answered: 20, Failed: 24}, 4: {Answered: 20, Failed: 26}, 5: {Answered: 20, Failed: 28}, 6: {Answered: 20, Failed: 22}, 7: {Answered: 20, Failed: 25}},
@@ -88,9 +90,9 @@
 	}
 }
 
-// During a release, a third of the requests of upstreams that have just started are pending for half a second. Their
-// registrations say that they are cold, and they are not ejected for it. An upstream that still fails four seconds
-// after it should be warm is.
+// During a release, a third of the requests of upstreams that have just started are pending for half a second.
+// Their registrations say that they are cold, and they are not ejected for it. An upstream that still fails
+// four seconds after it should be warm is.
 func TestColdUpstreamsMayFailRequests(t *testing.T) {
 	w := newWorld(t)
 	for i := stoatpaddle.Target(4); i <= 7; i++ {
@@ -110,8 +112,8 @@
 	}
 }
 
-// Half of the upstreams fail requests. The others could not bear the load of all of them: only the worst two of six are
-// ejected.
+// Half of the upstreams fail requests. The others could not bear the load of all of them: only the worst two of
+// six are ejected.
 func TestFailureEjectionsAreBounded(t *testing.T) {
 	got := newSixUpstreamWorld(t).ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{
 		1: {Answered: 40, Failed: 40}, 2: {Answered: 40, Failed: 50}, 4: {Answered: 40, Failed: 15}, 5: {Answered: 60, Failed: 0}, 6: {Answered: 60, Failed: 0}, 7: {Answered: 60, Failed: 0},
@@ -121,8 +123,8 @@
 	}
 }
 
-// Ejected upstreams that are gone, but still have remembered flows, must not count towards the bound: otherwise the next
-// upstream that fails would still get flows.
+// Ejected upstreams that are gone, but still have remembered flows, must not count towards the bound: otherwise
+// the next upstream that fails would still get flows.
 func TestGoneUpstreamsDoNotCountInBound(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.flowTo(1)
@@ -142,8 +144,8 @@
 	}
 }
 
-// An upstream is reported for the first time. The entries that saw no failure have not reported its answers yet, so that
-// it seems to fail most of its requests: it must not be ejected yet.
+// An upstream is reported for the first time. The entries that saw no failure have not reported its answers
+// yet, so that it seems to fail most of its requests: it must not be ejected yet.
 func TestFirstCountsAreNotEnough(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.e.TakeSum(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
@@ -155,8 +157,8 @@
 	}
 }
 
-// An entry counts an answer, and a request that has been pending for half a second. It does not count an upload that
-// goes on, and after four seconds it forgets the counts.
+// An entry counts an answer, and a request that has been pending for half a second. It does not count an upload
+// that goes on, and after four seconds it forgets the counts.
 func TestCounts(t *testing.T) {
 	w := newWorld(t)
 	answered, hangs, sends := w.caller(idempotentAddr), w.caller(nonIdempotentAddr), w.caller(intakeAddr)
--- a/stoatecho/expect.go
+++ b/stoatecho/expect.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	// openingTimeout and requestTimeout are how long an opening or a request without an answer counts as pending. A
-	// caller that still waited would have retransmitted it after 200 ms, so its packets now reach another entry.
-	// Without this bound, the flows of half a data centre would count as load here for seconds each time an entry
-	// joins or leaves, and new flows would go to other data centres.
+	// openingTimeout and requestTimeout are how long an opening or a request without an answer counts as
+	// pending. A caller that still waited would have retransmitted it after 200 ms, so its packets now reach
+	// another entry. Without this bound, the flows of half a data centre would count as load here for seconds
+	// each time an entry joins or leaves, and new flows would go to other data centres.
 	openingTimeout = 300 * time.Millisecond
 	requestTimeout = time.Second
 )
@@ -90,7 +90,8 @@
 			continue
 		}
 		if quiet := now.Sub(f.lastSeen); quiet < requestTimeout {
-			// The flow still sends, as with an upload or retransmissions: check again some time after its last packet.
+			// The flow still sends, as with an upload or retransmissions: check again some time after its last
+			// packet.
 			e.startRequestTimeout(now, x.tuple, f)
 			continue
 		}
@@ -99,8 +100,8 @@
 	}
 }
 
-// startFailureTimeout queues a pending request that counts as failed if it is not answered in time. A flow is in the
-// queue at most once.
+// startFailureTimeout queues a pending request that counts as failed if it is not answered in time. A flow is
+// in the queue at most once.
 func (e *Engine) startFailureTimeout(now time.Time, t stoatpacket.Tuple, f *flow) {
 	if !f.hasFailureTimeout {
 		f.hasFailureTimeout = true
@@ -108,8 +109,8 @@
 	}
 }
 
-// countFailures counts the requests that have been pending for too long as failed. A request whose caller still sends
-// new data, such as an upload, is not complete yet.
+// countFailures counts the requests that have been pending for too long as failed. A request whose caller still
+// sends new data, such as an upload, is not complete yet.
 func (e *Engine) countFailures(now time.Time) {
 	for {
 		x, due := e.failureTimeouts.due(now, failureTimeout)
--- a/stoatecho/expect_test.go
+++ b/stoatecho/expect_test.go
@@ -10,8 +10,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// A caller sends requests without a pause on one flow for a minute. The timeout queue must not grow with the requests, or
-// the entry would run out of memory.
+// A caller sends requests without a pause on one flow for a minute. The timeout queue must not grow with the
+// requests, or the entry would run out of memory.
 func TestBusyFlowHasOneTimeout(t *testing.T) {
 	start := time.Unix(1000, 0)
 	listen := netip.MustParseAddrPort("198.18.0.1:443")
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -24,8 +24,9 @@
 	}}, w.rev)
 }
 
-// The own data centre is evacuated. New flows go to the other one, and so do retransmitted openings that were sent to the
-// evacuated one before; open flows go on. Once the evacuation is withdrawn, it gets flows again at once.
+// The own data centre is evacuated. New flows go to the other one, and so do retransmitted openings that were
+// sent to the evacuated one before; open flows go on. Once the evacuation is withdrawn, it gets flows again at
+// once.
 func TestEvacuatedDataCentreGetsNoNewFlows(t *testing.T) {
 	w := newWorld(t)
 	open := w.flowTo(1)
@@ -46,14 +47,14 @@
 		open.ackAnswer()
 	}
 	w.evacuate("here", true)
-	home := 0
+	own := 0
 	for range 20 {
 		if w.caller(idempotentAddr).open().DataCentre == "here" {
-			home++
+			own++
 		}
 	}
-	if home < 15 {
-		t.Errorf("%d of 20 flows went to the own data centre", home)
+	if own < 15 {
+		t.Errorf("%d of 20 flows went to the own data centre", own)
 	}
 }
 
@@ -75,8 +76,8 @@
 	}
 }
 
-// The only upstream in a data centre that is not evacuated has left openings unanswered. It is still tried before the
-// evacuated ones, or the caller is refused.
+// The only upstream in a data centre that is not evacuated has left openings unanswered. It is still tried
+// before the evacuated ones, or the caller is refused.
 func TestEjectedGoesBeforeEvacuated(t *testing.T) {
 	w := newWorld(t)
 	w.evacuate("here", false)
@@ -91,8 +92,8 @@
 	}
 }
 
-// A route allows one region. Its new flows go only to data centres in that region, even if the own one has room; a data
-// centre without a region is in none. Open flows go on when the regions of the route change.
+// A route allows one region. Its new flows go only to data centres in that region, even if the own one has
+// room; a data centre without a region is in none. Open flows go on when the regions of the route change.
 func TestRegionsOfARoute(t *testing.T) {
 	w := newWorld(t)
 	open := w.flowTo(1)
@@ -117,8 +118,8 @@
 	}
 }
 
-// The own one of three data centres of a service is evacuated. Both others get its flows in proportion to their free
-// slots.
+// The own one of three data centres of a service is evacuated. Both others get its flows in proportion to their
+// free slots.
 func TestEvacuatedTrafficSpreads(t *testing.T) {
 	w := newWorld(t)
 	for target := stoatpaddle.Target(20); target < 24; target++ {
@@ -137,9 +138,9 @@
 	}
 }
 
-// All upstreams of the own data centre are cold and have a rate limit. While this entry may not send them flows, its
-// flows go to the other data centre, which is warm; if that one is evacuated, they are refused at once. Once the upstreams
-// are warm, they get flows again.
+// All upstreams of the own data centre are cold and have a rate limit. While this entry may not send them
+// flows, its flows go to the other data centre, which is warm; if that one is evacuated, they are refused at
+// once. Once the upstreams are warm, they get flows again.
 func TestColdUpstreamsGetLimitedFlows(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
--- a/stoatecho/fleet_test.go
+++ b/stoatecho/fleet_test.go
@@ -8,8 +8,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// An entry must not keep state of all upstreams of a large service: it remembers those that it sent flows to, spreads its
-// flows over all, and forgets the upstreams that it has not heard of for a minute.
+// An entry must not keep state of all upstreams of a large service: it remembers those that it sent flows to,
+// spreads its flows over all, and forgets the upstreams that it has not heard of for a minute.
 func TestLargeServiceIsSampled(t *testing.T) {
 	const upstreams, flows = 8000, 4000
 	table := benchTable(upstreams)
--- a/stoatecho/full.go
+++ b/stoatecho/full.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// Upstreams that reject requests get fewer new flows. An upstream that is full, or whose slots are held by requests
-// that hang, rejects the next request at once. It then has little in progress from here and answers fastest, so
-// that without a penalty new flows would gather there.
+// Upstreams that reject requests get fewer new flows. An upstream that is full, or whose slots are held by
+// requests that hang, rejects the next request at once. It then has little in progress from here and answers
+// fastest, so that without a penalty new flows would gather there.
 const (
 	// saturationWeight is the weight of the newest answer: one rejection is reason enough to prefer others.
 	saturationWeight = 0.5
 	// saturationPenalty is the factor, less one, on the cost of a flow at an upstream that rejected everything.
 	saturationPenalty = 8
-	// saturationDecay is the time in which the penalty falls to 1/e: several times as long as a queue takes to empty.
+	// saturationDecay is the time in which the penalty falls to 1/e: several times as long as a queue takes to
+	// empty.
 	saturationDecay = 500 * time.Millisecond
 )
 
--- a/stoatecho/group.go
+++ b/stoatecho/group.go
@@ -66,14 +66,15 @@
 	avoidance      backoff   // new flows prefer other data centres
 }
 
-// minGroupBackoff and maxGroupBackoff bound how long new flows prefer other data centres until some flows probe the
-// group again. Each backoff is twice as long as the previous one; a sign of life or a new upstream ends it.
+// minGroupBackoff and maxGroupBackoff bound how long new flows prefer other data centres until some flows probe
+// the group again. Each backoff is twice as long as the previous one; a sign of life or a new upstream ends it.
 const (
 	minGroupBackoff = 400 * time.Millisecond
 	maxGroupBackoff = 3200 * time.Millisecond
 )
 
-// unanswered records that an opening sent to the upstream at the given time has been pending for longer than usual.
+// unanswered records that an opening sent to the upstream at the given time has been pending for longer than
+// usual.
 func (s *groupSilence) unanswered(now time.Time, h *health, sent time.Time) {
 	switch {
 	case !sent.After(s.lastAlive):
--- a/stoatecho/group_test.go
+++ b/stoatecho/group_test.go
@@ -30,10 +30,10 @@
 	return true
 }
 
-// All forty upstreams of this data centre are lost at once, and their machines refuse openings directly towards the
-// callers, past the entries. A caller with three tries reaches another entry each time, so no entry may learn of forty
-// upstreams one by one: after two unanswered openings without a sign of life of the group, new flows go to the other
-// data centre.
+// All forty upstreams of this data centre are lost at once, and their machines refuse openings directly towards
+// the callers, past the entries. A caller with three tries reaches another entry each time, so no entry may
+// learn of forty upstreams one by one: after two unanswered openings without a sign of life of the group, new
+// flows go to the other data centre.
 func TestWholeGroupIsLost(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -54,8 +54,8 @@
 	}
 }
 
-// All upstreams of this data centre are lost and come back after a second: some flows probe them, and then new flows stay
-// in the own data centre again.
+// All upstreams of this data centre are lost and come back after a second: some flows probe them, and then new
+// flows stay in the own data centre again.
 func TestLostGroupComesBack(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -65,22 +65,22 @@
 		w.opensElsewhere()
 		w.after(20 * ms)
 	}
-	home, last := 0, 0
+	own, last := 0, 0
 	for i := range 100 {
 		c := w.caller(idempotentAddr)
 		if c.open().DataCentre == "here" {
-			home++
+			own++
 			last = i
 		}
 		w.after(40 * ms)
 	}
-	if home < 20 || last < 95 {
-		t.Errorf("%d of 100 flows went to the own data centre, the last one was number %d", home, last)
+	if own < 20 || last < 95 {
+		t.Errorf("%d of 100 flows went to the own data centre, the last one was number %d", own, last)
 	}
 }
 
-// One upstream of forty is dead and every tenth packet is lost, but the others answer. Flows must stay in this data
-// centre, since traffic to another one is expensive.
+// One upstream of forty is dead and every tenth packet is lost, but the others answer. Flows must stay in this
+// data centre, since traffic to another one is expensive.
 func TestGroupThatAnswersIsNotLost(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -106,9 +106,9 @@
 	}
 }
 
-// Ten of forty upstreams are lost for good, and their registrations stay since the store is silent. When their ejection
-// ends, they have nothing in progress and look better than the live ones. They must get a flow only now and then, and a
-// retransmitted opening must go to a live upstream.
+// Ten of forty upstreams are lost for good, and their registrations stay since the store is silent. When their
+// ejection ends, they have nothing in progress and look better than the live ones. They must get a flow only
+// now and then, and a retransmitted opening must go to a live upstream.
 func TestLostUpstreamsAreTriedRarely(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -137,9 +137,9 @@
 	}
 }
 
-// An entry joins, and the fabric hands nearly all flows to other entries than before: openings that were sent from here
-// are continued elsewhere, and flows arrive that other entries placed. The openings that seem unanswered are no evidence
-// against the group, and flows must stay in this data centre.
+// An entry joins, and the fabric hands nearly all flows to other entries than before: openings that were sent
+// from here are continued elsewhere, and flows arrive that other entries placed. The openings that seem
+// unanswered are no evidence against the group, and flows must stay in this data centre.
 func TestMovedFlowsAreNoLostGroup(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
--- a/stoatecho/health.go
+++ b/stoatecho/health.go
@@ -30,8 +30,8 @@
 	// coldSilenceFactor is how many times longer an upstream that has just started may be silent: it works several
 	// times slower, so that callers retransmit while it works.
 	coldSilenceFactor = 4
-	// queueSilenceFactor is how many mean answer times of its group an upstream may be silent: a full queue takes two
-	// or three times as long as the mean one.
+	// queueSilenceFactor is how many mean answer times of its group an upstream may be silent: a full queue
+	// takes two or three times as long as the mean one.
 	queueSilenceFactor = 3
 	// minKnownWeight is the weight of recent answers below which the length of the queue is unknown, as after a
 	// start.
@@ -40,8 +40,8 @@
 	// ejection.
 	minEjection = time.Second
 	maxEjection = 8 * time.Second
-	// localFaultSilence is how long another upstream must be silent too for the fault to be this entry's: longer than
-	// a usual answer takes.
+	// localFaultSilence is how long another upstream must be silent too for the fault to be this entry's:
+	// longer than a usual answer takes.
 	localFaultSilence = 100 * time.Millisecond
 	// latencyWeight is the weight of the newest sample in the mean.
 	latencyWeight = 0.2
@@ -98,9 +98,9 @@
 	h.unansweredSince, h.deprioritizedUntil, h.jointlyEjected = time.Time{}, time.Time{}, false
 }
 
-// openingExpired records that an opening sent at the given time was not answered at all. A machine whose server has
-// crashed refuses openings directly towards the caller, past this entry; the caller is back within milliseconds, and
-// would be sent there again.
+// openingExpired records that an opening sent at the given time was not answered at all. A machine whose server
+// has crashed refuses openings directly towards the caller, past this entry; the caller is back within
+// milliseconds, and would be sent there again.
 func (h *health) openingExpired(now, sent time.Time) {
 	if h.lastAlive.After(sent) {
 		return
@@ -120,15 +120,15 @@
 	return d
 }
 
-// isLocalFault reports whether the silence of an upstream is likely to be this entry's fault: no upstream has given a
-// sign of life for as long, and another one has left a packet unanswered too.
+// isLocalFault reports whether the silence of an upstream is likely to be this entry's fault: no upstream has
+// given a sign of life for as long, and another one has left a packet unanswered too.
 //
-// When an entry forwards a large configuration, its link may be full for half a second and delay the callers' packets.
-// A dozen upstreams then look dead at once and would get no new flows although they serve. A dead upstream among live
-// ones is recognized by the signs of life of the others.
+// When an entry forwards a large configuration, its link may be full for half a second and delay the callers'
+// packets. A dozen upstreams then look dead at once and would get no new flows although they serve. A dead
+// upstream among live ones is recognized by the signs of life of the others.
 //
-// An entry that lags behind with its own packets uses no such evidence: among the packets that it handles late, signs
-// of life of other upstreams are as old as the retransmissions that seem to be evidence.
+// An entry that lags behind with its own packets uses no such evidence: among the packets that it handles late,
+// signs of life of other upstreams are as old as the retransmissions that seem to be evidence.
 func (e *Engine) isLocalFault(now time.Time, h *health, silence time.Duration) bool {
 	if e.behind(now) {
 		return true
@@ -150,8 +150,8 @@
 		h.pendingOpenings > 0 && now.Sub(h.openingsSince) > patience || h.pendingRequests > 0 && now.Sub(h.requestsSince) > requestPatience
 }
 
-// handshake tracks how long callers take from an opening to their next packet, which reflects their distance: mean and
-// mean deviation, as TCP does for its retransmission timer (RFC 6298).
+// handshake tracks how long callers take from an opening to their next packet, which reflects their distance:
+// mean and mean deviation, as TCP does for its retransmission timer (RFC 6298).
 type handshake struct{ mean, deviation time.Duration }
 
 const handshakeWeight = 8 // the weight of a new sample is one eighth
@@ -178,12 +178,12 @@
 
 func (h *health) isEjected(now time.Time) bool { return h.ejection.active(now) }
 
-// allowedSilence returns how long the upstream may be silent before it is ejected: longer if its group takes long to
-// answer.
+// allowedSilence returns how long the upstream may be silent before it is ejected: longer if its group takes
+// long to answer.
 //
-// In a burst of six times the usual traffic to 120 upstreams, each has a dozen requests in its queue and answers after
-// 0.3 s, callers retransmit after 0.2 s, and each of sixteen entries sees three answers a second of an upstream. With a
-// fixed bound, upstreams that work at full speed would be ejected.
+// In a burst of six times the usual traffic to 120 upstreams, each has a dozen requests in its queue and
+// answers after 0.3 s, callers retransmit after 0.2 s, and each of sixteen entries sees three answers a second
+// of an upstream. With a fixed bound, upstreams that work at full speed would be ejected.
 func (e *Engine) allowedSilence(now time.Time, u *stoatroute.Upstream) time.Duration {
 	silence := ejectSilence
 	if now.Before(u.Warm) {
@@ -195,8 +195,8 @@
 	return silence
 }
 
-// noteRetransmission records a retransmission by a caller, and reports whether that ejects the upstream, which may be
-// silent for the allowed time.
+// noteRetransmission records a retransmission by a caller, and reports whether that ejects the upstream, which
+// may be silent for the allowed time.
 func (h *health) noteRetransmission(now time.Time, allowed time.Duration) bool {
 	h.retransmissions++
 	if h.retransmissions < ejectRetransmissions || h.silence(now) < allowed {
@@ -269,8 +269,8 @@
 }
 
 const (
-	// idleLoad is the load of an open flow without a request: a caller on a long flow sends a request of 40 ms about
-	// once a second.
+	// idleLoad is the load of an open flow without a request: a caller on a long flow sends a request of 40 ms
+	// about once a second.
 	idleLoad = 0.04
 	// coldPenalty is the factor on the cost of a cold upstream, which takes that much longer.
 	coldPenalty = 1.6
--- a/stoatecho/hold.go
+++ b/stoatecho/hold.go
@@ -16,16 +16,16 @@
 
 // HoldQueue holds packets during the first second after the entry's start.
 //
-// After a power loss all entries start at once, and callers have been retransmitting for seconds. If a packet were
-// dropped in the 40 ms before the first table arrives, its caller's next retransmission would come 1.6 s later, after
-// most deadlines.
+// After a power loss all entries start at once, and callers have been retransmitting for seconds. If a packet
+// were dropped in the 40 ms before the first table arrives, its caller's next retransmission would come 1.6 s
+// later, after most deadlines.
 type Hold struct {
 	list  []Held
 	index map[heldKey]int
 }
 
-// heldKey identifies copies of a packet. Only the last copy is kept: several would look like an upstream that does not
-// answer.
+// heldKey identifies copies of a packet. Only the last copy is kept: several would look like an upstream that
+// does not answer.
 type heldKey struct {
 	tuple stoatpacket.Tuple
 	seq   uint32
--- a/stoatecho/hold_test.go
+++ b/stoatecho/hold_test.go
@@ -8,8 +8,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// After a power loss of all entries, callers retransmit their openings until an entry is back. Only the last copy of each
-// is kept, so that the copies do not look like an upstream that does not answer.
+// After a power loss of all entries, callers retransmit their openings until an entry is back. Only the last
+// copy of each is kept, so that the copies do not look like an upstream that does not answer.
 func TestHoldKeepsTheLastCopy(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -39,23 +39,23 @@
 	return stoatecho.InProgress{}
 }
 
-// An upstream crashes with requests in progress, is ejected for its silence, and restarts under its id. What was counted
-// before the restart must not make it look full or dead: it gets flows at once.
+// An upstream crashes with requests in progress, is ejected for its silence, and restarts under its id. What
+// was counted before the restart must not make it look full or dead: it gets flows at once.
 func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
-	there, _ := w.openAtBoth(12)
-	for _, c := range there {
+	pending, _ := w.openAtBoth(12)
+	for _, c := range pending {
 		c.sendRequest()
 	}
 	for range 3 {
 		w.after(250 * ms)
-		for _, c := range there {
+		for _, c := range pending {
 			c.retransmit()
 		}
 	}
 	if x := w.inProgress(1); !x.Ejected {
-		t.Fatalf("%+v of %d", x, len(there))
+		t.Fatalf("%+v of %d", x, len(pending))
 	}
 	w.restarted(1, 6)
 	if x := w.inProgress(1); x.Ejected || x.Requests != 0 || x.Flows != 0 || x.Mean != 0 {
@@ -70,9 +70,9 @@
 	}
 }
 
-// An upstream restarted a second ago, and its registration arrives only now. Flows that opened since then carry the same
-// cookie as flows from before the restart. None may be reset here, neither for the restart nor on evidence from before:
-// the upstream resets the flows that it does not know.
+// An upstream restarted a second ago, and its registration arrives only now. Flows that opened since then carry
+// the same cookie as flows from before the restart. None may be reset here, neither for the restart nor on
+// evidence from before: the upstream resets the flows that it does not know.
 func TestNoResetForARestart(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
@@ -99,20 +99,20 @@
 	}
 }
 
-// An upstream is cold after a restart, as its registration says. Callers retransmit while it works, which is not enough
-// evidence to eject it, as with any cold upstream.
+// An upstream is cold after a restart, as its registration says. Callers retransmit while it works, which is
+// not enough evidence to eject it, as with any cold upstream.
 func TestRestartedColdUpstreamIsGivenTime(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
 	w.after(time.Minute)
 	w.restartedCold(1, 6)
-	there, _ := w.openAtBoth(12)
-	for _, c := range there {
+	pending, _ := w.openAtBoth(12)
+	for _, c := range pending {
 		c.sendRequest()
 	}
 	w.after(300 * ms)
 	for range 2 {
-		for _, c := range there {
+		for _, c := range pending {
 			if a := c.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
 				t.Fatalf("%+v", a)
 			}
@@ -121,8 +121,8 @@
 	}
 }
 
-// An opening is pending when the registration of the restarted upstream arrives. It still counts, and its retransmission
-// goes to the same upstream: at another one the flow would open twice.
+// An opening is pending when the registration of the restarted upstream arrives. It still counts, and its
+// retransmission goes to the same upstream: at another one the flow would open twice.
 func TestOpeningOverARestart(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
@@ -144,8 +144,8 @@
 	}
 }
 
-// Entries counted failures of an upstream before it restarted, and their sums include these for some seconds after the
-// restart. The restarted upstream must not be ejected for them.
+// Entries counted failures of an upstream before it restarted, and their sums include these for some seconds
+// after the restart. The restarted upstream must not be ejected for them.
 func TestOldCountsDoNotJudgeANewLife(t *testing.T) {
 	w := newWorld(t)
 	w.register(4, "app", "here")
--- a/stoatecho/retain_test.go
+++ b/stoatecho/retain_test.go
@@ -21,10 +21,10 @@
 	}
 }
 
-// Upstreams register, end, are forgotten and restart, packets are handled with a table that is one behind, and Retain
-// looks only at what differs between two tables. After each step, the health that is kept of an upstream must be of the
-// same life as in the table, and an upstream that is not in the table may have health only while something is in
-// progress there.
+// Upstreams register, end, are forgotten and restart, packets are handled with a table that is one behind, and
+// Retain looks only at what differs between two tables. After each step, the health that is kept of an upstream
+// must be of the same life as in the table, and an upstream that is not in the table may have health only while
+// something is in progress there.
 func TestRetainKeepsWhatTheTableHas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		listen := netip.MustParseAddrPort("198.18.0.1:443")
--- a/stoatecho/shed_test.go
+++ b/stoatecho/shed_test.go
@@ -13,9 +13,9 @@
 	c.send(stoatpacket.Packet{Seq: c.seq + 100, Ack: c.ack})
 }
 
-// The only upstream is full: it answers what it accepts after 0.6 s and rejects the rest at once with a short answer. If
-// rejections counted as answers, the mean would be as low as on a quiet day, and openings would be admitted whose requests
-// cannot be answered in time.
+// The only upstream is full: it answers what it accepts after 0.6 s and rejects the rest at once with a short
+// answer. If rejections counted as answers, the mean would be as low as on a quiet day, and openings would be
+// admitted whose requests cannot be answered in time.
 func TestRejectionsAreNotAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		bytes uint32
@@ -57,8 +57,8 @@
 	}
 }
 
-// A route's answers become short for good, as after a new version of its service. They count as rejections at first, and
-// as answers once they are usual.
+// A route's answers become short for good, as after a new version of its service. They count as rejections at
+// first, and as answers once they are usual.
 func TestShortAnswersBecomeUsual(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -12,20 +12,20 @@
 
 // Detection of silent upstreams by all entries of a data centre together.
 //
-// When a third of fifty upstreams fall silent, and forty entries each spread two flows and fifteen requests a second
-// over all of them, one entry meets a silent upstream every few seconds. Each entry would find out separately, at the
-// cost of its own callers, until the registrations expire seconds later. Together, the entries meet a silent upstream
-// six times a second.
+// When a third of fifty upstreams fall silent, and forty entries each spread two flows and fifteen requests a
+// second over all of them, one entry meets a silent upstream every few seconds. Each entry would find out
+// separately, at the cost of its own callers, until the registrations expire seconds later. Together, the
+// entries meet a silent upstream six times a second.
 //
-// So an entry that waits for an upstream in vain reports it. One such entry is reason to prefer other upstreams for new
-// flows, which does no harm if it is wrong. Two such entries, with no sign of life at any entry since, are reason to
-// eject the upstream. Open flows go on in both cases (see ended.go).
+// So an entry that waits for an upstream in vain reports it. One such entry is reason to prefer other upstreams
+// for new flows, which does no harm if it is wrong. Two such entries, with no sign of life at any entry since,
+// are reason to eject the upstream. Open flows go on in both cases (see ended.go).
 const (
-	// unansweredTimeout is how long an unanswered packet is reported without further evidence: without new flows to
-	// the upstream, no packet may come that shows it to be alive.
+	// unansweredTimeout is how long an unanswered packet is reported without further evidence: without new
+	// flows to the upstream, no packet may come that shows it to be alive.
 	unansweredTimeout = 2 * time.Second
-	// openingCheckInterval bounds how often unanswered openings are checked: in a burst, an entry with a tenth of a
-	// core has hundreds.
+	// openingCheckInterval bounds how often unanswered openings are checked: in a burst, an entry with a tenth
+	// of a core has hundreds.
 	openingCheckInterval = 10 * time.Millisecond
 	// adoptionInterval bounds how often adopted flows are processed: thousands of flows move within a second.
 	adoptionInterval = 20 * time.Millisecond
@@ -37,8 +37,8 @@
 )
 
 // noteUnanswered records that a packet, sent at the given time, is unanswered for longer than usual. It reports
-// whether that is settled; if not, the packet has to be checked again. If this entry's own network fails or the entry
-// lags behind, it hears nothing from any upstream, and so reports nothing about this one.
+// whether that is settled; if not, the packet has to be checked again. If this entry's own network fails or the
+// entry lags behind, it hears nothing from any upstream, and so reports nothing about this one.
 func (e *Engine) noteUnanswered(now time.Time, h *health, sent time.Time) (settled bool) {
 	if h.lastAlive.After(sent) || e.lastAdoption.After(sent) {
 		return true
@@ -55,10 +55,10 @@
 
 // noteAdoption records a packet of a flow that another entry placed.
 //
-// When an entry joins or leaves, the fabric hands nearly all flows to other entries than before. Pending packets are
-// then answered elsewhere: forty entries wait in vain for all upstreams at once, two of them for the same one, and
-// would eject live upstreams. So packets that were sent before flows moved are no evidence, and an entry withdraws what
-// it reported about them.
+// When an entry joins or leaves, the fabric hands nearly all flows to other entries than before. Pending
+// packets are then answered elsewhere: forty entries wait in vain for all upstreams at once, two of them for
+// the same one, and would eject live upstreams. So packets that were sent before flows moved are no evidence,
+// and an entry withdraws what it reported about them.
 func (e *Engine) noteAdoption(now time.Time) {
 	if now.Sub(e.lastAdoption) < adoptionInterval {
 		return
@@ -71,9 +71,9 @@
 	}
 }
 
-// checkOpenings looks for openings that are unanswered for longer than usual. A request counts only when its caller
-// retransmits it: if the upstream has ended the flow, it refuses the request directly towards the caller, past this
-// entry, and the request looks unanswered here though the upstream is healthy.
+// checkOpenings looks for openings that are unanswered for longer than usual. A request counts only when its
+// caller retransmits it: if the upstream has ended the flow, it refuses the request directly towards the
+// caller, past this entry, and the request looks unanswered here though the upstream is healthy.
 func (e *Engine) checkOpenings(now time.Time) {
 	if now.Sub(e.openingsChecked) < openingCheckInterval {
 		return
@@ -107,8 +107,8 @@
 	return !h.unansweredSince.IsZero() && now.Sub(h.unansweredSeen) < unansweredTimeout
 }
 
-// silenceReport returns what this entry reports about the upstream's silence; named says that other entries wait for
-// the upstream.
+// silenceReport returns what this entry reports about the upstream's silence; named says that other entries
+// wait for the upstream.
 func (h *health) silenceReport(now time.Time, named bool) stoatoutlier.Silence {
 	var s stoatoutlier.Silence
 	if h.reportsSilence(now) {
@@ -135,9 +135,10 @@
 	Waiting  int // requests of this entry that are pending there
 }
 
-// EjectSilent looks for upstreams that answer no entry, judging by the reports of all entries of this data centre,
-// ejects them, and returns those that it ejected. A sign of life has to arrive within the delay to count. Upstreams of
-// other data centres are considered too: while the own one is evacuated, all of its flows go there.
+// EjectSilent looks for upstreams that answer no entry, judging by the reports of all entries of this data
+// centre, ejects them, and returns those that it ejected. A sign of life has to arrive within the delay to
+// count. Upstreams of other data centres are considered too: while the own one is evacuated, all of its flows
+// go there.
 func (e *Engine) JudgeSilence(now time.Time, t *stoatroute.Table, delay time.Duration) []Silent {
 	if len(e.dataCentreSums) == 0 {
 		return nil
@@ -156,8 +157,8 @@
 	return out
 }
 
-// ejectSilentInGroup ejects upstreams of one service in one data centre; named has those that entries wait for, and is
-// not empty. Those that most entries wait for come first.
+// ejectSilentInGroup ejects upstreams of one service in one data centre; named has those that entries wait for,
+// and is not empty. Those that most entries wait for come first.
 func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []Silent {
 	var out []Silent
 	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
@@ -183,8 +184,9 @@
 	return out
 }
 
-// silentQuota bounds how many upstreams of a group are deprioritized or ejected on the reports of other entries: a
-// third for each, since the others could not bear the load of more, and one faulty entry must not disable a service.
+// silentQuota bounds how many upstreams of a group are deprioritized or ejected on the reports of other
+// entries: a third for each, since the others could not bear the load of more, and one faulty entry must not
+// disable a service.
 type silentQuota struct{ upstreams, deprioritized, ejected int }
 
 func (q *silentQuota) count(now time.Time, h *health) {
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// entries are several entries of one data centre with synchronized clocks, which exchange reports. Each has the upstreams
-// i-1, i-2 and i-4 to i-7 in its data centre.
+// entries are several entries of one data centre with synchronized clocks, which exchange reports. Each has the
+// upstreams i-1, i-2 and i-4 to i-7 in its data centre.
 type entries struct {
 	list         []*world
 	healthyFlows []*caller // an open flow of each entry at i-2, which is alive
@@ -54,7 +54,8 @@
 func (x *entries) exchangeReports() [][]stoatecho.Silent {
 	x.syncClocks()
 	sums := map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
-	// The first round finds the upstreams that entries wait for, the second one adds the signs of life of the others.
+	// The first round finds the upstreams that entries wait for, the second one adds the signs of life of the
+	// others.
 	for range 2 {
 		named := map[stoatpaddle.UpstreamKey]bool{}
 		for k := range sums {
@@ -130,9 +131,9 @@
 	}
 }
 
-// An upstream falls silent. Three entries have each sent it something, too little to eject it on their own. On their
-// combined reports it is ejected at all of them, and at a fourth entry that sent nothing. The pending flow there is not
-// reset, since the upstream may only be full.
+// An upstream falls silent. Three entries have each sent it something, too little to eject it on their own. On
+// their combined reports it is ejected at all of them, and at a fourth entry that sent nothing. The pending
+// flow there is not reset, since the upstream may only be full.
 func TestSilenceIsPooled(t *testing.T) {
 	x := newEntries(t, 4)
 	waiting := x.list[2].flowTo(1)
@@ -162,8 +163,8 @@
 	}
 }
 
-// Only one entry waits for an upstream, whose packet may have been lost. New flows at all entries prefer other upstreams,
-// and nothing is ejected or reset.
+// Only one entry waits for an upstream, whose packet may have been lost. New flows at all entries prefer other
+// upstreams, and nothing is ejected or reset.
 func TestOneEntryThatWaitsEjectsNothing(t *testing.T) {
 	x := newEntries(t, 3)
 	open := x.list[1].flowTo(1)
@@ -184,8 +185,8 @@
 	}
 }
 
-// Two entries lost a packet to the same upstream, and a third one hears from it. The upstream is alive: no entry avoids it
-// any more, and an ejection ends.
+// Two entries lost a packet to the same upstream, and a third one hears from it. The upstream is alive: no
+// entry avoids it any more, and an ejection ends.
 func TestSignOfLifeEndsSilence(t *testing.T) {
 	x := newEntries(t, 3)
 	open := x.list[2].flowTo(1)
@@ -212,8 +213,8 @@
 	}
 }
 
-// An entry's own link is cut: all packets it sends are lost, and it waits for all upstreams. Without a sign of life of
-// any upstream it must report nothing, or a single faulty entry would disable a data centre.
+// An entry's own link is cut: all packets it sends are lost, and it waits for all upstreams. Without a sign of
+// life of any upstream it must report nothing, or a single faulty entry would disable a data centre.
 func TestIsolatedEntryReportsNothing(t *testing.T) {
 	x := newEntries(t, 2)
 	w := x.list[0]
@@ -227,8 +228,8 @@
 	}
 }
 
-// Faulty or malicious entries report that they wait for every upstream. At most a third of a group may be avoided on their
-// reports, since the others could not bear the load of more.
+// Faulty or malicious entries report that they wait for every upstream. At most a third of a group may be
+// avoided on their reports, since the others could not bear the load of more.
 func TestAtMostAThirdIsEjected(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.after(time.Second)
@@ -256,9 +257,9 @@
 	}
 }
 
-// An upstream has ended an idle flow, and refuses the caller's next request directly towards the caller, past the entry.
-// Nothing comes back here, and the caller does not retransmit: that is not silence of the upstream. A caller whose
-// packets are lost does retransmit.
+// An upstream has ended an idle flow, and refuses the caller's next request directly towards the caller, past
+// the entry. Nothing comes back here, and the caller does not retransmit: that is not silence of the upstream.
+// A caller whose packets are lost does retransmit.
 func TestEndedFlowIsNoSilence(t *testing.T) {
 	for name, c := range map[string]struct {
 		retransmits bool
@@ -283,9 +284,9 @@
 	}
 }
 
-// An entry joins, and the fabric hands nearly all flows to other entries than before. What these entries sent is answered
-// elsewhere, and they wait in vain for a healthy upstream. They must withdraw their reports as soon as they receive a flow
-// that another entry placed.
+// An entry joins, and the fabric hands nearly all flows to other entries than before. What these entries sent
+// is answered elsewhere, and they wait in vain for a healthy upstream. They must withdraw their reports as soon
+// as they receive a flow that another entry placed.
 func TestMovedFlowsAreNoSilence(t *testing.T) {
 	x := newEntries(t, 3)
 	moved := x.list[2].flowTo(2)
@@ -314,8 +315,8 @@
 	}
 }
 
-// The own data centre is evacuated, so that all flows go to another one. An upstream there falls silent: the reports of two
-// entries are enough to eject it there too.
+// The own data centre is evacuated, so that all flows go to another one. An upstream there falls silent: the
+// reports of two entries are enough to eject it there too.
 func TestSilenceElsewhereIsPooled(t *testing.T) {
 	x := newEntries(t, 3)
 	for _, w := range x.list {
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -121,8 +121,8 @@
 	return f
 }
 
-// noteData records a packet that carries a request or a part of one; before is when the previous packet of the flow
-// came.
+// noteData records a packet that carries a request or a part of one; before is when the previous packet of the
+// flow came.
 func (e *Engine) noteData(now, before time.Time, h *health, f *flow, p *stoatpacket.Packet, a *Action) {
 	if int32(p.Seq-f.seq) > 0 || f.requestStart.IsZero() {
 		f.nextSeq = p.Seq + uint32(p.Size)
@@ -290,11 +290,11 @@
 // for a second. Its late answers while it is cold would be evidence against it, and it would be ejected although
 // it is alive.
 //
-// Whether a flow opened before or after the restart is not known here: the upstream may have started long before
-// its new registration arrived, and the cookie is the same. So no flow is reset because of the restart. Its packets
-// still go to the upstream, which resets the flows that it does not know, with the caller's next retransmission: the
-// first one comes 0.2 s after the request. After such a reset a caller does not resend a request that must not run
-// twice, since its flow had opened and nobody can tell whether the request ran.
+// Whether a flow opened before or after the restart is not known here: the upstream may have started long
+// before its new registration arrived, and the cookie is the same. So no flow is reset because of the restart.
+// Its packets still go to the upstream, which resets the flows that it does not know, with the caller's next
+// retransmission: the first one comes 0.2 s after the request. After such a reset a caller does not resend a
+// request that must not run twice, since its flow had opened and nobody can tell whether the request ran.
 //
 // Openings are kept: they wait for an answer of the restarted upstream.
 func (e *Engine) forgetRestarted(now time.Time, restarted map[stoatpaddle.UpstreamKey]bool) {
--- a/stoatecho/yield_test.go
+++ b/stoatecho/yield_test.go
@@ -10,8 +10,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// playAnswers plays answers of a full upstream on open flows. Those that rejected selects are rejections, which callers
-// acknowledge as late as they may acknowledge a single packet.
+// playAnswers plays answers of a full upstream on open flows. Those that rejected selects are rejections, which
+// callers acknowledge as late as they may acknowledge a single packet.
 func (w *world) playAnswers(rounds int, rejected func(i int) bool) {
 	var flows []*caller
 	for range 4 {
@@ -51,12 +51,13 @@
 	return float64(n) / tries
 }
 
-// In an overload, chance must not decide who finds the queue full: while upstreams reject half of the requests, openings
-// of the less urgent route are refused and those of the more urgent one admitted. Afterwards all are admitted.
+// In an overload, chance must not decide who finds the queue full: while upstreams reject half of the requests,
+// openings of the less urgent route are refused and those of the more urgent one admitted. Afterwards all are
+// admitted.
 func TestLessUrgentOpeningsYield(t *testing.T) {
 	for name, c := range map[string]struct {
-		rejected     func(i int) bool
-		feed, pledge [2]float64 // least and most part that is let in
+		rejected                  func(i int) bool
+		idempotent, nonIdempotent [2]float64 // bounds of the admitted share
 	}{
 		"no request is rejected":          {func(int) bool { return false }, [2]float64{1, 1}, [2]float64{1, 1}},
 		"one in ten is rejected":          {func(i int) bool { return i%10 == 0 }, [2]float64{0.9, 1}, [2]float64{1, 1}},
@@ -80,7 +81,7 @@
 		w.playAnswers(200, c.rejected)
 		// By then, the times of the last answers no longer count.
 		w.after(time.Second)
-		for route, want := range map[netip.AddrPort][2]float64{idempotentAddr: c.feed, nonIdempotentAddr: c.pledge} {
+		for route, want := range map[netip.AddrPort][2]float64{idempotentAddr: c.idempotent, nonIdempotentAddr: c.nonIdempotent} {
 			if got := w.admittedShare(route); got < want[0] || got > want[1] {
 				t.Errorf("%s: %.2f of %v are admitted, expected %.2f to %.2f", name, got, route, want[0], want[1])
 			}
@@ -88,8 +89,8 @@
 	}
 }
 
-// A long answer must not be taken for a rejection because the first acknowledgement covers only one packet of it, while
-// those of other answers cover several.
+// A long answer must not be taken for a rejection because the first acknowledgement covers only one packet of
+// it, while those of other answers cover several.
 func TestFirstPacketIsNotARejection(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	w.declareObjectives(20 * time.Second)
@@ -105,8 +106,8 @@
 	}
 }
 
-// An upstream that has just rejected a request has nothing in progress and answers fastest. New flows must go to others,
-// and the upstream is tried again after a while.
+// An upstream that has just rejected a request has nothing in progress and answers fastest. New flows must go
+// to others, and the upstream is tried again after a while.
 func TestSaturatedUpstreamIsAvoided(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.declareObjectives(20 * time.Second)
