--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -31,7 +31,7 @@
 	}, w.rev)
 }
 
-// newSingleUpstreamWorld returns a world whose own data centre has one upstream left, and whose routes have a
+// newSingleUpstreamWorld returns a world whose local data centre has one upstream left, and whose routes have a
 // latency objective.
 func newSingleUpstreamWorld(t *testing.T, cold time.Duration) *world {
 	w := newWorld(t)
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -110,14 +110,14 @@
 	}
 }
 
-// maxCandidates bounds how many upstreams are evaluated for a new flow, in the own data centre and in all
+// maxCandidates bounds how many upstreams are evaluated for a new flow, in the local data centre and in all
 // others together. An entry in front of 1,600 upstreams of a service sends each of them a few flows an hour,
 // and so knows nothing about most of them. Without the bound, an opening would cost time in proportion to the
 // size of the service.
 const maxCandidates = 128
 
-// sampleGroups calls do with a sample of the upstreams of the own data centre and a sample of the others, in which
-// each data centre has a share in proportion to its size.
+// sampleGroups calls do with a sample of the upstreams of the local data centre and a sample of the others, in
+// which each data centre has a share in proportion to its size.
 func (e *Engine) sampleGroups(groups []stoatroute.Group, total int, do func(u *stoatroute.Upstream)) {
 	others := total
 	for _, g := range groups {
@@ -168,7 +168,7 @@
 	return o.lastResort.up, true
 }
 
-// spillsOver reports whether a flow goes to another data centre although the own one could take it: if the best
+// spillsOver reports whether a flow goes to another data centre although the local one could take it: if the best
 // upstream here is slow to answer and the best one there is not, or if this entry alone has filled the slots of
 // the best one here and taken far fewer of the best one there.
 func spillsOver(now time.Time, patience time.Duration, own, other *pick) bool {
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// Ten flows that open at once spread over the two upstreams of the own data centre.
-func TestSpreadsByLoadInOwnDataCentre(t *testing.T) {
+// Ten flows that open at once spread over the two upstreams of the local data centre.
+func TestSpreadsByLoadInLocalDataCentre(t *testing.T) {
 	w := newWorld(t)
 	got := map[stoatpaddle.UpstreamID]int{}
 	for range 10 {
@@ -598,7 +598,7 @@
 	}
 }
 
-// If all upstreams of the own data centre are silent, flows go to the other one. If all are silent everywhere,
+// If all upstreams of the local data centre are silent, flows go to the other one. If all are silent everywhere,
 // the fault is this entry's, and flows still go to the best of them.
 func TestAllUpstreamsSilent(t *testing.T) {
 	w := newWorld(t)
@@ -657,7 +657,7 @@
 }
 
 // A burst fills both upstreams here, so that some flows go to the other data centre, which is idle. After the
-// burst, flows stay in the own data centre again.
+// burst, flows stay in the local data centre again.
 func TestBurstSpillsOverAndReturns(t *testing.T) {
 	w := newWorld(t)
 	var list []*caller
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -24,7 +24,7 @@
 	}}, w.rev)
 }
 
-// The own data centre is evacuated. New flows go to the other one, and so do retransmitted openings that were
+// The local data centre is evacuated. New flows go to the other one, and so do retransmitted openings that were
 // sent to the evacuated one before; open flows go on. Once the evacuation is withdrawn, it gets flows again at
 // once.
 func TestEvacuatedDataCentreGetsNoNewFlows(t *testing.T) {
@@ -54,7 +54,7 @@
 		}
 	}
 	if own < 15 {
-		t.Errorf("%d of 20 flows went to the own data centre", own)
+		t.Errorf("%d of 20 flows went to the local data centre", own)
 	}
 }
 
@@ -92,7 +92,7 @@
 	}
 }
 
-// A route allows one region. Its new flows go only to data centres in that region, even if the own one has
+// A route allows one region. Its new flows go only to data centres in that region, even if the local one has
 // room; a data centre without a region is in none. Open flows go on when the regions of the route change.
 func TestRegionsOfARoute(t *testing.T) {
 	w := newWorld(t)
@@ -107,7 +107,7 @@
 	wantForward(t, "open flow outside", open.sendRequest())
 	w.declareRegions("north", "south")
 	if up := w.caller(idempotentAddr).open(); up.DataCentre != "here" {
-		t.Error("not in the own data centre though that is allowed:", up.ID)
+		t.Error("not in the local data centre though that is allowed:", up.ID)
 	}
 	w.e.SetRegions(stoatfilter.Regions{"here": "south"})
 	w.declareRegions("north")
@@ -118,7 +118,7 @@
 	}
 }
 
-// The own one of three data centres of a service is evacuated. Both others get its flows in proportion to their
+// The local one of three data centres of a service is evacuated. Both others get its flows in proportion to their
 // free slots.
 func TestEvacuatedTrafficSpreads(t *testing.T) {
 	w := newWorld(t)
@@ -138,7 +138,7 @@
 	}
 }
 
-// All upstreams of the own data centre are cold and have a rate limit. While this entry may not send them
+// All upstreams of the local data centre are cold and have a rate limit. While this entry may not send them
 // flows, its flows go to the other data centre, which is warm; if that one is evacuated, they are refused at
 // once. Once the upstreams are warm, they get flows again.
 func TestColdUpstreamsGetLimitedFlows(t *testing.T) {
--- a/stoatecho/group_test.go
+++ b/stoatecho/group_test.go
@@ -55,7 +55,7 @@
 }
 
 // All upstreams of this data centre are lost and come back after a second: some flows probe them, and then new
-// flows stay in the own data centre again.
+// flows stay in the local data centre again.
 func TestLostGroupComesBack(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
@@ -75,7 +75,7 @@
 		w.after(40 * ms)
 	}
 	if own < 20 || last < 95 {
-		t.Errorf("%d of 100 flows went to the own data centre, the last one was number %d", own, last)
+		t.Errorf("%d of 100 flows went to the local data centre, the last one was number %d", own, last)
 	}
 }
 
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -137,7 +137,7 @@
 
 // EjectSilent looks for upstreams that answer no entry, judging by the reports of all entries of this data
 // centre, ejects them, and returns those that it ejected. A sign of life has to arrive within the delay to
-// count. Upstreams of other data centres are considered too: while the own one is evacuated, all of its flows
+// count. Upstreams of other data centres are considered too: while the local one is evacuated, all of its flows
 // go there.
 func (e *Engine) JudgeSilence(now time.Time, t *stoatroute.Table, delay time.Duration) []Silent {
 	if len(e.dataCentreSums) == 0 {
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -315,7 +315,7 @@
 	}
 }
 
-// The own data centre is evacuated, so that all flows go to another one. An upstream there falls silent: the
+// The local data centre is evacuated, so that all flows go to another one. An upstream there falls silent: the
 // reports of two entries are enough to eject it there too.
 func TestSilenceElsewhereIsPooled(t *testing.T) {
 	x := newEntries(t, 3)
