--- a/stoatecho/admit.go
+++ b/stoatecho/admit.go
@@ -87,7 +87,7 @@
 // admitBound returns the greatest expected answer time with which one more flow of the route is admitted.
 func admitBound(h *health, r *stoatroute.Route) time.Duration {
 	most, least := admitShare, overloadAdmitShare
-	if r.Urgent {
+	if r.HasPrecedence {
 		most, least = urgentShare, overloadUrgentShare
 	}
 	share := most - (most-least)*min(1, h.group.refusedShare/overloadRefusedShare)
--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -14,7 +14,7 @@
 func (w *world) declareObjectives(d time.Duration) {
 	w.rev++
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: idempotentAddr, Backends: to, Idempotent: true, Objective: d, Priority: 2},
 		{Listen: nonIdempotentAddr, Backends: to, Objective: d, Priority: 1},
 	}}, w.rev)
@@ -23,8 +23,8 @@
 // keepOneUpstream leaves this data centre a single upstream, which has just started and is cold for the given
 // time.
 func (w *world) keepOneUpstream(cold time.Duration) {
-	w.book.Remove(w.now, "i-2", w.rev+1)
-	w.book.Remove(w.now, "i-1", w.rev+2)
+	w.book.MarkGone(w.now, "i-2", w.rev+1)
+	w.book.MarkGone(w.now, "i-1", w.rev+2)
 	w.rev += 3
 	w.book.Register(w.now, stoatpaddle.Registration{
 		ID: "i-7", Target: 7, Service: "app", DataCentre: "here", Slots: 3, Created: w.rev, Cold: cold,
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -54,12 +54,12 @@
 	patience := e.handshake.patience()
 	c := placement{now: now, route: r, patience: patience, except: except, retried: retried}
 	service := e.backend(r)
-	if all := t.Service(service); len(all) <= maxCandidates {
+	if all := t.Candidates(service); len(all) <= maxCandidates {
 		for _, u := range all {
 			e.consider(t, &c, u, &o, &excluded)
 		}
 	} else {
-		e.sampleGroups(t.Groups(service), len(all), func(u *stoatroute.Upstream) { e.consider(t, &c, u, &o, &excluded) })
+		e.sampleGroups(t.CandidateGroups(service), len(all), func(u *stoatroute.Upstream) { e.consider(t, &c, u, &o, &excluded) })
 	}
 	up, admitted := o.best(now, patience)
 	return up, admitted, excluded
@@ -80,10 +80,10 @@
 	if h == nil {
 		h = &e.groupOf(u).unseen
 	}
-	if u.Cap > 0 && h.flows >= u.Cap {
+	if u.MaxFlows > 0 && h.flows >= u.MaxFlows {
 		return
 	}
-	v := e.filter.Open(c.now, t, c.route, u, h.coldLoad(c.now, u))
+	v := e.filter.CheckNewFlow(c.now, t, c.route, u, h.coldLoad(c.now, u))
 	if v > stoatfilter.Spare {
 		excluded[v]++
 		return
@@ -118,7 +118,7 @@
 
 // sampleGroups calls do with a sample of the upstreams of the local data centre and a sample of the others, in
 // which each data centre has a share in proportion to its size.
-func (e *Engine) sampleGroups(groups []stoatroute.Group, total int, do func(u *stoatroute.Upstream)) {
+func (e *Engine) sampleGroups(groups []stoatroute.CandidateGroup, total int, do func(u *stoatroute.Upstream)) {
 	others := total
 	for _, g := range groups {
 		if g.DataCentre == e.cfg.DataCentre {
--- a/stoatecho/ended.go
+++ b/stoatecho/ended.go
@@ -28,11 +28,11 @@
 // upstream's connection to the platform is lost: an upstream that has answered since then keeps its open flows
 // and gets no new ones.
 func (e *Engine) hasEnded(u *stoatroute.Upstream) bool {
-	if u.Standing != stoatroute.Gone {
+	if u.State != stoatroute.Gone {
 		return false
 	}
 	h := e.health[u.Key]
-	return h == nil || !h.lastAnswer.After(u.Ended)
+	return h == nil || !h.lastAnswer.After(u.EndedAt)
 }
 
 // TakeOrphanedFlows forgets and returns the flows that wait for an answer of an upstream which has ended since the
@@ -48,13 +48,13 @@
 func (e *Engine) TakeEnded(now time.Time, t *stoatroute.Table) []Unanswered {
 	var out []Unanswered
 	ended := map[*stoatroute.Upstream]bool{}
-	for _, u := range t.Since(e.endedUpTo) {
+	for _, u := range t.UpstreamsSince(e.endedUpTo) {
 		h := e.health[u.Key]
-		if u.Standing == stoatroute.Gone && h != nil && h.pendingRequests > 0 && now.Sub(h.lastAlive) >= minRetransmitInterval && t.Upstream(u.Key) == u {
+		if u.State == stoatroute.Gone && h != nil && h.pendingRequests > 0 && now.Sub(h.lastAlive) >= minRetransmitInterval && t.Upstream(u.Key) == u {
 			ended[u] = e.hasEnded(u)
 		}
 	}
-	e.endedUpTo = t.Change
+	e.endedUpTo = t.ChangeSeq
 	if len(ended) == 0 {
 		return nil
 	}
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -12,7 +12,7 @@
 // endRegistration has the platform say that the upstream's registration has ended.
 func (w *world) endRegistration(id stoatpaddle.UpstreamID) {
 	w.rev++
-	w.book.Remove(w.now, id, w.rev)
+	w.book.MarkGone(w.now, id, w.rev)
 }
 
 // flowsTo opens n flows to the upstream.
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -104,7 +104,7 @@
 type Engine struct {
 	cfg     Config
 	filter  stoatfilter.Filter
-	placing stoatfilter.Placing
+	placing stoatfilter.RankTracker
 	health  map[stoatpaddle.UpstreamKey]*health // of the upstreams that this entry has seen
 	// recheck has the upstreams that the next Retain looks at even if the table does not differ there: those
 	// that are new, since the packet may have come with the previous table, and those that are in no table but
@@ -148,9 +148,9 @@
 }
 
 // SetPlace sets this entry's place among the entries of its data centre.
-func (e *Engine) SetPlace(now time.Time, p stoatfilter.Place) {
-	e.placing.Set(now, p)
-	e.filter.Place = e.placing.At(now)
+func (e *Engine) SetPlace(now time.Time, p stoatfilter.EntryRank) {
+	e.placing.Update(now, p)
+	e.filter.EntryRank = e.placing.At(now)
 }
 
 // SetRegions replaces the regions of the data centres.
@@ -247,7 +247,7 @@
 		return e.unknownCookie(now, t, p)
 	}
 	// A caller can forge a cookie; the cookie of another service must not route its packets there.
-	if !r.Had(u.Service) {
+	if !r.EverUsed(u.Service) {
 		return Action{Reason: stoatpacket.DropForged}
 	}
 	a := e.track(now, r, u, p)
@@ -272,7 +272,7 @@
 		}
 		return Action{Reason: stoatpacket.DropUnproven}
 	}
-	if !t.Proven.After(since) || p.Reset {
+	if !t.CompleteAsOf.After(since) || p.Reset {
 		return Action{Reason: stoatpacket.DropUnproven}
 	}
 	return Action{Verdict: Reset, Reason: stoatpacket.DropGone}
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -25,7 +25,7 @@
 type world struct {
 	t    *testing.T
 	now  time.Time
-	book *stoatroute.Book
+	book *stoatroute.Builder
 	e    *stoatecho.Engine
 	rev  stoatpaddle.Version
 	port uint16
@@ -34,15 +34,15 @@
 // newWorld returns a world with upstreams 1 and 2 of service app in this data centre, 3 in another one, and 9 of
 // service intake in this one.
 func newWorld(t *testing.T) *world {
-	w := &world{t: t, now: start, book: stoatroute.NewBook(stoatroute.Config{}), port: 40000}
+	w := &world{t: t, now: start, book: stoatroute.NewBuilder(stoatroute.Config{}), port: 40000}
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start.Add(-time.Minute), Seed: 1})
 	w.declare("app")
 	w.register(1, "app", "here")
 	w.register(2, "app", "here")
 	w.register(3, "app", "there")
 	w.register(9, "intake", "here")
-	w.book.Listed(w.now, map[stoatpaddle.UpstreamID]bool{"i-1": true, "i-2": true, "i-3": true, "i-9": true}, false)
-	w.book.Prove(w.now)
+	w.book.ApplyList(w.now, map[stoatpaddle.UpstreamID]bool{"i-1": true, "i-2": true, "i-3": true, "i-9": true}, false)
+	w.book.MarkCurrent(w.now)
 	return w
 }
 
@@ -51,7 +51,7 @@
 	to := func(s stoatpaddle.ServiceID) []stoatpaddle.Backend {
 		return []stoatpaddle.Backend{{Service: s, Weight: 1}}
 	}
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: idempotentAddr, Backends: to(service), Idempotent: true}, {Listen: nonIdempotentAddr, Backends: to(service)}, {Listen: intakeAddr, Backends: to("intake")},
 	}}, w.rev)
 }
@@ -191,7 +191,7 @@
 	c := w.caller(idempotentAddr)
 	c.open()
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev}, w.rev)
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev}, w.rev)
 	wantReset(t, c.sendRequest(), stoatpacket.DropNoRoute)
 	wantReset(t, w.caller(idempotentAddr).syn(0), stoatpacket.DropNoRoute)
 	wantDrop(t, c.send(stoatpacket.Packet{Reset: true, Ends: true}), stoatpacket.DropNoRoute)
@@ -205,10 +205,10 @@
 	c.cookie = stoatroute.KeyOf(77)
 	wantDrop(t, c.sendRequest(), stoatpacket.DropUnproven)
 	wantDrop(t, c.retransmit(), stoatpacket.DropUnproven)
-	w.book.Prove(w.now) // sent at the same moment: it may have been first
+	w.book.MarkCurrent(w.now) // sent at the same moment: it may have been first
 	wantDrop(t, c.retransmit(), stoatpacket.DropUnproven)
 	w.after(ms)
-	w.book.Prove(w.now)
+	w.book.MarkCurrent(w.now)
 	wantReset(t, c.retransmit(), stoatpacket.DropGone)
 }
 
@@ -222,7 +222,7 @@
 		callers[c.open().ID] = c
 	}
 	w.rev++
-	w.book.Remove(w.now, "i-1", w.rev)
+	w.book.MarkGone(w.now, "i-1", w.rev)
 	wantReset(t, callers["i-1"].sendRequest(), stoatpacket.DropGone)
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{ID: "i-2", Target: 2, Service: "app", DataCentre: "here", Slots: 3, Leaving: true}, w.rev)
@@ -232,7 +232,7 @@
 	if up := w.caller(idempotentAddr).open(); up.ID != "i-3" {
 		t.Error(up.ID)
 	}
-	w.book.Listed(w.now, nil, true)
+	w.book.ApplyList(w.now, nil, true)
 	if up := w.caller(idempotentAddr).open(); up.ID != "i-3" {
 		t.Error(up.ID)
 	}
@@ -251,7 +251,7 @@
 	list[0].sendRequest()
 	w.after(20 * ms)
 	w.rev++
-	w.book.Remove(w.now, "i-1", w.rev)
+	w.book.MarkGone(w.now, "i-1", w.rev)
 	wantReset(t, list[1].sendRequest(), stoatpacket.DropGone)
 	w.after(20 * ms)
 	if a := list[0].ackAnswer(); a.Verdict != stoatecho.Forward {
@@ -268,7 +268,7 @@
 // No upstream can take the flow: the caller is refused at once, so that it need not wait until it gives up.
 func TestNoUpstreamAvailable(t *testing.T) {
 	w := newWorld(t)
-	w.book.Remove(w.now, "i-9", 99)
+	w.book.MarkGone(w.now, "i-9", 99)
 	wantReset(t, w.caller(intakeAddr).syn(0), stoatpacket.DropNoUpstream)
 }
 
@@ -277,7 +277,7 @@
 func TestEntryWithoutTable(t *testing.T) {
 	w := newWorld(t)
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now, Seed: 1})
-	w.book = stoatroute.NewBook(stoatroute.Config{})
+	w.book = stoatroute.NewBuilder(stoatroute.Config{})
 	c := w.caller(idempotentAddr)
 	if a := c.syn(0); a.Verdict != stoatecho.Wait {
 		t.Errorf("%+v", a)
@@ -546,7 +546,7 @@
 func TestLateAnswerIsReported(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Objective: 200 * ms},
 	}}, w.rev)
 	c := w.caller(idempotentAddr)
@@ -686,7 +686,7 @@
 func TestCap(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{
 		Version: w.rev, Caps: map[stoatpaddle.ServiceID]int{"app": 2},
 		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}},
 	}, w.rev)
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -145,7 +145,7 @@
 func (e *Engine) Judge(now time.Time, t *stoatroute.Table) []Marked {
 	named := map[stoatpaddle.ServiceID][]Marked{}
 	for k, s := range e.dataCentreSums {
-		if u := t.Upstream(k); s.Failed > 0 && u != nil && u.Opens() && u.DataCentre == e.cfg.DataCentre {
+		if u := t.Upstream(k); s.Failed > 0 && u != nil && u.AcceptsFlows() && u.DataCentre == e.cfg.DataCentre {
 			named[u.Service] = append(named[u.Service], Marked{Upstream: u, Counts: s.Counts})
 		}
 	}
@@ -162,7 +162,7 @@
 		if h.group != g {
 			continue
 		}
-		if u := t.Upstream(k); u != nil && u.Opens() {
+		if u := t.Upstream(k); u != nil && u.AcceptsFlows() {
 			do(h)
 		}
 	}
@@ -170,7 +170,7 @@
 
 // ejectFailingInService ejects upstreams of one service; failing has those with failures, and is not empty.
 func (e *Engine) ejectFailingInService(now time.Time, t *stoatroute.Table, failing []Marked) []Marked {
-	all := len(t.Group(failing[0].Upstream.Service, e.cfg.DataCentre))
+	all := len(t.CandidatesIn(failing[0].Upstream.Service, e.cfg.DataCentre))
 	if all < ejectableDivisor {
 		return nil
 	}
@@ -192,11 +192,11 @@
 		h := e.healthOf(m.Upstream)
 		// An upstream that has just started is slow, as its registration says: for a while its requests are
 		// answered late, in each release at a third of a service's upstreams.
-		if m.Upstream.Started && now.Before(m.Upstream.Warm.Add(failureWindow)) {
+		if m.Upstream.StartedCold && now.Before(m.Upstream.WarmAt.Add(failureWindow)) {
 			continue
 		}
 		// The counts still include what entries saw before the upstream restarted.
-		if since := m.Upstream.Renewed; !since.IsZero() && now.Sub(since) < failureWindow+sumDelay {
+		if since := m.Upstream.RestartedAt; !since.IsZero() && now.Sub(since) < failureWindow+sumDelay {
 			continue
 		}
 		// Once an upstream is reported, the entries that saw no failure need a moment to report its answers. Until
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -135,7 +135,7 @@
 	}
 	for _, id := range []stoatpaddle.UpstreamID{"i-1", "i-2"} {
 		w.rev++
-		w.book.Remove(w.now, id, w.rev)
+		w.book.MarkGone(w.now, id, w.rev)
 	}
 	w.e.Retain(w.now, w.book.Table())
 	got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{4: bad, 5: good, 6: good, 7: good})
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -13,13 +13,13 @@
 // evacuate evacuates a data centre, or withdraws its evacuation.
 func (w *world) evacuate(d stoatpaddle.DataCentreID, withdrawn bool) {
 	w.rev++
-	w.book.Evacuate(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
+	w.book.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
 }
 
 // declareRegions declares one route that is limited to the given regions.
 func (w *world) declareRegions(regions ...stoatpaddle.RegionID) {
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true, Regions: regions},
 	}}, w.rev)
 }
@@ -144,7 +144,7 @@
 func TestColdUpstreamsGetLimitedFlows(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{
 		Version: w.rev, ColdRates: map[stoatpaddle.ServiceID]float64{"app": 3},
 		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true}},
 	}, w.rev)
--- a/stoatecho/health.go
+++ b/stoatecho/health.go
@@ -70,7 +70,7 @@
 	avoidance          backoff        // it gets no flows while others can take them
 	window             window         // recent requests
 	failing            failureBackoff // no new flows, since it fails requests
-	life               stoatroute.Life
+	life               stoatroute.Identity
 	unansweredSince    time.Time // since when this entry reports that it waits in vain; zero: it does not
 	unansweredSeen     time.Time // when the latest unanswered packet was noted
 	deprioritizedUntil time.Time // new flows prefer others until then, since another entry waits for it
@@ -186,7 +186,7 @@
 // of an upstream. With a fixed bound, upstreams that work at full speed would be ejected.
 func (e *Engine) allowedSilence(now time.Time, u *stoatroute.Upstream) time.Duration {
 	silence := ejectSilence
-	if now.Before(u.Warm) {
+	if now.Before(u.WarmAt) {
 		silence *= coldSilenceFactor
 	}
 	if g := e.groupOf(u); g.recentAnswers.weightAt(now) >= minKnownWeight {
@@ -256,11 +256,11 @@
 }
 
 // coldLoad returns the load that a new flow would put on the upstream while it is cold and has a rate limit.
-func (h *health) coldLoad(now time.Time, u *stoatroute.Upstream) stoatfilter.Load {
-	if u.ColdRate == 0 || !now.Before(u.Warm) {
-		return stoatfilter.Load{}
+func (h *health) coldLoad(now time.Time, u *stoatroute.Upstream) stoatfilter.ColdLoad {
+	if u.ColdRate == 0 || !now.Before(u.WarmAt) {
+		return stoatfilter.ColdLoad{}
 	}
-	return stoatfilter.Load{Requests: h.group.requestsPerFlow.perFlow(now), Taken: h.lastPlaced}
+	return stoatfilter.ColdLoad{RequestsPerFlow: h.group.requestsPerFlow.perFlow(now), LastSent: h.lastPlaced}
 }
 
 // load returns the part of the upstream's slots that this entry uses.
@@ -284,7 +284,7 @@
 	if h.answerTimes.mean > latencyFloor {
 		c *= float64(h.answerTimes.mean) / float64(latencyFloor)
 	}
-	if now.Before(u.Warm) {
+	if now.Before(u.WarmAt) {
 		c *= coldPenalty
 	}
 	c *= h.saturation.penalty(now)
@@ -306,7 +306,7 @@
 }
 
 func (e *Engine) newHealth(u *stoatroute.Upstream) *health {
-	return &health{life: stoatroute.LifeOf(&u.Registration), group: e.groupOf(u)}
+	return &health{life: stoatroute.IdentityOf(&u.Registration), group: e.groupOf(u)}
 }
 
 // groupOf returns the group of an upstream, and creates it if it is new.
--- a/stoatecho/open.go
+++ b/stoatecho/open.go
@@ -92,7 +92,7 @@
 // given a sign of life since, the packet was lost rather than the upstream: sent to another one, the flow would be
 // open twice, and the caller's packets would carry either cookie.
 func (e *Engine) keepsUpstream(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, f *flow, a *Action) bool {
-	if u == nil || !u.Opens() || e.filter.Allowed(t, r, u) != stoatfilter.Eligible {
+	if u == nil || !u.AcceptsFlows() || e.filter.CheckPolicy(t, r, u) != stoatfilter.Eligible {
 		return false
 	}
 	if now.Sub(f.lastSeen) < minRetransmitInterval {
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -145,7 +145,7 @@
 	}
 	named := map[groupKey][]*stoatroute.Upstream{}
 	for k, s := range e.dataCentreSums {
-		if u := t.Upstream(k); s.Entries > 0 && u != nil && u.Opens() {
+		if u := t.Upstream(k); s.Entries > 0 && u != nil && u.AcceptsFlows() {
 			key := groupKey{service: u.Service, centre: u.DataCentre}
 			named[key] = append(named[key], u)
 		}
@@ -164,7 +164,7 @@
 	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
 		return cmp.Or(cmp.Compare(e.dataCentreSums[b.Key].Entries, e.dataCentreSums[a.Key].Entries), cmp.Compare(a.Key, b.Key))
 	})
-	quota := silentQuota{upstreams: len(t.Group(named[0].Service, named[0].DataCentre))}
+	quota := silentQuota{upstreams: len(t.CandidatesIn(named[0].Service, named[0].DataCentre))}
 	e.eachSeen(t, e.groupOf(named[0]), func(h *health) { quota.count(now, h) })
 	for _, u := range named {
 		h, s := e.healthOf(u), e.dataCentreSums[u.Key].Silence
@@ -173,7 +173,7 @@
 			continue
 		}
 		// The upstream has restarted since, or this entry has had a more recent sign of life.
-		if u.Renewed.After(s.First) || h.lastAlive.After(s.First) {
+		if u.RestartedAt.After(s.First) || h.lastAlive.After(s.First) {
 			continue
 		}
 		quota.deprioritize(now, h)
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -78,7 +78,7 @@
 		h.saturation.noteAnswer(now, false)
 		h.answered(now, took, f.concurrency)
 		// A cold upstream is slow without a queue.
-		if !now.Before(u.Warm) {
+		if !now.Before(u.WarmAt) {
 			h.recentAnswers.add(now, took)
 			h.group.answered(now, took)
 		}
@@ -237,7 +237,7 @@
 			return
 		}
 		delete(e.recheck, k)
-		life := stoatroute.LifeOf(&u.Registration)
+		life := stoatroute.IdentityOf(&u.Registration)
 		if h.life.Same(life) {
 			h.life = life
 			return
@@ -247,7 +247,7 @@
 		e.health[k].group.silence.reset(now)
 		restarted[k] = true
 	}
-	t.Differing(e.retainedTable, retain)
+	t.EachChangedKey(e.retainedTable, retain)
 	for k := range e.recheck {
 		retain(k)
 	}
--- a/stoatedge/metrics.go
+++ b/stoatedge/metrics.go
@@ -32,7 +32,7 @@
 	switch {
 	case x.call.List:
 		kind = "list"
-	case x.call.Stale:
+	case x.call.AllowStale:
 		kind = "replica"
 	}
 	c.set.GetOrCreateCounter(fmt.Sprintf("stoatpaddle_platform_calls_total{topic=%q,kind=%q,outcome=%q}", x.topic, kind, r.Outcome)).Inc()
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -205,7 +205,7 @@
 	}
 	fields := append(more, stoatevent.F("flow", p.Tuple.Src.String()+">"+p.Tuple.Dst.String()))
 	if a.Upstream != nil {
-		fields = append(fields, stoatevent.F("upstream", string(a.Upstream.ID)), stoatevent.F("standing", a.Upstream.Standing.String()))
+		fields = append(fields, stoatevent.F("upstream", string(a.Upstream.ID)), stoatevent.F("standing", a.Upstream.State.String()))
 	}
 	if a.Repeats > 0 {
 		fields = append(fields, stoatevent.F("repeats", strconv.Itoa(a.Repeats)))
