--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -10,19 +10,19 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// objectives declares feed and pledge with an objective, to one service.
-func (w *world) objectives(d time.Duration) {
+// declareObjectives declares two routes of one service, both with the given latency objective.
+func (w *world) declareObjectives(d time.Duration) {
 	w.rev++
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
 	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
-		{Listen: feed, Backends: to, Idempotent: true, Objective: d, Priority: 2},
-		{Listen: pledge, Backends: to, Objective: d, Priority: 1},
+		{Listen: idempotentAddr, Backends: to, Idempotent: true, Objective: d, Priority: 2},
+		{Listen: nonIdempotentAddr, Backends: to, Objective: d, Priority: 1},
 	}}, w.rev)
 }
 
-// leaveOne takes the second upstream of this data centre away, and makes the first one anew; a
-// new one may be slow at first.
-func (w *world) leaveOne(cold time.Duration) {
+// keepOneUpstream leaves this data centre a single upstream, which has just started and is cold for the given
+// time.
+func (w *world) keepOneUpstream(cold time.Duration) {
 	w.book.MarkGone(w.now, "i-2", w.rev+1)
 	w.book.MarkGone(w.now, "i-1", w.rev+2)
 	w.rev += 3
@@ -31,153 +31,153 @@
 	}, w.rev)
 }
 
-// newLoneWorld is a data centre with one upstream left, whose routes have an objective.
-func newLoneWorld(t *testing.T, cold time.Duration) *world {
+// newSingleUpstreamWorld returns a world whose local data centre has one upstream left, and whose routes have a
+// latency objective.
+func newSingleUpstreamWorld(t *testing.T, cold time.Duration) *world {
 	w := newWorld(t)
-	w.objectives(400 * ms)
-	w.leaveOne(cold)
+	w.declareObjectives(400 * ms)
+	w.keepOneUpstream(cold)
 	return w
 }
 
-// request opens a flow and has one answer on it.
+// request opens a flow and completes one request on it.
 func (w *world) request(to netip.AddrPort, takes time.Duration) {
 	f := w.caller(to)
 	f.open()
-	f.ask()
+	f.sendRequest()
 	w.after(takes)
-	f.done()
+	f.ackAnswer()
 }
 
-// queue has six flows ask at once, of which all but one are answered after a while: one request
+// fillQueue sends a request on each of six flows at once. All but one are answered after the given time; one
 // stays in progress.
-func (w *world) queue(to netip.AddrPort, takes time.Duration) {
+func (w *world) fillQueue(to netip.AddrPort, takes time.Duration) {
 	var flows []*caller
 	for range 6 {
 		f := w.caller(to)
 		f.open()
-		f.ask()
+		f.sendRequest()
 		flows = append(flows, f)
 	}
 	w.after(takes)
 	for _, f := range flows[1:] {
-		f.done()
+		f.ackAnswer()
 	}
 }
 
-// A data centre has one upstream of a service left, and it is idle. One packet of a caller is
-// lost and comes again 0.2 s later, so that an answer seems to have taken 0.24 s. The next callers
-// open flows; refused, they would come back and be refused for a second, with nothing in progress.
+// A data centre has one upstream of a service left, which is idle. A packet is lost and retransmitted after 0.2
+// s, so that an answer seems to take 0.24 s. Openings must not be refused for it: they were refused for a
+// second with nothing in progress.
 func TestOneSlowAnswerIsNoOverload(t *testing.T) {
-	w := newLoneWorld(t, 0)
+	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
-		w.request(feed, 30*ms)
+		w.request(idempotentAddr, 30*ms)
 		w.after(100 * ms)
 	}
-	w.request(feed, 240*ms)
+	w.request(idempotentAddr, 240*ms)
 	for range 5 {
 		w.after(20 * ms)
-		if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
+		if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
 			t.Fatalf("refused: %+v", a)
 		}
 	}
 }
 
-// The only upstream left has just started and takes five times as long as usual. It is slow
-// without a queue, and nothing better is near: callers wait for it rather than being turned away.
+// The only upstream left has just started and takes five times as long as usual. It is slow without a queue,
+// and no other one is near: openings must not be refused.
 func TestColdIsNoOverload(t *testing.T) {
-	w := newLoneWorld(t, 3*time.Second)
-	w.queue(feed, 300*ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
+	w := newSingleUpstreamWorld(t, 3*time.Second)
+	w.fillQueue(idempotentAddr, 300*ms)
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
 		t.Fatalf("refused: %+v", a)
 	}
 }
 
-// What answers slowly when it is warm and has requests in progress is full: the same callers are
-// refused.
+// A warm upstream that answers slowly and has requests in progress is full: openings are refused.
 func TestQueueIsOverload(t *testing.T) {
-	w := newLoneWorld(t, 0)
-	w.request(feed, 30*ms)
-	w.queue(feed, 300*ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Reset {
+	w := newSingleUpstreamWorld(t, 0)
+	w.request(idempotentAddr, 30*ms)
+	w.fillQueue(idempotentAddr, 300*ms)
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Reset {
 		t.Fatalf("not refused: %+v", a)
 	}
 }
 
-// A burst is a little over what the upstreams can do: answers take 0.45 of the objective, and
-// whoever waits is in time. Nobody is refused for it. Far over, when most are refused, the same
-// queue is too long: it grows between two answers, and those behind it would be late.
+// In a slight overload, answers take 0.45 of the objective and are still in time: no opening is refused. In a
+// heavy one, when most openings are refused, the same queue is too long: it grows between two answers, and the
+// next ones would be late.
 func TestShortQueueIsNoOverload(t *testing.T) {
-	w := newLoneWorld(t, 0)
-	w.request(feed, 30*ms)
-	w.queue(pledge, 130*ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
+	w := newSingleUpstreamWorld(t, 0)
+	w.request(idempotentAddr, 30*ms)
+	w.fillQueue(nonIdempotentAddr, 130*ms)
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
 		t.Fatalf("refused after a short queue: %+v", a)
 	}
-	w.queue(pledge, 550*ms)
+	w.fillQueue(nonIdempotentAddr, 550*ms)
 	for range 20 {
-		if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Reset {
+		if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Reset {
 			t.Fatalf("not refused after a long queue: %+v", a)
 		}
 	}
 	w.after(time.Second)
-	w.queue(pledge, 130*ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Reset {
+	w.fillQueue(nonIdempotentAddr, 130*ms)
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Reset {
 		t.Fatalf("not refused though most were: %+v", a)
 	}
 }
 
-// Entries are replaced in turn, and a caller's flow goes to another entry while its request waits here. It
-// has its answer there, goes on asking there, and is back 1.5 s later. What it acknowledges then is not the
-// request that was noted here: taken for an answer of 1.5 s, two such flows had an entry refuse openings
-// for a quarter of a second, 3.5 s after the last queue, at upstreams with nothing in progress:
+// Entries are replaced one after another, and a flow is at another entry while its request is pending here. The
+// flow is answered there, carries more requests there, and comes back after 1.5 s; what its caller acknowledges
+// then is not the request that began here. Counted as answers of 1.5 s, two such flows made an entry refuse
+// openings for a quarter of a second, 3.5 s after the last queue, at upstreams with nothing in progress:
 //
 //	59.666 s SP1422 answer was late, took 1.532s, busy 0, upstream i-50000009
 //	59.737 s SP1422 answer was late, took 1.613s, busy 0, upstream i-50000008
 //	59.951 s SP1411 overload, busy 0, mean 204ms, bound 200ms, upstream i-5000000a
 func TestAnswerElsewhereIsNoOverload(t *testing.T) {
-	w := newLoneWorld(t, 0)
+	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
-		w.request(feed, 30*ms)
+		w.request(idempotentAddr, 30*ms)
 		w.after(100 * ms)
 	}
 	var away []*caller
 	for range 2 {
-		f := w.caller(feed)
+		f := w.caller(idempotentAddr)
 		f.open()
-		f.ask()
+		f.sendRequest()
 		w.after(30 * ms)
-		f.done()
+		f.ackAnswer()
 		away = append(away, f)
 	}
 	w.after(800 * ms)
 	for _, f := range away {
-		f.ask()
+		f.sendRequest()
 	}
 	for range 4 {
 		w.after(200 * ms)
-		w.request(feed, 30*ms)
+		w.request(idempotentAddr, 30*ms)
 	}
 	for _, f := range away {
-		f.seq += 600 // of requests that other entries saw
+		f.seq += 600 // requests that other entries saw
 		f.ack += 6000
-		if a := f.ask(); a.Late || a.Took > 500*ms {
-			t.Errorf("an answer is said to have taken %s", a.Took)
+		if a := f.sendRequest(); a.Late || a.Took > 500*ms {
+			t.Errorf("an answer was reported to have taken %s", a.Took)
 		}
 	}
 	w.after(20 * ms)
-	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
+	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
 		t.Fatalf("refused: mean %s, bound %s, busy %d", a.Mean, a.Bound, a.Busy)
 	}
 }
 
 // A caller ends its flow with the packet that acknowledges the answer, and that packet is lost on the way to
-// the entry. The next one has a number that is one higher, for the end: no data was sent elsewhere, and
-// the answer counts as one.
+// the entry. The next sequence number is one higher because of the FIN. No data was sent through another entry,
+// and the answer counts as one.
 func TestLostEndIsNoData(t *testing.T) {
-	w := newLoneWorld(t, 0)
-	f := w.caller(pledge)
+	w := newSingleUpstreamWorld(t, 0)
+	f := w.caller(nonIdempotentAddr)
 	f.open()
-	f.ask()
+	f.sendRequest()
 	w.after(60 * ms)
 	f.ack += 500
 	a := f.send(stoatpacket.Packet{Seq: f.seq + 101, Ack: f.ack})
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -10,27 +10,27 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// evacuate has operators evacuate a data centre, or take it back.
+// evacuate evacuates a data centre, or withdraws its evacuation.
 func (w *world) evacuate(d stoatpaddle.DataCentreID, withdrawn bool) {
 	w.rev++
 	w.book.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
 }
 
-// only declares one route, to flows of which those regions are open.
-func (w *world) only(regions ...stoatpaddle.RegionID) {
+// declareRegions declares one route that is limited to the given regions.
+func (w *world) declareRegions(regions ...stoatpaddle.RegionID) {
 	w.rev++
 	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
-		{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true, Regions: regions},
+		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true, Regions: regions},
 	}}, w.rev)
 }
 
-// The own data centre is evacuated. Its callers' new flows go to the other one, also copies of
-// openings that were sent there before; open flows go on, whatever they carry. Taken back, it gets
-// flows again at once.
-func TestEvacuatedDataCentreGetsNothingNew(t *testing.T) {
+// The local data centre is evacuated. New flows go to the other one, and so do retransmitted openings that were
+// sent to the evacuated one before; open flows go on. Once the evacuation is withdrawn, it gets flows again at
+// once.
+func TestEvacuatedDataCentreGetsNoNewFlows(t *testing.T) {
 	w := newWorld(t)
 	open := w.flowTo(1)
-	opening := w.caller(feed)
+	opening := w.caller(idempotentAddr)
 	if a := opening.syn(0); a.Upstream.DataCentre != "here" {
 		t.Fatalf("%+v", a)
 	}
@@ -40,49 +40,49 @@
 		t.Errorf("the copy of an opening: %+v", a)
 	}
 	for range 20 {
-		if up := w.caller(feed).open(); up.ID != "i-3" {
+		if up := w.caller(idempotentAddr).open(); up.ID != "i-3" {
 			t.Error("a new flow went to", up.ID)
 		}
-		mustGoOn(t, "open flow", open.ask())
-		open.done()
+		wantForward(t, "open flow", open.sendRequest())
+		open.ackAnswer()
 	}
 	w.evacuate("here", true)
-	home := 0
+	own := 0
 	for range 20 {
-		if w.caller(feed).open().DataCentre == "here" {
-			home++
+		if w.caller(idempotentAddr).open().DataCentre == "here" {
+			own++
 		}
 	}
-	if home < 15 {
-		t.Errorf("%d of 20 flows came home", home)
+	if own < 15 {
+		t.Errorf("%d of 20 flows went to the local data centre", own)
 	}
 }
 
-// The only data centre that has a service is evacuated, or the other one's upstreams are ejected, or
-// full. No evacuated upstream is a last resort: the caller is refused at once, and told why.
+// All data centres that have a service are evacuated. An evacuated upstream is not used even as a last resort: the
+// caller is refused at once, and the reason is counted.
 func TestEvacuatedIsNoLastResort(t *testing.T) {
 	w := newWorld(t)
 	w.evacuate("here", false)
-	a := w.caller(upload).syn(0)
+	a := w.caller(intakeAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
 	if a.Excluded[stoatfilter.Evacuated] != 1 {
 		t.Errorf("%v", a.Excluded)
 	}
 	w.evacuate("there", false)
-	a = w.caller(feed).syn(0)
+	a = w.caller(idempotentAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
 	if a.Excluded[stoatfilter.Evacuated] != 3 {
 		t.Errorf("%v", a.Excluded)
 	}
 }
 
-// The upstream that is left elsewhere has let openings go unanswered. That it is worse than the
-// evacuated ones does not matter: it is tried, or the caller refused.
+// The only upstream in a data centre that is not evacuated has left openings unanswered. It is still tried
+// before the evacuated ones, or the caller is refused.
 func TestEjectedGoesBeforeEvacuated(t *testing.T) {
 	w := newWorld(t)
 	w.evacuate("here", false)
 	for range 4 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		for copies, gap := range []time.Duration{200 * ms, 400 * ms, 700 * ms} {
 			if a := c.syn(copies); a.Verdict == stoatecho.Forward && a.Upstream.DataCentre == "here" {
 				t.Errorf("copy %d went to %s", copies, a.Upstream.ID)
@@ -92,35 +92,34 @@
 	}
 }
 
-// A route allows one region. Its flows go only to data centres there, also when those are elsewhere
-// and the own one has room; a data centre whose region nobody names is in none. Open flows go on
-// when the list changes.
+// A route allows one region. Its new flows go only to data centres in that region, even if the local one has
+// room; a data centre without a region is in none. Open flows go on when the regions of the route change.
 func TestRegionsOfARoute(t *testing.T) {
 	w := newWorld(t)
 	open := w.flowTo(1)
 	w.e.SetRegions(stoatfilter.Regions{"here": "south", "there": "north"})
-	w.only("north")
+	w.declareRegions("north")
 	for range 10 {
-		if up := w.caller(feed).open(); up.DataCentre != "there" {
+		if up := w.caller(idempotentAddr).open(); up.DataCentre != "there" {
 			t.Error("outside its regions:", up.ID)
 		}
 	}
-	mustGoOn(t, "open flow outside", open.ask())
-	w.only("north", "south")
-	if up := w.caller(feed).open(); up.DataCentre != "here" {
-		t.Error("not at home though that is allowed:", up.ID)
+	wantForward(t, "open flow outside", open.sendRequest())
+	w.declareRegions("north", "south")
+	if up := w.caller(idempotentAddr).open(); up.DataCentre != "here" {
+		t.Error("not in the local data centre though that is allowed:", up.ID)
 	}
 	w.e.SetRegions(stoatfilter.Regions{"here": "south"})
-	w.only("north")
-	a := w.caller(feed).syn(0)
+	w.declareRegions("north")
+	a := w.caller(idempotentAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
 	if a.Excluded[stoatfilter.Outside] != 3 {
 		t.Errorf("%v", a.Excluded)
 	}
 }
 
-// Three data centres of one service, of which the own one is evacuated. Both others get its flows, by
-// the room that they have.
+// The local one of three data centres of a service is evacuated. Both others get its flows in proportion to their
+// free slots.
 func TestEvacuatedTrafficSpreads(t *testing.T) {
 	w := newWorld(t)
 	for target := stoatpaddle.Target(20); target < 24; target++ {
@@ -130,24 +129,24 @@
 	w.evacuate("here", false)
 	got := map[stoatpaddle.DataCentreID]int{}
 	for range 60 {
-		c := w.caller(feed)
+		c := w.caller(idempotentAddr)
 		got[c.open().DataCentre]++
-		c.ask()
+		c.sendRequest()
 	}
 	if got["here"] != 0 || got["there"] < 20 || got["yonder"] < 20 {
 		t.Error(got)
 	}
 }
 
-// All upstreams of the own data centre are cold, and bear few requests. As long as this entry has no
-// turn there, its flows go to the other data centre, which is warm; if that is evacuated, they are
-// refused at once. Once they are warm they get flows again.
-func TestColdUpstreamsAreSpared(t *testing.T) {
+// All upstreams of the local data centre are cold and have a rate limit. While this entry may not send them
+// flows, its flows go to the other data centre, which is warm; if that one is evacuated, they are refused at
+// once. Once the upstreams are warm, they get flows again.
+func TestColdUpstreamsGetLimitedFlows(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
 	w.book.ApplyDeclaration(stoatpaddle.Declaration{
 		Version: w.rev, ColdRates: map[stoatpaddle.ServiceID]float64{"app": 3},
-		Routes: []stoatpaddle.Route{{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true}},
+		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true}},
 	}, w.rev)
 	for target := stoatpaddle.Target(1); target <= 2; target++ {
 		w.rev++
@@ -156,18 +155,18 @@
 		}, w.rev)
 	}
 	for range 10 {
-		if up := w.caller(feed).open(); up.DataCentre != "there" {
-			t.Error("a cold upstream got a flow that it may not bear:", up.ID)
+		if up := w.caller(idempotentAddr).open(); up.DataCentre != "there" {
+			t.Error("a cold upstream got a flow beyond its rate limit:", up.ID)
 		}
 	}
 	w.evacuate("there", false)
-	a := w.caller(feed).syn(0)
+	a := w.caller(idempotentAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
 	if a.Excluded[stoatfilter.Cold] != 2 || a.Excluded[stoatfilter.Evacuated] != 1 {
 		t.Errorf("%v", a.Excluded)
 	}
 	w.after(4 * time.Second)
-	if up := w.caller(feed).open(); up.DataCentre != "here" {
+	if up := w.caller(idempotentAddr).open(); up.DataCentre != "here" {
 		t.Error(up.ID)
 	}
 }
--- a/stoatecho/hold_test.go
+++ b/stoatecho/hold_test.go
@@ -8,12 +8,12 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// All entries lost power; callers repeat their openings until an entry is back. Each flow's
-// last copy waits, so that the copies do not look like an upstream that does not answer.
+// After a power loss of all entries, callers retransmit their openings until an entry is back. Only the last
+// copy of each is kept, so that the copies do not look like an upstream that does not answer.
 func TestHoldKeepsTheLastCopy(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
-	a, b := w.caller(feed), w.caller(pledge)
+	a, b := w.caller(idempotentAddr), w.caller(nonIdempotentAddr)
 	for i, c := range []*caller{a, b, a, a} {
 		if !h.Add(w.now, &stoatpacket.Packet{Tuple: c.tuple, Opens: true, Copies: i}, []byte{byte(i)}) {
 			t.Fatal("no room")
@@ -28,12 +28,12 @@
 	}
 }
 
-// No table comes: what waited for a second is given back to be refused, the rest waits on.
-func TestHoldGivesUp(t *testing.T) {
+// No table arrives: packets that were held for a second are returned to be refused, and the others are still held.
+func TestHoldExpires(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
-	h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(feed).tuple}, nil)
-	h.Add(w.now.Add(500*ms), &stoatpacket.Packet{Tuple: w.caller(feed).tuple}, nil)
+	h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple}, nil)
+	h.Add(w.now.Add(500*ms), &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple}, nil)
 	if got := h.Overdue(w.now.Add(time.Second)); len(got) != 1 {
 		t.Error(len(got))
 	}
@@ -42,13 +42,13 @@
 	}
 }
 
-// A flood before the first table is bounded.
+// The number of held packets is bounded, so that a flood before the first table cannot exhaust the memory.
 func TestHoldIsBounded(t *testing.T) {
 	w := newWorld(t)
 	var h stoatecho.Hold
 	kept := 0
 	for i := range uint32(5000) {
-		if h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(feed).tuple, Seq: i}, nil) {
+		if h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple, Seq: i}, nil) {
 			kept++
 		}
 	}
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -12,17 +12,17 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// restarted registers an upstream's start under the id that it has.
+// restarted registers a restart of an upstream under its id.
 func (w *world) restarted(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
-	w.startAgain(target, born, 0)
+	w.registerRestart(target, born, 0)
 }
 
-// startCold does the same for one that is slow for some seconds.
-func (w *world) startCold(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
-	w.startAgain(target, born, 5*time.Second)
+// restartedCold does the same for an upstream that is cold for five seconds.
+func (w *world) restartedCold(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
+	w.registerRestart(target, born, 5*time.Second)
 }
 
-func (w *world) startAgain(target stoatpaddle.Target, born stoatpaddle.Incarnation, cold time.Duration) {
+func (w *world) registerRestart(target stoatpaddle.Target, born stoatpaddle.Incarnation, cold time.Duration) {
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{
 		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: "app", DataCentre: "here", Slots: 3, Incarnation: born, Cold: cold,
@@ -39,24 +39,23 @@
 	return stoatecho.InProgress{}
 }
 
-// An upstream crashes with requests in progress, is ejected for its silence, and starts again
-// under its id. What was counted of the earlier life must not make the new one look full, or
-// dead: it takes flows at once, and as many as another.
+// An upstream crashes with requests in progress, is ejected for its silence, and restarts under its id. What
+// was counted before the restart must not make it look full or dead: it gets flows at once.
 func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
-	there, _ := w.openMany(12)
-	for _, c := range there {
-		c.ask()
+	pending, _ := w.openAtBoth(12)
+	for _, c := range pending {
+		c.sendRequest()
 	}
 	for range 3 {
 		w.after(250 * ms)
-		for _, c := range there {
-			c.again()
+		for _, c := range pending {
+			c.retransmit()
 		}
 	}
 	if x := w.inProgress(1); !x.Ejected {
-		t.Fatalf("%+v of %d", x, len(there))
+		t.Fatalf("%+v of %d", x, len(pending))
 	}
 	w.restarted(1, 6)
 	if x := w.inProgress(1); x.Ejected || x.Requests != 0 || x.Flows != 0 || x.Mean != 0 {
@@ -64,57 +63,57 @@
 	}
 	got := map[stoatpaddle.Target]int{}
 	for range 8 {
-		got[w.caller(feed).open().Target]++
+		got[w.caller(idempotentAddr).open().Target]++
 	}
 	if got[1] == 0 {
-		t.Error("no flow for the upstream that is back:", got)
+		t.Error("no flow for the restarted upstream:", got)
 	}
 }
 
-// An upstream started again a second ago; its registration arrives only now. Flows that opened
-// there since carry the cookie that flows of the earlier life carry. None is reset here: not for
-// the restart, and not on evidence against the earlier life. The upstream resets what it lacks.
+// An upstream restarted a second ago, and its registration arrives only now. Flows that opened since then carry
+// the same cookie as flows from before the restart. None may be reset here, neither for the restart nor on
+// evidence from before: the upstream resets the flows that it does not know.
 func TestNoResetForARestart(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
-	flows, _ := w.openMany(12)
+	flows, _ := w.openAtBoth(12)
 	for _, c := range flows {
-		c.ask()
+		c.sendRequest()
 	}
 	for range 2 {
 		w.after(220 * ms)
 		for _, c := range flows[1:] {
-			c.again() // evidence against the earlier life
+			c.retransmit() // evidence from before the restart
 		}
 	}
-	lives := flows[0]
+	pending := flows[0]
 	w.restarted(1, 6)
 	for range 4 {
-		if a := lives.again(); a.Verdict != stoatecho.Forward {
+		if a := pending.retransmit(); a.Verdict != stoatecho.Forward {
 			t.Fatalf("%+v", a)
 		}
 		w.after(50 * ms)
 	}
-	if a := lives.done(); a.Verdict != stoatecho.Forward {
+	if a := pending.ackAnswer(); a.Verdict != stoatecho.Forward {
 		t.Errorf("%+v", a)
 	}
 }
 
-// The upstream is slow after its start, and says so. Its callers repeat themselves while it
-// works; that is no evidence yet, as with any upstream that has just started.
+// An upstream is cold after a restart, as its registration says. Callers retransmit while it works, which is
+// not enough evidence to eject it, as with any cold upstream.
 func TestRestartedColdUpstreamIsGivenTime(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
 	w.after(time.Minute)
-	w.startCold(1, 6)
-	there, _ := w.openMany(12)
-	for _, c := range there {
-		c.ask()
+	w.restartedCold(1, 6)
+	pending, _ := w.openAtBoth(12)
+	for _, c := range pending {
+		c.sendRequest()
 	}
 	w.after(300 * ms)
 	for range 2 {
-		for _, c := range there {
-			if a := c.again(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
+		for _, c := range pending {
+			if a := c.retransmit(); a.Verdict != stoatecho.Forward || a.Ejected != nil {
 				t.Fatalf("%+v", a)
 			}
 		}
@@ -122,15 +121,15 @@
 	}
 }
 
-// An opening was under way when the registration of the new life arrived. It still counts, and
-// its copy goes where it went: at another upstream the flow would open twice.
+// An opening is pending when the registration of the restarted upstream arrives. It still counts, and its
+// retransmission goes to the same upstream: at another one the flow would open twice.
 func TestOpeningOverARestart(t *testing.T) {
 	w := newWorld(t)
 	w.restarted(1, 5)
 	var c *caller
 	var to stoatpaddle.Target
 	for to != 1 {
-		c = w.caller(feed)
+		c = w.caller(idempotentAddr)
 		to = c.syn(0).Upstream.Target
 	}
 	w.after(100 * ms)
@@ -145,14 +144,14 @@
 	}
 }
 
-// Entries of the data centre counted failures at the earlier life; their sums go on to say so
-// for some seconds after the start. They are no reason to keep flows from the new life.
+// Entries counted failures of an upstream before it restarted, and their sums include these for some seconds
+// after the restart. The restarted upstream must not be ejected for them.
 func TestOldCountsDoNotJudgeANewLife(t *testing.T) {
 	w := newWorld(t)
 	w.register(4, "app", "here")
 	w.register(5, "app", "here")
 	w.restarted(1, 5)
-	w.caller(feed).open()
+	w.caller(idempotentAddr).open()
 	bad := []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 4, Failed: 20}}}
 	w.e.TakeSum(w.now, bad)
 	w.after(time.Second)
@@ -164,6 +163,6 @@
 	w.after(6 * time.Second)
 	w.e.TakeSum(w.now, bad)
 	if got := w.e.Judge(w.now, w.book.Table()); len(got) != 1 {
-		t.Error("failures of the new life do not count either")
+		t.Error("failures after the restart do not count either")
 	}
 }
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -10,141 +10,141 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Upstreams that answer nobody, as the entries of a data centre notice it together.
+// Detection of silent upstreams by all entries of a data centre together.
 //
-// The load: a third of fifty upstreams fall silent. Forty entries each send two flows a second
-// and fifteen requests over all of them, so that one entry meets a silent upstream every few
-// seconds: each finds out by itself, at the cost of its own callers, until the registrations
-// lapse seconds later. Together they meet it six times a second.
+// When a third of fifty upstreams fall silent, and forty entries each spread two flows and fifteen requests a
+// second over all of them, one entry meets a silent upstream every few seconds. Each entry would find out
+// separately, at the cost of its own callers, until the registrations expire seconds later. Together, the
+// entries meet a silent upstream six times a second.
 //
-// So an entry that waits for an upstream in vain says so. One that waits is reason to prefer
-// others for new flows, which costs nothing if it is wrong. Two that wait, with no sign of life at
-// any entry since, are what ejects. Open flows go on either way (ended.go).
+// So an entry that waits for an upstream in vain reports it. One such entry is reason to prefer other upstreams
+// for new flows, which does no harm if it is wrong. Two such entries, with no sign of life at any entry since,
+// are reason to eject the upstream. Open flows go on in both cases (see ended.go).
 const (
-	// waitKept is how long a wait counts that nothing confirms: without new flows there, no packet
-	// may come that shows the upstream alive.
-	waitKept = 2 * time.Second
-	// noteEvery bounds how often unanswered packets are looked through: an entry with a tenth of
-	// a core in a burst has hundreds.
-	noteEvery = 10 * time.Millisecond
-	// movedEvery bounds how often flows that moved are taken in: thousands do within a second.
-	movedEvery = 20 * time.Millisecond
-	// preferKept is how long new flows prefer others on the word of one entry, unless it is said
-	// again: several times what the word takes through the relay tree.
-	preferKept = 400 * time.Millisecond
-	// heardKept is how long a sign of life is reported of an upstream that others wait for.
-	heardKept = 4 * time.Second
+	// unansweredTimeout is how long an unanswered packet is reported without further evidence: without new
+	// flows to the upstream, no packet may come that shows it to be alive.
+	unansweredTimeout = 2 * time.Second
+	// openingCheckInterval bounds how often unanswered openings are checked: in a burst, an entry with a tenth
+	// of a core has hundreds.
+	openingCheckInterval = 10 * time.Millisecond
+	// adoptionInterval bounds how often adopted flows are processed: thousands of flows move within a second.
+	adoptionInterval = 20 * time.Millisecond
+	// deprioritizeTimeout is how long new flows prefer other upstreams after the report of one entry, unless it is
+	// repeated: several times as long as a report takes through the relay tree.
+	deprioritizeTimeout = 400 * time.Millisecond
+	// aliveReportWindow is how long a sign of life of an upstream is reported that other entries wait for.
+	aliveReportWindow = 4 * time.Second
 )
 
-// waits notes that a packet, sent at that time, is unanswered though an answer usually takes less.
-// It tells whether that is settled; if not, it is looked at again. A network of this entry's own
-// that fails, or an entry behind its own socket, hears nothing from any upstream: then it says
-// nothing of this one.
-func (e *Engine) waits(now time.Time, h *health, sent time.Time) (settled bool) {
-	if h.sign.After(sent) || e.moved.After(sent) {
+// noteUnanswered records that a packet, sent at the given time, is unanswered for longer than usual. It reports
+// whether that is settled; if not, the packet has to be checked again. If this entry's own network fails or the
+// entry lags behind, it hears nothing from any upstream, and so reports nothing about this one.
+func (e *Engine) noteUnanswered(now time.Time, h *health, sent time.Time) (settled bool) {
+	if h.lastAlive.After(sent) || e.lastAdoption.After(sent) {
 		return true
 	}
-	if e.behind(now) || !e.sign.After(sent) {
+	if e.behind(now) || !e.lastAlive.After(sent) {
 		return false
 	}
-	if h.waitFrom.IsZero() {
-		h.waitFrom, e.observed = sent, true
+	if h.unansweredSince.IsZero() {
+		h.unansweredSince, e.reportChanged = sent, true
 	}
-	h.waitSeen = now
+	h.unansweredSeen = now
 	return true
 }
 
-// flowsMoved notes that a packet came of a flow which another entry placed.
+// noteAdoption records a packet of a flow that another entry placed.
 //
-// The failure: an entry joins or leaves, and the fabric hands nearly all flows to other entries than
-// before. Whatever was under way is answered there: forty entries wait in vain for all upstreams at
-// once, two of them for the same one, and eject upstreams that live. What was sent before
-// flows moved is therefore no evidence, and an entry that said so takes it back.
-func (e *Engine) flowsMoved(now time.Time) {
-	if now.Sub(e.moved) < movedEvery {
+// When an entry joins or leaves, the fabric hands nearly all flows to other entries than before. Pending
+// packets are then answered elsewhere: forty entries wait in vain for all upstreams at once, two of them for
+// the same one, and would eject live upstreams. So packets that were sent before flows moved are no evidence,
+// and an entry withdraws what it reported about them.
+func (e *Engine) noteAdoption(now time.Time) {
+	if now.Sub(e.lastAdoption) < adoptionInterval {
 		return
 	}
-	e.moved = now
+	e.lastAdoption = now
 	for _, h := range e.health {
-		if !h.waitFrom.IsZero() {
-			h.waitFrom, e.observed = time.Time{}, true
+		if !h.unansweredSince.IsZero() {
+			h.unansweredSince, e.reportChanged = time.Time{}, true
 		}
 	}
 }
 
-// noteWaits looks for openings that are unanswered for longer than usual. A request counts once
-// its caller repeats it: one on a flow that its upstream has ended is refused towards the caller,
-// past this entry, and looks unanswered here though the upstream is well.
-func (e *Engine) noteWaits(now time.Time) {
-	if now.Sub(e.noted) < noteEvery {
+// checkOpenings looks for openings that are unanswered for longer than usual. A request counts only when its
+// caller retransmits it: if the upstream has ended the flow, it refuses the request directly towards the
+// caller, past this entry, and the request looks unanswered here though the upstream is healthy.
+func (e *Engine) checkOpenings(now time.Time) {
+	if now.Sub(e.openingsChecked) < openingCheckInterval {
 		return
 	}
-	e.noted = now
-	var again []expected
+	e.openingsChecked = now
+	var again []timeoutEntry
 	for {
-		x, due := e.waitOpenings.due(now, e.handshake.patience())
+		x, due := e.patienceTimeouts.due(now, e.handshake.patience())
 		if !due {
 			break
 		}
 		f := e.flows[x.tuple]
-		if f == nil || !f.opening || !f.seen.Equal(x.since) {
+		if f == nil || !f.opening || !f.lastSeen.Equal(x.since) {
 			continue
 		}
 		h := e.health[f.key]
-		if !e.behind(now) && !h.sign.After(x.since) && !e.moved.After(x.since) {
+		if !e.behind(now) && !h.lastAlive.After(x.since) && !e.lastAdoption.After(x.since) {
 			h.group.silence.unanswered(now, h, x.since)
 		}
-		if !e.waits(now, h, x.since) {
+		if !e.noteUnanswered(now, h, x.since) {
 			again = append(again, x)
 		}
 	}
 	for _, x := range again {
-		e.waitOpenings.add(x.tuple, x.since)
+		e.patienceTimeouts.add(x.tuple, x.since)
 	}
 }
 
-// claims tells whether this entry still says that it waits for the upstream.
-func (h *health) claims(now time.Time) bool {
-	return !h.waitFrom.IsZero() && now.Sub(h.waitSeen) < waitKept
+// reportsSilence reports whether this entry currently reports that the upstream is silent.
+func (h *health) reportsSilence(now time.Time) bool {
+	return !h.unansweredSince.IsZero() && now.Sub(h.unansweredSeen) < unansweredTimeout
 }
 
-// silenceSeen is what this entry says of the upstream.
-func (h *health) silenceSeen(now time.Time, named bool) stoatoutlier.Silence {
+// silenceReport returns what this entry reports about the upstream's silence; named says that other entries
+// wait for the upstream.
+func (h *health) silenceReport(now time.Time, named bool) stoatoutlier.Silence {
 	var s stoatoutlier.Silence
-	if h.claims(now) {
-		s.Entries, s.First = 1, h.waitFrom
+	if h.reportsSilence(now) {
+		s.Entries, s.First = 1, h.unansweredSince
 	}
-	if (named || s.Entries > 0) && now.Sub(h.sign) < heardKept {
-		s.Heard = h.sign
+	if (named || s.Entries > 0) && now.Sub(h.lastAlive) < aliveReportWindow {
+		s.Heard = h.lastAlive
 	}
 	return s
 }
 
-// TakeObserved tells whether what this entry says of upstreams changed since the last call.
+// TakeReportChange reports whether the result of Reports has changed, other than by counts, since the last call.
 func (e *Engine) TakeObserved() bool {
-	changed := e.observed
-	e.observed = false
+	changed := e.reportChanged
+	e.reportChanged = false
 	return changed
 }
 
-// Silent is an upstream that gets no flows for a while, since nobody in the data centre hears of it.
+// SilentUpstream is an upstream that gets no flows for a while, since no entry of the data centre hears from it.
 type Silent struct {
 	Upstream *stoatroute.Upstream
-	Entries  int // that wait for it
+	Entries  int // entries that wait for it
 	Silence  time.Duration
-	Waiting  int // requests from here that wait there
+	Waiting  int // requests of this entry that are pending there
 }
 
-// JudgeSilence looks for upstreams that answer nobody, by what the entries of this data centre saw
-// together, and returns those that are ejected now. What is not heard of within the delay did not
-// happen. Upstreams of other data centres are judged too: while the own one is evacuated, all of its
-// flows go there.
+// EjectSilent looks for upstreams that answer no entry, judging by the reports of all entries of this data
+// centre, ejects them, and returns those that it ejected. A sign of life has to arrive within the delay to
+// count. Upstreams of other data centres are considered too: while the local one is evacuated, all of its flows
+// go there.
 func (e *Engine) JudgeSilence(now time.Time, t *stoatroute.Table, delay time.Duration) []Silent {
-	if len(e.together) == 0 {
+	if len(e.dataCentreSums) == 0 {
 		return nil
 	}
 	named := map[groupKey][]*stoatroute.Upstream{}
-	for k, s := range e.together {
+	for k, s := range e.dataCentreSums {
 		if u := t.Upstream(k); s.Entries > 0 && u != nil && u.AcceptsFlows() {
 			key := groupKey{service: u.Service, centre: u.DataCentre}
 			named[key] = append(named[key], u)
@@ -152,89 +152,89 @@
 	}
 	var out []Silent
 	for _, k := range slices.SortedFunc(maps.Keys(named), groupKey.compare) {
-		out = append(out, e.judgeSilence(now, t, named[k], delay)...)
+		out = append(out, e.ejectSilentInGroup(now, t, named[k], delay)...)
 	}
 	return out
 }
 
-// judgeSilence judges upstreams of one service in one data centre for which entries wait, those first for which
-// most do.
-func (e *Engine) judgeSilence(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []Silent {
+// ejectSilentInGroup ejects upstreams of one service in one data centre; named has those that entries wait for,
+// and is not empty. Those that most entries wait for come first.
+func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []Silent {
 	var out []Silent
 	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
-		return cmp.Or(cmp.Compare(e.together[b.Key].Entries, e.together[a.Key].Entries), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(e.dataCentreSums[b.Key].Entries, e.dataCentreSums[a.Key].Entries), cmp.Compare(a.Key, b.Key))
 	})
 	quota := silentQuota{upstreams: len(t.CandidatesIn(named[0].Service, named[0].DataCentre))}
-	e.eachMet(t, e.groupOf(named[0]), func(h *health) { quota.count(now, h) })
+	e.eachSeen(t, e.groupOf(named[0]), func(h *health) { quota.count(now, h) })
 	for _, u := range named {
-		h, s := e.healthOf(u), e.together[u.Key].Silence
+		h, s := e.healthOf(u), e.dataCentreSums[u.Key].Silence
 		if s.Ended() {
-			h.ended(s.Heard)
+			h.aliveElsewhere(s.Heard)
 			continue
 		}
-		// What others waited for was the life before, or this entry knows better.
-		if u.RestartedAt.After(s.First) || h.sign.After(s.First) {
+		// The upstream has restarted since, or this entry has had a more recent sign of life.
+		if u.RestartedAt.After(s.First) || h.lastAlive.After(s.First) {
 			continue
 		}
-		quota.prefer(now, h)
-		if !h.isEjected(now) && s.Together(now) >= e.silenceOf(now, u)+delay && quota.eject() {
-			out = append(out, e.ejectTogether(now, u, h, s))
+		quota.deprioritize(now, h)
+		if !h.isEjected(now) && s.Together(now) >= e.allowedSilence(now, u)+delay && quota.eject() {
+			out = append(out, e.ejectJointly(now, u, h, s))
 		}
 	}
 	return out
 }
 
-// silentQuota bounds how many upstreams of a group are avoided on the word of other entries: for
-// each way a third, since the others would not bear the load of more, and one entry that is
-// confused must not empty a service.
-type silentQuota struct{ upstreams, preferred, ejected int }
+// silentQuota bounds how many upstreams of a group are deprioritized or ejected on the reports of other
+// entries: a third for each, since the others could not bear the load of more, and one faulty entry must not
+// disable a service.
+type silentQuota struct{ upstreams, deprioritized, ejected int }
 
 func (q *silentQuota) count(now time.Time, h *health) {
-	if now.Before(h.preferOthers) {
-		q.preferred++
+	if now.Before(h.deprioritizedUntil) {
+		q.deprioritized++
 	}
-	if h.together && h.isEjected(now) {
+	if h.jointlyEjected && h.isEjected(now) {
 		q.ejected++
 	}
 }
 
-// prefer has new flows prefer others, if there is room.
-func (q *silentQuota) prefer(now time.Time, h *health) {
-	if !now.Before(h.preferOthers) {
-		if q.preferred >= q.upstreams/failCap {
+// deprioritize has new flows prefer other upstreams, if the quota permits.
+func (q *silentQuota) deprioritize(now time.Time, h *health) {
+	if !now.Before(h.deprioritizedUntil) {
+		if q.deprioritized >= q.upstreams/ejectableDivisor {
 			return
 		}
-		q.preferred++
+		q.deprioritized++
 	}
-	h.preferOthers = now.Add(preferKept)
+	h.deprioritizedUntil = now.Add(deprioritizeTimeout)
 }
 
-// eject tells whether there is room for one more ejection, and takes it.
+// eject reports whether the quota permits one more ejection, and uses it.
 func (q *silentQuota) eject() bool {
-	if q.ejected >= q.upstreams/failCap {
+	if q.ejected >= q.upstreams/ejectableDivisor {
 		return false
 	}
 	q.ejected++
 	return true
 }
 
-// ejectTogether keeps new flows from the upstream on what the data centre saw.
-func (e *Engine) ejectTogether(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) Silent {
+// ejectJointly ejects the upstream on the reports of all entries of the data centre.
+func (e *Engine) ejectJointly(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) Silent {
 	h.eject(now)
-	h.together = true
+	h.jointlyEjected = true
 	e.stats.Ejected++
 	e.stats.Together++
-	return Silent{Upstream: u, Entries: s.Entries, Silence: s.Together(now), Waiting: h.busy}
+	return Silent{Upstream: u, Entries: s.Entries, Silence: s.Together(now), Waiting: h.pendingRequests}
 }
 
-// ended takes in that another entry had a sign of the upstream at that time. What this entry saw
-// itself stays: the path from here may be the one that fails.
-func (h *health) ended(heard time.Time) {
-	if heard.After(h.waitFrom) {
-		h.waitFrom = time.Time{}
+// aliveElsewhere records that another entry had a sign of life of the upstream at the given time. Evidence of this
+// entry alone stays: the path from here may be what fails.
+func (h *health) aliveElsewhere(heard time.Time) {
+	if heard.After(h.unansweredSince) {
+		h.unansweredSince = time.Time{}
 	}
-	h.preferOthers = time.Time{}
-	if h.together {
-		h.ejection, h.together = backoff{}, false
+	h.deprioritizedUntil = time.Time{}
+	if h.jointlyEjected {
+		h.ejection, h.jointlyEjected = backoff{}, false
 	}
 }
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -11,27 +11,27 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// entries are several entries of one data centre with one clock, which pool what they see. The
-// first upstreams of each are i-1, i-2 and i-4 to i-7.
+// entries are several entries of one data centre with synchronized clocks, which exchange reports. Each has the
+// upstreams i-1, i-2 and i-4 to i-7 in its data centre.
 type entries struct {
-	list []*world
-	well []*caller // an open flow of each at i-2, which is well
+	list         []*world
+	healthyFlows []*caller // an open flow of each entry at i-2, which is alive
 }
 
 func newEntries(t *testing.T, n int) *entries {
 	x := &entries{}
 	for i := range n {
-		w := six(t)
+		w := newSixUpstreamWorld(t)
 		w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start.Add(-time.Minute), Seed: uint64(i) + 1})
-		w.objectives(400 * ms)
-		x.list, x.well = append(x.list, w), append(x.well, w.flowTo(2))
+		w.declareObjectives(400 * ms)
+		x.list, x.healthyFlows = append(x.list, w), append(x.healthyFlows, w.flowTo(2))
 	}
-	x.level()
+	x.syncClocks()
 	return x
 }
 
-// level gives all entries the same time.
-func (x *entries) level() {
+// syncClocks sets the clocks of all entries to the latest one.
+func (x *entries) syncClocks() {
 	latest := x.list[0].now
 	for _, w := range x.list {
 		if w.now.After(latest) {
@@ -49,11 +49,13 @@
 	}
 }
 
-// pool adds up what all entries saw and has each judge by it; it returns what each ejects.
-func (x *entries) pool() [][]stoatecho.Silent {
-	x.level()
+// exchangeReports adds up the reports of all entries and has each entry act on the sum; it returns what each entry
+// ejects.
+func (x *entries) exchangeReports() [][]stoatecho.Silent {
+	x.syncClocks()
 	sums := map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
-	// Once to learn who is waited for, once more with what the others heard of them.
+	// The first round finds the upstreams that entries wait for, the second one adds the signs of life of the
+	// others.
 	for range 2 {
 		named := map[stoatpaddle.UpstreamKey]bool{}
 		for k := range sums {
@@ -81,11 +83,11 @@
 	return out
 }
 
-// flowTo opens flows at one entry until one is at the upstream, and returns it.
+// flowTo opens flows at one entry until one goes to the upstream, and returns that flow.
 func (w *world) flowTo(target stoatpaddle.Target) *caller {
 	w.t.Helper()
 	for range 200 {
-		f := w.caller(feed)
+		f := w.caller(idempotentAddr)
 		if f.open().Target == target {
 			return f
 		}
@@ -94,11 +96,11 @@
 	return nil
 }
 
-// opening sends openings until one goes to the upstream, which does not answer it.
-func (w *world) opening(target stoatpaddle.Target) *caller {
+// openUnanswered sends openings until one goes to the upstream, which does not answer it.
+func (w *world) openUnanswered(target stoatpaddle.Target) *caller {
 	w.t.Helper()
 	for range 200 {
-		f := w.caller(pledge)
+		f := w.caller(nonIdempotentAddr)
 		a := f.syn(0)
 		f.cookie = a.Upstream.Key
 		if a.Upstream.Target == target {
@@ -112,124 +114,124 @@
 	return nil
 }
 
-// sign lets each entry hear of i-2, so that its own network is known to be well.
-func (x *entries) sign() {
+// hearFromHealthy has each entry hear from i-2, which shows that the entry's own network works.
+func (x *entries) hearFromHealthy() {
 	for i, w := range x.list {
-		x.well[i].ask()
+		x.healthyFlows[i].sendRequest()
 		w.after(ms)
-		x.well[i].done()
+		x.healthyFlows[i].ackAnswer()
 	}
 }
 
-// wait lets time pass, 0.42 s, in which all entries hear of i-2 only.
-func (x *entries) wait() {
+// waitWithTraffic lets 0.42 s pass, in which all entries hear from i-2 only.
+func (x *entries) waitWithTraffic() {
 	for range 20 {
 		x.after(20 * ms)
-		x.sign()
+		x.hearFromHealthy()
 	}
 }
 
-// An upstream falls silent. Three entries have each sent it something; none alone has enough for an
-// ejection. Together they have: it is ejected at all of them, also at the fourth one that sent
-// nothing. The caller who waits there keeps its flow: the upstream may only be full.
+// An upstream falls silent. Three entries have each sent it something, too little to eject it on their own. On
+// their combined reports it is ejected at all of them, and at a fourth entry that sent nothing. The pending
+// flow there is not reset, since the upstream may only be full.
 func TestSilenceIsPooled(t *testing.T) {
 	x := newEntries(t, 4)
 	waiting := x.list[2].flowTo(1)
-	x.level()
-	x.sign()
-	x.list[0].opening(1)
-	x.list[1].opening(1)
-	waiting.ask()
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(1)
+	x.list[1].openUnanswered(1)
+	waiting.sendRequest()
 	x.after(210 * ms)
-	x.sign()
-	waiting.again()
-	x.wait()
-	all := x.pool()
+	x.hearFromHealthy()
+	waiting.retransmit()
+	x.waitWithTraffic()
+	all := x.exchangeReports()
 	for i, silent := range all {
 		if len(silent) != 1 || silent[0].Upstream.Target != 1 || silent[0].Entries < 2 {
 			t.Fatalf("entry %d: %+v", i, silent)
 		}
 	}
 	if n := all[2][0].Waiting; n != 1 {
-		t.Errorf("%d requests wait at the third entry, expected one", n)
+		t.Errorf("%d requests are pending at the third entry, expected one", n)
 	}
-	if a := waiting.again(); a.Verdict != stoatecho.Forward {
-		t.Errorf("an open flow was reset on what entries saw: %+v", a)
+	if a := waiting.retransmit(); a.Verdict != stoatecho.Forward {
+		t.Errorf("an open flow was reset on the reports of entries: %+v", a)
 	}
-	if got := x.list[3].opened(30); got["i-1"] != 0 {
-		t.Error("the entry that sent it nothing goes on:", got)
+	if got := x.list[3].openFlows(30); got["i-1"] != 0 {
+		t.Error("the entry that sent it nothing still opens flows there:", got)
 	}
 }
 
-// The same, but one entry alone waits: a packet of it may be lost. Others are preferred for new
-// flows, at all entries, and nothing is ejected or reset.
+// Only one entry waits for an upstream, whose packet may have been lost. New flows at all entries prefer other
+// upstreams, and nothing is ejected or reset.
 func TestOneEntryThatWaitsEjectsNothing(t *testing.T) {
 	x := newEntries(t, 3)
 	open := x.list[1].flowTo(1)
-	x.level()
-	x.sign()
-	x.list[0].opening(1)
-	x.wait()
-	for i, silent := range x.pool() {
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(1)
+	x.waitWithTraffic()
+	for i, silent := range x.exchangeReports() {
 		if len(silent) != 0 {
 			t.Errorf("entry %d: %+v", i, silent)
 		}
 	}
-	if got := x.list[2].opened(30); got["i-1"] != 0 {
+	if got := x.list[2].openFlows(30); got["i-1"] != 0 {
 		t.Error("others are not preferred:", got)
 	}
-	if a := open.ask(); a.Verdict != stoatecho.Forward {
+	if a := open.sendRequest(); a.Verdict != stoatecho.Forward {
 		t.Errorf("an open flow was reset: %+v", a)
 	}
 }
 
-// Two entries lost a packet to the same upstream. A third one hears from it meanwhile: it lives,
-// and nobody avoids it. If they had ejected it before, that ends.
+// Two entries lost a packet to the same upstream, and a third one hears from it. The upstream is alive: no
+// entry avoids it any more, and an ejection ends.
 func TestSignOfLifeEndsSilence(t *testing.T) {
 	x := newEntries(t, 3)
 	open := x.list[2].flowTo(1)
-	x.level()
-	x.sign()
-	x.list[0].opening(1)
-	x.list[1].opening(1)
-	x.wait()
-	if all := x.pool(); len(all[2]) != 1 {
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(1)
+	x.list[1].openUnanswered(1)
+	x.waitWithTraffic()
+	if all := x.exchangeReports(); len(all[2]) != 1 {
 		t.Fatalf("not ejected: %+v", all)
 	}
 	x.after(1100 * ms)
-	x.sign()
-	open.ask()
+	x.hearFromHealthy()
+	open.sendRequest()
 	x.after(30 * ms)
-	open.done()
+	open.ackAnswer()
 	if !x.list[2].e.TakeObserved() {
-		t.Error("a sign of life is not passed on")
+		t.Error("a sign of life is not reported")
 	}
-	x.pool()
+	x.exchangeReports()
 	x.after(ms)
-	if got := x.list[0].opened(40); got["i-1"] == 0 {
+	if got := x.list[0].openFlows(40); got["i-1"] == 0 {
 		t.Error("still avoided at another entry:", got)
 	}
 }
 
-// An entry's own link is cut: every packet it sends is lost, and it waits for all upstreams. With no
-// sign from anyone it says nothing, or one broken entry would empty a data centre.
-func TestCutEntrySaysNothing(t *testing.T) {
+// An entry's own link is cut: all packets it sends are lost, and it waits for all upstreams. Without a sign of
+// life of any upstream it must report nothing, or a single faulty entry would disable a data centre.
+func TestIsolatedEntryReportsNothing(t *testing.T) {
 	x := newEntries(t, 2)
 	w := x.list[0]
 	for range 12 {
-		w.caller(pledge).syn(0)
+		w.caller(nonIdempotentAddr).syn(0)
 	}
 	w.after(250 * ms)
-	w.caller(pledge).syn(0)
+	w.caller(nonIdempotentAddr).syn(0)
 	if got := w.e.Observed(w.now, nil); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// Entries that are confused, or lie, wait for every upstream. At most a third of a group is avoided
-// on their word: the others would not bear the load of more.
-func TestThirdIsAvoidedAtMost(t *testing.T) {
-	w := six(t)
+// Faulty or malicious entries report that they wait for every upstream. At most a third of a group may be
+// avoided on their reports, since the others could not bear the load of more.
+func TestAtMostAThirdIsEjected(t *testing.T) {
+	w := newSixUpstreamWorld(t)
 	w.after(time.Second)
 	var sum []stoatoutlier.Report
 	for _, target := range []stoatpaddle.Target{1, 2, 4, 5, 6, 7} {
@@ -250,71 +252,71 @@
 	if avoided != 2 {
 		t.Error(avoided, "of 6 are ejected")
 	}
-	if got := w.opened(60); len(got) != 4 {
+	if got := w.openFlows(60); len(got) != 4 {
 		t.Error("new flows go to", got)
 	}
 }
 
-// An upstream has ended a flow that was idle, and refuses the caller's next request towards the
-// caller, past the entry. Nothing comes back here, and the caller does not repeat itself: that is
-// no silence. One whose packets are lost does repeat itself.
+// An upstream has ended an idle flow, and refuses the caller's next request directly towards the caller, past
+// the entry. Nothing comes back here, and the caller does not retransmit: that is not silence of the upstream.
+// A caller whose packets are lost does retransmit.
 func TestEndedFlowIsNoSilence(t *testing.T) {
 	for name, c := range map[string]struct {
-		repeats bool
-		want    int
+		retransmits bool
+		want        int
 	}{"ended": {false, 0}, "silent": {true, 1}} {
 		x := newEntries(t, 1)
 		w := x.list[0]
 		f := w.flowTo(1)
-		x.sign()
-		f.ask()
+		x.hearFromHealthy()
+		f.sendRequest()
 		w.after(100 * ms)
-		x.sign()
+		x.hearFromHealthy()
 		w.after(110 * ms)
-		if c.repeats {
-			f.again()
+		if c.retransmits {
+			f.retransmit()
 		}
 		w.after(20 * ms)
-		x.sign()
+		x.hearFromHealthy()
 		if got := w.e.Observed(w.now, nil); len(got) != c.want {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
 }
 
-// An entry joins: the fabric hands nearly all flows to other entries than before. What three entries
-// sent is answered elsewhere, and they wait in vain for an upstream that is well. As soon as a flow
-// comes to them that another one placed, they take that back.
+// An entry joins, and the fabric hands nearly all flows to other entries than before. What these entries sent
+// is answered elsewhere, and they wait in vain for a healthy upstream. They must withdraw their reports as soon
+// as they receive a flow that another entry placed.
 func TestMovedFlowsAreNoSilence(t *testing.T) {
 	x := newEntries(t, 3)
 	moved := x.list[2].flowTo(2)
-	x.level()
-	x.sign()
-	x.list[0].opening(1)
-	x.list[1].opening(1)
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(1)
+	x.list[1].openUnanswered(1)
 	x.after(100 * ms)
-	x.sign()
+	x.hearFromHealthy()
 	x.after(20 * ms)
-	x.sign()
+	x.hearFromHealthy()
 	for _, w := range x.list[:2] {
 		if got := w.e.Observed(w.now, nil); len(got) != 1 {
-			t.Fatalf("they do not wait: %+v", got)
+			t.Fatalf("an entry does not report that it waits: %+v", got)
 		}
 		w.e.Handle(w.now, w.book.Table(), &stoatpacket.Packet{Tuple: moved.tuple, Cookie: moved.cookie, Seq: 100, Ack: 1, Size: 100})
 	}
 	for range 20 {
 		x.after(20 * ms)
-		x.sign()
+		x.hearFromHealthy()
 	}
-	for i, silent := range x.pool() {
+	for i, silent := range x.exchangeReports() {
 		if len(silent) != 0 {
 			t.Errorf("entry %d: %+v", i, silent)
 		}
 	}
 }
 
-// The own data centre is evacuated, and all flows of its entries go to another one. An upstream there
-// falls silent: two entries that wait for it are enough here too.
+// The local data centre is evacuated, so that all flows go to another one. An upstream there falls silent: the
+// reports of two entries are enough to eject it there too.
 func TestSilenceElsewhereIsPooled(t *testing.T) {
 	x := newEntries(t, 3)
 	for _, w := range x.list {
@@ -324,19 +326,19 @@
 	for _, w := range x.list {
 		w.evacuate("here", false)
 	}
-	x.level()
-	x.sign()
-	x.list[0].opening(3)
-	x.list[1].opening(3)
+	x.syncClocks()
+	x.hearFromHealthy()
+	x.list[0].openUnanswered(3)
+	x.list[1].openUnanswered(3)
 	x.after(210 * ms)
-	x.sign()
-	x.wait()
-	for i, silent := range x.pool() {
+	x.hearFromHealthy()
+	x.waitWithTraffic()
+	for i, silent := range x.exchangeReports() {
 		if len(silent) != 1 || silent[0].Upstream.Target != 3 {
 			t.Errorf("entry %d: %+v", i, silent)
 		}
 	}
-	if got := x.list[2].opened(30); got["i-3"] != 0 {
-		t.Error("new flows go on to it:", got)
+	if got := x.list[2].openFlows(30); got["i-3"] != 0 {
+		t.Error("new flows still go to it:", got)
 	}
 }
--- a/stoatecho/yield.go
+++ b/stoatecho/yield.go
@@ -2,38 +2,39 @@
 
 import "github.com/stoatpaddle/stoatpaddle/stoatroute"
 
-// Where upstreams turn requests away, openings of less urgent routes give way to the others. Requests on open
-// flows cannot be refused, so that the upstreams stay as busy; without it, who finds a queue full decides who is
-// served. An opening that is refused has not run, and its caller may come back.
+// Priorities between routes: where upstreams reject requests, openings of less urgent routes are refused in
+// favour of more urgent ones. Requests on open flows cannot be refused, so the upstreams stay as busy. Without
+// the priorities, which requests are served would depend on which of them find a queue full. A refused opening
+// has not run, and its caller may come back.
 const (
-	// yieldFrom and yieldAll are the shares of answers that are refusals from which some and at which all openings
-	// of a less urgent route give way. Below the first, a caller with three tries fails once in three hundred; at
-	// the second, one in sixteen of the urgent ones does.
+	// yieldFrom is the share of rejections above which some openings of a less urgent route are refused, and
+	// yieldAll the share at which all are. Below yieldFrom, a caller with three tries fails once in three
+	// hundred; at yieldAll, one in sixteen of the urgent callers does.
 	yieldFrom, yieldAll = 0.15, 0.40
-	// turnedAwayWeight is the weight of the newest answer in the share of refusals: an entry that hears fifty
+	// rejectedWeight is the weight of the newest answer in the share of rejections: an entry that sees fifty
 	// answers a second of a service follows the load within half a second.
-	turnedAwayWeight = 1.0 / 24
+	rejectedWeight = 1.0 / 24
 )
 
-// replied takes in whether an answer was a refusal.
-func (g *group) replied(refused bool) {
-	x := 0.0
-	if refused {
-		x = 1
+// noteAnswer records whether an answer was a rejection.
+func (g *group) noteAnswer(rejected bool) {
+	sample := 0.0
+	if rejected {
+		sample = 1
 	}
-	g.turnedAway += turnedAwayWeight * (x - g.turnedAway)
+	g.rejectedShare += rejectedWeight * (sample - g.rejectedShare)
 }
 
-// yields tells whether an opening of the route gives way.
+// yields reports whether an opening of the route is refused in favour of more urgent routes.
 func (e *Engine) yields(r *stoatroute.Route, g *group) bool {
 	if !r.Yields {
 		return false
 	}
-	part := g.yield()
-	return part > 0 && e.rnd.Float64() < part
+	share := g.yieldShare()
+	return share > 0 && e.rnd.Float64() < share
 }
 
-// yield is the part of a less urgent route's openings that give way.
-func (g *group) yield() float64 {
-	return min(1, max(0, (g.turnedAway-yieldFrom)/(yieldAll-yieldFrom)))
+// yieldShare returns the share of a less urgent route's openings that are refused.
+func (g *group) yieldShare() float64 {
+	return min(1, max(0, (g.rejectedShare-yieldFrom)/(yieldAll-yieldFrom)))
 }
