--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -160,13 +160,13 @@
 	for _, f := range away {
 		f.seq += 600 // requests that other entries saw
 		f.ack += 6000
-		if a := f.sendRequest(); a.Late || a.Took > 500*ms {
-			t.Errorf("an answer was reported to have taken %s", a.Took)
+		if a := f.sendRequest(); a.Late || a.AnswerTime > 500*ms {
+			t.Errorf("an answer was reported to have taken %s", a.AnswerTime)
 		}
 	}
 	w.after(20 * ms)
 	if a := w.caller(idempotentAddr).syn(0); a.Verdict != stoatecho.Forward {
-		t.Fatalf("refused: mean %s, bound %s, busy %d", a.Mean, a.Bound, a.Busy)
+		t.Fatalf("refused: mean %s, bound %s, busy %d", a.ExpectedAnswer, a.AnswerBound, a.InProgress)
 	}
 }
 
@@ -181,7 +181,7 @@
 	w.after(60 * ms)
 	f.ack += 500
 	a := f.send(stoatpacket.Packet{Seq: f.seq + 101, Ack: f.ack})
-	if s := w.e.Stats(); a.Took != 60*ms || s.Answered != 1 || s.Elsewhere != 0 {
-		t.Errorf("took %s, answered %d, elsewhere %d", a.Took, s.Answered, s.Elsewhere)
+	if s := w.e.Stats(); a.AnswerTime != 60*ms || s.Answered != 1 || s.AnsweredElsewhere != 0 {
+		t.Errorf("took %s, answered %d, elsewhere %d", a.AnswerTime, s.Answered, s.AnsweredElsewhere)
 	}
 }
--- a/stoatecho/behind_test.go
+++ b/stoatecho/behind_test.go
@@ -44,7 +44,7 @@
 				f.ackAnswer()
 				f.sendRequest()
 			}
-			w.e.Drained(w.now.Add(-c.behind))
+			w.e.NoteQueueEmpty(w.now.Add(-c.behind))
 			for _, f := range watched {
 				a := f.retransmit()
 				ejected = ejected || a.Ejected != nil
--- a/stoatecho/ended.go
+++ b/stoatecho/ended.go
@@ -18,7 +18,7 @@
 
 // OrphanedFlow is a flow to reset that waits for an answer of an upstream which has ended. There is no packet
 // of its caller to answer with a reset.
-type Unanswered struct {
+type OrphanedFlow struct {
 	Tuple    stoatpacket.Tuple
 	Ack      uint32 // the caller's last acknowledgement number
 	Upstream *stoatroute.Upstream
@@ -45,8 +45,8 @@
 // works on recent requests, and their answers have to reach the callers. So a flow is returned only if its
 // request has been pending for as long as callers wait before they retransmit, at an upstream that has given no
 // sign of life for as long.
-func (e *Engine) TakeEnded(now time.Time, t *stoatroute.Table) []Unanswered {
-	var out []Unanswered
+func (e *Engine) TakeOrphanedFlows(now time.Time, t *stoatroute.Table) []OrphanedFlow {
+	var out []OrphanedFlow
 	ended := map[*stoatroute.Upstream]bool{}
 	for _, u := range t.UpstreamsSince(e.endedUpTo) {
 		h := e.health[u.Key]
@@ -63,7 +63,7 @@
 		if f.requestStart.IsZero() || now.Sub(f.requestStart) < minRetransmitInterval || !ended[u] || t.Route(tuple.Dst) == nil {
 			continue
 		}
-		out = append(out, Unanswered{Tuple: tuple, Ack: f.requestAck, Upstream: u})
+		out = append(out, OrphanedFlow{Tuple: tuple, Ack: f.requestAck, Upstream: u})
 		e.forget(tuple)
 	}
 	e.stats.Resets[stoatpacket.DropGone] += int64(len(out))
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -43,32 +43,32 @@
 
 // Action is the decision about one packet.
 type Action struct {
-	Verdict  Verdict
-	Upstream *stoatroute.Upstream // set for a flow that is reset too, if its upstream is known
-	Reason   stoatpacket.DropReason
-	Opened   bool // a new flow was placed
-	Moved    bool // its opening went to another upstream before and was not answered
-	Repeats  int  // retransmissions of the flow's packet, where known
+	Verdict         Verdict
+	Upstream        *stoatroute.Upstream // set for a flow that is reset too, if its upstream is known
+	Reason          stoatpacket.DropReason
+	Opened          bool // a new flow was placed
+	Moved           bool // its opening went to another upstream before and was not answered
+	Retransmissions int  // retransmissions of the flow's packet, where known
 	// AnswerTime is how long the answer took that the packet acknowledges; Late reports that this exceeds the
 	// latency objective of the route.
-	Took time.Duration
-	Late bool
+	AnswerTime time.Duration
+	Late       bool
 	// InProgress is the number of requests of this entry that are pending at the upstream, for an opening
 	// together with the pending openings. ExpectedAnswer is the answer time expected of the upstream (0:
 	// unknown), and AnswerBound the greatest ExpectedAnswer with which the flow is admitted; both are set for
 	// openings.
-	Busy  int
-	Mean  time.Duration
-	Bound time.Duration
+	InProgress     int
+	ExpectedAnswer time.Duration
+	AnswerBound    time.Duration
 	// RejectedShare is the share of recent requests that the upstreams rejected, if the flow was refused for it.
-	TurnedAway float64
+	RejectedShare float64
 	// Excluded counts the upstreams that were not eligible for the flow, if it was refused.
 	Excluded Excluded
 	// Ejected is the upstream that the packet caused to be ejected, so that it gets no new flows for a while,
 	// or nil.
-	Ejected *stoatroute.Upstream
-	Silence time.Duration // how long Ejected has been silent
-	Waiting int           // requests of this entry that are pending at Ejected
+	Ejected         *stoatroute.Upstream
+	Silence         time.Duration // how long Ejected has been silent
+	PendingRequests int           // requests of this entry that are pending at Ejected
 }
 
 // flow is what an entry remembers of a flow in order to judge its upstream.
@@ -91,10 +91,10 @@
 // Stats counts what the engine did since it was created.
 type Stats struct {
 	Opened, Moved, Ejected, Refused int64
-	Together                        int64 // ejections that follow from the reports of all entries of the data centre
+	EjectedJointly                  int64 // ejections that follow from the reports of all entries of the data centre
 	Answered, Late                  int64 // requests; late: longer than the latency objective of the route
-	TurnedAway                      int64 // answered requests that the upstream rejected, as far as can be inferred
-	Elsewhere                       int64 // requests that began here and whose answer another entry saw
+	Rejected                        int64 // answered requests that the upstream rejected, as far as can be inferred
+	AnsweredElsewhere               int64 // requests that began here and whose answer another entry saw
 	Resets, Drops                   [stoatpacket.DropCount]int64
 	Forwarded                       int64
 	Flows                           int
@@ -164,28 +164,28 @@
 }
 
 // UpstreamState is what this entry knows of one upstream.
-type InProgress struct {
-	Upstream stoatpaddle.UpstreamKey
-	Flows    int           // open flows seen here
-	Requests int           // pending requests of this entry
-	Mean     time.Duration // mean answer time
-	Ejected  bool
-	Failing  bool // it gets no new flows since it fails requests
-	Avoided  bool // new flows prefer other upstreams, on the evidence of this entry or of another one
+type UpstreamState struct {
+	Upstream        stoatpaddle.UpstreamKey
+	Flows           int           // open flows seen here
+	PendingRequests int           // pending requests of this entry
+	MeanAnswer      time.Duration // mean answer time
+	Ejected         bool
+	Failing         bool // it gets no new flows since it fails requests
+	Avoided         bool // new flows prefer other upstreams, on the evidence of this entry or of another one
 }
 
 // UpstreamStates returns the state of each upstream that this entry has seen, in no particular order.
-func (e *Engine) InProgress(now time.Time) []InProgress {
-	out := make([]InProgress, 0, len(e.health))
+func (e *Engine) UpstreamStates(now time.Time) []UpstreamState {
+	out := make([]UpstreamState, 0, len(e.health))
 	for k, h := range e.health {
-		out = append(out, InProgress{Upstream: k, Flows: h.flows, Requests: h.pendingRequests, Mean: h.answerTimes.mean, Ejected: h.isEjected(now), Failing: now.Before(h.failing.until), Avoided: h.avoidance.active(now) || now.Before(h.deprioritizedUntil)})
+		out = append(out, UpstreamState{Upstream: k, Flows: h.flows, PendingRequests: h.pendingRequests, MeanAnswer: h.answerTimes.mean, Ejected: h.isEjected(now), Failing: now.Before(h.failing.until), Avoided: h.avoidance.active(now) || now.Before(h.deprioritizedUntil)})
 	}
 	return out
 }
 
 // NoteQueueEmpty records when this entry had last handled every packet it received; packets that came later may
 // still be queued.
-func (e *Engine) Drained(at time.Time) { e.queueEmptied = at }
+func (e *Engine) NoteQueueEmpty(at time.Time) { e.queueEmptied = at }
 
 // behind reports whether this entry handles packets so late that an upstream may only seem silent: the
 // acknowledgement of its answer may still be queued here.
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -355,8 +355,8 @@
 	if a.Ejected == nil || a.Ejected.ID != "i-1" {
 		t.Fatalf("%+v", a)
 	}
-	if a.Waiting != 3 {
-		t.Errorf("%d requests are pending there, expected 3", a.Waiting)
+	if a.PendingRequests != 3 {
+		t.Errorf("%d requests are pending there, expected 3", a.PendingRequests)
 	}
 	for _, a := range []stoatecho.Action{a, idempotent[1].retransmit(), idempotent[2].sendRequest(), nonIdempotent.retransmit()} {
 		if a.Verdict != stoatecho.Forward {
@@ -553,20 +553,20 @@
 	c.open()
 	c.sendRequest()
 	w.after(199 * ms)
-	if a := c.ackAnswer(); a.Late || a.Took != 199*ms {
+	if a := c.ackAnswer(); a.Late || a.AnswerTime != 199*ms {
 		t.Errorf("%+v", a)
 	}
 	c.sendRequest()
 	w.after(250 * ms)
-	if a := c.ackAnswer(); !a.Late || a.Took != 250*ms || a.Busy != 0 {
+	if a := c.ackAnswer(); !a.Late || a.AnswerTime != 250*ms || a.InProgress != 0 {
 		t.Errorf("%+v", a)
 	}
 	if s := w.e.Stats(); s.Answered != 2 || s.Late != 1 {
 		t.Errorf("%+v", s)
 	}
 	c.sendRequest()
-	for _, x := range w.e.InProgress(w.now) {
-		if x.Upstream == c.cookie && (x.Requests != 1 || x.Flows != 1 || x.Mean < 199*ms || x.Ejected) {
+	for _, x := range w.e.UpstreamStates(w.now) {
+		if x.Upstream == c.cookie && (x.PendingRequests != 1 || x.Flows != 1 || x.MeanAnswer < 199*ms || x.Ejected) {
 			t.Errorf("%+v", x)
 		}
 	}
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -52,7 +52,7 @@
 )
 
 // CheckInterval is how often EjectFailing and EjectSilent are to be called.
-const JudgeEvery = 250 * time.Millisecond
+const CheckInterval = 250 * time.Millisecond
 
 // window counts requests over failureWindow.
 type window struct {
@@ -97,7 +97,7 @@
 // Reports returns what this entry saw of the upstreams that recently failed requests or left packets
 // unanswered. For the suspects, which other entries reported, it includes answers and signs of life even if
 // this entry saw no failure. The list ascends by key.
-func (e *Engine) Observed(now time.Time, suspects map[stoatpaddle.UpstreamKey]bool) []stoatoutlier.Report {
+func (e *Engine) Reports(now time.Time, suspects map[stoatpaddle.UpstreamKey]bool) []stoatoutlier.Report {
 	var out []stoatoutlier.Report
 	for k, h := range e.health {
 		named := suspects[k]
@@ -118,7 +118,7 @@
 }
 
 // SetSums replaces what the entries of this data centre together saw.
-func (e *Engine) TakeSum(now time.Time, list []stoatoutlier.Report) {
+func (e *Engine) SetSums(now time.Time, list []stoatoutlier.Report) {
 	if len(list) == 0 && len(e.dataCentreSums) == 0 {
 		return
 	}
@@ -134,22 +134,22 @@
 }
 
 // FailingUpstream is an upstream that gets no new flows for a while since it fails requests.
-type Marked struct {
+type FailingUpstream struct {
 	Upstream *stoatroute.Upstream
 	stoatoutlier.Counts
-	Hold time.Duration
+	Backoff time.Duration
 }
 
 // EjectFailing looks for upstreams that fail requests, ejects them, and returns those that it ejected. It
 // considers the upstreams of this data centre only: too little is seen of the others.
-func (e *Engine) Judge(now time.Time, t *stoatroute.Table) []Marked {
-	named := map[stoatpaddle.ServiceID][]Marked{}
+func (e *Engine) EjectFailing(now time.Time, t *stoatroute.Table) []FailingUpstream {
+	named := map[stoatpaddle.ServiceID][]FailingUpstream{}
 	for k, s := range e.dataCentreSums {
 		if u := t.Upstream(k); s.Failed > 0 && u != nil && u.AcceptsFlows() && u.DataCentre == e.cfg.DataCentre {
-			named[u.Service] = append(named[u.Service], Marked{Upstream: u, Counts: s.Counts})
+			named[u.Service] = append(named[u.Service], FailingUpstream{Upstream: u, Counts: s.Counts})
 		}
 	}
-	var out []Marked
+	var out []FailingUpstream
 	for _, service := range slices.Sorted(maps.Keys(named)) {
 		out = append(out, e.ejectFailingInService(now, t, named[service])...)
 	}
@@ -169,7 +169,7 @@
 }
 
 // ejectFailingInService ejects upstreams of one service; failing has those with failures, and is not empty.
-func (e *Engine) ejectFailingInService(now time.Time, t *stoatroute.Table, failing []Marked) []Marked {
+func (e *Engine) ejectFailingInService(now time.Time, t *stoatroute.Table, failing []FailingUpstream) []FailingUpstream {
 	all := len(t.CandidatesIn(failing[0].Upstream.Service, e.cfg.DataCentre))
 	if all < ejectableDivisor {
 		return nil
@@ -180,11 +180,11 @@
 			ejected++
 		}
 	})
-	slices.SortFunc(failing, func(a, b Marked) int {
+	slices.SortFunc(failing, func(a, b FailingUpstream) int {
 		return cmp.Or(cmp.Compare(b.Failed, a.Failed), cmp.Compare(a.Upstream.Key, b.Upstream.Key))
 	})
 	bound := minFailures + peerFailureFactor*peerFailures(failing, all)
-	var out []Marked
+	var out []FailingUpstream
 	for _, m := range failing {
 		if ejected >= all/ejectableDivisor || float64(m.Failed) < bound {
 			break
@@ -207,7 +207,7 @@
 		if now.Before(h.failing.until) {
 			continue
 		}
-		m.Hold = h.failing.begin(now)
+		m.Backoff = h.failing.begin(now)
 		ejected++
 		out = append(out, m)
 	}
@@ -216,7 +216,7 @@
 
 // peerFailures returns the mean of the failures at those upstreams that cannot be ejected, as they are not
 // among the worst. The list has the upstreams with failures, in descending order of those.
-func peerFailures(list []Marked, all int) float64 {
+func peerFailures(list []FailingUpstream, all int) float64 {
 	worst := all / ejectableDivisor
 	sum := 0
 	for _, m := range list[min(worst, len(list)):] {
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -31,11 +31,11 @@
 	}
 	var ejected []stoatpaddle.UpstreamID
 	for range 4 {
-		w.e.TakeSum(w.now, list)
-		for _, m := range w.e.Judge(w.now, w.book.Table()) {
+		w.e.SetSums(w.now, list)
+		for _, m := range w.e.EjectFailing(w.now, w.book.Table()) {
 			ejected = append(ejected, m.Upstream.ID)
 		}
-		w.after(stoatecho.JudgeEvery)
+		w.after(stoatecho.CheckInterval)
 	}
 	return ejected
 }
@@ -148,8 +148,8 @@
 // yet, so that it seems to fail most of its requests: it must not be ejected yet.
 func TestFirstCountsAreNotEnough(t *testing.T) {
 	w := newSixUpstreamWorld(t)
-	w.e.TakeSum(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
-	if got := w.e.Judge(w.now, w.book.Table()); len(got) != 0 {
+	w.e.SetSums(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
+	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 0 {
 		t.Error(got)
 	}
 	if got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 60, Failed: 6}}); len(got) != 0 {
@@ -174,7 +174,7 @@
 		sends.sendRequest()
 	}
 	w.caller(intakeAddr).syn(0) // time passes with packets only
-	seen := w.e.Observed(w.now, map[stoatpaddle.UpstreamKey]bool{key[answered]: true, key[sends]: true})
+	seen := w.e.Reports(w.now, map[stoatpaddle.UpstreamKey]bool{key[answered]: true, key[sends]: true})
 	got := map[stoatpaddle.UpstreamKey]stoatoutlier.Counts{}
 	for _, s := range seen {
 		got[s.Key] = s.Counts
@@ -186,11 +186,11 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if seen := w.e.Observed(w.now, nil); len(seen) != 1 {
+	if seen := w.e.Reports(w.now, nil); len(seen) != 1 {
 		t.Error("upstreams without failures are reported although no other entry reported them:", seen)
 	}
 	w.after(5 * time.Second)
-	if seen := w.e.Observed(w.now, nil); len(seen) != 0 {
+	if seen := w.e.Reports(w.now, nil); len(seen) != 0 {
 		t.Error(seen)
 	}
 }
--- a/stoatecho/hold.go
+++ b/stoatecho/hold.go
@@ -8,10 +8,10 @@
 )
 
 // HeldPacket is a packet that is held until this entry has a table.
-type Held struct {
+type HeldPacket struct {
 	Packet stoatpacket.Packet
 	Data   []byte
-	At     time.Time
+	Since  time.Time
 }
 
 // HoldQueue holds packets during the first second after the entry's start.
@@ -19,8 +19,8 @@
 // After a power loss all entries start at once, and callers have been retransmitting for seconds. If a packet
 // were dropped in the 40 ms before the first table arrives, its caller's next retransmission would come 1.6 s
 // later, after most deadlines.
-type Hold struct {
-	list  []Held
+type HoldQueue struct {
+	list  []HeldPacket
 	index map[heldKey]int
 }
 
@@ -40,7 +40,7 @@
 )
 
 // Add holds a copy of the packet, and reports whether there was room.
-func (h *Hold) Add(now time.Time, p *stoatpacket.Packet, data []byte) bool {
+func (h *HoldQueue) Add(now time.Time, p *stoatpacket.Packet, data []byte) bool {
 	if h.index == nil {
 		h.index = map[heldKey]int{}
 	}
@@ -53,21 +53,21 @@
 		return false
 	}
 	h.index[k] = len(h.list)
-	h.list = append(h.list, Held{Packet: *p, Data: slices.Clone(data), At: now})
+	h.list = append(h.list, HeldPacket{Packet: *p, Data: slices.Clone(data), Since: now})
 	return true
 }
 
 // Take removes and returns all held packets, oldest first.
-func (h *Hold) Take() []Held {
+func (h *HoldQueue) Take() []HeldPacket {
 	list := h.list
 	h.list, h.index = nil, nil
 	return list
 }
 
 // TakeExpired removes and returns the packets that have been held for too long.
-func (h *Hold) Overdue(now time.Time) []Held {
+func (h *HoldQueue) TakeExpired(now time.Time) []HeldPacket {
 	n := 0
-	for n < len(h.list) && now.Sub(h.list[n].At) >= holdTimeout {
+	for n < len(h.list) && now.Sub(h.list[n].Since) >= holdTimeout {
 		n++
 	}
 	if n == 0 {
--- a/stoatecho/hold_test.go
+++ b/stoatecho/hold_test.go
@@ -12,7 +12,7 @@
 // copy of each is kept, so that the copies do not look like an upstream that does not answer.
 func TestHoldKeepsTheLastCopy(t *testing.T) {
 	w := newWorld(t)
-	var h stoatecho.Hold
+	var h stoatecho.HoldQueue
 	a, b := w.caller(idempotentAddr), w.caller(nonIdempotentAddr)
 	for i, c := range []*caller{a, b, a, a} {
 		if !h.Add(w.now, &stoatpacket.Packet{Tuple: c.tuple, Opens: true, Copies: i}, []byte{byte(i)}) {
@@ -31,10 +31,10 @@
 // No table arrives: packets that were held for a second are returned to be refused, and the others are still held.
 func TestHoldExpires(t *testing.T) {
 	w := newWorld(t)
-	var h stoatecho.Hold
+	var h stoatecho.HoldQueue
 	h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple}, nil)
 	h.Add(w.now.Add(500*ms), &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple}, nil)
-	if got := h.Overdue(w.now.Add(time.Second)); len(got) != 1 {
+	if got := h.TakeExpired(w.now.Add(time.Second)); len(got) != 1 {
 		t.Error(len(got))
 	}
 	if got := h.Take(); len(got) != 1 {
@@ -45,7 +45,7 @@
 // The number of held packets is bounded, so that a flood before the first table cannot exhaust the memory.
 func TestHoldIsBounded(t *testing.T) {
 	w := newWorld(t)
-	var h stoatecho.Hold
+	var h stoatecho.HoldQueue
 	kept := 0
 	for i := range uint32(5000) {
 		if h.Add(w.now, &stoatpacket.Packet{Tuple: w.caller(idempotentAddr).tuple, Seq: i}, nil) {
--- a/stoatecho/open.go
+++ b/stoatecho/open.go
@@ -31,13 +31,13 @@
 		return e.refuse(a, stoatpacket.DropNoUpstream)
 	}
 	h := e.healthOf(u)
-	a.Busy, a.Mean, a.Bound = h.pendingRequests+h.pendingOpenings, expectedAnswer(now, h), admitBound(h, r)
+	a.InProgress, a.ExpectedAnswer, a.AnswerBound = h.pendingRequests+h.pendingOpenings, expectedAnswer(now, h), admitBound(h, r)
 	h.group.noteAdmission(admitted)
 	if !admitted {
 		return e.refuse(a, stoatpacket.DropOverload)
 	}
 	if e.yields(r, h.group) {
-		a.TurnedAway = h.group.rejectedShare
+		a.RejectedShare = h.group.rejectedShare
 		return e.refuse(a, stoatpacket.DropOverload)
 	}
 	a.Moved = a.Moved && a.Upstream.Key != except
@@ -111,7 +111,7 @@
 		return
 	}
 	if h.noteRetransmission(now, e.allowedSilence(now, u)) {
-		a.Ejected, a.Silence, a.Waiting = u, silence, h.pendingRequests
+		a.Ejected, a.Silence, a.PendingRequests = u, silence, h.pendingRequests
 		e.stats.Ejected++
 	}
 }
--- a/stoatecho/shed_test.go
+++ b/stoatecho/shed_test.go
@@ -71,13 +71,13 @@
 		w.after(5 * ms)
 		f.ackBytes(150)
 	}
-	before := w.e.Stats().TurnedAway
+	before := w.e.Stats().Rejected
 	for range 100 {
 		f.sendRequest()
 		w.after(5 * ms)
 		f.ackBytes(150)
 	}
-	if after := w.e.Stats().TurnedAway; after != before || before == 0 {
+	if after := w.e.Stats().Rejected; after != before || before == 0 {
 		t.Error(before, "rejections at first,", after-before, "of the last hundred answers")
 	}
 }
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -121,25 +121,25 @@
 }
 
 // TakeReportChange reports whether the result of Reports has changed, other than by counts, since the last call.
-func (e *Engine) TakeObserved() bool {
+func (e *Engine) TakeReportChange() bool {
 	changed := e.reportChanged
 	e.reportChanged = false
 	return changed
 }
 
 // SilentUpstream is an upstream that gets no flows for a while, since no entry of the data centre hears from it.
-type Silent struct {
-	Upstream *stoatroute.Upstream
-	Entries  int // entries that wait for it
-	Silence  time.Duration
-	Waiting  int // requests of this entry that are pending there
+type SilentUpstream struct {
+	Upstream        *stoatroute.Upstream
+	WaitingEntries  int // entries that wait for it
+	Silence         time.Duration
+	PendingRequests int // requests of this entry that are pending there
 }
 
 // EjectSilent looks for upstreams that answer no entry, judging by the reports of all entries of this data
 // centre, ejects them, and returns those that it ejected. A sign of life has to arrive within the delay to
 // count. Upstreams of other data centres are considered too: while the local one is evacuated, all of its flows
 // go there.
-func (e *Engine) JudgeSilence(now time.Time, t *stoatroute.Table, delay time.Duration) []Silent {
+func (e *Engine) EjectSilent(now time.Time, t *stoatroute.Table, delay time.Duration) []SilentUpstream {
 	if len(e.dataCentreSums) == 0 {
 		return nil
 	}
@@ -150,7 +150,7 @@
 			named[key] = append(named[key], u)
 		}
 	}
-	var out []Silent
+	var out []SilentUpstream
 	for _, k := range slices.SortedFunc(maps.Keys(named), groupKey.compare) {
 		out = append(out, e.ejectSilentInGroup(now, t, named[k], delay)...)
 	}
@@ -159,8 +159,8 @@
 
 // ejectSilentInGroup ejects upstreams of one service in one data centre; named has those that entries wait for,
 // and is not empty. Those that most entries wait for come first.
-func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []Silent {
-	var out []Silent
+func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []SilentUpstream {
+	var out []SilentUpstream
 	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
 		return cmp.Or(cmp.Compare(e.dataCentreSums[b.Key].Entries, e.dataCentreSums[a.Key].Entries), cmp.Compare(a.Key, b.Key))
 	})
@@ -219,12 +219,12 @@
 }
 
 // ejectJointly ejects the upstream on the reports of all entries of the data centre.
-func (e *Engine) ejectJointly(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) Silent {
+func (e *Engine) ejectJointly(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) SilentUpstream {
 	h.eject(now)
 	h.jointlyEjected = true
 	e.stats.Ejected++
-	e.stats.Together++
-	return Silent{Upstream: u, Entries: s.Entries, Silence: s.Together(now), Waiting: h.pendingRequests}
+	e.stats.EjectedJointly++
+	return SilentUpstream{Upstream: u, WaitingEntries: s.Entries, Silence: s.Together(now), PendingRequests: h.pendingRequests}
 }
 
 // aliveElsewhere records that another entry had a sign of life of the upstream at the given time. Evidence of this
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -51,7 +51,7 @@
 
 // exchangeReports adds up the reports of all entries and has each entry act on the sum; it returns what each entry
 // ejects.
-func (x *entries) exchangeReports() [][]stoatecho.Silent {
+func (x *entries) exchangeReports() [][]stoatecho.SilentUpstream {
 	x.syncClocks()
 	sums := map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
 	// The first round finds the upstreams that entries wait for, the second one adds the signs of life of the
@@ -63,7 +63,7 @@
 		}
 		sums = map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
 		for _, w := range x.list {
-			for _, r := range w.e.Observed(w.now, named) {
+			for _, r := range w.e.Reports(w.now, named) {
 				s := sums[r.Key]
 				sums[r.Key] = stoatoutlier.Report{Key: r.Key, Counts: s.Counts.Add(r.Counts), Silence: s.Silence.Add(r.Silence)}
 			}
@@ -75,10 +75,10 @@
 			sum = append(sum, r)
 		}
 	}
-	var out [][]stoatecho.Silent
+	var out [][]stoatecho.SilentUpstream
 	for _, w := range x.list {
-		w.e.TakeSum(w.now, sum)
-		out = append(out, w.e.JudgeSilence(w.now, w.book.Table(), 150*ms))
+		w.e.SetSums(w.now, sum)
+		out = append(out, w.e.EjectSilent(w.now, w.book.Table(), 150*ms))
 	}
 	return out
 }
@@ -148,11 +148,11 @@
 	x.waitWithTraffic()
 	all := x.exchangeReports()
 	for i, silent := range all {
-		if len(silent) != 1 || silent[0].Upstream.Target != 1 || silent[0].Entries < 2 {
+		if len(silent) != 1 || silent[0].Upstream.Target != 1 || silent[0].WaitingEntries < 2 {
 			t.Fatalf("entry %d: %+v", i, silent)
 		}
 	}
-	if n := all[2][0].Waiting; n != 1 {
+	if n := all[2][0].PendingRequests; n != 1 {
 		t.Errorf("%d requests are pending at the third entry, expected one", n)
 	}
 	if a := waiting.retransmit(); a.Verdict != stoatecho.Forward {
@@ -203,7 +203,7 @@
 	open.sendRequest()
 	x.after(30 * ms)
 	open.ackAnswer()
-	if !x.list[2].e.TakeObserved() {
+	if !x.list[2].e.TakeReportChange() {
 		t.Error("a sign of life is not reported")
 	}
 	x.exchangeReports()
@@ -223,7 +223,7 @@
 	}
 	w.after(250 * ms)
 	w.caller(nonIdempotentAddr).syn(0)
-	if got := w.e.Observed(w.now, nil); len(got) != 0 {
+	if got := w.e.Reports(w.now, nil); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -240,11 +240,11 @@
 		}})
 	}
 	for range 5 {
-		w.e.TakeSum(w.now, sum)
-		w.e.JudgeSilence(w.now, w.book.Table(), 150*ms)
+		w.e.SetSums(w.now, sum)
+		w.e.EjectSilent(w.now, w.book.Table(), 150*ms)
 	}
 	avoided := 0
-	for _, p := range w.e.InProgress(w.now) {
+	for _, p := range w.e.UpstreamStates(w.now) {
 		if p.Ejected {
 			avoided++
 		}
@@ -278,7 +278,7 @@
 		}
 		w.after(20 * ms)
 		x.hearFromHealthy()
-		if got := w.e.Observed(w.now, nil); len(got) != c.want {
+		if got := w.e.Reports(w.now, nil); len(got) != c.want {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -299,7 +299,7 @@
 	x.after(20 * ms)
 	x.hearFromHealthy()
 	for _, w := range x.list[:2] {
-		if got := w.e.Observed(w.now, nil); len(got) != 1 {
+		if got := w.e.Reports(w.now, nil); len(got) != 1 {
 			t.Fatalf("an entry does not report that it waits: %+v", got)
 		}
 		w.e.Handle(w.now, w.book.Table(), &stoatpacket.Packet{Tuple: moved.tuple, Cookie: moved.cookie, Seq: 100, Ack: 1, Size: 100})
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -72,7 +72,7 @@
 		h.noteRejection(now)
 		h.group.noteAnswer(true)
 		h.saturation.noteAnswer(now, true)
-		e.stats.TurnedAway++
+		e.stats.Rejected++
 	default:
 		h.group.noteAnswer(false)
 		h.saturation.noteAnswer(now, false)
@@ -86,7 +86,7 @@
 	e.noteAlive(now, h)
 	f.requestStart = time.Time{}
 	e.stats.Answered++
-	a.Took, a.Busy = took, h.pendingRequests
+	a.AnswerTime, a.InProgress = took, h.pendingRequests
 	if r.Objective > 0 && took > r.Objective {
 		e.stats.Late++
 		a.Late = true
@@ -106,7 +106,7 @@
 	h.requestEnded()
 	e.noteAlive(now, h)
 	f.requestStart = time.Time{}
-	e.stats.Elsewhere++
+	e.stats.AnsweredElsewhere++
 }
 
 // adopt remembers a flow that another entry placed.
@@ -144,7 +144,7 @@
 		return
 	}
 	f.retransmissions++
-	a.Repeats = f.retransmissions
+	a.Retransmissions = f.retransmissions
 	e.noteUnanswered(now, h, f.lastProgress)
 	e.noteRetransmission(now, a.Upstream, h, a)
 }
--- a/stoatecho/yield_test.go
+++ b/stoatecho/yield_test.go
@@ -101,7 +101,7 @@
 		w.after(48 * ms)
 		f.ackBytes([]uint32{4800, 1200}[i%2])
 	}
-	if n := w.e.Stats().TurnedAway; n > 0 {
+	if n := w.e.Stats().Rejected; n > 0 {
 		t.Error(n, "answers were taken for rejections")
 	}
 }
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -167,7 +167,7 @@
 	}
 	avoid := map[stoatpaddle.UpstreamKey]int{}
 	for _, e := range m.entries {
-		for _, p := range e.engine.InProgress(m.now()) {
+		for _, p := range e.engine.UpstreamStates(m.now()) {
 			if p.Ejected || p.Avoided {
 				avoid[p.Upstream]++
 			}
