--- a/stoatview/next.go
+++ b/stoatview/next.go
@@ -10,10 +10,10 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// pastKept is how many earlier sets and rings a view remembers.
+// maxPastSets is how many earlier sets and rings a view remembers.
 const (
-	pastKept  = 8
-	ringsKept = 16
+	maxPastSets      = 8
+	maxPastEntrySets = 16
 )
 
 // Input is what a view is built from.
@@ -33,23 +33,23 @@
 		Number: 1,
 		Self:   in.Self,
 		Seed:   in.Seed,
-		Ring:   ringOf(in),
+		Ring:   liveEntries(in),
 	}
 	if prev != nil {
 		v.Number = prev.Number + 1
 		v.Changed = prev.Changed
-		v.cut = prev.cut
-		if prev.Ring.same(v.Ring) {
+		v.partitionSeen = prev.partitionSeen
+		if prev.Ring.equal(v.Ring) {
 			v.Ring = prev.Ring
 		}
 	}
-	v.noteCut(prev, now, in)
-	v.Past = pastRings(prev, v.Ring, now, in)
-	v.index(in)
-	v.indexGone()
+	v.updatePartitions(prev, now, in)
+	v.Past = pastEntrySets(prev, v.Ring, now, in)
+	v.initIndexes(in)
+	v.markDeparted()
 	for _, c := range sortedContracts(in.Contracts) {
 		for i := range c.Services {
-			v.add(prev, now, in, c, &c.Services[i])
+			v.addService(prev, now, in, c, &c.Services[i])
 		}
 	}
 	if prev == nil || prev.Ring != v.Ring {
@@ -58,14 +58,14 @@
 	return v
 }
 
-// noteCut keeps which data centres are cut off, and since when.
-func (v *View) noteCut(prev *View, now time.Time, in Input) {
+// updatePartitions keeps which data centres are cut off, and since when.
+func (v *View) updatePartitions(prev *View, now time.Time, in Input) {
 	v.Cut = in.Cut
 	if prev != nil {
 		v.CutAt = prev.CutAt
 	}
 	if len(in.Cut) > 0 || prev != nil && len(prev.Cut) > 0 {
-		v.cut = now
+		v.partitionSeen = now
 	}
 	for dc := range in.Cut {
 		if prev == nil || !prev.Cut[dc] {
@@ -74,7 +74,7 @@
 	}
 }
 
-func ringOf(in Input) *Ring {
+func liveEntries(in Input) *Ring {
 	var members []*Member
 	for _, i := range in.Instances {
 		if i.Role != stoatpaddle.RoleEntry || i.State != stoatpaddle.StateLive || in.Dead[i.ID] {
@@ -85,15 +85,15 @@
 	return NewRing(members)
 }
 
-// pastRings keeps the rings that flows may still be known under. A member that is dead or
+// pastEntrySets keeps the rings that flows may still be known under. A member that is dead or
 // gone is taken out of them, so that the owner under an earlier ring is the entry that
 // holds its copies; a packet sent to ask it would be lost.
-func pastRings(prev *View, ring *Ring, now time.Time, in Input) []PastRing {
-	serves := map[stoatpaddle.InstanceID]bool{}
+func pastEntrySets(prev *View, ring *Ring, now time.Time, in Input) []PastRing {
+	answering := map[stoatpaddle.InstanceID]bool{}
 	for _, i := range in.Instances {
-		serves[i.ID] = !in.Dead[i.ID]
+		answering[i.ID] = !in.Dead[i.ID]
 	}
-	dead := func(m *Member) bool { return !serves[m.ID] }
+	unreachable := func(m *Member) bool { return !answering[m.ID] }
 	if prev == nil {
 		// A joining entry takes keys over from entries that it never saw own them:
 		// without this ring it would decide by hash for flows that they know.
@@ -104,49 +104,49 @@
 	if prev.Ring != ring {
 		past = append([]PastRing{{Full: prev.Ring, Until: now}}, past...)
 	}
-	past = dropBriefest(past)
+	past = dropShortestLived(past)
 	out := make([]PastRing, 0, len(past))
 	for _, p := range past {
-		out = append(out, PastRing{Full: p.Full, Ring: p.Full.without(dead), Until: p.Until})
+		out = append(out, PastRing{Full: p.Full, Ring: p.Full.without(unreachable), Until: p.Until})
 	}
 	return out
 }
 
-// dropBriefest forgets the ring that was in force for the shortest time, if there are too
+// dropShortestLived forgets the ring that was in force for the shortest time, if there are too
 // many: a cut or its end brings a ring for each entry, and those in force for a moment
 // must not push out the one before them.
-func dropBriefest(past []PastRing) []PastRing {
-	if len(past) <= ringsKept {
+func dropShortestLived(past []PastRing) []PastRing {
+	if len(past) <= maxPastEntrySets {
 		return past
 	}
-	briefest, least := 0, time.Duration(math.MaxInt64)
+	shortest, minDuration := 0, time.Duration(math.MaxInt64)
 	for i := 0; i+1 < len(past); i++ {
-		if d := past[i].Until.Sub(past[i+1].Until); d < least {
-			briefest, least = i, d
+		if d := past[i].Until.Sub(past[i+1].Until); d < minDuration {
+			shortest, minDuration = i, d
 		}
 	}
-	return append(past[:briefest:briefest], past[briefest+1:]...)
+	return append(past[:shortest:shortest], past[shortest+1:]...)
 }
 
-func (v *View) index(in Input) {
-	v.flows = map[lookupKey]*Service{}
-	v.hosts = map[string]*Service{}
+func (v *View) initIndexes(in Input) {
+	v.flowServices = map[destination]*Service{}
+	v.callServices = map[string]*Service{}
 	v.byRef = map[stoatpaddle.ServiceRef]*Service{}
 	v.byKey = map[stoatpaddle.UpstreamKey]*Upstream{}
-	v.relays = map[netip.AddrPort]bool{}
+	v.relayAnswers = map[netip.AddrPort]bool{}
 	for _, i := range in.Instances {
 		if i.Role == stoatpaddle.RoleEntry {
-			v.relays[i.Relay] = !in.Dead[i.ID]
+			v.relayAnswers[i.Relay] = !in.Dead[i.ID]
 		}
 	}
 }
 
-// indexGone marks the entries that left: a packet sent to one would be lost.
-func (v *View) indexGone() {
+// markDeparted marks the entries that left: a packet sent to one would be lost.
+func (v *View) markDeparted() {
 	for _, p := range v.Past {
 		for _, m := range p.Full.Members {
-			if _, known := v.relays[m.Relay]; !known {
-				v.relays[m.Relay] = false
+			if _, known := v.relayAnswers[m.Relay]; !known {
+				v.relayAnswers[m.Relay] = false
 			}
 		}
 	}
@@ -158,29 +158,29 @@
 	return out
 }
 
-func (v *View) add(prev *View, now time.Time, in Input, c stoatpaddle.Contract, svc *stoatpaddle.Service) {
+func (v *View) addService(prev *View, now time.Time, in Input, c stoatpaddle.Contract, svc *stoatpaddle.Service) {
 	ref := stoatpaddle.ServiceRef{Customer: c.Customer, Service: svc.ID}
 	s := &Service{
 		Ref: ref, Kind: svc.Kind, Lean: c.Lean, Limits: c.Limits, Host: svc.Host, Protocol: svc.Protocol,
 		byKey: map[stoatpaddle.UpstreamKey]*Upstream{},
 	}
 	for i := range svc.Upstreams {
-		s.declare(in, svc, &svc.Upstreams[i])
+		s.addUpstream(in, svc, &svc.Upstreams[i])
 	}
 	for i := range svc.Retired {
-		up := s.known(svc, &svc.Retired[i].Upstream)
+		up := s.newUpstream(svc, &svc.Retired[i].Upstream)
 		s.byKey[up.Key] = up
 	}
 	s.Set = NewSet(s.Active)
 	s.Whole = s.Set
-	if len(s.cut) > 0 {
-		s.Whole = NewSet(append(s.cut, s.Active...))
+	if len(s.partitioned) > 0 {
+		s.Whole = NewSet(append(s.partitioned, s.Active...))
 	}
 	var old *Service
 	if prev != nil {
 		old = prev.Service(ref)
 	}
-	if s.inherit(old, now) {
+	if s.inheritSets(old, now) {
 		v.Changed = now
 	}
 	v.Services = append(v.Services, s)
@@ -189,16 +189,16 @@
 		v.byKey[key] = u
 	}
 	if svc.Kind == stoatpaddle.KindCall {
-		v.hosts[svc.Host] = s
+		v.callServices[svc.Host] = s
 		return
 	}
 	for _, port := range svc.Ports {
-		v.flows[lookupKey{dst: netip.AddrPortFrom(svc.Addr, port), proto: svc.Protocol}] = s
+		v.flowServices[destination{dst: netip.AddrPortFrom(svc.Addr, port), proto: svc.Protocol}] = s
 	}
 }
 
-// known maps an upstream to what traffic needs of it.
-func (s *Service) known(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) *Upstream {
+// newUpstream maps an upstream to what traffic needs of it.
+func (s *Service) newUpstream(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) *Upstream {
 	return &Upstream{
 		Key: KeyOf(s.Ref, u.ID), Ref: s.Ref, ID: u.ID, DataCentre: u.DataCentre, Addr: u.Addr,
 		Weight: effectiveWeight(svc, u), Slots: u.Slots, Connections: u.Connections, Opens: u.Opens,
@@ -206,15 +206,15 @@
 	}
 }
 
-func (s *Service) declare(in Input, svc *stoatpaddle.Service, u *stoatpaddle.Upstream) {
-	up := s.known(svc, u)
+func (s *Service) addUpstream(in Input, svc *stoatpaddle.Service, u *stoatpaddle.Upstream) {
+	up := s.newUpstream(svc, u)
 	s.byKey[up.Key] = up
 	id := stoatpaddle.InstanceID(u.ID)
 	if in.Leaving[id] {
 		return
 	}
 	if in.Cut[u.DataCentre] {
-		s.cut = append(s.cut, up)
+		s.partitioned = append(s.partitioned, up)
 		return
 	}
 	s.Active = append(s.Active, up)
@@ -233,19 +233,19 @@
 	return 0
 }
 
-// inherit takes over the earlier sets and tells whether the present one is new.
-func (s *Service) inherit(old *Service, now time.Time) bool {
+// inheritSets takes over the earlier sets and tells whether the present one is new.
+func (s *Service) inheritSets(old *Service, now time.Time) bool {
 	if old == nil {
 		return true
 	}
 	s.Past = old.Past
-	changed := !old.Set.same(s.Set)
+	changed := !old.Set.sameUpstreams(s.Set)
 	if !changed {
 		s.Set = old.Set
 	} else {
 		s.Past = append([]PastSet{{Set: old.Set, Until: now}}, old.Past...)
-		if len(s.Past) > pastKept {
-			s.Past = s.Past[:pastKept]
+		if len(s.Past) > maxPastSets {
+			s.Past = s.Past[:maxPastSets]
 		}
 	}
 	// An upstream that left the contract still has open flows: it stays known by key
--- a/stoatview/owner.go
+++ b/stoatview/owner.go
@@ -8,15 +8,15 @@
 
 // Owner returns the entry that decides for the flow now, or nil.
 func (v *View) Owner(s *Service, k stoatpaddle.FlowHash) *Member {
-	return v.Ring.Owner(k, homeOf(s.Set, k))
+	return v.Ring.Owner(k, homeCentre(s.Set, k))
 }
 
 // OwnerNext returns the flow's owner and the entry that would own it next.
 func (v *View) OwnerNext(s *Service, k stoatpaddle.FlowHash) (owner, next *Member) {
-	return v.Ring.OwnerNext(k, homeOf(s.Set, k))
+	return v.Ring.OwnerNext(k, homeCentre(s.Set, k))
 }
 
-func homeOf(set *Set, k stoatpaddle.FlowHash) stoatpaddle.DataCentreID {
+func homeCentre(set *Set, k stoatpaddle.FlowHash) stoatpaddle.DataCentreID {
 	if u := set.First(k); u != nil {
 		return u.DataCentre
 	}
@@ -33,42 +33,42 @@
 	if now.Sub(v.Changed) >= settle {
 		return buf
 	}
-	if now.Sub(v.cut) < settle {
-		buf = v.copyHolders(buf, k)
+	if now.Sub(v.partitionSeen) < settle {
+		buf = v.appendCopyHolders(buf, k)
 	}
-	buf = v.candidatesUnder(buf, s, k, v.Ring, now, settle)
+	buf = v.appendOwners(buf, s, k, v.Ring, now, settle)
 	for _, p := range v.Past {
 		if now.Sub(p.Until) >= settle {
 			break
 		}
-		buf = v.candidatesUnder(buf, s, k, p.Ring, now, settle)
+		buf = v.appendOwners(buf, s, k, p.Ring, now, settle)
 	}
 	return buf
 }
 
-func (v *View) candidatesUnder(
+func (v *View) appendOwners(
 	buf []*Member, s *Service, k stoatpaddle.FlowHash, ring *Ring, now time.Time, settle time.Duration,
 ) []*Member {
-	buf = v.addCandidate(buf, ring.Owner(k, homeOf(s.Set, k)))
+	buf = v.appendCandidate(buf, ring.Owner(k, homeCentre(s.Set, k)))
 	for _, p := range s.Past {
 		if now.Sub(p.Until) >= settle {
 			break
 		}
-		buf = v.addCandidate(buf, ring.Owner(k, homeOf(p.Set, k)))
+		buf = v.appendCandidate(buf, ring.Owner(k, homeCentre(p.Set, k)))
 	}
 	return buf
 }
 
-// copyHolders adds the owner in each data centre: after one was cut off, the flow's own
+// appendCopyHolders adds the owner in each data centre: after one was cut off, the flow's own
 // may be gone, but a flow whose upstream is not in its home has a copy where that is.
-func (v *View) copyHolders(buf []*Member, k stoatpaddle.FlowHash) []*Member {
+func (v *View) appendCopyHolders(buf []*Member, k stoatpaddle.FlowHash) []*Member {
 	for _, dc := range v.Ring.centres {
-		buf = v.addCandidate(buf, v.Ring.Owner(k, dc))
+		buf = v.appendCandidate(buf, v.Ring.Owner(k, dc))
 	}
 	return buf
 }
 
-func (v *View) addCandidate(buf []*Member, m *Member) []*Member {
+func (v *View) appendCandidate(buf []*Member, m *Member) []*Member {
 	if m == nil || m.ID == v.Self || len(buf) >= MaxCandidates {
 		return buf
 	}
@@ -105,7 +105,7 @@
 
 // CutLately tells whether a data centre is cut off or was a moment ago.
 func (v *View) CutLately(now time.Time) bool {
-	return len(v.Cut) > 0 || now.Sub(v.cut) < CutGrace
+	return len(v.Cut) > 0 || now.Sub(v.partitionSeen) < CutGrace
 }
 
 // Elsewhere tells whether an unknown packet that opens nothing may belong to a flow that
@@ -115,7 +115,7 @@
 	if len(v.Cut) == 0 {
 		return v.CutLately(now)
 	}
-	if v.Cut[homeOf(s.Whole, k)] {
+	if v.Cut[homeCentre(s.Whole, k)] {
 		return true
 	}
 	at, ok := v.TakenOver(s, k)
@@ -128,7 +128,7 @@
 // the set that was in force then.
 func (v *View) TakenOver(s *Service, k stoatpaddle.FlowHash) (at time.Time, ok bool) {
 	for _, p := range v.Past {
-		m := p.Full.Owner(k, homeOf(s.SetAt(p.Until.Add(-1)), k))
+		m := p.Full.Owner(k, homeCentre(s.SetAt(p.Until.Add(-1)), k))
 		if m == nil || m.ID != v.Self {
 			return p.Until, true
 		}
--- a/stoatview/rendezvous.go
+++ b/stoatview/rendezvous.go
@@ -21,8 +21,8 @@
 // seedOf derives a candidate's seed from its kind and name, so that entries and upstreams choose independently.
 func seedOf(kind, name string) uint64 { return xxhash.Sum64String(kind + "\x00" + name) }
 
-// score is the weighted rendezvous score, highest wins (Schindelhauer and Schomaker 2005).
-func score(k stoatpaddle.FlowHash, seed uint64, w stoatpaddle.Weight) float64 {
+// weightedScore is the weighted rendezvous weightedScore, highest wins (Schindelhauer and Schomaker 2005).
+func weightedScore(k stoatpaddle.FlowHash, seed uint64, w stoatpaddle.Weight) float64 {
 	const half = 0.5
 	u := (float64(mix(uint64(k)^seed)>>11) + half) / (1 << 53)
 	return -float64(w) / math.Log(u)
--- a/stoatview/ring.go
+++ b/stoatview/ring.go
@@ -30,10 +30,10 @@
 // NewRing returns a ring of the members.
 func NewRing(members []*Member) *Ring {
 	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
-	return ringOfSorted(members)
+	return newSortedEntrySet(members)
 }
 
-func ringOfSorted(members []*Member) *Ring {
+func newSortedEntrySet(members []*Member) *Ring {
 	r := &Ring{Members: members}
 	for _, m := range members {
 		if !slices.Contains(r.centres, m.DataCentre) {
@@ -55,30 +55,30 @@
 
 // OwnerNext returns the owner and the entry that would own the flow without it.
 func (r *Ring) OwnerNext(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) (owner, next *Member) {
-	owner, next = r.two(k, dc, nil)
+	owner, next = r.topTwo(k, dc, nil)
 	if owner == nil {
-		return r.two(k, "", nil)
+		return r.topTwo(k, "", nil)
 	}
 	if next == nil {
-		next, _ = r.two(k, "", owner)
+		next, _ = r.topTwo(k, "", owner)
 	}
 	return owner, next
 }
 
-// two returns the two highest scores within dc, or over all data centres if dc is empty.
-func (r *Ring) two(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, skip *Member) (first, second *Member) {
-	var top, next uint64
+// topTwo returns the topTwo highest scores within dc, or over all data centres if dc is empty.
+func (r *Ring) topTwo(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, excluded *Member) (first, second *Member) {
+	var firstScore, secondScore uint64
 	for _, m := range r.Members {
-		if m == skip || (dc != "" && m.DataCentre != dc) {
+		if m == excluded || (dc != "" && m.DataCentre != dc) {
 			continue
 		}
-		h := mix(uint64(k) ^ m.seed)
+		score := mix(uint64(k) ^ m.seed)
 		switch {
-		case first == nil || h > top:
-			second, next = first, top
-			first, top = m, h
-		case second == nil || h > next:
-			second, next = m, h
+		case first == nil || score > firstScore:
+			second, secondScore = first, firstScore
+			first, firstScore = m, score
+		case second == nil || score > secondScore:
+			second, secondScore = m, score
 		}
 	}
 	return first, second
@@ -94,20 +94,20 @@
 }
 
 // without returns the ring less the members for which drop is true, and the ring itself if there are none.
-func (r *Ring) without(drop func(*Member) bool) *Ring {
+func (r *Ring) without(remove func(*Member) bool) *Ring {
 	kept := make([]*Member, 0, len(r.Members))
 	for _, m := range r.Members {
-		if !drop(m) {
+		if !remove(m) {
 			kept = append(kept, m)
 		}
 	}
 	if len(kept) == len(r.Members) {
 		return r
 	}
-	return ringOfSorted(kept)
+	return newSortedEntrySet(kept)
 }
 
-func (r *Ring) same(t *Ring) bool {
+func (r *Ring) equal(t *Ring) bool {
 	if len(r.Members) != len(t.Members) {
 		return false
 	}
--- a/stoatview/set.go
+++ b/stoatview/set.go
@@ -23,21 +23,21 @@
 
 // Set is the upstreams that take new flows of one service, ascending by key; it never changes.
 type Set struct {
-	Upstreams []*Upstream
-	equal     bool
+	Upstreams    []*Upstream
+	equalWeights bool
 }
 
 // NewSet returns a set of the upstreams whose weight is positive.
-func NewSet(ups []*Upstream) *Set {
-	s := &Set{equal: true}
-	for _, u := range ups {
+func NewSet(upstreams []*Upstream) *Set {
+	s := &Set{equalWeights: true}
+	for _, u := range upstreams {
 		if u.Weight > 0 {
 			s.Upstreams = append(s.Upstreams, u)
 		}
 	}
 	sort.Slice(s.Upstreams, func(i, j int) bool { return s.Upstreams[i].Key < s.Upstreams[j].Key })
 	for _, u := range s.Upstreams {
-		s.equal = s.equal && u.Weight == s.Upstreams[0].Weight
+		s.equalWeights = s.equalWeights && u.Weight == s.Upstreams[0].Weight
 	}
 	return s
 }
@@ -47,14 +47,14 @@
 // OPT(rendezvous): the cost grows with the set; above a few hundred upstreams a
 // skeleton (Yao and Ravishankar 2008) would bring it to a logarithm.
 func (s *Set) First(k stoatpaddle.FlowHash) *Upstream {
-	if !s.equal {
+	if !s.equalWeights {
 		return s.firstWeighted(k)
 	}
 	var best *Upstream
-	var top uint64
+	var bestScore uint64
 	for _, u := range s.Upstreams {
-		if h := mix(uint64(k) ^ u.seed); best == nil || h > top {
-			best, top = u, h
+		if h := mix(uint64(k) ^ u.seed); best == nil || h > bestScore {
+			best, bestScore = u, h
 		}
 	}
 	return best
@@ -62,10 +62,10 @@
 
 func (s *Set) firstWeighted(k stoatpaddle.FlowHash) *Upstream {
 	var best *Upstream
-	var top float64
+	var bestScore float64
 	for _, u := range s.Upstreams {
-		if h := score(k, u.seed, u.Weight); best == nil || h > top {
-			best, top = u, h
+		if h := weightedScore(k, u.seed, u.Weight); best == nil || h > bestScore {
+			best, bestScore = u, h
 		}
 	}
 	return best
@@ -77,8 +77,8 @@
 	return i < len(s.Upstreams) && s.Upstreams[i].Key == key
 }
 
-// same tells whether both sets place every flow alike and bound their upstreams alike.
-func (s *Set) same(t *Set) bool {
+// sameUpstreams tells whether both sets place every flow alike and bound their upstreams alike.
+func (s *Set) sameUpstreams(t *Set) bool {
 	if len(s.Upstreams) != len(t.Upstreams) {
 		return false
 	}
--- a/stoatview/view.go
+++ b/stoatview/view.go
@@ -24,18 +24,18 @@
 
 // Service is one service as traffic sees it.
 type Service struct {
-	Ref      stoatpaddle.ServiceRef
-	Kind     stoatpaddle.Kind
-	Lean     stoatpaddle.Lean
-	Limits   stoatpaddle.Limits
-	Protocol stoatpaddle.Protocol
-	Host     string
-	Set      *Set
-	Whole    *Set      // Set and the upstreams in data centres that are cut off
-	Past     []PastSet // newest first
-	Active   []*Upstream
-	byKey    map[stoatpaddle.UpstreamKey]*Upstream
-	cut      []*Upstream
+	Ref         stoatpaddle.ServiceRef
+	Kind        stoatpaddle.Kind
+	Lean        stoatpaddle.Lean
+	Limits      stoatpaddle.Limits
+	Protocol    stoatpaddle.Protocol
+	Host        string
+	Set         *Set
+	Whole       *Set      // Set and the upstreams in data centres that are cut off
+	Past        []PastSet // newest first
+	Active      []*Upstream
+	byKey       map[stoatpaddle.UpstreamKey]*Upstream
+	partitioned []*Upstream
 }
 
 // Upstream returns the upstream by key, also one that takes no new flows, or nil.
@@ -53,38 +53,38 @@
 	return set
 }
 
-// lookupKey is the address of a flow service.
-type lookupKey struct {
+// destination is the address of a flow service.
+type destination struct {
 	dst   netip.AddrPort
 	proto stoatpaddle.Protocol
 }
 
 // View is the routing snapshot; it never changes after Next returned it.
 type View struct {
-	Number   uint64
-	Self     stoatpaddle.InstanceID
-	Seed     stoatpacket.Seed
-	Ring     *Ring
-	Past     []PastRing                        // newest first
-	Services []*Service                        // ascending by reference
-	Changed  time.Time                         // when Ring or any Set last changed
-	Cut      map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
-	CutAt    time.Time                         // when Cut last became longer
-	cut      time.Time                         // when Cut was last seen not empty
-	flows    map[lookupKey]*Service
-	hosts    map[string]*Service
-	byRef    map[stoatpaddle.ServiceRef]*Service
-	byKey    map[stoatpaddle.UpstreamKey]*Upstream
-	relays   map[netip.AddrPort]bool // of all entries; true for those that answer
+	Number        uint64
+	Self          stoatpaddle.InstanceID
+	Seed          stoatpacket.Seed
+	Ring          *Ring
+	Past          []PastRing                        // newest first
+	Services      []*Service                        // ascending by reference
+	Changed       time.Time                         // when Ring or any Set last changed
+	Cut           map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
+	CutAt         time.Time                         // when Cut last became longer
+	partitionSeen time.Time                         // when Cut was last seen not empty
+	flowServices  map[destination]*Service
+	callServices  map[string]*Service
+	byRef         map[stoatpaddle.ServiceRef]*Service
+	byKey         map[stoatpaddle.UpstreamKey]*Upstream
+	relayAnswers  map[netip.AddrPort]bool // of all entries; true for those that answer
 }
 
 // Flow returns the flow service that owns the destination, or nil.
 func (v *View) Flow(dst netip.AddrPort, proto stoatpaddle.Protocol) *Service {
-	return v.flows[lookupKey{dst: dst, proto: proto}]
+	return v.flowServices[destination{dst: dst, proto: proto}]
 }
 
 // Host returns the call service with that authority, or nil.
-func (v *View) Host(host string) *Service { return v.hosts[host] }
+func (v *View) Host(host string) *Service { return v.callServices[host] }
 
 // Service returns the service by reference, or nil.
 func (v *View) Service(ref stoatpaddle.ServiceRef) *Service { return v.byRef[ref] }
@@ -95,7 +95,7 @@
 // Alive tells whether the address may belong to an entry that answers: one that is not
 // known yet has joined a moment ago.
 func (v *View) Alive(addr netip.AddrPort) bool {
-	answers, known := v.relays[addr]
+	answers, known := v.relayAnswers[addr]
 	return answers || !known
 }
 
