--- a/stoatview/next.go
+++ b/stoatview/next.go
@@ -10,24 +10,24 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// maxPastSets is how many earlier sets and rings a view remembers.
+// Each view keeps a limited number of earlier upstream sets of a service and of earlier entry sets.
 const (
 	maxPastSets      = 8
 	maxPastEntrySets = 16
 )
 
-// Input is what a view is built from.
+// Input holds the data from which a view is built.
 type Input struct {
 	Self      stoatpaddle.InstanceID
 	Seed      stoatpacket.Seed
-	Contracts []stoatpaddle.Contract            // any order
-	Instances []stoatpaddle.Instance            // any order
+	Contracts []stoatpaddle.Contract            // in any order
+	Instances []stoatpaddle.Instance            // in any order
 	Dead      map[stoatpaddle.InstanceID]bool   // entries that do not answer
 	Cut       map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
 	Leaving   map[stoatpaddle.InstanceID]bool   // upstreams marked as leaving
 }
 
-// Next returns the view that follows prev (nil at the start) under the input.
+// Next returns the view that follows prev under the input; prev is nil for the first view.
 func Next(prev *View, now time.Time, in Input) *View {
 	v := &View{
 		Number: 1,
@@ -58,7 +58,7 @@
 	return v
 }
 
-// updatePartitions keeps which data centres are cut off, and since when.
+// updatePartitions records which data centres are partitioned from this entry, and since when.
 func (v *View) updatePartitions(prev *View, now time.Time, in Input) {
 	v.Cut = in.Cut
 	if prev != nil {
@@ -74,6 +74,7 @@
 	}
 }
 
+// liveEntries returns the set of the entries that are live and answer.
 func liveEntries(in Input) *Ring {
 	var members []*Member
 	for _, i := range in.Instances {
@@ -85,23 +86,23 @@
 	return NewRing(members)
 }
 
-// pastEntrySets keeps the rings that flows may still be known under. A member that is dead or
-// gone is taken out of them, so that the owner under an earlier ring is the entry that
-// holds its copies; a packet sent to ask it would be lost.
-func pastEntrySets(prev *View, ring *Ring, now time.Time, in Input) []PastRing {
+// pastEntrySets returns the earlier entry sets under which another entry may still know a flow. Members
+// that are dead or gone are removed from them, so that the owner under an earlier set is the entry that
+// holds the copies of the dead owner's flows. A packet relayed to a dead entry for a lookup would be lost.
+func pastEntrySets(prev *View, entries *Ring, now time.Time, in Input) []PastRing {
 	answering := map[stoatpaddle.InstanceID]bool{}
 	for _, i := range in.Instances {
 		answering[i.ID] = !in.Dead[i.ID]
 	}
 	unreachable := func(m *Member) bool { return !answering[m.ID] }
 	if prev == nil {
-		// A joining entry takes keys over from entries that it never saw own them:
-		// without this ring it would decide by hash for flows that they know.
-		before := ring.without(func(m *Member) bool { return m.ID == in.Self })
+		// A joining entry takes over flows from entries that it never saw as owners. Without this set it
+		// would place flows by hash that those entries know.
+		before := entries.without(func(m *Member) bool { return m.ID == in.Self })
 		return []PastRing{{Full: before, Ring: before, Until: now}}
 	}
 	past := prev.Past
-	if prev.Ring != ring {
+	if prev.Ring != entries {
 		past = append([]PastRing{{Full: prev.Ring, Until: now}}, past...)
 	}
 	past = dropShortestLived(past)
@@ -112,9 +113,9 @@
 	return out
 }
 
-// dropShortestLived forgets the ring that was in force for the shortest time, if there are too
-// many: a cut or its end brings a ring for each entry, and those in force for a moment
-// must not push out the one before them.
+// dropShortestLived removes the entry set that was in force for the shortest time if there are too many.
+// The start or the end of a partition creates one set per entry that fails or recovers, and these
+// short-lived sets must not displace the one before them.
 func dropShortestLived(past []PastRing) []PastRing {
 	if len(past) <= maxPastEntrySets {
 		return past
@@ -141,7 +142,7 @@
 	}
 }
 
-// markDeparted marks the entries that left: a packet sent to one would be lost.
+// markDeparted records that entries which left do not answer: a packet sent to one would be lost.
 func (v *View) markDeparted() {
 	for _, p := range v.Past {
 		for _, m := range p.Full.Members {
@@ -158,6 +159,7 @@
 	return out
 }
 
+// addService adds a service of a contract and its upstreams.
 func (v *View) addService(prev *View, now time.Time, in Input, c stoatpaddle.Contract, svc *stoatpaddle.Service) {
 	ref := stoatpaddle.ServiceRef{Customer: c.Customer, Service: svc.ID}
 	s := &Service{
@@ -168,8 +170,8 @@
 		s.addUpstream(in, svc, &svc.Upstreams[i])
 	}
 	for i := range svc.Retired {
-		up := s.newUpstream(svc, &svc.Retired[i].Upstream)
-		s.byKey[up.Key] = up
+		retired := s.newUpstream(svc, &svc.Retired[i].Upstream)
+		s.byKey[retired.Key] = retired
 	}
 	s.Set = NewSet(s.Active)
 	s.Whole = s.Set
@@ -197,7 +199,7 @@
 	}
 }
 
-// newUpstream maps an upstream to what traffic needs of it.
+// newUpstream builds the data that the routing needs about an upstream.
 func (s *Service) newUpstream(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) *Upstream {
 	return &Upstream{
 		Key: KeyOf(s.Ref, u.ID), Ref: s.Ref, ID: u.ID, DataCentre: u.DataCentre, Addr: u.Addr,
@@ -206,6 +208,7 @@
 	}
 }
 
+// addUpstream adds a declared upstream, which takes new flows unless it is leaving or partitioned.
 func (s *Service) addUpstream(in Input, svc *stoatpaddle.Service, u *stoatpaddle.Upstream) {
 	up := s.newUpstream(svc, u)
 	s.byKey[up.Key] = up
@@ -220,7 +223,8 @@
 	s.Active = append(s.Active, up)
 }
 
-// effectiveWeight is the upstream's weight times its data centre's share.
+// effectiveWeight returns the upstream's weight times the share of its data centre. If the service declares
+// shares, a data centre without one gets 0.
 func effectiveWeight(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) stoatpaddle.Weight {
 	if len(svc.Centres) == 0 {
 		return u.Weight
@@ -233,7 +237,8 @@
 	return 0
 }
 
-// inheritSets takes over the earlier sets and tells whether the present one is new.
+// inheritSets takes over the earlier upstream sets and reports whether the current one differs from the
+// last.
 func (s *Service) inheritSets(old *Service, now time.Time) bool {
 	if old == nil {
 		return true
@@ -248,8 +253,8 @@
 			s.Past = s.Past[:maxPastSets]
 		}
 	}
-	// An upstream that left the contract still has open flows: it stays known by key
-	// as long as an earlier set has it, and no newcomer with its key can differ.
+	// An upstream that was removed from the contract still has open flows, so it can be found by key as
+	// long as an earlier set contains it. One that is declared again under its key is the same upstream.
 	for _, p := range s.Past {
 		for _, u := range p.Set.Upstreams {
 			if _, known := s.byKey[u.Key]; !known {
--- a/stoatview/owner.go
+++ b/stoatview/owner.go
@@ -6,16 +6,18 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Owner returns the entry that decides for the flow now, or nil.
+// Owner returns the entry that decides for the flow under this view, or nil if there are no entries.
 func (v *View) Owner(s *Service, k stoatpaddle.FlowHash) *Member {
 	return v.Ring.Owner(k, homeCentre(s.Set, k))
 }
 
-// OwnerNext returns the flow's owner and the entry that would own it next.
+// OwnerNext returns the flow's owner and its successor, the entry that would own the flow if the owner
+// left.
 func (v *View) OwnerNext(s *Service, k stoatpaddle.FlowHash) (owner, next *Member) {
 	return v.Ring.OwnerNext(k, homeCentre(s.Set, k))
 }
 
+// homeCentre returns the data centre of the flow's preferred upstream, or "" if the set is empty.
 func homeCentre(set *Set, k stoatpaddle.FlowHash) stoatpaddle.DataCentreID {
 	if u := set.First(k); u != nil {
 		return u.DataCentre
@@ -23,12 +25,12 @@
 	return ""
 }
 
-// MaxCandidates bounds the entries that are asked about one unknown flow.
+// MaxCandidates limits the number of entries that are queried about one unknown flow.
 const MaxCandidates = 6
 
-// Candidates appends to buf the other entries that may know the flow, most likely
-// first: its owners under the rings and sets that were in force less than settle ago.
-// It returns nothing in a settled view.
+// Candidates appends to buf the other entries that may know the flow, the most likely first: its owners
+// under the entry sets and upstream sets that were in force less than settle ago. It appends nothing when
+// the view has been unchanged for that long.
 func (v *View) Candidates(buf []*Member, s *Service, k stoatpaddle.FlowHash, now time.Time, settle time.Duration) []*Member {
 	if now.Sub(v.Changed) >= settle {
 		return buf
@@ -46,21 +48,23 @@
 	return buf
 }
 
+// appendOwners appends the flow's owners within one entry set, under the current and the recent upstream
+// sets.
 func (v *View) appendOwners(
-	buf []*Member, s *Service, k stoatpaddle.FlowHash, ring *Ring, now time.Time, settle time.Duration,
+	buf []*Member, s *Service, k stoatpaddle.FlowHash, entries *Ring, now time.Time, settle time.Duration,
 ) []*Member {
-	buf = v.appendCandidate(buf, ring.Owner(k, homeCentre(s.Set, k)))
+	buf = v.appendCandidate(buf, entries.Owner(k, homeCentre(s.Set, k)))
 	for _, p := range s.Past {
 		if now.Sub(p.Until) >= settle {
 			break
 		}
-		buf = v.appendCandidate(buf, ring.Owner(k, homeCentre(p.Set, k)))
+		buf = v.appendCandidate(buf, entries.Owner(k, homeCentre(p.Set, k)))
 	}
 	return buf
 }
 
-// appendCopyHolders adds the owner in each data centre: after one was cut off, the flow's own
-// may be gone, but a flow whose upstream is not in its home has a copy where that is.
+// appendCopyHolders appends the flow's owner in each data centre. After a partition the owner in the flow's
+// home data centre may be gone, but a flow whose upstream is in another data centre has a copy there.
 func (v *View) appendCopyHolders(buf []*Member, k stoatpaddle.FlowHash) []*Member {
 	for _, dc := range v.Ring.centres {
 		buf = v.appendCandidate(buf, v.Ring.Owner(k, dc))
@@ -68,6 +72,8 @@
 	return buf
 }
 
+// appendCandidate appends the entry unless it is this one, is already in buf, or buf has MaxCandidates
+// entries.
 func (v *View) appendCandidate(buf []*Member, m *Member) []*Member {
 	if m == nil || m.ID == v.Self || len(buf) >= MaxCandidates {
 		return buf
@@ -80,9 +86,9 @@
 	return append(buf, m)
 }
 
-// Before returns the entry of this one's data centre that owned the flow's share of it
-// before this one did, if that changed less than settle ago, or nil. An entry that is
-// asked about a flow soon after it joined asks on: the one before it may know.
+// Before returns the entry that owned this flow within this entry's data centre before this entry did, or
+// nil if ownership did not change less than settle ago. An entry that receives a lookup soon after it
+// joined forwards the lookup to that entry, which may know the flow.
 func (v *View) Before(k stoatpaddle.FlowHash, now time.Time, settle time.Duration) *Member {
 	self := v.Ring.Find(v.Self)
 	if self == nil || v.Ring.Owner(k, self.DataCentre) != self {
@@ -99,18 +105,19 @@
 	return nil
 }
 
-// CutGrace is how long the entries beyond a cut may take to be heard again, one after
-// the other, once the first one is.
+// CutGrace is how long the entries beyond a partition may take to answer again, one after the other, once
+// the first of them does.
 const CutGrace = 3 * time.Second
 
-// CutLately tells whether a data centre is cut off or was a moment ago.
+// CutLately reports whether a data centre is partitioned or was less than PartitionGrace ago.
 func (v *View) CutLately(now time.Time) bool {
 	return len(v.Cut) > 0 || now.Sub(v.partitionSeen) < CutGrace
 }
 
-// Elsewhere tells whether an unknown packet that opens nothing may belong to a flow that
-// only entries beyond a cut know: its first choice is there, or this entry owned it before
-// the cut and would know it, or took it over because of the cut.
+// Elsewhere reports whether a packet that opens nothing and is unknown here may belong to a flow that only
+// entries beyond a partition know. That is so if its preferred upstream is beyond the partition, if this
+// entry owned the flow before the partition, and so would know it had it opened here, or if this entry took
+// ownership because of the partition. For PartitionGrace after a partition it is so for every flow.
 func (v *View) Elsewhere(s *Service, k stoatpaddle.FlowHash, now time.Time) bool {
 	if len(v.Cut) == 0 {
 		return v.CutLately(now)
@@ -122,10 +129,10 @@
 	return !ok || !at.After(v.CutAt)
 }
 
-// TakenOver returns when this entry began to own the flow: the end of the last ring
-// under which another one did; ok is false if it always has, as far back as is known.
-// What opened since is known here, so an unknown packet that opens nothing belongs to
-// the set that was in force then.
+// TakenOver returns when this entry began to own the flow, which is the end of the last entry set under
+// which another entry owned it. ok is false if this entry has owned it for as long as the view records. A
+// flow that opened later is known here, so an unknown packet that opens nothing belongs to a flow of the
+// upstream set that was in force at that time.
 func (v *View) TakenOver(s *Service, k stoatpaddle.FlowHash) (at time.Time, ok bool) {
 	for _, p := range v.Past {
 		m := p.Full.Owner(k, homeCentre(s.SetAt(p.Until.Add(-1)), k))
--- a/stoatview/rendezvous.go
+++ b/stoatview/rendezvous.go
@@ -8,7 +8,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// mix is the finalizer of MurmurHash3 (Appleby 2011): it spreads the flow's keyed hash anew for each candidate.
+// mix is the finalizer of MurmurHash3 (Appleby 2011). It derives an independent hash for each candidate
+// from the flow's keyed hash and the candidate's seed.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -18,17 +19,18 @@
 	return x
 }
 
-// seedOf derives a candidate's seed from its kind and name, so that entries and upstreams choose independently.
+// seedOf derives a candidate's seed from its kind and name, so that the choice of the entry and that of the
+// upstream are independent.
 func seedOf(kind, name string) uint64 { return xxhash.Sum64String(kind + "\x00" + name) }
 
-// weightedScore is the weighted rendezvous weightedScore, highest wins (Schindelhauer and Schomaker 2005).
+// weightedScore returns the weighted rendezvous score; the highest wins (Schindelhauer and Schomaker 2005).
 func weightedScore(k stoatpaddle.FlowHash, seed uint64, w stoatpaddle.Weight) float64 {
 	const half = 0.5
 	u := (float64(mix(uint64(k)^seed)>>11) + half) / (1 << 53)
 	return -float64(w) / math.Log(u)
 }
 
-// KeyOf returns the name of an upstream in records between entries.
+// KeyOf returns the key that identifies an upstream in records between entries.
 func KeyOf(ref stoatpaddle.ServiceRef, id stoatpaddle.UpstreamID) stoatpaddle.UpstreamKey {
 	return stoatpaddle.UpstreamKey(xxhash.Sum64String(ref.String() + "/" + string(id)))
 }
--- a/stoatview/ring.go
+++ b/stoatview/ring.go
@@ -8,7 +8,7 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Member is one entry instance as traffic sees it.
+// Member is the routing data of one entry instance.
 type Member struct {
 	ID         stoatpaddle.InstanceID
 	DataCentre stoatpaddle.DataCentreID
@@ -21,54 +21,57 @@
 	return &Member{ID: id, DataCentre: dc, Relay: relay, seed: seedOf("entry", string(id))}
 }
 
-// Ring is the entries that own flows, ascending by id; it never changes.
+// Ring holds the entries that own flows, in ascending order of id. It is immutable.
 type Ring struct {
 	Members []*Member
-	centres []stoatpaddle.DataCentreID // of the members, each once
+	centres []stoatpaddle.DataCentreID // the data centres of the members, each listed once
 }
 
-// NewRing returns a ring of the members.
+// NewRing returns the set of the members, which it sorts in place.
 func NewRing(members []*Member) *Ring {
 	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
 	return newSortedEntrySet(members)
 }
 
+// newSortedEntrySet returns the set of members that are already sorted by id.
 func newSortedEntrySet(members []*Member) *Ring {
-	r := &Ring{Members: members}
+	e := &Ring{Members: members}
 	for _, m := range members {
-		if !slices.Contains(r.centres, m.DataCentre) {
-			r.centres = append(r.centres, m.DataCentre)
+		if !slices.Contains(e.centres, m.DataCentre) {
+			e.centres = append(e.centres, m.DataCentre)
 		}
 	}
-	return r
+	return e
 }
 
-// Owner returns the entry that decides for a flow whose first choice is in dc, or nil from an empty ring.
+// Owner returns the entry that decides for a flow whose preferred upstream is in dc, or nil if the set is
+// empty.
 //
-// The owner shares its data centre with the first choice, so that a partition
-// between data centres does not part a flow's owner from its upstream. Where the
-// data centre has no entry, one of the others decides.
-func (r *Ring) Owner(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) *Member {
-	owner, _ := r.OwnerNext(k, dc)
+// The owner is in the same data centre as the preferred upstream, so that a partition between data centres
+// does not separate a flow's owner from its upstream. If the data centre has no entry, an entry of another
+// data centre is the owner.
+func (e *Ring) Owner(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) *Member {
+	owner, _ := e.OwnerNext(k, dc)
 	return owner
 }
 
-// OwnerNext returns the owner and the entry that would own the flow without it.
-func (r *Ring) OwnerNext(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) (owner, next *Member) {
-	owner, next = r.topTwo(k, dc, nil)
+// OwnerNext returns the owner and its successor, the entry that would own the flow if the owner left.
+func (e *Ring) OwnerNext(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) (owner, next *Member) {
+	owner, next = e.topTwo(k, dc, nil)
 	if owner == nil {
-		return r.topTwo(k, "", nil)
+		return e.topTwo(k, "", nil)
 	}
 	if next == nil {
-		next, _ = r.topTwo(k, "", owner)
+		next, _ = e.topTwo(k, "", owner)
 	}
 	return owner, next
 }
 
-// topTwo returns the topTwo highest scores within dc, or over all data centres if dc is empty.
-func (r *Ring) topTwo(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, excluded *Member) (first, second *Member) {
+// topTwo returns the members with the two highest scores within dc, or over all data centres if dc is
+// empty.
+func (e *Ring) topTwo(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, excluded *Member) (first, second *Member) {
 	var firstScore, secondScore uint64
-	for _, m := range r.Members {
+	for _, m := range e.Members {
 		if m == excluded || (dc != "" && m.DataCentre != dc) {
 			continue
 		}
@@ -85,34 +88,36 @@
 }
 
 // Find returns the member with the id, or nil.
-func (r *Ring) Find(id stoatpaddle.InstanceID) *Member {
-	i := sort.Search(len(r.Members), func(i int) bool { return r.Members[i].ID >= id })
-	if i < len(r.Members) && r.Members[i].ID == id {
-		return r.Members[i]
+func (e *Ring) Find(id stoatpaddle.InstanceID) *Member {
+	i := sort.Search(len(e.Members), func(i int) bool { return e.Members[i].ID >= id })
+	if i < len(e.Members) && e.Members[i].ID == id {
+		return e.Members[i]
 	}
 	return nil
 }
 
-// without returns the ring less the members for which drop is true, and the ring itself if there are none.
-func (r *Ring) without(remove func(*Member) bool) *Ring {
-	kept := make([]*Member, 0, len(r.Members))
-	for _, m := range r.Members {
+// without returns the set without the members for which remove returns true. It returns the set itself if
+// none is removed.
+func (e *Ring) without(remove func(*Member) bool) *Ring {
+	kept := make([]*Member, 0, len(e.Members))
+	for _, m := range e.Members {
 		if !remove(m) {
 			kept = append(kept, m)
 		}
 	}
-	if len(kept) == len(r.Members) {
-		return r
+	if len(kept) == len(e.Members) {
+		return e
 	}
 	return newSortedEntrySet(kept)
 }
 
-func (r *Ring) equal(t *Ring) bool {
-	if len(r.Members) != len(t.Members) {
+// equal reports whether both sets have the same members at the same relay addresses.
+func (e *Ring) equal(other *Ring) bool {
+	if len(e.Members) != len(other.Members) {
 		return false
 	}
-	for i, m := range r.Members {
-		if m.ID != t.Members[i].ID || m.Relay != t.Members[i].Relay {
+	for i, m := range e.Members {
+		if m.ID != other.Members[i].ID || m.Relay != other.Members[i].Relay {
 			return false
 		}
 	}
--- a/stoatview/set.go
+++ b/stoatview/set.go
@@ -7,7 +7,7 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Upstream is one server as traffic sees it.
+// Upstream is the routing data of one upstream.
 type Upstream struct {
 	Key         stoatpaddle.UpstreamKey
 	Ref         stoatpaddle.ServiceRef
@@ -15,19 +15,19 @@
 	DataCentre  stoatpaddle.DataCentreID
 	Addr        netip.AddrPort
 	Weight      stoatpaddle.Weight
-	Slots       int
-	Connections int
-	Opens       int
+	Slots       int // requests that may run at once
+	Connections int // open flows at most; 0: no limit
+	Opens       int // new flows a second at most; 0: no limit
 	seed        uint64
 }
 
-// Set is the upstreams that take new flows of one service, ascending by key; it never changes.
+// Set holds the upstreams that take new flows of one service, in ascending order of key. It is immutable.
 type Set struct {
 	Upstreams    []*Upstream
-	equalWeights bool
+	equalWeights bool // the upstreams all have the same weight
 }
 
-// NewSet returns a set of the upstreams whose weight is positive.
+// NewSet returns a set of those of the upstreams whose weight is positive.
 func NewSet(upstreams []*Upstream) *Set {
 	s := &Set{equalWeights: true}
 	for _, u := range upstreams {
@@ -42,10 +42,10 @@
 	return s
 }
 
-// First returns the upstream that the flow's hash chooses, or nil from an empty set.
+// First returns the upstream with the highest rendezvous score for the flow, or nil if the set is empty.
 //
-// OPT(rendezvous): the cost grows with the set; above a few hundred upstreams a
-// skeleton (Yao and Ravishankar 2008) would bring it to a logarithm.
+// OPT(rendezvous): the cost is linear in the size of the set; above a few hundred upstreams a skeleton (Yao
+// and Ravishankar 2008) would make it logarithmic.
 func (s *Set) First(k stoatpaddle.FlowHash) *Upstream {
 	if !s.equalWeights {
 		return s.firstWeighted(k)
@@ -71,19 +71,19 @@
 	return best
 }
 
-// Has tells whether the set holds the upstream.
+// Has reports whether the set contains the upstream.
 func (s *Set) Has(key stoatpaddle.UpstreamKey) bool {
 	i := sort.Search(len(s.Upstreams), func(i int) bool { return s.Upstreams[i].Key >= key })
 	return i < len(s.Upstreams) && s.Upstreams[i].Key == key
 }
 
-// sameUpstreams tells whether both sets place every flow alike and bound their upstreams alike.
-func (s *Set) sameUpstreams(t *Set) bool {
-	if len(s.Upstreams) != len(t.Upstreams) {
+// sameUpstreams reports whether both sets place every flow alike and have the same limits on each upstream.
+func (s *Set) sameUpstreams(other *Set) bool {
+	if len(s.Upstreams) != len(other.Upstreams) {
 		return false
 	}
 	for i, u := range s.Upstreams {
-		v := t.Upstreams[i]
+		v := other.Upstreams[i]
 		if u.Key != v.Key || u.Weight != v.Weight || u.DataCentre != v.DataCentre || u.Addr != v.Addr ||
 			u.Connections != v.Connections || u.Opens != v.Opens || u.Slots != v.Slots {
 			return false
--- a/stoatview/view.go
+++ b/stoatview/view.go
@@ -9,20 +9,20 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// PastSet is a set that was in force until a time.
+// PastSet is an upstream set that was in force until a time.
 type PastSet struct {
 	Set   *Set
 	Until time.Time
 }
 
-// PastRing is a ring that was in force until a time.
+// PastRing is an entry set that was in force until a time.
 type PastRing struct {
-	Full  *Ring // as it was
-	Ring  *Ring // less the members that are dead now
+	Full  *Ring // as it was in force
+	Ring  *Ring // without the members that are dead or gone now
 	Until time.Time
 }
 
-// Service is one service as traffic sees it.
+// Service is the routing data of one service.
 type Service struct {
 	Ref         stoatpaddle.ServiceRef
 	Kind        stoatpaddle.Kind
@@ -30,18 +30,18 @@
 	Limits      stoatpaddle.Limits
 	Protocol    stoatpaddle.Protocol
 	Host        string
-	Set         *Set
-	Whole       *Set      // Set and the upstreams in data centres that are cut off
-	Past        []PastSet // newest first
-	Active      []*Upstream
+	Set         *Set        // the upstreams that take new flows
+	Whole       *Set        // Set and the upstreams in partitioned data centres
+	Past        []PastSet   // newest first
+	Active      []*Upstream // declared, not leaving and not partitioned; also those of weight 0
 	byKey       map[stoatpaddle.UpstreamKey]*Upstream
-	partitioned []*Upstream
+	partitioned []*Upstream // declared and not leaving, but in a partitioned data centre
 }
 
-// Upstream returns the upstream by key, also one that takes no new flows, or nil.
+// Upstream returns the upstream with the key, including those that take no new flows, or nil.
 func (s *Service) Upstream(key stoatpaddle.UpstreamKey) *Upstream { return s.byKey[key] }
 
-// SetAt returns the set that was in force at t, as far back as is known.
+// SetAt returns the set that was in force at t, or the oldest recorded one if t is earlier.
 func (s *Service) SetAt(t time.Time) *Set {
 	set := s.Set
 	for _, p := range s.Past {
@@ -53,13 +53,13 @@
 	return set
 }
 
-// destination is the address of a flow service.
+// destination is an address and protocol that a flow service listens on.
 type destination struct {
 	dst   netip.AddrPort
 	proto stoatpaddle.Protocol
 }
 
-// View is the routing snapshot; it never changes after Next returned it.
+// View is a routing snapshot. It is not modified after Next has returned it.
 type View struct {
 	Number        uint64
 	Self          stoatpaddle.InstanceID
@@ -67,18 +67,18 @@
 	Ring          *Ring
 	Past          []PastRing                        // newest first
 	Services      []*Service                        // ascending by reference
-	Changed       time.Time                         // when Ring or any Set last changed
+	Changed       time.Time                         // when the entry set or any upstream set last changed
 	Cut           map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
-	CutAt         time.Time                         // when Cut last became longer
-	partitionSeen time.Time                         // when Cut was last seen not empty
+	CutAt         time.Time                         // when a data centre was last added to Partitioned
+	partitionSeen time.Time                         // when Partitioned was last not empty
 	flowServices  map[destination]*Service
 	callServices  map[string]*Service
 	byRef         map[stoatpaddle.ServiceRef]*Service
 	byKey         map[stoatpaddle.UpstreamKey]*Upstream
-	relayAnswers  map[netip.AddrPort]bool // of all entries; true for those that answer
+	relayAnswers  map[netip.AddrPort]bool // of all known entries; true for those that answer
 }
 
-// Flow returns the flow service that owns the destination, or nil.
+// Flow returns the flow service that listens on the destination, or nil.
 func (v *View) Flow(dst netip.AddrPort, proto stoatpaddle.Protocol) *Service {
 	return v.flowServices[destination{dst: dst, proto: proto}]
 }
@@ -86,20 +86,20 @@
 // Host returns the call service with that authority, or nil.
 func (v *View) Host(host string) *Service { return v.callServices[host] }
 
-// Service returns the service by reference, or nil.
+// Service returns the service with the reference, or nil.
 func (v *View) Service(ref stoatpaddle.ServiceRef) *Service { return v.byRef[ref] }
 
-// Upstream returns the upstream by key over all services, or nil.
+// Upstream returns the upstream with the key among those of all services, or nil.
 func (v *View) Upstream(key stoatpaddle.UpstreamKey) *Upstream { return v.byKey[key] }
 
-// Alive tells whether the address may belong to an entry that answers: one that is not
-// known yet has joined a moment ago.
+// Alive reports whether the relay address may belong to an entry that answers. An unknown address counts as
+// alive, since its entry may have joined a moment ago.
 func (v *View) Alive(addr netip.AddrPort) bool {
 	answers, known := v.relayAnswers[addr]
 	return answers || !known
 }
 
-// Upstreams returns every upstream that the service knows by key, ascending by key.
+// Upstreams returns every upstream that the service has by key, in ascending order of key.
 func (s *Service) Upstreams() []*Upstream {
 	out := make([]*Upstream, 0, len(s.byKey))
 	for _, u := range s.byKey {
@@ -109,8 +109,8 @@
 	return out
 }
 
-// Reachable tells whether records may be sent to the entry: it is in the ring, or it
-// left a short while ago and still serves.
+// Reachable reports whether records may be sent to the entry: it is a member of the current entry set, or
+// it left a short while ago and still serves.
 func (v *View) Reachable(id stoatpaddle.InstanceID) bool {
 	if v.Ring.Find(id) != nil {
 		return true
