--- a/stoatpacket/doc.go
+++ b/stoatpacket/doc.go
@@ -1,3 +1,3 @@
-// Package stoatpacket holds what an entry knows of one packet, on either fabric: its flow,
-// what it does to the flow, and why it was dropped.
+// Package stoatpacket defines what an entry reads from one packet, on either fabric: the flow that it
+// belongs to, its effect on the flow, and the reason why it was dropped.
 package stoatpacket
--- a/stoatpacket/packet.go
+++ b/stoatpacket/packet.go
@@ -9,32 +9,32 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// DropReason tells why a packet was not forwarded.
+// DropReason is the reason why a packet was not forwarded.
 type DropReason uint8
 
-// The reasons for dropping a packet, in the order of the checks.
+// The reasons for dropping a packet, in the order of dropNames.
 const (
-	DropNone DropReason = iota
-	DropShort
+	DropNone  DropReason = iota
+	DropShort            // too short for its headers
 	DropNotIP
 	DropFragment
 	DropProtocol
 	DropUnknownService
 	DropLimit
 	DropNoUpstream
-	DropHops
-	DropForeignRelay
-	DropElsewhere // of a flow that entries beyond a cut may know
-	DropLength    // a length that is not the datagram's
-	DropFlags     // flags that no caller sends
-	DropOwn       // an address of this entry as the caller's
-	DropForged    // a cookie of a service that the route never had
-	DropUnproven  // a cookie that this entry cannot judge yet
-	DropYoung     // this entry has no configuration yet
-	DropGone      // the flow's upstream is gone
-	DropNoRoute   // no route has the address
-	DropOverload  // it would be answered late, and make others late
-	DropCount     // number of reasons
+	DropHops         // passed too many entries
+	DropForeignRelay // a relayed datagram that no entry of the cluster sent
+	DropElsewhere    // its flow may be known only to entries beyond a partition
+	DropLength       // its length field differs from the length of the datagram
+	DropFlags        // flags that no caller sends
+	DropOwn          // the caller's address is one of this entry
+	DropForged       // the cookie belongs to a service that the route never had
+	DropUnproven     // this entry cannot verify the cookie yet
+	DropYoung        // this entry has no configuration yet
+	DropGone         // the flow's upstream is gone
+	DropNoRoute      // no route has the address
+	DropOverload     // it would be answered late and delay others
+	DropCount        // number of reasons
 )
 
 var dropNames = [DropCount]string{
@@ -45,30 +45,31 @@
 // String returns the metric label of the reason.
 func (r DropReason) String() string { return dropNames[r] }
 
-// Tuple is a flow's five-tuple, seen from the caller.
+// Tuple is the five-tuple of a flow, with the caller as the source.
 type Tuple struct {
 	Src      netip.AddrPort
 	Dst      netip.AddrPort
 	Protocol stoatpaddle.Protocol
 }
 
-// Packet is what an entry needs to know of one inner packet.
+// Packet is the part of one inner packet on which the decisions of an entry depend.
 type Packet struct {
 	Tuple Tuple
-	Opens bool   // TCP SYN without ACK; every UDP packet may open
+	Opens bool   // TCP SYN without ACK; any UDP packet, as it may be the first of its flow
 	Ends  bool   // TCP FIN or RST
 	Reset bool   // TCP RST
-	ICMP  bool   // an ICMP error that quotes the tuple, reversed
+	ICMP  bool   // an ICMP error that quotes the tuple, in reverse
 	Seq   uint32 // TCP sequence number
 	Ack   uint32 // TCP acknowledgment number
-	Size  int    // TCP payload, bytes
+	Size  int    // TCP payload in bytes
 
-	// On a fabric whose packets bring back what an entry wrote into them:
-	Cookie stoatpaddle.UpstreamKey // the flow's upstream; 0 while it opens
-	Copies int                     // of an opening packet: how many were sent before
+	// These fields are set on a fabric whose packets return what an entry wrote into earlier ones.
+	Cookie stoatpaddle.UpstreamKey // key of the flow's upstream; 0 while the flow opens
+	Copies int                     // of an opening packet: how many were sent before it
 }
 
-// Seed is the cluster's secret hash key; without it callers could aim flows at one upstream.
+// Seed is the cluster's secret hash key. Without a secret, callers could choose tuples that all hash to one
+// upstream.
 type Seed struct{ K0, K1 uint64 }
 
 // Hash returns the keyed hash of the tuple.
