--- a/stoatflow/advance.go
+++ b/stoatflow/advance.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	scanAtOnce = 8 // shards compared with a new view in one Advance
-	// sendEvery is how long records wait for company: a flow whose owner dies before its
+	shardsPerAdvance = 8 // shards compared with a new view in one Advance
+	// flushInterval is how long records wait for company: a flow whose owner dies before its
 	// copy left may break.
-	sendEvery = 200 * time.Millisecond
+	flushInterval = 200 * time.Millisecond
 
-	openingIdle = 10 * time.Second
-	closingIdle = 2 * time.Second
-	// tcpIdle is long, because a feed may be quiet for hours; it bounds the flows whose
+	openingIdleTimeout = 10 * time.Second
+	closingIdleTimeout = 2 * time.Second
+	// tcpIdleTimeout is long, because a feed may be quiet for hours; it bounds the flows whose
 	// callers vanished without a word.
-	tcpIdle = 8 * time.Hour
-	udpIdle = 5 * time.Minute
+	tcpIdleTimeout = 8 * time.Hour
+	udpIdleTimeout = 5 * time.Minute
 )
 
 // Prepare makes the engine ready for packets under the view; call it before the view is published.
 func (e *Engine) Prepare(now time.Time, v *stoatview.View) {
 	e.syncRegistry(now, v)
 	e.forgetReports(v)
-	e.out.keep(v)
+	e.outbox.discardUnreachable(v)
 }
 
 // Advance does the periodic work and returns what to send; call it from one goroutine
@@ -34,23 +34,23 @@
 func (e *Engine) Advance(now time.Time, v *stoatview.View, connected func(stoatpaddle.InstanceID) bool) []Batch {
 	scanned := 0
 	for i := range e.shards {
-		if scanned == scanAtOnce {
+		if scanned == shardsPerAdvance {
 			break
 		}
-		if e.shards[i].scanned != v {
-			e.scan(now, v, &e.shards[i])
+		if e.shards[i].scannedView != v {
+			e.scanShard(now, v, &e.shards[i])
 			scanned++
 		}
 	}
 	e.resync(v)
-	e.sweepShard(now, v, &e.shards[e.sweep%shardCount])
-	e.sweep++
-	if now.Sub(e.sent) < sendEvery {
+	e.sweepShard(now, v, &e.shards[e.nextSweep%shardCount])
+	e.nextSweep++
+	if now.Sub(e.lastFlush) < flushInterval {
 		return nil
 	}
-	e.sent = now
+	e.lastFlush = now
 	e.reportLoads(now, v)
-	out := e.out.flush(now, e.cfg.Budget, connected)
+	out := e.outbox.flush(now, e.cfg.Budget, connected)
 	for i := range out {
 		e.stats.Bytes.Add(int64(out[i].Size()))
 	}
@@ -62,19 +62,19 @@
 	for i := range e.shards {
 		sh := &e.shards[i]
 		sh.mu.Lock()
-		done := sh.scanned == v
+		done := sh.scannedView == v
 		sh.mu.Unlock()
 		if !done {
 			return false
 		}
 	}
-	return e.out.sent()
+	return e.outbox.drained()
 }
 
 // HandoverTime estimates how long the budget takes to hand over every tracked flow.
 func (e *Engine) HandoverTime() time.Duration {
 	_, trackedFlows, _ := e.Flows()
-	bytes := e.out.pending() + trackedFlows*RecordSize
+	bytes := e.outbox.pendingBytes() + trackedFlows*RecordSize
 	return time.Duration(bytes) * time.Second / time.Duration(e.cfg.Budget)
 }
 
@@ -85,35 +85,35 @@
 	t := e.tick(now)
 	settled := now.Sub(v.Changed) > e.cfg.Settle
 	r := e.reg.Load()
-	var late []stoatpaddle.FlowHash
+	var unbacked []stoatpaddle.FlowHash
 	for k, f := range sh.flows {
-		if t-f.seen > idleOf(f, v, r.slots[f.slot]) {
-			e.forget(v, sh, k, f)
+		if t-f.lastSeen > idleTimeout(f, v, r.slots[f.slot]) {
+			e.removeFlow(v, sh, k, f)
 			continue
 		}
-		if f.flags&(tracked|owned|backed) == tracked|owned {
-			late = append(late, k)
+		if f.flags&(tracked|owned|backedUp) == tracked|owned {
+			unbacked = append(unbacked, k)
 		}
 		if settled && f.flags&owned == 0 && f.flags&closing == 0 {
 			// Its owner knows it by now, if it is tracked, or computes it.
 			if f.flags&opening != 0 {
-				sh.opening--
+				sh.openingCount--
 			}
 			delete(sh.flows, k)
 		}
 	}
-	slices.Sort(late)
-	for _, k := range late {
-		e.backUp(v, sh, k)
+	slices.Sort(unbacked)
+	for _, k := range unbacked {
+		e.enqueueBackup(v, sh, k)
 	}
-	for k, m := range sh.moved {
-		if t >= m.until {
-			delete(sh.moved, k)
+	for k, m := range sh.claims {
+		if t >= m.expires {
+			delete(sh.claims, k)
 		}
 	}
-	for k, w := range sh.waiting {
-		if t-w.seen >= ticks(openingIdle) {
-			delete(sh.waiting, k)
+	for k, w := range sh.deferred {
+		if t-w.seen >= ticks(openingIdleTimeout) {
+			delete(sh.deferred, k)
 		}
 	}
 	if settled {
@@ -121,17 +121,17 @@
 	}
 }
 
-func idleOf(f flow, v *stoatview.View, sl *slot) tick {
+func idleTimeout(f flow, v *stoatview.View, sl *slot) tick {
 	switch {
 	case f.flags&closing != 0:
-		return ticks(closingIdle)
+		return ticks(closingIdleTimeout)
 	case f.flags&opening != 0:
-		return ticks(openingIdle)
+		return ticks(openingIdleTimeout)
 	}
 	if s := v.Service(sl.ref); s != nil && s.Protocol != tcp {
-		return ticks(udpIdle)
+		return ticks(udpIdleTimeout)
 	}
-	return ticks(tcpIdle)
+	return ticks(tcpIdleTimeout)
 }
 
 // sweepCopies removes the copies of which this entry is not a holder any more.
@@ -140,18 +140,18 @@
 	for k, c := range sh.copies {
 		sl := r.slots[c.slot]
 		s := v.Service(sl.ref)
-		if s == nil || !holds(v, s, k, sl) {
+		if s == nil || !holdsCopy(v, s, k, sl) {
 			delete(sh.copies, k)
 		}
 	}
 }
 
-// holds tells whether this entry keeps the copy of a flow on that upstream.
-func holds(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
+// holdsCopy tells whether this entry keeps the copy of a flow on that upstream.
+func holdsCopy(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
 	owner, next := v.OwnerNext(s, k)
 	if owner != nil && owner.ID == v.Self || next != nil && next.ID == v.Self {
 		return true
 	}
-	m := v.Ring.Owner(k, sl.up.Load().DataCentre)
+	m := v.Ring.Owner(k, sl.upstream.Load().DataCentre)
 	return m != nil && m.ID == v.Self
 }
--- a/stoatflow/drained_test.go
+++ b/stoatflow/drained_test.go
@@ -12,12 +12,12 @@
 func TestDropsDoNotHoldUpAStop(t *testing.T) {
 	var o outbox
 	o.init()
-	o.drop("b", 7)
-	if !o.sent() {
+	o.enqueueDrop("b", 7)
+	if !o.drained() {
 		t.Error("a drop that waits for company counts as something to hand over")
 	}
-	o.copy("b", Record{Key: 8})
-	if o.sent() {
+	o.enqueueCopy("b", Record{Key: 8})
+	if o.drained() {
 		t.Error("a copy does not")
 	}
 }
--- a/stoatflow/engine.go
+++ b/stoatflow/engine.go
@@ -77,18 +77,18 @@
 
 // Engine owns the flow table of one entry. Its methods may be called concurrently.
 type Engine struct {
-	cfg     Config
-	shards  [shardCount]shard
-	reg     atomic.Pointer[registry]
-	regMu   sync.Mutex
-	out     outbox
-	usage   usageTable
-	stats   Stats
-	syncs   []peerSync            // under regMu
-	sweep   int                   // next shard to sweep; used by Advance only
-	reports reports               // under regMu
-	sent    time.Time             // when Advance last sent; used by it only
-	told    map[audience]reported // used by Advance only
+	cfg         Config
+	shards      [shardCount]shard
+	reg         atomic.Pointer[registry]
+	regMu       sync.Mutex
+	outbox      outbox
+	usage       usageTable
+	stats       Stats
+	resyncs     []peerSync                 // under regMu
+	nextSweep   int                        // next shard to sweep; used by Advance only
+	reports     receivedReports            // under regMu
+	lastFlush   time.Time                  // when Advance last sent; used by it only
+	sentReports map[reportScope]sentReport // used by Advance only
 }
 
 // Stats counts what the engine did since its start.
@@ -125,8 +125,8 @@
 	}
 	e.reg.Store(&registry{byKey: map[stoatpaddle.UpstreamKey]slotIndex{}})
 	e.usage.init()
-	e.told = map[audience]reported{}
-	e.out.init()
+	e.sentReports = map[reportScope]sentReport{}
+	e.outbox.init()
 	return e
 }
 
@@ -147,7 +147,7 @@
 // gain returns the weight of load differences for a customer, less when the byte budget
 // is short: a tracked flow whose copy waits would break with this entry.
 func (e *Engine) gain(lean stoatpaddle.Lean) float64 {
-	gain := e.cfg.Gain * e.out.ease()
+	gain := e.cfg.Gain * e.outbox.gainFactor()
 	if lean == stoatpaddle.LeanFlows {
 		return gain * leanFlowsGain
 	}
--- a/stoatflow/header.go
+++ b/stoatflow/header.go
@@ -32,7 +32,7 @@
 // HeaderSize is the length of an encoded header, bytes.
 const HeaderSize = 8
 
-const taggedSize = 4 // of the header, before the tag
+const tagOffset = 4 // of the header, before the tag
 
 // headerVersion is the first byte; no IP version has its high half, so that a packet
 // from the fabric sent to the wrong port cannot pass for a relayed one.
@@ -56,16 +56,16 @@
 	b[1] = byte(h.Kind)
 	b[2] = h.Hops
 	b[3] = h.Asked
-	binary.BigEndian.PutUint32(b[taggedSize:], tag(b, seed, k))
+	binary.BigEndian.PutUint32(b[tagOffset:], authTag(b, seed, k))
 }
 
-// tag proves that the header comes from an entry of the cluster: only those know the
+// authTag proves that the header comes from an entry of the cluster: only those know the
 // seed. A check of the sender's address would refuse an entry that joined a moment ago
 // and is not known here yet, and its packets would be lost while views differ.
-func tag(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) uint32 {
-	var msg [taggedSize + 8]byte
-	copy(msg[:], b[:taggedSize])
-	binary.BigEndian.PutUint64(msg[taggedSize:], uint64(k))
+func authTag(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) uint32 {
+	var msg [tagOffset + 8]byte
+	copy(msg[:], b[:tagOffset])
+	binary.BigEndian.PutUint64(msg[tagOffset:], uint64(k))
 	return uint32(siphash.Hash(seed.K1, seed.K0, msg[:]))
 }
 
@@ -93,7 +93,7 @@
 
 // Genuine tells whether the header in b was made for flow k by an entry of the cluster.
 func Genuine(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) bool {
-	return binary.BigEndian.Uint32(b[taggedSize:]) == tag(b, seed, k)
+	return binary.BigEndian.Uint32(b[tagOffset:]) == authTag(b, seed, k)
 }
 
 // ReadHeader decodes the header of a datagram, or returns *HeaderError.
--- a/stoatflow/outbox.go
+++ b/stoatflow/outbox.go
@@ -47,15 +47,15 @@
 
 // Size returns the encoded size, bytes.
 func (b *Batch) Size() int {
-	n := BatchSize + listSize(len(b.Moves)*RecordSize) + listSize(len(b.Copies)*RecordSize) + listSize(len(b.Drops)*DropSize)
+	n := BatchSize + encodedListSize(len(b.Moves)*RecordSize) + encodedListSize(len(b.Copies)*RecordSize) + encodedListSize(len(b.Drops)*DropSize)
 	for _, l := range b.Loads {
 		n += l.size()
 	}
 	return n
 }
 
-// listSize adds the two bytes that the length of a long list takes more.
-func listSize(bytes int) int {
+// encodedListSize adds the two bytes that the length of a long list takes more.
+func encodedListSize(bytes int) int {
 	if bytes >= 1<<8 {
 		return bytes + 2
 	}
@@ -70,8 +70,8 @@
 	return n
 }
 
-// leastRoom keeps a batch worth its own overhead.
-const leastRoom = BatchSize + 4*RecordSize
+// minBatchRoom keeps a batch worth its own overhead.
+const minBatchRoom = BatchSize + 4*RecordSize
 
 // queue is what waits for one destination.
 type queue struct {
@@ -81,52 +81,52 @@
 	loads  []LoadReport
 }
 
-// dropsWait is how many drops wait for company, or for something else to go: they are in
+// minDrops is how many drops wait for company, or for something else to go: they are in
 // no hurry, and alone each would cost twice its own size.
-const dropsWait = 32
+const minDrops = 32
 
 // due tells whether a batch is worth sending now.
 func (q *queue) due() bool {
-	return len(q.moves)+len(q.copies)+len(q.loads) > 0 || len(q.drops) >= dropsWait
+	return len(q.moves)+len(q.copies)+len(q.loads) > 0 || len(q.drops) >= minDrops
 }
 
 // outbox holds what waits for the byte budget.
 type outbox struct {
-	mu     sync.Mutex
-	queues map[stoatpaddle.InstanceID]*queue
-	tokens float64 // bytes that may be sent now
-	filled time.Time
-	turn   int
-	eased  atomic.Uint64 // math.Float64bits of ease
+	mu             sync.Mutex
+	queues         map[stoatpaddle.InstanceID]*queue
+	tokens         float64 // bytes that may be sent now
+	refilledAt     time.Time
+	rotation       int
+	gainFactorBits atomic.Uint64 // math.Float64bits of ease
 }
 
 func (o *outbox) init() {
 	o.queues = map[stoatpaddle.InstanceID]*queue{}
-	o.eased.Store(math.Float64bits(1))
+	o.gainFactorBits.Store(math.Float64bits(1))
 }
 
-// The gain is whole while less than easeFrom of copies waits, measured in the time that the
-// budget takes to send them, and falls to leastEase at easeTo. In proportion, it settles
+// The gain is whole while less than fullGainBacklog of copies waits, measured in the time that the
+// budget takes to send them, and falls to minGainFactor at minGainBacklog. In proportion, it settles
 // where the budget is just used up; in steps it would swing, and the loads with it.
 const (
-	easeFrom  = 100 * time.Millisecond
-	easeTo    = 400 * time.Millisecond
-	leastEase = 0.02
+	fullGainBacklog = 100 * time.Millisecond
+	minGainBacklog  = 400 * time.Millisecond
+	minGainFactor   = 0.02
 )
 
-// ease returns the part of the gain that the byte budget allows now, up to 1: it shrinks
+// gainFactor returns the part of the gain that the byte budget allows now, up to 1: it shrinks
 // fast while copies wait and grows slowly while none do.
-func (o *outbox) ease() float64 { return math.Float64frombits(o.eased.Load()) }
+func (o *outbox) gainFactor() float64 { return math.Float64frombits(o.gainFactorBits.Load()) }
 
-// adapt sets ease after a sending; it is called under the lock.
-func (o *outbox) adapt(budget int) {
+// updateGainFactor sets ease after a sending; it is called under the lock.
+func (o *outbox) updateGainFactor(budget int) {
 	waiting := 0
 	for _, q := range o.queues {
 		waiting += len(q.copies) + len(q.moves)
 	}
 	backlog := time.Duration(waiting*RecordSize) * time.Second / time.Duration(budget)
-	ease := 1 - float64(backlog-easeFrom)/float64(easeTo-easeFrom)
-	o.eased.Store(math.Float64bits(min(1, max(leastEase, ease))))
+	factor := 1 - float64(backlog-fullGainBacklog)/float64(minGainBacklog-fullGainBacklog)
+	o.gainFactorBits.Store(math.Float64bits(min(1, max(minGainFactor, factor))))
 }
 
 func (o *outbox) queue(to stoatpaddle.InstanceID) *queue {
@@ -138,21 +138,21 @@
 	return q
 }
 
-func (o *outbox) copy(to stoatpaddle.InstanceID, r Record) {
+func (o *outbox) enqueueCopy(to stoatpaddle.InstanceID, r Record) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.queue(to)
 	q.copies = append(q.copies, r)
 }
 
-func (o *outbox) move(to stoatpaddle.InstanceID, r Record) {
+func (o *outbox) enqueueMove(to stoatpaddle.InstanceID, r Record) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.queue(to)
 	q.moves = append(q.moves, r)
 }
 
-func (o *outbox) drop(to stoatpaddle.InstanceID, k stoatpaddle.FlowHash) {
+func (o *outbox) enqueueDrop(to stoatpaddle.InstanceID, k stoatpaddle.FlowHash) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.queue(to)
@@ -166,22 +166,22 @@
 	q.drops = append(q.drops, k)
 }
 
-func (o *outbox) load(to stoatpaddle.InstanceID, l LoadReport) {
+func (o *outbox) enqueueLoads(to stoatpaddle.InstanceID, l LoadReport) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.queue(to)
 	q.loads = append(q.loads[:0:0], append(q.loads, l)...)
 }
 
-// clear forgets what waits for an entry.
-func (o *outbox) clear(to stoatpaddle.InstanceID) {
+// discard forgets what waits for an entry.
+func (o *outbox) discard(to stoatpaddle.InstanceID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.queues, to)
 }
 
-// pending returns the bytes that wait.
-func (o *outbox) pending() int {
+// pendingBytes returns the bytes that wait.
+func (o *outbox) pendingBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	n := 0
@@ -191,9 +191,9 @@
 	return n
 }
 
-// sent tells whether nothing is left that is worth sending: a few drops wait for company, and the copies
+// drained tells whether nothing is left that is worth sending: a few drops wait for company, and the copies
 // that they end are forgotten where they are when they go idle.
-func (o *outbox) sent() bool {
+func (o *outbox) drained() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, q := range o.queues {
@@ -204,8 +204,8 @@
 	return true
 }
 
-// keep drops what waits for entries that are not in the view any more.
-func (o *outbox) keep(v *stoatview.View) {
+// discardUnreachable drops what waits for entries that are not in the view any more.
+func (o *outbox) discardUnreachable(v *stoatview.View) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for id := range o.queues {
@@ -219,7 +219,7 @@
 func (o *outbox) flush(now time.Time, budget int, connected func(stoatpaddle.InstanceID) bool) []Batch {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.fill(now, budget)
+	o.refill(now, budget)
 	ids := make([]stoatpaddle.InstanceID, 0, len(o.queues))
 	for id, q := range o.queues {
 		if q.due() && connected(id) {
@@ -228,13 +228,13 @@
 	}
 	sort.Slice(ids, func(i, j int) bool { return ids[i] < ids[j] })
 	var out []Batch
-	o.turn++
+	o.rotation++
 	for i := range ids {
-		id := ids[(i+o.turn)%len(ids)]
+		id := ids[(i+o.rotation)%len(ids)]
 		// Each gets its part: a long queue for one must not hold up what is urgent for others.
 		room := 0
 		if o.tokens > BatchSize {
-			room = max(int(o.tokens)/(len(ids)-i), leastRoom)
+			room = max(int(o.tokens)/(len(ids)-i), minBatchRoom)
 		}
 		b := o.queues[id].take(room)
 		if b.empty() {
@@ -244,17 +244,17 @@
 		o.tokens -= float64(b.Size())
 		out = append(out, b)
 	}
-	o.adapt(budget)
+	o.updateGainFactor(budget)
 	return out
 }
 
-func (o *outbox) fill(now time.Time, budget int) {
-	if o.filled.IsZero() {
+func (o *outbox) refill(now time.Time, budget int) {
+	if o.refilledAt.IsZero() {
 		o.tokens = float64(budget)
 	} else {
-		o.tokens = min(float64(budget), o.tokens+float64(budget)*now.Sub(o.filled).Seconds())
+		o.tokens = min(float64(budget), o.tokens+float64(budget)*now.Sub(o.refilledAt).Seconds())
 	}
-	o.filled = now
+	o.refilledAt = now
 }
 
 func (b *Batch) empty() bool { return len(b.Moves)+len(b.Copies)+len(b.Drops)+len(b.Loads) == 0 }
@@ -268,15 +268,15 @@
 		room -= l.size()
 	}
 	b.Loads, q.loads = q.loads, nil
-	b.Moves, q.moves = split(q.moves, &room, RecordSize)
-	b.Copies, q.copies = split(q.copies, &room, RecordSize)
+	b.Moves, q.moves = takeHead(q.moves, &room, RecordSize)
+	b.Copies, q.copies = takeHead(q.copies, &room, RecordSize)
 	// Drops come in the order of a map; sorted, the same run sends the same ones first.
 	slices.Sort(q.drops)
-	b.Drops, q.drops = split(q.drops, &room, DropSize)
+	b.Drops, q.drops = takeHead(q.drops, &room, DropSize)
 	return b
 }
 
-func split[T any](list []T, room *int, size int) (head, tail []T) {
+func takeHead[T any](list []T, room *int, size int) (head, tail []T) {
 	n := min(len(list), max(0, *room/size))
 	*room -= n * size
 	head = append(head, list[:n]...)
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -17,7 +17,7 @@
 		if sl, i := r.find(rec.Upstream); sl != nil {
 			sh := e.shard(rec.Key)
 			sh.mu.Lock()
-			sh.copies[rec.Key] = copied{slot: i}
+			sh.copies[rec.Key] = flowCopy{slot: i}
 			sh.mu.Unlock()
 		}
 	}
@@ -50,22 +50,22 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	delete(sh.copies, rec.Key)
-	e.own(now, v, s, sh, rec.Key, sl, i)
+	e.insertFromRecord(now, v, s, sh, rec.Key, sl, i)
 }
 
-// reports remembers what each entry last reported, so that a new report replaces it.
-type reports map[stoatpaddle.InstanceID]map[SetDigest]LoadReport
+// receivedReports remembers what each entry last reported, so that a new report replaces it.
+type receivedReports map[stoatpaddle.InstanceID]map[SetDigest]LoadReport
 
 func (e *Engine) receiveLoad(r *registry, from stoatpaddle.InstanceID, l LoadReport) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
 	// A report about another set than the present one is of no use.
-	set := r.named[l.Set]
+	set := r.setByDigest[l.Set]
 	if set == nil || len(set.Upstreams) != len(l.Open) {
 		return
 	}
 	if e.reports == nil {
-		e.reports = reports{}
+		e.reports = receivedReports{}
 	}
 	if e.reports[from] == nil {
 		e.reports[from] = map[SetDigest]LoadReport{}
@@ -79,7 +79,7 @@
 
 // addRemote adds a report to what other entries hold on each upstream, or takes it away.
 func (r *registry) addRemote(l LoadReport, sign int64) {
-	for i, sl := range r.sets[r.named[l.Set]] {
+	for i, sl := range r.slotsBySet[r.setByDigest[l.Set]] {
 		sl.remote.Add(sign * int64(l.Open[i]))
 	}
 }
@@ -93,14 +93,14 @@
 	for _, sl := range r.slots {
 		sl.remote.Store(0)
 	}
-	for from, byset := range e.reports {
+	for from, bySet := range e.reports {
 		if v.Ring.Find(from) == nil {
 			delete(e.reports, from)
 			continue
 		}
-		for d, l := range byset {
-			if r.named[d] == nil {
-				delete(byset, d)
+		for d, l := range bySet {
+			if r.setByDigest[d] == nil {
+				delete(bySet, d)
 				continue
 			}
 			r.addRemote(l, 1)
--- a/stoatflow/report.go
+++ b/stoatflow/report.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// farEvery is between load reports to entries of other data centres at least; those of
+	// farReportInterval is between load reports to entries of other data centres at least; those of
 	// the same one, who own nearly all flows on the same upstreams, get one with each sending.
-	farEvery = 400 * time.Millisecond
-	// quietEvery is between load reports at most: a lost one is made up for.
-	quietEvery = 5 * time.Second
-	// worthReporting is the change, in parts of the load, that is worth a report before
+	farReportInterval = 400 * time.Millisecond
+	// maxReportInterval is between load reports at most: a lost one is made up for.
+	maxReportInterval = 5 * time.Second
+	// minReportedChange is the change, in parts of the load, that is worth a report before
 	// that: reports of a load that stands still would cost as much as those of one that moves.
-	worthReporting = 0.003
+	minReportedChange = 0.003
 )
 
-// reported is what was last told of one set's loads.
-type reported struct {
+// sentReport is what was last told of one set's loads.
+type sentReport struct {
 	open []uint32
 	at   time.Time
 }
 
-// audience tells entries of this data centre from those of others.
-type audience struct {
+// reportScope tells entries of this data centre from those of others.
+type reportScope struct {
 	set SetDigest
 	far bool
 }
@@ -43,8 +43,8 @@
 		}
 		report := e.loadsOf(s.Set)
 		for _, far := range []bool{false, true} {
-			if e.worth(now, report, far) {
-				e.tell(v, self, report, far)
+			if e.reportDue(now, report, far) {
+				e.enqueueReport(v, self, report, far)
 			}
 		}
 	}
@@ -53,37 +53,37 @@
 // loadsOf returns this entry's load on each upstream of a set.
 func (e *Engine) loadsOf(set *stoatview.Set) LoadReport {
 	report := LoadReport{Set: digest(set)}
-	for _, sl := range e.reg.Load().sets[set] {
+	for _, sl := range e.reg.Load().slotsBySet[set] {
 		report.Open = append(report.Open, uint32(max(0, sl.open.Load())))
 	}
 	return report
 }
 
-// worth tells whether the loads changed enough, or for long enough, to be reported, and
+// reportDue tells whether the loads changed enough, or for long enough, to be reported, and
 // notes that they are.
-func (e *Engine) worth(now time.Time, l LoadReport, far bool) bool {
-	key := audience{set: l.Set, far: far}
-	last := e.told[key]
-	if far && now.Sub(last.at) < farEvery {
+func (e *Engine) reportDue(now time.Time, l LoadReport, far bool) bool {
+	key := reportScope{set: l.Set, far: far}
+	last := e.sentReports[key]
+	if far && now.Sub(last.at) < farReportInterval {
 		return false
 	}
-	if now.Sub(last.at) < quietEvery && !shifted(last.open, l.Open) {
+	if now.Sub(last.at) < maxReportInterval && !loadsChanged(last.open, l.Open) {
 		return false
 	}
-	e.told[key] = reported{open: l.Open, at: now}
+	e.sentReports[key] = sentReport{open: l.Open, at: now}
 	return true
 }
 
-func (e *Engine) tell(v *stoatview.View, self *stoatview.Member, l LoadReport, far bool) {
+func (e *Engine) enqueueReport(v *stoatview.View, self *stoatview.Member, l LoadReport, far bool) {
 	for _, m := range v.Ring.Members {
 		if m != self && far == (m.DataCentre != self.DataCentre) {
-			e.out.load(m.ID, l)
+			e.outbox.enqueueLoads(m.ID, l)
 		}
 	}
 }
 
-// shifted tells whether the loads moved by more than worthReporting of their sum.
-func shifted(before, now []uint32) bool {
+// loadsChanged tells whether the loads moved by more than worthReporting of their sum.
+func loadsChanged(before, now []uint32) bool {
 	if len(before) != len(now) {
 		return true
 	}
@@ -93,7 +93,7 @@
 		change += max(d, -d)
 		sum += int64(now[i])
 	}
-	return float64(change) > worthReporting*float64(sum)
+	return float64(change) > minReportedChange*float64(sum)
 }
 
 // digest names a set by its upstreams' keys.
--- a/stoatflow/resync.go
+++ b/stoatflow/resync.go
@@ -7,39 +7,39 @@
 
 // peerSync is the progress of telling one peer everything it should hold.
 type peerSync struct {
-	peer stoatpaddle.InstanceID
-	next int // shard
+	peer      stoatpaddle.InstanceID
+	nextShard int // shard
 }
 
 // Resync begins to send a peer every record that it should hold. Records are not
 // acknowledged one by one: what a broken connection lost, the next one brings again.
 func (e *Engine) Resync(peer stoatpaddle.InstanceID) {
-	e.out.clear(peer)
+	e.outbox.discard(peer)
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
-	for i := range e.syncs {
-		if e.syncs[i].peer == peer {
-			e.syncs[i].next = 0
+	for i := range e.resyncs {
+		if e.resyncs[i].peer == peer {
+			e.resyncs[i].nextShard = 0
 			return
 		}
 	}
-	e.syncs = append(e.syncs, peerSync{peer: peer})
+	e.resyncs = append(e.resyncs, peerSync{peer: peer})
 }
 
 // resync goes through a few shards for each peer that is being told.
 func (e *Engine) resync(v *stoatview.View) {
 	e.regMu.Lock()
-	syncs := append([]peerSync(nil), e.syncs...)
-	left := e.syncs[:0]
-	for _, s := range e.syncs {
-		if s.next += scanAtOnce; s.next < shardCount {
-			left = append(left, s)
+	syncs := append([]peerSync(nil), e.resyncs...)
+	remaining := e.resyncs[:0]
+	for _, s := range e.resyncs {
+		if s.nextShard += shardsPerAdvance; s.nextShard < shardCount {
+			remaining = append(remaining, s)
 		}
 	}
-	e.syncs = left
+	e.resyncs = remaining
 	e.regMu.Unlock()
 	for _, s := range syncs {
-		for i := s.next; i < min(s.next+scanAtOnce, shardCount); i++ {
+		for i := s.nextShard; i < min(s.nextShard+shardsPerAdvance, shardCount); i++ {
 			e.resyncShard(v, &e.shards[i], s.peer)
 		}
 	}
@@ -59,21 +59,21 @@
 		if s == nil {
 			continue
 		}
-		if st := standingOf(v, s, k, sl); st.tracked {
+		if st := placementOf(v, s, k, sl); st.tracked {
 			e.resend(v, st, k, sl, peer)
 		}
 	}
 }
 
-func (e *Engine) resend(v *stoatview.View, st standing, k stoatpaddle.FlowHash, sl *slot, peer stoatpaddle.InstanceID) {
+func (e *Engine) resend(v *stoatview.View, st placement, k stoatpaddle.FlowHash, sl *slot, peer stoatpaddle.InstanceID) {
 	r := Record{Key: k, Upstream: sl.key}
-	is := func(m *stoatview.Member) bool { return m != nil && m.ID == peer }
+	isPeer := func(m *stoatview.Member) bool { return m != nil && m.ID == peer }
 	switch {
 	case !st.owns(v.Self):
-		if is(st.owner) {
-			e.out.move(peer, r)
+		if isPeer(st.owner) {
+			e.outbox.enqueueMove(peer, r)
 		}
-	case is(st.next) || is(st.local):
-		e.out.copy(peer, r)
+	case isPeer(st.next) || isPeer(st.local):
+		e.outbox.enqueueCopy(peer, r)
 	}
 }
--- a/stoatflow/scan.go
+++ b/stoatflow/scan.go
@@ -8,44 +8,44 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// standing is what a view says of one flow.
-type standing struct {
+// placement is what a view says of one flow.
+type placement struct {
 	owner, next, local *stoatview.Member // local: the owner in the upstream's data centre
 	tracked            bool
 }
 
-func standingOf(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) standing {
+func placementOf(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) placement {
 	first := s.Set.First(k)
-	var st standing
+	var st placement
 	home := stoatpaddle.DataCentreID("")
 	if first != nil {
 		home = first.DataCentre
 	}
 	st.tracked = first == nil || first.Key != sl.key
 	st.owner, st.next = v.Ring.OwnerNext(k, home)
-	if dc := sl.up.Load().DataCentre; dc != home {
+	if dc := sl.upstream.Load().DataCentre; dc != home {
 		st.local = v.Ring.Owner(k, dc)
 	}
 	return st
 }
 
-func (st standing) owns(id stoatpaddle.InstanceID) bool { return st.owner != nil && st.owner.ID == id }
+func (st placement) owns(id stoatpaddle.InstanceID) bool { return st.owner != nil && st.owner.ID == id }
 
-// scan compares a shard's flows with a new view: what departs from it now is tracked,
+// scanShard compares a shard's flows with a new view: what departs from it now is tracked,
 // copied to the next owner, and handed over where another entry owns it.
-func (e *Engine) scan(now time.Time, v *stoatview.View, sh *shard) {
+func (e *Engine) scanShard(now time.Time, v *stoatview.View, sh *shard) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
-	before := sh.scanned
-	sh.scanned = v
-	if before != nil && before.Ring == v.Ring && sameSets(before, v) {
+	prev := sh.scannedView
+	sh.scannedView = v
+	if prev != nil && prev.Ring == v.Ring && sameSets(prev, v) {
 		return
 	}
 	e.scanCopies(now, v, sh)
 	for _, k := range sortedKeys(sh.flows) {
 		f := sh.flows[k]
 		if f.flags&closing == 0 {
-			e.scanFlow(before, v, sh, k, f)
+			e.scanFlow(prev, v, sh, k, f)
 		}
 	}
 }
@@ -72,39 +72,39 @@
 	return keys
 }
 
-func (e *Engine) scanFlow(before, v *stoatview.View, sh *shard, k stoatpaddle.FlowHash, f flow) {
+func (e *Engine) scanFlow(prev, v *stoatview.View, sh *shard, k stoatpaddle.FlowHash, f flow) {
 	sl := e.reg.Load().slots[f.slot]
 	s := v.Service(sl.ref)
 	if s == nil {
-		e.forget(v, sh, k, f)
+		e.removeFlow(v, sh, k, f)
 		return
 	}
-	var old standing
-	if before != nil {
-		if was := before.Service(sl.ref); was != nil {
-			old = standingOf(before, was, k, sl)
+	var old placement
+	if prev != nil {
+		if prevService := prev.Service(sl.ref); prevService != nil {
+			old = placementOf(prev, prevService, k, sl)
 		}
 	}
-	st := standingOf(v, s, k, sl)
-	f.flags &^= tracked | backed
+	st := placementOf(v, s, k, sl)
+	f.flags &^= tracked | backedUp
 	if st.tracked {
-		f.flags |= tracked | backed
+		f.flags |= tracked | backedUp
 	}
 	if st.owns(v.Self) {
-		e.count(sl, &f)
+		e.countOwned(sl, &f)
 	} else {
-		e.uncount(sl, &f)
+		e.uncountOwned(sl, &f)
 	}
 	sh.flows[k] = f
-	if st.tracked || leavesUnclear(v, s, k, sl) {
-		e.spread(v, old, st, k, sl)
+	if st.tracked || ambiguousOnLeave(v, s, k, sl) {
+		e.enqueueRecords(v, old, st, k, sl)
 	}
 }
 
-// leavesUnclear tells whether this entry leaves during a cut and the flow's upstream is
+// ambiguousOnLeave tells whether this entry leaves during a cut and the flow's upstream is
 // not its first choice of the whole set. A newcomer could not tell the flow from one that
 // lives beyond the cut, so it is handed over although its place can be computed.
-func leavesUnclear(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
+func ambiguousOnLeave(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
 	if len(v.Cut) == 0 || v.Ring.Find(v.Self) != nil {
 		return false
 	}
@@ -112,29 +112,29 @@
 	return first == nil || first.Key != sl.key
 }
 
-// spread queues the records that the change from old to st calls for.
-func (e *Engine) spread(v *stoatview.View, old, st standing, k stoatpaddle.FlowHash, sl *slot) {
+// enqueueRecords queues the records that the change from old to st calls for.
+func (e *Engine) enqueueRecords(v *stoatview.View, old, st placement, k stoatpaddle.FlowHash, sl *slot) {
 	r := Record{Key: k, Upstream: sl.key}
 	if !st.owns(v.Self) {
-		if st.owner != nil && (!old.tracked || !same(old.owner, st.owner)) {
-			e.out.move(st.owner.ID, r)
+		if st.owner != nil && (!old.tracked || !sameMember(old.owner, st.owner)) {
+			e.outbox.enqueueMove(st.owner.ID, r)
 		}
 		return
 	}
-	fresh := !old.tracked || !old.owns(v.Self)
-	if st.next != nil && (fresh || !same(old.next, st.next)) {
-		e.out.copy(st.next.ID, r)
+	newlyOwned := !old.tracked || !old.owns(v.Self)
+	if st.next != nil && (newlyOwned || !sameMember(old.next, st.next)) {
+		e.outbox.enqueueCopy(st.next.ID, r)
 	}
-	if other(st.local, v.Self, st.next) && (fresh || !same(old.local, st.local)) {
-		e.out.copy(st.local.ID, r)
+	if thirdEntry(st.local, v.Self, st.next) && (newlyOwned || !sameMember(old.local, st.local)) {
+		e.outbox.enqueueCopy(st.local.ID, r)
 	}
 }
 
-func same(a, b *stoatview.Member) bool { return a != nil && b != nil && a.ID == b.ID }
+func sameMember(a, b *stoatview.Member) bool { return a != nil && b != nil && a.ID == b.ID }
 
-// other tells whether m is an entry apart from this one and the next owner.
-func other(m *stoatview.Member, self stoatpaddle.InstanceID, next *stoatview.Member) bool {
-	return m != nil && m.ID != self && !same(m, next)
+// thirdEntry tells whether m is an entry apart from this one and the next owner.
+func thirdEntry(m *stoatview.Member, self stoatpaddle.InstanceID, next *stoatview.Member) bool {
+	return m != nil && m.ID != self && !sameMember(m, next)
 }
 
 // scanCopies takes over the flows whose copies this entry holds and now owns.
@@ -154,76 +154,76 @@
 		}
 		delete(sh.copies, k)
 		e.stats.Promoted.Add(1)
-		e.own(now, v, s, sh, k, sl, c.slot)
+		e.insertFromRecord(now, v, s, sh, k, sl, c.slot)
 	}
 }
 
-// own puts a flow into the table that another entry knew, and copies it on.
-func (e *Engine) own(
+// insertFromRecord puts a flow into the table that another entry knew, and copies it on.
+func (e *Engine) insertFromRecord(
 	now time.Time, v *stoatview.View, s *stoatview.Service, sh *shard, k stoatpaddle.FlowHash, sl *slot, i slotIndex,
 ) {
 	old, known := sh.flows[k]
-	if known && (old.flags&told == 0 || old.slot == i) {
+	if known && (old.flags&recordOnly == 0 || old.slot == i) {
 		return
 	}
 	if known {
-		e.uncount(e.reg.Load().slots[old.slot], &old)
+		e.uncountOwned(e.reg.Load().slots[old.slot], &old)
 	}
-	f := flow{seen: e.tick(now), slot: i, flags: told}
-	st := standingOf(v, s, k, sl)
+	f := flow{lastSeen: e.tick(now), slot: i, flags: recordOnly}
+	st := placementOf(v, s, k, sl)
 	if st.tracked {
-		f.flags |= tracked | backed
+		f.flags |= tracked | backedUp
 	}
 	if st.owns(v.Self) {
-		e.count(sl, &f)
+		e.countOwned(sl, &f)
 	}
 	sh.flows[k] = f
 	if st.tracked {
-		e.spread(v, standing{}, st, k, sl)
+		e.enqueueRecords(v, placement{}, st, k, sl)
 	}
 }
 
-// copyOut queues the copies of a flow that has just become tracked.
+// enqueueCopies queues the copies of a flow that has just become tracked.
 //
 // The copy in the upstream's data centre only serves when that is cut off, and most flows
 // are short, so it waits for backUp.
-func (e *Engine) copyOut(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) {
-	st := standingOf(v, s, k, sl)
+func (e *Engine) enqueueCopies(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) {
+	st := placementOf(v, s, k, sl)
 	if st.owns(v.Self) {
 		st.local = nil
 	}
-	e.spread(v, standing{}, st, k, sl)
+	e.enqueueRecords(v, placement{}, st, k, sl)
 }
 
-// backUp queues the copy in the upstream's data centre of a flow that has lived for a while.
-func (e *Engine) backUp(v *stoatview.View, sh *shard, k stoatpaddle.FlowHash) {
+// enqueueBackup queues the copy in the upstream's data centre of a flow that has lived for a while.
+func (e *Engine) enqueueBackup(v *stoatview.View, sh *shard, k stoatpaddle.FlowHash) {
 	f := sh.flows[k]
 	sl := e.reg.Load().slots[f.slot]
 	s := v.Service(sl.ref)
 	if s == nil {
 		return
 	}
-	f.flags |= backed
+	f.flags |= backedUp
 	sh.flows[k] = f
-	if st := standingOf(v, s, k, sl); st.owns(v.Self) && other(st.local, v.Self, st.next) {
-		e.out.copy(st.local.ID, Record{Key: k, Upstream: sl.key})
+	if st := placementOf(v, s, k, sl); st.owns(v.Self) && thirdEntry(st.local, v.Self, st.next) {
+		e.outbox.enqueueCopy(st.local.ID, Record{Key: k, Upstream: sl.key})
 	}
 }
 
-// dropOut queues the removal of a flow's copies.
-func (e *Engine) dropOut(v *stoatview.View, k stoatpaddle.FlowHash, f flow, sl *slot) {
+// enqueueDrops queues the removal of a flow's copies.
+func (e *Engine) enqueueDrops(v *stoatview.View, k stoatpaddle.FlowHash, f flow, sl *slot) {
 	s := v.Service(sl.ref)
 	if s == nil {
 		return
 	}
-	st := standingOf(v, s, k, sl)
+	st := placementOf(v, s, k, sl)
 	if !st.owns(v.Self) {
 		return
 	}
 	if st.next != nil {
-		e.out.drop(st.next.ID, k)
+		e.outbox.enqueueDrop(st.next.ID, k)
 	}
-	if f.flags&backed != 0 && other(st.local, v.Self, st.next) {
-		e.out.drop(st.local.ID, k)
+	if f.flags&backedUp != 0 && thirdEntry(st.local, v.Self, st.next) {
+		e.outbox.enqueueDrop(st.local.ID, k)
 	}
 }
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -15,61 +15,61 @@
 type flag uint8
 
 const (
-	tracked flag = 1 << iota // its upstream is not what a newcomer would compute
-	opening                  // the caller has not answered the upstream yet
-	closing                  // the caller sent FIN or RST
-	owned                    // counted in this entry's load
-	backed                   // its copy in the upstream's data centre was sent
-	told                     // known from a record only; no packet came yet
+	tracked    flag = 1 << iota // its upstream is not what a newcomer would compute
+	opening                     // the caller has not answered the upstream yet
+	closing                     // the caller sent FIN or RST
+	owned                       // counted in this entry's load
+	backedUp                    // its copy in the upstream's data centre was sent
+	recordOnly                  // known from a record only; no packet came yet
 )
 
 // flow is what an entry remembers of one flow: 16 bytes.
 type flow struct {
-	seen    tick   // last packet
-	stuck   tick   // first sight of the repeated segment
-	seq     uint32 // last segment with payload, or the opening one
-	slot    slotIndex
-	flags   flag
-	repeats uint8
+	lastSeen   tick   // last packet
+	stuckSince tick   // first sight of the repeated segment
+	seq        uint32 // last segment with payload, or the opening one
+	slot       slotIndex
+	flags      flag
+	repeats    uint8
 }
 
-// copied is a tracked flow that another entry owns.
-type copied struct {
+// flowCopy is a tracked flow that another entry owns.
+type flowCopy struct {
 	slot slotIndex
 }
 
-// moved tells which entry claimed a flow that was not known here. Without it, a packet
+// claim tells which entry claimed a flow that was not known here. Without it, a packet
 // that an entry with an older view sends here would be decided by hash a second time,
 // perhaps for another upstream.
-type moved struct {
-	to    netip.AddrPort
-	until tick
+type claim struct {
+	to      netip.AddrPort
+	expires tick
 }
 
-// waiting counts the packets of a flow that only entries beyond a cut may know.
-type waiting struct {
-	since   tick
-	seen    tick
-	packets int
+// deferredFlow counts the packets of a flow that only entries beyond a cut may know.
+type deferredFlow struct {
+	firstSeen tick
+	seen      tick
+	packets   int
 }
 
 // shard is a part of the flow table with a lock of its own.
 type shard struct {
-	mu      sync.Mutex
-	flows   map[stoatpaddle.FlowHash]flow
-	copies  map[stoatpaddle.FlowHash]copied
-	moved   map[stoatpaddle.FlowHash]moved
-	waiting map[stoatpaddle.FlowHash]waiting
-	opening int
-	scanned *stoatview.View // the last view that the flows were compared with
-	rnd     *rand.Rand
+	mu           sync.Mutex
+	flows        map[stoatpaddle.FlowHash]flow
+	copies       map[stoatpaddle.FlowHash]flowCopy
+	claims       map[stoatpaddle.FlowHash]claim
+	deferred     map[stoatpaddle.FlowHash]deferredFlow
+	openingCount int
+	scannedView  *stoatview.View // the last view that the flows were compared with
+	rnd          *rand.Rand
 }
 
 func (sh *shard) init(seed uint64) {
 	sh.flows = map[stoatpaddle.FlowHash]flow{}
-	sh.copies = map[stoatpaddle.FlowHash]copied{}
-	sh.moved = map[stoatpaddle.FlowHash]moved{}
-	sh.waiting = map[stoatpaddle.FlowHash]waiting{}
+	sh.copies = map[stoatpaddle.FlowHash]flowCopy{}
+	sh.claims = map[stoatpaddle.FlowHash]claim{}
+	sh.deferred = map[stoatpaddle.FlowHash]deferredFlow{}
 	sh.rnd = newRand(seed)
 }
 
@@ -78,28 +78,28 @@
 
 // slot counts the flows of one upstream.
 type slot struct {
-	up      atomic.Pointer[stoatview.Upstream]
-	key     stoatpaddle.UpstreamKey
-	ref     stoatpaddle.ServiceRef
-	use     *usage       // of the customer
-	open    atomic.Int64 // flows this entry owns
-	remote  atomic.Int64 // flows the other entries reported
-	opens   bucket       // new flows
-	since   time.Time    // when it was first seen here, for slow start
-	warm    bool         // it was there when this entry started, so it needs no slow start
-	unheard atomic.Int64 // openings repeated unanswered since the last progress
-	callers atomic.Uint64
-	ejected atomic.Int64 // tick until which it takes no new flows
+	upstream     atomic.Pointer[stoatview.Upstream]
+	key          stoatpaddle.UpstreamKey
+	ref          stoatpaddle.ServiceRef
+	usage        *usage       // of the customer
+	open         atomic.Int64 // flows this entry owns
+	remote       atomic.Int64 // flows the other entries reported
+	openRate     bucket       // new flows
+	firstSeen    time.Time    // when it was first seen here, for slow start
+	warm         bool         // it was there when this entry started, so it needs no slow start
+	unanswered   atomic.Int64 // openings repeated unanswered since the last progress
+	callers      atomic.Uint64
+	ejectedUntil atomic.Int64 // tick until which it takes no new flows
 }
 
 func (s *slot) load() float64 { return float64(s.open.Load() + s.remote.Load()) }
 
 // registry numbers the upstreams; an index is never used for another upstream.
 type registry struct {
-	slots []*slot
-	byKey map[stoatpaddle.UpstreamKey]slotIndex
-	sets  map[*stoatview.Set][]*slot // of the present sets, in their order
-	named map[SetDigest]*stoatview.Set
+	slots       []*slot
+	byKey       map[stoatpaddle.UpstreamKey]slotIndex
+	slotsBySet  map[*stoatview.Set][]*slot // of the present sets, in their order
+	setByDigest map[SetDigest]*stoatview.Set
 }
 
 func (r *registry) find(key stoatpaddle.UpstreamKey) (*slot, slotIndex) {
@@ -122,21 +122,21 @@
 	for _, s := range v.Services {
 		for _, u := range s.Upstreams() {
 			if i, ok := r.byKey[u.Key]; ok {
-				r.slots[i].up.Store(u)
+				r.slots[i].upstream.Store(u)
 				continue
 			}
-			sl := &slot{key: u.Key, ref: u.Ref, use: e.usage.get(u.Ref.Customer), since: now, warm: len(old.slots) == 0}
-			sl.up.Store(u)
+			sl := &slot{key: u.Key, ref: u.Ref, usage: e.usage.get(u.Ref.Customer), firstSeen: now, warm: len(old.slots) == 0}
+			sl.upstream.Store(u)
 			r.byKey[u.Key] = slotIndex(len(r.slots))
 			r.slots = append(r.slots, sl)
 		}
 	}
-	r.sets = make(map[*stoatview.Set][]*slot, len(v.Services))
-	r.named = make(map[SetDigest]*stoatview.Set, len(v.Services))
+	r.slotsBySet = make(map[*stoatview.Set][]*slot, len(v.Services))
+	r.setByDigest = make(map[SetDigest]*stoatview.Set, len(v.Services))
 	for _, s := range v.Services {
-		r.named[digest(s.Set)] = s.Set
+		r.setByDigest[digest(s.Set)] = s.Set
 		for _, u := range s.Set.Upstreams {
-			r.sets[s.Set] = append(r.sets[s.Set], r.slots[r.byKey[u.Key]])
+			r.slotsBySet[s.Set] = append(r.slotsBySet[s.Set], r.slots[r.byKey[u.Key]])
 		}
 	}
 	e.reg.Store(r)
@@ -167,7 +167,7 @@
 	for i := range e.shards {
 		sh := &e.shards[i]
 		sh.mu.Lock()
-		n += len(sh.moved)
+		n += len(sh.claims)
 		sh.mu.Unlock()
 	}
 	return n
--- a/stoatflow/usage.go
+++ b/stoatflow/usage.go
@@ -10,16 +10,16 @@
 
 // bucket is a token bucket that refills at a rate.
 type bucket struct {
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
 // take takes a token, if there is one, from a bucket of rate a second and as much at most.
 func (b *bucket) take(now time.Time, rate float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now, rate)
+	b.refill(now, rate)
 	if b.tokens < 1 {
 		return false
 	}
@@ -31,18 +31,18 @@
 func (b *bucket) ready(now time.Time, rate float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now, rate)
+	b.refill(now, rate)
 	return b.tokens >= 1
 }
 
-func (b *bucket) fill(now time.Time, rate float64) {
+func (b *bucket) refill(now time.Time, rate float64) {
 	burst := max(1, rate)
-	if b.filled.IsZero() {
+	if b.refilledAt.IsZero() {
 		b.tokens = burst
 	} else {
-		b.tokens = min(burst, b.tokens+rate*now.Sub(b.filled).Seconds())
+		b.tokens = min(burst, b.tokens+rate*now.Sub(b.refilledAt).Seconds())
 	}
-	b.filled = now
+	b.refilledAt = now
 }
 
 // usage counts one customer's flows on this entry.
@@ -52,19 +52,19 @@
 }
 
 type usageTable struct {
-	mu sync.Mutex
-	by map[stoatpaddle.CustomerID]*usage
+	mu         sync.Mutex
+	byCustomer map[stoatpaddle.CustomerID]*usage
 }
 
-func (t *usageTable) init() { t.by = map[stoatpaddle.CustomerID]*usage{} }
+func (t *usageTable) init() { t.byCustomer = map[stoatpaddle.CustomerID]*usage{} }
 
 func (t *usageTable) get(c stoatpaddle.CustomerID) *usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.by[c]
+	u := t.byCustomer[c]
 	if u == nil {
 		u = &usage{}
-		t.by[c] = u
+		t.byCustomer[c] = u
 	}
 	return u
 }
