--- a/stoatflow/advance.go
+++ b/stoatflow/advance.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	shardsPerAdvance = 8 // shards compared with a new view in one Advance
-	// flushInterval is how long records wait for company: a flow whose owner dies before its
-	// copy left may break.
+	shardsPerAdvance = 8 // shards that one Advance compares with a new view
+	// flushInterval is how long records wait to be sent in one batch. A flow breaks if its owner dies
+	// before its copy was sent.
 	flushInterval = 200 * time.Millisecond
 
 	openingIdleTimeout = 10 * time.Second
 	closingIdleTimeout = 2 * time.Second
-	// tcpIdleTimeout is long, because a feed may be quiet for hours; it bounds the flows whose
-	// callers vanished without a word.
+	// tcpIdleTimeout is long because a data feed may be idle for hours. It limits the number of flows whose
+	// callers vanished without closing them.
 	tcpIdleTimeout = 8 * time.Hour
 	udpIdleTimeout = 5 * time.Minute
 )
 
-// Prepare makes the engine ready for packets under the view; call it before the view is published.
+// Prepare makes the engine ready for packets under the view. It must be called before the view is
+// published.
 func (e *Engine) Prepare(now time.Time, v *stoatview.View) {
 	e.syncRegistry(now, v)
 	e.forgetReports(v)
 	e.outbox.discardUnreachable(v)
 }
 
-// Advance does the periodic work and returns what to send; call it from one goroutine
-// about every 100 ms. What is for an entry without a connection waits.
+// Advance does the periodic work and returns the batches to send. It must be called from one goroutine
+// about every 100 ms. Records for an entry without a connection remain queued.
 func (e *Engine) Advance(now time.Time, v *stoatview.View, connected func(stoatpaddle.InstanceID) bool) []Batch {
 	scanned := 0
 	for i := range e.shards {
@@ -57,7 +58,7 @@
 	return out
 }
 
-// Drained tells whether nothing is left to scan or send, so that a leaving entry may go.
+// Drained reports whether nothing is left to scan or send, so that a leaving entry may stop.
 func (e *Engine) Drained(v *stoatview.View) bool {
 	for i := range e.shards {
 		sh := &e.shards[i]
@@ -71,14 +72,15 @@
 	return e.outbox.drained()
 }
 
-// HandoverTime estimates how long the budget takes to hand over every tracked flow.
+// HandoverTime estimates how long it takes to hand over every tracked flow within the byte budget.
 func (e *Engine) HandoverTime() time.Duration {
 	_, trackedFlows, _ := e.Flows()
 	bytes := e.outbox.pendingBytes() + trackedFlows*RecordSize
 	return time.Duration(bytes) * time.Second / time.Duration(e.cfg.Budget)
 }
 
-// sweepShard removes flows that ended or went idle, and what only mattered while views differed.
+// sweepShard removes flows that ended or are idle, expired claims, and, once the view is settled, the flows
+// and copies that this entry does not need to keep any more.
 func (e *Engine) sweepShard(now time.Time, v *stoatview.View, sh *shard) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -95,7 +97,7 @@
 			unbacked = append(unbacked, k)
 		}
 		if settled && f.flags&owned == 0 && f.flags&closing == 0 {
-			// Its owner knows it by now, if it is tracked, or computes it.
+			// Its owner knows the flow by now if it is tracked, and otherwise computes its upstream.
 			if f.flags&opening != 0 {
 				sh.openingCount--
 			}
@@ -106,13 +108,13 @@
 	for _, k := range unbacked {
 		e.enqueueBackup(v, sh, k)
 	}
-	for k, m := range sh.claims {
-		if t >= m.expires {
+	for k, c := range sh.claims {
+		if t >= c.expires {
 			delete(sh.claims, k)
 		}
 	}
 	for k, w := range sh.deferred {
-		if t-w.seen >= ticks(openingIdleTimeout) {
+		if t-w.lastSeen >= ticks(openingIdleTimeout) {
 			delete(sh.deferred, k)
 		}
 	}
@@ -121,6 +123,7 @@
 	}
 }
 
+// idleTimeout returns after how long without a packet the flow is removed.
 func idleTimeout(f flow, v *stoatview.View, sl *slot) tick {
 	switch {
 	case f.flags&closing != 0:
@@ -134,7 +137,7 @@
 	return ticks(tcpIdleTimeout)
 }
 
-// sweepCopies removes the copies of which this entry is not a holder any more.
+// sweepCopies removes the copies that this entry does not need to hold any more.
 func (e *Engine) sweepCopies(v *stoatview.View, sh *shard) {
 	r := e.reg.Load()
 	for k, c := range sh.copies {
@@ -146,7 +149,7 @@
 	}
 }
 
-// holdsCopy tells whether this entry keeps the copy of a flow on that upstream.
+// holdsCopy reports whether this entry is one of those that keep a copy of the flow.
 func holdsCopy(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
 	owner, next := v.OwnerNext(s, k)
 	if owner != nil && owner.ID == v.Self || next != nil && next.ID == v.Self {
--- a/stoatflow/choose.go
+++ b/stoatflow/choose.go
@@ -11,29 +11,30 @@
 
 const (
 	// slowStartPeriod is how long a new upstream takes to get its full share of new flows, and
-	// coldLeast what it gets at first.
+	// slowStartMinShare is the part of that share that it gets at first.
 	slowStartPeriod   = 30 * time.Second
 	slowStartMinShare = 0.1
-	// maxDivertShare caps the part of new flows that balance moves away from their first
-	// choice. After a change of the set the loads differ for as long as flows live, and
-	// without a cap a great part of all new flows would be tracked for hours.
+	// maxDivertShare limits the part of new flows that are diverted from their preferred upstream for
+	// balance. After a change of the set the loads differ for as long as flows live, and without a limit a
+	// large part of all new flows would be tracked for hours.
 	maxDivertShare = 0.15
 )
 
-// balancer is the loads of one service at the moment a flow opens.
+// balancer chooses the upstream of one new flow by the loads of its service.
 type balancer struct {
 	p     *packetDecision
 	set   *stoatview.Set
-	slots []*slot // of the set's upstreams, in its order
-	mean  float64 // load per unit of weight, over the warm ones
+	slots []*slot // of the set's upstreams, in their order
+	mean  float64 // load per unit of weight over the warm upstreams
 }
 
-// choose returns the upstream for a new flow; ok is false when none has room.
+// choose returns the upstream for a new flow; ok is false if none has room.
 //
-// The first choice stands unless its load is over the mean: then another is taken with a
-// probability proportional to the excess, and each other one in proportion to what it
-// lacks. A hard bound would make all owners, whose reports of each other's load are old,
-// move at once and herd; in proportion, each corrects its part.
+// The flow goes to its preferred upstream unless that has more than the mean load. Then it is diverted with
+// a probability proportional to the excess, to one of the upstreams below the mean, each with a probability
+// proportional to its deficit. With a hard bound all owners, whose reports of each other's load are old,
+// would divert flows at the same moment and overload the next upstream. With a proportional rule each owner
+// corrects its part.
 func (e *Engine) choose(p *packetDecision, first *stoatview.Upstream) (*slot, slotIndex, bool) {
 	r := e.reg.Load()
 	preferred, preferredIndex := r.find(first.Key)
@@ -58,8 +59,8 @@
 	return alternative, r.byKey[alternative.key], true
 }
 
-// computeMean computes the mean. A cold upstream is left out: it would make all others look
-// overloaded for as long as their flows live.
+// computeMean sets the mean load. Upstreams in slow start are left out: they would make all others look
+// overloaded for as long as the flows of those live.
 func (c *balancer) computeMean() {
 	var load, weight float64
 	for i, u := range c.set.Upstreams {
@@ -73,10 +74,10 @@
 	}
 }
 
-// divertProbability returns the probability that the first choice is passed over.
+// divertProbability returns the probability that the flow does not go to its preferred upstream.
 func (c *balancer) divertProbability(preferred *slot, u *stoatview.Upstream, gain float64) float64 {
-	if ramp := preferred.slowStartShare(c.p.now); ramp < 1 {
-		return 1 - ramp
+	if share := preferred.slowStartShare(c.p.now); share < 1 {
+		return 1 - share
 	}
 	if c.mean <= 0 {
 		return 0
@@ -84,8 +85,8 @@
 	return min(maxDivertShare, gain*(preferred.load()/float64(u.Weight)-c.mean)/c.mean)
 }
 
-// pickUnderloaded returns a warm upstream below the mean, each with a probability in proportion
-// to what it lacks, or nil if there is none but a.
+// pickUnderloaded returns a warm upstream below the mean other than the preferred one, with a probability
+// proportional to its deficit, or nil if there is none.
 func (c *balancer) pickUnderloaded(preferred *slot) *slot {
 	sum := 0.0
 	for i, u := range c.set.Upstreams {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// deficit returns the flows that the upstream is below its share.
+// deficit returns by how many flows the upstream is below its share.
 func (c *balancer) deficit(i int, u *stoatview.Upstream, preferred *slot) float64 {
 	s := c.slots[i]
 	if s == preferred || s.slowStartShare(c.p.now) < 1 || !c.usable(s, u) {
@@ -112,7 +113,7 @@
 	return max(0, c.mean*float64(u.Weight)-s.load())
 }
 
-// leastLoaded returns the usable upstream with the leastLoaded load for its weight, or nil.
+// leastLoaded returns the usable upstream with the lowest load per unit of weight, or nil.
 func (c *balancer) leastLoaded() *slot {
 	var best *slot
 	lowest := 0.0
@@ -126,7 +127,8 @@
 	return best
 }
 
-// slowStartShare returns the part of its share that a cold upstream takes, up to 1.
+// slowStartShare returns the part of its share of new flows that the upstream takes; it is 1 after slow
+// start.
 func (s *slot) slowStartShare(now time.Time) float64 {
 	age := now.Sub(s.firstSeen)
 	if s.warm || age >= slowStartPeriod {
@@ -135,7 +137,7 @@
 	return slowStartMinShare + (1-slowStartMinShare)*float64(age)/float64(slowStartPeriod)
 }
 
-// usable tells whether the upstream may take a new flow.
+// usable reports whether the upstream may take a new flow.
 func (c *balancer) usable(s *slot, u *stoatview.Upstream) bool {
 	if s.isEjected(c.p.tick) || u.Connections > 0 && s.load() >= float64(u.Connections) {
 		return false
@@ -143,7 +145,7 @@
 	return u.Opens == 0 || s.openRate.ready(c.p.now, c.p.entryShare(u.Opens))
 }
 
-// entryShare is this entry's equal entryShare of a limit per second.
+// entryShare returns this entry's equal part of a limit per second.
 func (p *packetDecision) entryShare(limit int) float64 {
 	return float64(limit) / float64(max(1, len(p.view.Ring.Members)))
 }
--- a/stoatflow/doc.go
+++ b/stoatflow/doc.go
@@ -1,7 +1,7 @@
-// Package stoatflow decides where each packet of a flow goes.
+// Package stoatflow decides to which upstream each packet of a flow goes.
 //
-// Each flow has an owner among the entries, found by hashing. The owner picks the
-// upstream and remembers the flow; what a newcomer would compute by itself need not
-// be copied, so only flows that depart from it are, to the entry that would own them
-// next. docs/FLOWS.md gives the reasons and the measurements.
+// Rendezvous hashing assigns each flow an owner among the entries. The owner chooses the upstream and keeps
+// the flow in its table. The upstream that any entry computes by hash need not be copied, so records are
+// sent only of tracked flows, which go to another upstream. They are copied to the entry that would own the
+// flow next. docs/FLOWS.md gives the reasons and the measurements.
 package stoatflow
--- a/stoatflow/engine.go
+++ b/stoatflow/engine.go
@@ -12,15 +12,15 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// Config configures an Engine; zero values take the defaults.
+// Config configures an Engine. Zero values stand for the defaults.
 type Config struct {
-	Self    stoatpaddle.InstanceID
-	Start   time.Time     // times in the flow table count from here
-	Settle  time.Duration // how long after a change other entries are asked about unknown flows
-	Budget  int           // control traffic, bytes a second
-	Gain    float64       // of the load difference, under lean = balance
-	MaxOpen int           // opening flows remembered at once, over all shards
-	Seed    uint64        // of the random choices
+	Self    stoatpaddle.InstanceID // this entry
+	Start   time.Time              // origin of the times in the flow table
+	Settle  time.Duration          // how long after a change other entries are queried about unknown flows
+	Budget  int                    // limit on control traffic, bytes a second
+	Gain    float64                // weight of load differences for customers with lean = balance
+	MaxOpen int                    // limit on opening flows in the table, over all shards
+	Seed    uint64                 // of the random choices
 }
 
 // The defaults of Config.
@@ -31,21 +31,22 @@
 	DefaultMaxOpen = 1 << 16
 )
 
-// leanFlowsGain is the gain for customers who weigh broken flows more than imbalance:
-// a quarter of the tracked flows, so a quarter of those at risk when an entry dies.
+// leanFlowsGain is the part of the gain that applies to customers with lean = flows, for whom a broken flow
+// is worse than an imbalance: a quarter of the tracked flows, so a quarter of the flows at risk when an
+// entry dies.
 const leanFlowsGain = 0.25
 
 const (
 	shardCount = 64
-	// maxRelays and maxHops bound the entries that one packet passes while views differ:
-	// without them entries whose views point in a circle would hand it on for good. After
-	// maxRelays the receiver acts as the owner and may still ask, up to maxHops; a packet
-	// that used those up is dropped.
+	// maxRelays and maxHops limit the number of entries that one packet passes while views differ. Without
+	// them, entries whose views point at each other in a cycle would relay it forever. After maxRelays the
+	// receiver acts as the owner and may still query other entries, up to maxHops. At maxHops a packet is
+	// dropped unless it opens a flow.
 	maxRelays = 4
 	maxHops   = 16
 )
 
-// Verdict tells what to do with a packet.
+// Verdict is what to do with a packet.
 type Verdict uint8
 
 // The verdicts.
@@ -56,13 +57,13 @@
 	Reset           // answer the caller with a reset
 )
 
-// Inbound is one packet to decide about.
+// Inbound is a packet to decide about.
 type Inbound struct {
 	Packet  *stoatpacket.Packet
-	Key     stoatpaddle.FlowHash // of the packet's tuple under the view's seed
+	Key     stoatpaddle.FlowHash // hash of the packet's tuple under the view's seed
 	Service *stoatview.Service
 	Header  Header
-	From    netip.AddrPort // the relaying entry; zero from the fabric
+	From    netip.AddrPort // the relaying entry; the zero value for a packet from the fabric
 }
 
 // Action is the decision about one packet.
@@ -72,10 +73,10 @@
 	To       netip.AddrPort
 	Header   Header
 	Reason   stoatpacket.DropReason
-	Tell     netip.AddrPort // if valid, the entry to send a Known datagram about the flow
+	Tell     netip.AddrPort // if valid, the entry to which a KindNotice datagram about the flow is to be sent
 }
 
-// Engine owns the flow table of one entry. Its methods may be called concurrently.
+// Engine holds the flow table of one entry. Its methods may be called concurrently.
 type Engine struct {
 	cfg         Config
 	shards      [shardCount]shard
@@ -84,25 +85,25 @@
 	outbox      outbox
 	usage       usageTable
 	stats       Stats
-	resyncs     []peerSync                 // under regMu
+	resyncs     []peerSync                 // guarded by regMu
 	nextSweep   int                        // next shard to sweep; used by Advance only
-	reports     receivedReports            // under regMu
-	lastFlush   time.Time                  // when Advance last sent; used by it only
+	reports     receivedReports            // guarded by regMu
+	lastFlush   time.Time                  // used by Advance only
 	sentReports map[reportScope]sentReport // used by Advance only
 }
 
 // Stats counts what the engine did since its start.
 type Stats struct {
-	Opened   atomic.Int64
-	Adopted  atomic.Int64 // unknown flows placed by hash
-	Tracked  atomic.Int64 // flows that opened away from their first choice
-	Relayed  atomic.Int64
-	Asked    atomic.Int64
-	Refused  atomic.Int64 // over a limit
-	Silent   atomic.Int64 // reset because nothing answered
-	Flooded  atomic.Int64 // opened without state
-	Promoted atomic.Int64 // taken over from a copy
-	Bytes    atomic.Int64 // control bytes sent
+	Opened   atomic.Int64 // TCP flows placed when they opened
+	Adopted  atomic.Int64 // flows that no queried entry knew, placed by hash
+	Tracked  atomic.Int64 // flows that opened at another than their preferred upstream
+	Relayed  atomic.Int64 // packets relayed to the owner or a claimant
+	Asked    atomic.Int64 // lookups sent
+	Refused  atomic.Int64 // flows refused because of a limit
+	Silent   atomic.Int64 // flows reset because nothing answered or their upstream is gone
+	Flooded  atomic.Int64 // flows that opened without a table entry
+	Promoted atomic.Int64 // flows taken over from a copy
+	Bytes    atomic.Int64 // control traffic sent
 }
 
 // New returns an Engine.
@@ -135,7 +136,7 @@
 
 func (e *Engine) shard(k stoatpaddle.FlowHash) *shard { return &e.shards[k%shardCount] }
 
-// tick is a time in the flow table: tenths of a second since Config.Start.
+// tick is a time in the flow table, in units of tickLength since Config.Start.
 type tick uint32
 
 const tickLength = 100 * time.Millisecond
@@ -144,8 +145,8 @@
 
 func ticks(d time.Duration) tick { return tick(d / tickLength) }
 
-// gain returns the weight of load differences for a customer, less when the byte budget
-// is short: a tracked flow whose copy waits would break with this entry.
+// gain returns the weight of load differences for a customer. It is lower while the byte budget is short,
+// because a tracked flow whose copy has not been sent breaks if this entry dies.
 func (e *Engine) gain(lean stoatpaddle.Lean) float64 {
 	gain := e.cfg.Gain * e.outbox.gainFactor()
 	if lean == stoatpaddle.LeanFlows {
--- a/stoatflow/engine_test.go
+++ b/stoatflow/engine_test.go
@@ -17,7 +17,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// TestMain fixes the seed of the random schedules, so that the verdict is the same every time.
+// TestMain sets the seed of the random schedules, so that the result is reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -26,14 +26,15 @@
 	os.Exit(m.Run())
 }
 
-// naiveTable remembers every flow for good and walks the contracts for every packet.
+// naiveTable is a reference implementation. It keeps every flow forever and searches the contracts for
+// every packet.
 type naiveTable struct {
 	contracts []stoatpaddle.Contract
 	placed    map[stoatpacket.Tuple]stoatpaddle.UpstreamKey
 }
 
-// owner walks the contracts for the service that has the destination.
-func (n *naiveTable) owner(t stoatpacket.Tuple) (ref stoatpaddle.ServiceRef, ok bool) {
+// serviceOf searches the contracts for the service that listens on the destination.
+func (n *naiveTable) serviceOf(t stoatpacket.Tuple) (ref stoatpaddle.ServiceRef, ok bool) {
 	for _, c := range n.contracts {
 		for _, s := range c.Services {
 			for _, port := range s.Ports {
@@ -46,8 +47,8 @@
 	return ref, false
 }
 
-// drawContracts makes contracts of a few customers over distinct addresses; versions of
-// one run differ in the weights and the number of upstreams.
+// drawContracts draws contracts of a few customers with distinct addresses. The contracts drawn in one run
+// differ in the number and the weights of the upstreams.
 func drawContracts(t *rapid.T) []stoatpaddle.Contract {
 	var out []stoatpaddle.Contract
 	for c := range 3 {
@@ -71,9 +72,9 @@
 	return out
 }
 
-// A caller opens flows and goes on sending while operators amend contracts at random.
-// Whatever the amendments, a flow stays on the upstream that it opened at, and no packet
-// reaches an upstream of another service: a packet that no contract claims goes nowhere.
+// A caller opens flows and goes on sending while operators amend contracts at random. An open flow must not
+// move to another upstream, no packet may reach an upstream of another service, and a packet to an address
+// that no contract lists must not be forwarded.
 func TestAgainstNaiveTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := &naiveTable{placed: map[stoatpacket.Tuple]stoatpaddle.UpstreamKey{}}
@@ -95,16 +96,16 @@
 }
 
 func drawTuple(t *rapid.T) stoatpacket.Tuple {
-	port := func(name string, least, most int) uint16 { return uint16(rapid.IntRange(least, most).Draw(t, name)) }
+	drawPort := func(name string, least, most int) uint16 { return uint16(rapid.IntRange(least, most).Draw(t, name)) }
 	return stoatpacket.Tuple{
-		Src:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 0, 1}), port("source", 1, 20)),
-		Dst:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{203, 0, 113, byte(rapid.IntRange(0, 3).Draw(t, "address"))}), port("port", 79, 82)),
+		Src:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 0, 1}), drawPort("source", 1, 20)),
+		Dst:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{203, 0, 113, byte(rapid.IntRange(0, 3).Draw(t, "address"))}), drawPort("port", 79, 82)),
 		Protocol: stoatpaddle.ProtocolTCP,
 	}
 }
 
 func (n *naiveTable) check(t *rapid.T, e *stoatflow.Engine, v *stoatview.View, now time.Time, tuple stoatpacket.Tuple) {
-	ref, claimed := n.owner(tuple)
+	ref, claimed := n.serviceOf(tuple)
 	svc := v.Flow(tuple.Dst, tuple.Protocol)
 	if (svc != nil) != claimed || svc != nil && svc.Ref != ref {
 		t.Fatalf("%v belongs to %v, found %v", tuple, ref, svc)
@@ -123,8 +124,8 @@
 	}
 	if !open {
 		n.placed[tuple] = a.Upstream.Key
-		// The caller completes the handshake at once; an opening that does not go on is
-		// forgotten after a while, as it should be.
+		// The caller completes the handshake at once, because a flow that does not proceed is removed after
+		// a while.
 		ack := stoatpacket.Packet{Tuple: tuple}
 		e.Handle(now, v, &stoatflow.Inbound{Packet: &ack, Key: v.Seed.Hash(tuple), Service: svc})
 		return
@@ -134,12 +135,12 @@
 	}
 }
 
-// While views point in a circle a packet goes round until its hops are used up. A segment
-// of an open flow is dropped, to be sent again when views agree: placed by hash at
-// whichever entry it ends, it could break its flow. An opening one is placed.
-func TestPacketThatWentRound(t *testing.T) {
+// While views point at each other in a cycle a packet is relayed until its hops are used up. A segment of
+// an open flow is dropped and sent again by the caller: if the last entry placed it by hash, it could break
+// the flow. An opening packet is placed.
+func TestPacketWithExhaustedHops(t *testing.T) {
 	s := &session{engines: map[string]*stoatflow.Engine{}, views: map[string]*stoatview.View{}, upstreams: []string{"a-1", "a-2"}, entries: []string{"a1", "a2"}}
-	s.learnAll()
+	s.updateViews()
 	v := s.views["a1"]
 	for _, opens := range []bool{false, true} {
 		want := stoatflow.Drop
@@ -157,8 +158,8 @@
 	}
 }
 
-// A datagram on the relay port that no entry made, or that was made for another flow, is
-// told from a genuine one: a stranger must not make an entry decide for flows.
+// A datagram on the relay port that no entry made, or that was made for another flow, is refused. Otherwise
+// anyone could make an entry decide for flows that it does not own.
 func TestForgedHeaders(t *testing.T) {
 	seed := stoatpacket.Seed{K0: 1, K1: 2}
 	var b [64]byte
@@ -182,7 +183,7 @@
 	}
 }
 
-// benchmarkMemory measures the heap that n open flows take, tracked ones among them.
+// benchmarkMemory measures the heap that n open flows take, some of them tracked.
 func benchmarkMemory(b *testing.B, n int) {
 	var before, after runtime.MemStats
 	for b.Loop() {
@@ -200,14 +201,14 @@
 func BenchmarkMemory100k(b *testing.B) { benchmarkMemory(b, 100_000) }
 func BenchmarkMemory400k(b *testing.B) { benchmarkMemory(b, 400_000) }
 
-// benchmarkRelay measures a packet of a flow that one of n-1 other entries owns.
+// benchmarkRelay measures the handling of a packet whose flow one of n-1 other entries owns.
 func benchmarkRelay(b *testing.B, n int) {
 	s := &session{engines: map[string]*stoatflow.Engine{}, views: map[string]*stoatview.View{}}
 	s.upstreams = []string{"a-1", "a-2", "a-3", "a-4", "a-5", "a-6", "a-7", "a-8", "a-9", "a-10", "a-11", "a-12", "a-13", "a-14"}
 	for i := range n {
 		s.entries = append(s.entries, string([]byte{'a', byte('1' + i)}))
 	}
-	s.learnAll()
+	s.updateViews()
 	v, e := s.views["a1"], s.engines["a1"]
 	p := stoatpacket.Packet{Tuple: stoatpacket.Tuple{Dst: service, Protocol: stoatpaddle.ProtocolTCP}}
 	in := &stoatflow.Inbound{Packet: &p, Service: v.Flow(service, stoatpaddle.ProtocolTCP)}
@@ -224,12 +225,12 @@
 func BenchmarkRelay9(b *testing.B)  { benchmarkRelay(b, 9) }
 func BenchmarkRelay30(b *testing.B) { benchmarkRelay(b, 30) }
 
-// openFlows returns an engine that holds n flows, and a packet of each.
+// openFlows returns an engine that holds n flows, its view, and a packet and the key of each flow.
 func openFlows(n int) (*stoatflow.Engine, *stoatview.View, []stoatpacket.Packet, []stoatpaddle.FlowHash) {
 	s := &session{engines: map[string]*stoatflow.Engine{}, views: map[string]*stoatview.View{}}
 	s.upstreams = []string{"a-1", "a-2", "a-3", "a-4", "a-5", "a-6", "a-7", "a-8", "a-9", "a-10", "a-11", "a-12", "a-13", "a-14"}
 	s.entries = []string{"a1"}
-	s.learnAll()
+	s.updateViews()
 	v, e := s.views["a1"], s.engines["a1"]
 	packets := make([]stoatpacket.Packet, n)
 	keys := make([]stoatpaddle.FlowHash, n)
@@ -247,7 +248,7 @@
 	return e, v, packets, keys
 }
 
-// benchmarkKnown measures a packet of a known flow among n.
+// benchmarkKnown measures the handling of a packet of one of n known flows.
 func benchmarkKnown(b *testing.B, n int) {
 	e, v, packets, keys := openFlows(n)
 	svc := v.Flow(service, stoatpaddle.ProtocolTCP)
--- a/stoatflow/handle.go
+++ b/stoatflow/handle.go
@@ -9,7 +9,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// packetDecision is one packet on its way through the decision.
+// packetDecision is the state of the decision about one packet.
 type packetDecision struct {
 	now  time.Time
 	tick tick
@@ -21,10 +21,10 @@
 	replacesTracked bool
 }
 
-// Handle decides about one packet; it allocates nothing for a known flow.
+// Handle decides about one packet. It allocates nothing for a known flow.
 //
-// The order matters: what an entry knows goes before what it would compute, since only
-// knowledge tells where an open flow went under views that differ.
+// The order of the steps matters: a record of the flow takes precedence over what the hash yields, because
+// only the record tells to which upstream an open flow goes while views differ.
 func (e *Engine) Handle(now time.Time, v *stoatview.View, in *Inbound) Action {
 	p := packetDecision{now: now, tick: e.tick(now), view: v, in: in, key: in.Key, sh: e.shard(in.Key)}
 	p.sh.mu.Lock()
@@ -32,9 +32,9 @@
 	if a, ok := e.handleKnown(&p); ok {
 		return a
 	}
-	// A packet that went round until its hops were used up says that views differ, not
-	// where its flow goes. It is sent again by its caller, and by then they agree more. An
-	// opening one is placed here all the same: nobody knows its flow.
+	// A packet that used up its hops shows that views differ, but not where its flow goes. It is dropped,
+	// the caller sends it again, and the views differ less by then. An opening packet is placed here all
+	// the same, because no entry knows its flow.
 	hopsExhausted := in.Header.Hops >= maxHops
 	if hopsExhausted && !in.Packet.Opens {
 		return Action{Verdict: Drop, Reason: stoatpacket.DropHops}
@@ -57,9 +57,9 @@
 	return p.notifyOwner(e.placeUnknown(&p))
 }
 
-// notifyOwner has the owner told of a flow that this entry placed although it does not own
-// it, as happens while views point in a circle. Else only this entry would know the flow,
-// and perhaps it is about to leave.
+// notifyOwner has the owner notified of a flow that this entry placed although it does not own it, which
+// happens while views point at each other in a cycle. Otherwise only this entry would know the flow, and it
+// may be about to leave.
 func (p *packetDecision) notifyOwner(a Action) Action {
 	owner := p.view.Owner(p.in.Service, p.key)
 	if a.Verdict == Forward && owner != nil && owner.ID != p.view.Self {
@@ -68,15 +68,16 @@
 	return a
 }
 
-// handleKnown forwards a packet of a flow in the table.
+// handleKnown handles a packet of a flow in the table. It returns false if the flow is unknown or is to be
+// placed anew.
 func (e *Engine) handleKnown(p *packetDecision) (Action, bool) {
 	f, ok := p.sh.flows[p.key]
 	if !ok {
 		return Action{}, false
 	}
 	sl := e.reg.Load().slots[f.slot]
-	// Two flows may share a hash. Without this check the second would follow the first,
-	// perhaps to another customer's upstream. It goes without state to its first choice.
+	// Two flows may have the same hash. Without this check the second would follow the first, perhaps to an
+	// upstream of another customer. Its packets go to its preferred upstream without a table entry.
 	if sl.ref != p.in.Service.Ref {
 		return e.forwardStateless(p), true
 	}
@@ -103,9 +104,9 @@
 	return p.forward(sl), true
 }
 
-// reopens tells whether an opening packet is to be placed anew: its flow ended, or the
-// caller got no answer and the upstream leaves now. Without the second, an opening packet
-// that was lost would open at a leaving upstream long after the mark.
+// reopens reports whether an opening packet is to be placed anew: its flow ended, or the flow never
+// proceeded and its upstream now takes no new flows. Without the second case, a caller whose opening
+// packets are lost would open its flow at a leaving upstream long after it was marked as leaving.
 func (e *Engine) reopens(p *packetDecision, sl *slot, f flow) bool {
 	if p.in.Packet.Tuple.Protocol != tcp {
 		return false
@@ -113,9 +114,9 @@
 	return f.flags&closing != 0 || f.flags&opening != 0 && !p.in.Service.Set.Has(sl.key)
 }
 
-// forward sends the packet on and, if its owner had to ask, tells it where the flow goes:
-// an active flow passes to a new owner with its next packet, however long the records
-// within the byte budget take.
+// forward forwards the packet and, after a lookup, has the owner notified of the flow's upstream. A new
+// owner thus learns of an active flow with its next packet, however long the records wait for the byte
+// budget.
 func (p *packetDecision) forward(sl *slot) Action {
 	a := Action{Verdict: Forward, Upstream: sl.upstream.Load()}
 	if p.in.Header.Kind == Asked {
@@ -124,8 +125,8 @@
 	return a
 }
 
-// resetFlow resets a flow that cannot live: the caller reconnects at once instead of
-// waiting on a connection that nothing serves any more.
+// resetFlow resets a flow that cannot go on, so that the caller reconnects at once instead of waiting on a
+// connection that no upstream serves.
 func (e *Engine) resetFlow(p *packetDecision, sl *slot, f flow) Action {
 	e.stats.Silent.Add(1)
 	if f.flags&closing == 0 {
@@ -136,19 +137,19 @@
 	return Action{Verdict: Reset, Upstream: sl.upstream.Load()}
 }
 
-// recordClaim remembers the entry that decides for the flow. A flood of openings while views
-// differ must not fill the memory with claims; beyond the cap a packet is placed by hash.
+// recordClaim records the entry that decides for the flow. A flood of opening packets while views differ
+// must not fill the memory with claims; beyond the limit packets are placed by hash.
 func (e *Engine) recordClaim(p *packetDecision, to netip.AddrPort) {
 	if _, known := p.sh.claims[p.key]; known || len(p.sh.claims) < e.cfg.MaxOpen/shardCount {
 		p.sh.claims[p.key] = claim{to: to, expires: p.tick + ticks(claimLifetime)}
 	}
 }
 
-// claimLifetime outlasts the time in which entries learn of a change; an entry may have left
-// by the end of a longer one.
+// claimLifetime is longer than entries take to learn of a change. With a much longer one the claimant may
+// have left meanwhile.
 const claimLifetime = 10 * time.Second
 
-// answerLookup serves a packet whose owner asks whether the flow is known here.
+// answerLookup handles a lookup, which is a packet whose owner does not know the flow.
 func (e *Engine) answerLookup(p *packetDecision) Action {
 	if c, ok := p.sh.copies[p.key]; ok && !p.in.Packet.Opens {
 		sl := e.reg.Load().slots[c.slot]
@@ -161,27 +162,27 @@
 	}
 	h := p.in.Header
 	if m := p.view.Before(p.key, p.now, e.cfg.Settle); m != nil && m.Relay != p.in.From {
-		// That entry may believe that it owns the flow itself, and open it.
+		// That entry may regard itself as the owner and open the flow.
 		if p.in.Packet.Opens {
 			e.recordClaim(p, m.Relay)
 		}
 		return Action{Verdict: Relay, To: m.Relay, Header: Header{Kind: Asked, Hops: h.Hops + 1, Asked: h.Asked}}
 	}
-	// An asker that waits for the end of a cut claims nothing, and a packet sent on to
-	// it would go round in a circle.
+	// While the owner defers the flow because of a partition it does not claim the flow, and packets that
+	// are relayed back to the owner would go round in a cycle.
 	if p.in.Packet.Opens || !p.view.CutLately(p.now) {
 		e.recordClaim(p, p.in.From)
 	}
 	return Action{Verdict: Relay, To: p.in.From, Header: Header{Kind: Unknown, Hops: h.Hops + 1, Asked: h.Asked}}
 }
 
-// relayToOwner relays the packet to the entry that owns the flow, if that is another one.
+// relayToOwner relays the packet to the entry that owns or claimed the flow, if that is another one.
 func (e *Engine) relayToOwner(p *packetDecision) (Action, bool) {
 	h := p.in.Header
 	owner := p.view.Owner(p.in.Service, p.key)
 	ownedHere := owner == nil || owner.ID == p.view.Self
 	if h.Kind == Unknown {
-		// The answer to a question that this entry asked on for the owner.
+		// This is the answer to a lookup that this entry forwarded for the owner.
 		if ownedHere || owner.Relay == p.in.From {
 			return Action{}, false
 		}
@@ -197,16 +198,16 @@
 	if ownedHere {
 		return Action{}, false
 	}
-	// The sender believes that this entry owns the flow, and this entry that the sender
-	// does. One has to decide; it is the receiver, or the packet would never end.
+	// The sender regards this entry as the owner, and this entry the sender. One of them has to decide, or
+	// the packet would go back and forth without end; it is the receiver.
 	if h.Kind == Relayed && owner.Relay == p.in.From {
 		return Action{}, false
 	}
 	return e.relayTo(h, owner.Relay), true
 }
 
-// relayToClaimant passes the packet to the entry that claimed its flow; the owner asks, so that
-// it is told where the flow goes.
+// relayToClaimant relays the packet to the entry that claimed its flow. The owner sends it as a lookup, so
+// that it is notified of the flow's upstream.
 func (e *Engine) relayToClaimant(h Header, to netip.AddrPort, ownedHere bool) Action {
 	if !ownedHere {
 		return e.relayTo(h, to)
@@ -215,21 +216,22 @@
 	return Action{Verdict: Relay, To: to, Header: Header{Kind: Asked, Hops: h.Hops + 1}}
 }
 
-// claimant returns the entry that claimant the flow here, unless the packet comes from it.
+// claimant returns the entry that claimed the flow here, unless the packet comes from it.
 func (e *Engine) claimant(p *packetDecision) (netip.AddrPort, bool) {
-	m, ok := p.sh.claims[p.key]
-	if !ok || p.tick >= m.expires || m.to == p.in.From || !p.view.Alive(m.to) {
+	c, ok := p.sh.claims[p.key]
+	if !ok || p.tick >= c.expires || c.to == p.in.From || !p.view.Alive(c.to) {
 		return netip.AddrPort{}, false
 	}
-	return m.to, true
+	return c.to, true
 }
 
+// relayTo relays the packet to the entry at the address.
 func (e *Engine) relayTo(h Header, to netip.AddrPort) Action {
 	e.stats.Relayed.Add(1)
 	return Action{Verdict: Relay, To: to, Header: Header{Kind: Relayed, Hops: h.Hops + 1}}
 }
 
-// promoteCopy takes a flow over from the copy that its dead owner left here.
+// promoteCopy takes a flow over from the copy that its former owner left here.
 func (e *Engine) promoteCopy(p *packetDecision) (Action, bool) {
 	c, ok := p.sh.copies[p.key]
 	if !ok || p.in.Packet.Opens {
@@ -244,7 +246,7 @@
 	return e.insert(p, sl, c.slot, 0), true
 }
 
-// lookUp relays the packet to the next entry that may know the flow.
+// lookUp relays the packet as a lookup to the next candidate that may know the flow.
 func (e *Engine) lookUp(p *packetDecision) (Action, bool) {
 	h := p.in.Header
 	var buf [stoatview.MaxCandidates]*stoatview.Member
--- a/stoatflow/header.go
+++ b/stoatflow/header.go
@@ -10,32 +10,32 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// HeaderKind tells what the sender of a relayed packet wants.
+// HeaderKind is the purpose of a datagram between entries.
 type HeaderKind uint8
 
-// The kinds of relayed packet; zero means that the packet came from the fabric.
+// The kinds of datagrams between entries. The zero value stands for a packet from the fabric.
 const (
 	FromFabric HeaderKind = iota
-	Relayed               // the receiver owns the flow, as the sender sees it
-	Asked                 // the sender owns the flow but does not know it: forward it if you do
-	Unknown               // the answer to Asked: the flow is not known here
-	Known                 // tells the owner, after Asked, where the flow goes; no packet follows
+	Relayed               // the receiver owns or claimed the flow, according to the sender
+	Asked                 // the sender owns the flow but does not know it; the receiver forwards the packet if it does
+	Unknown               // the answer to KindLookup if the receiver does not know the flow
+	Known                 // tells the owner, after KindLookup, to which upstream the flow goes; no packet follows
 )
 
 // Header precedes the inner packet in a datagram between entries.
 type Header struct {
 	Kind  HeaderKind
-	Hops  uint8 // entries that have handled the packet
-	Asked uint8 // candidates that have been asked
+	Hops  uint8 // number of entries that have handled the packet
+	Asked uint8 // number of candidates that have been queried
 }
 
-// HeaderSize is the length of an encoded header, bytes.
+// HeaderSize is the length of an encoded header in bytes.
 const HeaderSize = 8
 
-const tagOffset = 4 // of the header, before the tag
+const tagOffset = 4 // the authentication tag follows the fields that it covers
 
-// headerVersion is the first byte; no IP version has its high half, so that a packet
-// from the fabric sent to the wrong port cannot pass for a relayed one.
+// headerVersion is the first byte. It differs from that of any IP packet, whose high half is the IP
+// version, so that a packet from the fabric sent to the wrong port cannot pass for a relayed one.
 const headerVersion = 0x01
 
 // HeaderError reports a datagram that no entry of this version sent.
@@ -45,7 +45,7 @@
 	Kind    byte
 }
 
-// Error tells what was found.
+// Error returns the length, version and kind that were found.
 func (e *HeaderError) Error() string {
 	return fmt.Sprintf("relayed datagram: length %d, version %d, kind %d", e.Length, e.Version, e.Kind)
 }
@@ -59,9 +59,9 @@
 	binary.BigEndian.PutUint32(b[tagOffset:], authTag(b, seed, k))
 }
 
-// authTag proves that the header comes from an entry of the cluster: only those know the
-// seed. A check of the sender's address would refuse an entry that joined a moment ago
-// and is not known here yet, and its packets would be lost while views differ.
+// authTag returns a tag that proves that the header comes from an entry of the cluster, since only those
+// know the seed. A check of the sender's address instead would refuse an entry that joined a moment ago and
+// is not known here yet, and its packets would be lost while views differ.
 func authTag(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) uint32 {
 	var msg [tagOffset + 8]byte
 	copy(msg[:], b[:tagOffset])
@@ -69,10 +69,10 @@
 	return uint32(siphash.Hash(seed.K1, seed.K0, msg[:]))
 }
 
-// noticeSize is what follows the header of a Known datagram: the flow and its upstream.
+// noticeSize is the length of the flow and its upstream, which follow the header of a KindNotice datagram.
 const noticeSize = 12
 
-// PutNotice encodes a Known datagram into b and returns its length.
+// PutNotice encodes a KindNotice datagram into b and returns its length.
 func PutNotice(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash, up stoatpaddle.UpstreamKey) int {
 	Header{Kind: Known}.Put(b, seed, k)
 	binary.BigEndian.PutUint64(b[HeaderSize:], uint64(k))
@@ -80,8 +80,8 @@
 	return HeaderSize + noticeSize
 }
 
-// ReadNotice decodes what follows the header of a Known datagram; ok is false unless an
-// entry of the cluster made it.
+// ReadNotice decodes what follows the header of a KindNotice datagram. ok is false unless an entry of the
+// cluster made the datagram.
 func ReadNotice(b []byte, seed stoatpacket.Seed) (r Record, ok bool) {
 	if len(b) < HeaderSize+noticeSize {
 		return Record{}, false
@@ -91,7 +91,7 @@
 	return r, Genuine(b, seed, r.Key)
 }
 
-// Genuine tells whether the header in b was made for flow k by an entry of the cluster.
+// Genuine reports whether the header in b was made for flow k by an entry of the cluster.
 func Genuine(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) bool {
 	return binary.BigEndian.Uint32(b[tagOffset:]) == authTag(b, seed, k)
 }
--- a/stoatflow/outbox.go
+++ b/stoatflow/outbox.go
@@ -13,13 +13,13 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// Record tells where one tracked flow goes.
+// Record is the upstream of one tracked flow.
 type Record struct {
 	Key      stoatpaddle.FlowHash
 	Upstream stoatpaddle.UpstreamKey
 }
 
-// SetDigest names a set of upstreams, so that a load report need not name each.
+// SetDigest identifies a set of upstreams, so that a load report need not list them.
 type SetDigest uint32
 
 // LoadReport is one entry's load on each upstream of a set, in the set's order.
@@ -28,16 +28,16 @@
 	Open []uint32
 }
 
-// Batch is what one entry tells another about flows.
+// Batch is a message from one entry to another about flows.
 type Batch struct {
 	To     stoatpaddle.InstanceID
-	Moves  []Record // flows that the receiver owns from now on
-	Copies []Record // flows that the receiver would own next
-	Drops  []stoatpaddle.FlowHash
+	Moves  []Record               // flows that the receiver owns from now on
+	Copies []Record               // flows of which the receiver is to hold a copy
+	Drops  []stoatpaddle.FlowHash // flows whose copies the receiver is to drop
 	Loads  []LoadReport
 }
 
-// The encoded sizes, bytes; a test of the codec holds them to what it sends.
+// The encoded sizes in bytes. A test of the codec checks them against what it sends.
 const (
 	RecordSize = 10
 	DropSize   = 6
@@ -45,7 +45,7 @@
 	reportSize = 7
 )
 
-// Size returns the encoded size, bytes.
+// Size returns the encoded size in bytes.
 func (b *Batch) Size() int {
 	n := BatchSize + encodedListSize(len(b.Moves)*RecordSize) + encodedListSize(len(b.Copies)*RecordSize) + encodedListSize(len(b.Drops)*DropSize)
 	for _, l := range b.Loads {
@@ -54,7 +54,7 @@
 	return n
 }
 
-// encodedListSize adds the two bytes that the length of a long list takes more.
+// encodedListSize adds the two bytes that the length of a long list takes in addition.
 func encodedListSize(bytes int) int {
 	if bytes >= 1<<8 {
 		return bytes + 2
@@ -62,6 +62,7 @@
 	return bytes
 }
 
+// size returns the encoded size in bytes.
 func (l *LoadReport) size() int {
 	n := reportSize
 	for _, open := range l.Open {
@@ -70,10 +71,10 @@
 	return n
 }
 
-// minBatchRoom keeps a batch worth its own overhead.
+// minBatchRoom is the least room that a batch gets, so that its fixed overhead pays off.
 const minBatchRoom = BatchSize + 4*RecordSize
 
-// queue is what waits for one destination.
+// queue holds the records that wait to be sent to one entry.
 type queue struct {
 	moves  []Record
 	copies []Record
@@ -81,23 +82,23 @@
 	loads  []LoadReport
 }
 
-// minDrops is how many drops wait for company, or for something else to go: they are in
-// no hurry, and alone each would cost twice its own size.
+// minDrops is the number of drops that are sent without other records. Drops are not urgent, and the
+// overhead of one sent alone is twice its own size.
 const minDrops = 32
 
-// due tells whether a batch is worth sending now.
+// due reports whether the queue holds enough to be sent now.
 func (q *queue) due() bool {
 	return len(q.moves)+len(q.copies)+len(q.loads) > 0 || len(q.drops) >= minDrops
 }
 
-// outbox holds what waits for the byte budget.
+// outbox holds the records that wait for the byte budget.
 type outbox struct {
 	mu             sync.Mutex
 	queues         map[stoatpaddle.InstanceID]*queue
 	tokens         float64 // bytes that may be sent now
 	refilledAt     time.Time
-	rotation       int
-	gainFactorBits atomic.Uint64 // math.Float64bits of ease
+	rotation       int           // which destination is served first
+	gainFactorBits atomic.Uint64 // math.Float64bits of gainFactor
 }
 
 func (o *outbox) init() {
@@ -105,20 +106,20 @@
 	o.gainFactorBits.Store(math.Float64bits(1))
 }
 
-// The gain is whole while less than fullGainBacklog of copies waits, measured in the time that the
-// budget takes to send them, and falls to minGainFactor at minGainBacklog. In proportion, it settles
-// where the budget is just used up; in steps it would swing, and the loads with it.
+// The gain applies in full while the backlog of copies and moves, measured as the time that the budget
+// takes to send it, is below fullGainBacklog. It falls linearly to minGainFactor at minGainBacklog. This
+// way it settles where the budget is just used up; a stepwise rule would make it oscillate, and the loads
+// with it.
 const (
 	fullGainBacklog = 100 * time.Millisecond
 	minGainBacklog  = 400 * time.Millisecond
 	minGainFactor   = 0.02
 )
 
-// gainFactor returns the part of the gain that the byte budget allows now, up to 1: it shrinks
-// fast while copies wait and grows slowly while none do.
+// gainFactor returns the part of the gain that the byte budget allows now, at most 1.
 func (o *outbox) gainFactor() float64 { return math.Float64frombits(o.gainFactorBits.Load()) }
 
-// updateGainFactor sets ease after a sending; it is called under the lock.
+// updateGainFactor sets gainFactor by the backlog after a flush. The caller holds mu.
 func (o *outbox) updateGainFactor(budget int) {
 	waiting := 0
 	for _, q := range o.queues {
@@ -156,7 +157,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := o.queue(to)
-	// A copy that has not left yet needs no drop: short flows cost nothing.
+	// A copy that has not been sent yet needs no drop, so that short flows cost no control traffic.
 	for i := len(q.copies) - 1; i >= 0; i-- {
 		if q.copies[i].Key == k {
 			q.copies = append(q.copies[:i], q.copies[i+1:]...)
@@ -173,14 +174,14 @@
 	q.loads = append(q.loads[:0:0], append(q.loads, l)...)
 }
 
-// discard forgets what waits for an entry.
+// discard discards what waits for an entry.
 func (o *outbox) discard(to stoatpaddle.InstanceID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.queues, to)
 }
 
-// pendingBytes returns the bytes that wait.
+// pendingBytes returns the encoded size of the records that wait.
 func (o *outbox) pendingBytes() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -191,8 +192,8 @@
 	return n
 }
 
-// drained tells whether nothing is left that is worth sending: a few drops wait for company, and the copies
-// that they end are forgotten where they are when they go idle.
+// drained reports whether nothing is left that is due. A few drops may remain, since they wait for other
+// records. The entries that hold those copies remove them once they are idle.
 func (o *outbox) drained() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -204,7 +205,7 @@
 	return true
 }
 
-// discardUnreachable drops what waits for entries that are not in the view any more.
+// discardUnreachable discards what waits for entries that the view does not reach any more.
 func (o *outbox) discardUnreachable(v *stoatview.View) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -215,7 +216,8 @@
 	}
 }
 
-// flush takes as many bytes as the budget allows, the destinations in turn.
+// flush removes as many bytes as the budget allows and returns them in batches. The destination that is
+// served first rotates.
 func (o *outbox) flush(now time.Time, budget int, connected func(stoatpaddle.InstanceID) bool) []Batch {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -231,7 +233,8 @@
 	o.rotation++
 	for i := range ids {
 		id := ids[(i+o.rotation)%len(ids)]
-		// Each gets its part: a long queue for one must not hold up what is urgent for others.
+		// Each destination gets an equal part: a long queue for one must not delay urgent records for
+		// others.
 		room := 0
 		if o.tokens > BatchSize {
 			room = max(int(o.tokens)/(len(ids)-i), minBatchRoom)
@@ -248,6 +251,7 @@
 	return out
 }
 
+// refill adds the tokens for the time since the last refill, up to the budget of one second.
 func (o *outbox) refill(now time.Time, budget int) {
 	if o.refilledAt.IsZero() {
 		o.tokens = float64(budget)
@@ -259,8 +263,8 @@
 
 func (b *Batch) empty() bool { return len(b.Moves)+len(b.Copies)+len(b.Drops)+len(b.Loads) == 0 }
 
-// take removes up to room bytes, the most urgent first; load reports go in any case, for
-// with old ones the owners track more flows and need more room still.
+// take removes up to room bytes from the queue, the most urgent records first. Load reports are always
+// sent, because owners with old reports track more flows and need even more room.
 func (q *queue) take(room int) Batch {
 	var b Batch
 	room -= BatchSize
@@ -270,12 +274,14 @@
 	b.Loads, q.loads = q.loads, nil
 	b.Moves, q.moves = takeHead(q.moves, &room, RecordSize)
 	b.Copies, q.copies = takeHead(q.copies, &room, RecordSize)
-	// Drops come in the order of a map; sorted, the same run sends the same ones first.
+	// Drops are queued in the order of a map. They are sorted so that a repeated run sends the same ones
+	// first.
 	slices.Sort(q.drops)
 	b.Drops, q.drops = takeHead(q.drops, &room, DropSize)
 	return b
 }
 
+// takeHead splits off the records that fit into the room and subtracts their size from it.
 func takeHead[T any](list []T, room *int, size int) (head, tail []T) {
 	n := min(len(list), max(0, *room/size))
 	*room -= n * size
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -8,7 +8,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// placeUnknown places a flow that no entry knows.
+// placeUnknown chooses the upstream of a flow that no queried entry knows.
 func (e *Engine) placeUnknown(p *packetDecision) Action {
 	pkt := p.in.Packet
 	switch {
@@ -21,7 +21,7 @@
 	}
 }
 
-// forwardStateless forwards a packet to its first choice, without state.
+// forwardStateless forwards a packet to its preferred upstream without adding the flow to the table.
 func (e *Engine) forwardStateless(p *packetDecision) Action {
 	u := p.in.Service.Set.First(p.key)
 	if u == nil {
@@ -36,9 +36,9 @@
 	if first == nil {
 		return Action{Verdict: Reset, Reason: stoatpacket.DropNoUpstream}
 	}
-	// Openings that never proceed must not grow the table without bound. Beyond the
-	// cap a flow goes to its first choice without being remembered: its next packet
-	// finds the same place by hash, so it lives like any other.
+	// Flows that open but never proceed must not grow the table without limit. Beyond the limit a flow goes
+	// to its preferred upstream without an entry in the table. Its next packet finds the same upstream by
+	// hash, so the flow is not harmed.
 	if p.sh.openingCount >= e.cfg.MaxOpen/shardCount {
 		e.stats.Flooded.Add(1)
 		return Action{Verdict: Forward, Upstream: first}
@@ -62,10 +62,11 @@
 	return e.insert(p, sl, i, opening)
 }
 
-// copyLag is how long copies of newly tracked flows may take to leave a dying entry.
+// copyLag is how long it may take until the copies of newly tracked flows have left an entry that dies.
 const copyLag = 5 * time.Second
 
-// adoptOpen places a flow that is open already, by the set that it can belong to.
+// adoptOpen places a flow that is open already, by the upstream set that was in force when it may have
+// opened.
 func (e *Engine) adoptOpen(p *packetDecision) Action {
 	s := p.in.Service
 	if p.view.CutLately(p.now) && (p.view.Elsewhere(s, p.key, p.now) || !p.waitedForPartition()) {
@@ -86,12 +87,12 @@
 		return e.deferPlacement(p)
 	}
 	sl, i := e.reg.Load().find(u.Key)
-	// Opening packets fill the table to half of this at most, so that a flood of them
-	// leaves room for flows that go on.
+	// Opening packets fill the table to half of this limit at most, so that a flood of them leaves room for
+	// flows that are open.
 	if sl == nil || p.sh.openingCount >= 2*e.cfg.MaxOpen/shardCount {
 		return Action{Verdict: Forward, Upstream: u}
 	}
-	// Every UDP packet may be a flow's first: unknown ones count against the limit.
+	// Every UDP packet may be the first of its flow, so unknown ones count against the limit.
 	if p.in.Packet.Opens && !sl.usage.admit(p.now, s.Limits, len(p.view.Ring.Members)) {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
@@ -100,23 +101,24 @@
 	return e.insert(p, sl, i, opening)
 }
 
-// waitedForPartition tells whether the flow has been waiting for long enough that the entries which
-// might know it would have been heard again, were the cut over.
+// waitedForPartition reports whether the flow has been deferred for so long that the entries which may know
+// it would have answered again had the partition ended.
 func (p *packetDecision) waitedForPartition() bool {
 	w, known := p.sh.deferred[p.key]
 	return known && p.tick-w.firstSeen >= ticks(stoatview.CutGrace)
 }
 
-// deferPlacement drops a packet of a flow that entries beyond a cut may know. Placed by hash, it
-// would reach an upstream that resets the flow, which may live on once the cut is over.
-// A caller who finds no other way is reset in the end, so that it can reconnect here.
+// deferPlacement drops a packet of a flow that entries beyond a partition may know. If the packet were
+// placed by hash it would reach an upstream that resets the flow, which could otherwise go on after the
+// partition. A caller whose packets reach no entry that knows the flow is reset in the end, so that it can
+// reconnect here.
 func (e *Engine) deferPlacement(p *packetDecision) Action {
 	w, known := p.sh.deferred[p.key]
 	if !known {
 		w.firstSeen = p.tick
 	}
 	w.packets++
-	w.seen = p.tick
+	w.lastSeen = p.tick
 	if w.packets > silentRepeats && p.tick-w.firstSeen >= ticks(silentAfter) {
 		delete(p.sh.deferred, p.key)
 		e.stats.Silent.Add(1)
@@ -128,7 +130,7 @@
 	return Action{Verdict: Drop, Reason: stoatpacket.DropElsewhere}
 }
 
-// insert remembers the flow and forwards its packet.
+// insert adds the flow to the table and forwards its packet.
 func (e *Engine) insert(p *packetDecision, sl *slot, i slotIndex, flags flag) Action {
 	f := flow{lastSeen: p.tick, stuckSince: p.tick, seq: p.in.Packet.Seq, slot: i, flags: flags}
 	if flags&opening != 0 {
@@ -144,14 +146,15 @@
 		f.flags |= closing
 	}
 	p.sh.flows[p.key] = f
-	// Another entry may hold a record of the flow that this one replaces, and not have
-	// been told to drop it because its owner changed; the new record overrides it.
+	// Another entry may hold a record of the flow that this one replaces. If ownership changed since,
+	// nothing told that entry to drop it. The new record overwrites it.
 	if (f.flags&tracked != 0 || p.replacesTracked) && f.flags&closing == 0 {
 		e.enqueueCopies(p.view, p.in.Service, p.key, sl)
 	}
 	return Action{Verdict: Forward, Upstream: sl.upstream.Load()}
 }
 
+// countOwned adds the flow to this entry's load unless it is counted already.
 func (e *Engine) countOwned(sl *slot, f *flow) {
 	if f.flags&owned == 0 {
 		f.flags |= owned
@@ -160,6 +163,7 @@
 	}
 }
 
+// uncountOwned removes the flow from this entry's load if it is counted.
 func (e *Engine) uncountOwned(sl *slot, f *flow) {
 	if f.flags&owned != 0 {
 		f.flags &^= owned
@@ -168,7 +172,7 @@
 	}
 }
 
-// removeFlow removes the flow from the table and its copies from the other entries.
+// removeFlow removes the flow from the table and queues the removal of its copies at the other entries.
 func (e *Engine) removeFlow(v *stoatview.View, sh *shard, k stoatpaddle.FlowHash, f flow) {
 	sl := e.reg.Load().slots[f.slot]
 	e.uncountOwned(sl, &f)
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -7,7 +7,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// Receive takes in what another entry told about flows.
+// Receive applies a batch from another entry.
 func (e *Engine) Receive(now time.Time, v *stoatview.View, from stoatpaddle.InstanceID, b Batch) {
 	r := e.reg.Load()
 	for _, rec := range b.Moves {
@@ -32,11 +32,12 @@
 	}
 }
 
-// Learn takes in where a flow goes that this entry asked about.
+// Learn applies a KindNotice datagram, which says where a flow goes that this entry looked up.
 func (e *Engine) Learn(now time.Time, v *stoatview.View, r Record) {
 	e.receiveMove(now, v, e.reg.Load(), r)
 }
 
+// receiveMove adds a flow of which this entry was told that it owns it.
 func (e *Engine) receiveMove(now time.Time, v *stoatview.View, r *registry, rec Record) {
 	sl, i := r.find(rec.Upstream)
 	if sl == nil {
@@ -53,13 +54,14 @@
 	e.insertFromRecord(now, v, s, sh, rec.Key, sl, i)
 }
 
-// receivedReports remembers what each entry last reported, so that a new report replaces it.
+// receivedReports holds the last report of each entry on each set, so that a new report replaces it.
 type receivedReports map[stoatpaddle.InstanceID]map[SetDigest]LoadReport
 
+// receiveLoad replaces what the entry reported on the set before.
 func (e *Engine) receiveLoad(r *registry, from stoatpaddle.InstanceID, l LoadReport) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
-	// A report about another set than the present one is of no use.
+	// A report on a set that is not current is of no use.
 	set := r.setByDigest[l.Set]
 	if set == nil || len(set.Upstreams) != len(l.Open) {
 		return
@@ -77,15 +79,15 @@
 	e.reports[from][l.Set] = l
 }
 
-// addRemote adds a report to what other entries hold on each upstream, or takes it away.
+// addRemote adds a report to the remote load on each upstream; with a sign of -1 it subtracts it.
 func (r *registry) addRemote(l LoadReport, sign int64) {
 	for i, sl := range r.slotsBySet[r.setByDigest[l.Set]] {
 		sl.remote.Add(sign * int64(l.Open[i]))
 	}
 }
 
-// forgetReports drops the reports of entries that left and of sets that changed: their
-// flows are counted by the entries that own them now.
+// forgetReports drops the reports of entries that left and those on sets that changed, and recomputes the
+// remote loads. Their flows are counted by the entries that own them now.
 func (e *Engine) forgetReports(v *stoatview.View) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
--- a/stoatflow/report.go
+++ b/stoatflow/report.go
@@ -9,29 +9,30 @@
 )
 
 const (
-	// farReportInterval is between load reports to entries of other data centres at least; those of
-	// the same one, who own nearly all flows on the same upstreams, get one with each sending.
+	// farReportInterval is the minimum time between load reports to entries of other data centres. Those of
+	// the same data centre own nearly all flows on the same upstreams, so they may get a report with each
+	// flush.
 	farReportInterval = 400 * time.Millisecond
-	// maxReportInterval is between load reports at most: a lost one is made up for.
+	// maxReportInterval is the maximum time between load reports, so that a lost report is replaced.
 	maxReportInterval = 5 * time.Second
-	// minReportedChange is the change, in parts of the load, that is worth a report before
-	// that: reports of a load that stands still would cost as much as those of one that moves.
+	// minReportedChange is the change, as a fraction of the total load, that is reported before
+	// maxReportInterval. Reports of an unchanged load would cost as much as those of a changed one.
 	minReportedChange = 0.003
 )
 
-// sentReport is what was last told of one set's loads.
+// sentReport is the last report on one set.
 type sentReport struct {
 	open []uint32
 	at   time.Time
 }
 
-// reportScope tells entries of this data centre from those of others.
+// reportScope identifies a set and whether the receivers are in this data centre or in others.
 type reportScope struct {
 	set SetDigest
 	far bool
 }
 
-// reportLoads tells the other owners how loaded each upstream is from here.
+// reportLoads queues reports of the load on each upstream for the other entries.
 func (e *Engine) reportLoads(now time.Time, v *stoatview.View) {
 	self := v.Ring.Find(v.Self)
 	if self == nil {
@@ -59,8 +60,8 @@
 	return report
 }
 
-// reportDue tells whether the loads changed enough, or for long enough, to be reported, and
-// notes that they are.
+// reportDue reports whether the load changed enough, or the last report is old enough, to send one. If so
+// it records the loads as reported.
 func (e *Engine) reportDue(now time.Time, l LoadReport, far bool) bool {
 	key := reportScope{set: l.Set, far: far}
 	last := e.sentReports[key]
@@ -74,6 +75,8 @@
 	return true
 }
 
+// enqueueReport queues the report for the other entries, either those of this data centre or those of
+// others.
 func (e *Engine) enqueueReport(v *stoatview.View, self *stoatview.Member, l LoadReport, far bool) {
 	for _, m := range v.Ring.Members {
 		if m != self && far == (m.DataCentre != self.DataCentre) {
@@ -82,7 +85,7 @@
 	}
 }
 
-// loadsChanged tells whether the loads moved by more than worthReporting of their sum.
+// loadsChanged reports whether the loads changed by more than minReportedChange of their sum.
 func loadsChanged(before, now []uint32) bool {
 	if len(before) != len(now) {
 		return true
@@ -96,7 +99,7 @@
 	return float64(change) > minReportedChange*float64(sum)
 }
 
-// digest names a set by its upstreams' keys.
+// digest returns a hash of the keys of the set's upstreams.
 func digest(set *stoatview.Set) SetDigest {
 	h := fnv.New32a()
 	for _, u := range set.Upstreams {
--- a/stoatflow/resync.go
+++ b/stoatflow/resync.go
@@ -5,14 +5,14 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// peerSync is the progress of telling one peer everything it should hold.
+// peerSync is the progress of sending one peer every record that it should hold.
 type peerSync struct {
 	peer      stoatpaddle.InstanceID
-	nextShard int // shard
+	nextShard int
 }
 
-// Resync begins to send a peer every record that it should hold. Records are not
-// acknowledged one by one: what a broken connection lost, the next one brings again.
+// Resync starts to send a peer every record that it should hold. Records are not acknowledged one by one;
+// those that a broken connection lost are sent again over the next one.
 func (e *Engine) Resync(peer stoatpaddle.InstanceID) {
 	e.outbox.discard(peer)
 	e.regMu.Lock()
@@ -26,7 +26,7 @@
 	e.resyncs = append(e.resyncs, peerSync{peer: peer})
 }
 
-// resync goes through a few shards for each peer that is being told.
+// resync processes a few shards for each peer with a resync in progress.
 func (e *Engine) resync(v *stoatview.View) {
 	e.regMu.Lock()
 	syncs := append([]peerSync(nil), e.resyncs...)
@@ -45,6 +45,7 @@
 	}
 }
 
+// resyncShard queues the records of the tracked flows in the shard that the peer should hold.
 func (e *Engine) resyncShard(v *stoatview.View, sh *shard, peer stoatpaddle.InstanceID) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -65,6 +66,7 @@
 	}
 }
 
+// resend queues the record of a flow if the peer is its owner or should hold a copy.
 func (e *Engine) resend(v *stoatview.View, st placement, k stoatpaddle.FlowHash, sl *slot, peer stoatpaddle.InstanceID) {
 	r := Record{Key: k, Upstream: sl.key}
 	isPeer := func(m *stoatview.Member) bool { return m != nil && m.ID == peer }
--- a/stoatflow/scan.go
+++ b/stoatflow/scan.go
@@ -8,12 +8,13 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// placement is what a view says of one flow.
+// placement is where a flow and its copies belong under a view.
 type placement struct {
-	owner, next, local *stoatview.Member // local: the owner in the upstream's data centre
+	owner, next, local *stoatview.Member // local is the owner within the data centre of the upstream, if that differs from the home
 	tracked            bool
 }
 
+// placementOf returns the placement of a flow that goes to the upstream in sl.
 func placementOf(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) placement {
 	first := s.Set.First(k)
 	var st placement
@@ -31,8 +32,8 @@
 
 func (st placement) owns(id stoatpaddle.InstanceID) bool { return st.owner != nil && st.owner.ID == id }
 
-// scanShard compares a shard's flows with a new view: what departs from it now is tracked,
-// copied to the next owner, and handed over where another entry owns it.
+// scanShard compares a shard's flows with a new view. Flows that do not go to their preferred upstream
+// under the view become tracked and are copied, and tracked flows that another entry owns are handed over.
 func (e *Engine) scanShard(now time.Time, v *stoatview.View, sh *shard) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -62,7 +63,8 @@
 	return true
 }
 
-// sortedKeys makes the order in which records leave independent of the map's.
+// sortedKeys returns the keys in ascending order, so that records are sent in an order that does not depend
+// on the map.
 func sortedKeys[T any](m map[stoatpaddle.FlowHash]T) []stoatpaddle.FlowHash {
 	keys := make([]stoatpaddle.FlowHash, 0, len(m))
 	for k := range m {
@@ -72,6 +74,7 @@
 	return keys
 }
 
+// scanFlow updates one flow for the new view and queues its records.
 func (e *Engine) scanFlow(prev, v *stoatview.View, sh *shard, k stoatpaddle.FlowHash, f flow) {
 	sl := e.reg.Load().slots[f.slot]
 	s := v.Service(sl.ref)
@@ -101,9 +104,9 @@
 	}
 }
 
-// ambiguousOnLeave tells whether this entry leaves during a cut and the flow's upstream is
-// not its first choice of the whole set. A newcomer could not tell the flow from one that
-// lives beyond the cut, so it is handed over although its place can be computed.
+// ambiguousOnLeave reports whether this entry leaves during a partition and the flow's upstream is not the
+// preferred one of the full set. The next owner could not tell the flow from one that lives beyond the
+// partition, so it is handed over although its upstream can be computed.
 func ambiguousOnLeave(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
 	if len(v.Cut) == 0 || v.Ring.Find(v.Self) != nil {
 		return false
@@ -112,7 +115,7 @@
 	return first == nil || first.Key != sl.key
 }
 
-// enqueueRecords queues the records that the change from old to st calls for.
+// enqueueRecords queues the records that the change of the placement from old to st requires.
 func (e *Engine) enqueueRecords(v *stoatview.View, old, st placement, k stoatpaddle.FlowHash, sl *slot) {
 	r := Record{Key: k, Upstream: sl.key}
 	if !st.owns(v.Self) {
@@ -132,12 +135,12 @@
 
 func sameMember(a, b *stoatview.Member) bool { return a != nil && b != nil && a.ID == b.ID }
 
-// thirdEntry tells whether m is an entry apart from this one and the next owner.
+// thirdEntry reports whether m is neither this entry nor the next owner.
 func thirdEntry(m *stoatview.Member, self stoatpaddle.InstanceID, next *stoatview.Member) bool {
 	return m != nil && m.ID != self && !sameMember(m, next)
 }
 
-// scanCopies takes over the flows whose copies this entry holds and now owns.
+// scanCopies takes over the flows of which this entry holds a copy and that it owns under the view.
 func (e *Engine) scanCopies(now time.Time, v *stoatview.View, sh *shard) {
 	r := e.reg.Load()
 	for _, k := range sortedKeys(sh.copies) {
@@ -158,7 +161,8 @@
 	}
 }
 
-// insertFromRecord puts a flow into the table that another entry knew, and copies it on.
+// insertFromRecord adds a flow that another entry knew to the table and queues its copies. Of two records
+// the later one counts, but a record does not replace a flow of which a packet arrived here.
 func (e *Engine) insertFromRecord(
 	now time.Time, v *stoatview.View, s *stoatview.Service, sh *shard, k stoatpaddle.FlowHash, sl *slot, i slotIndex,
 ) {
@@ -185,8 +189,8 @@
 
 // enqueueCopies queues the copies of a flow that has just become tracked.
 //
-// The copy in the upstream's data centre only serves when that is cut off, and most flows
-// are short, so it waits for backUp.
+// The copy in the data centre of the upstream is needed only if that is partitioned, and most flows are
+// short, so enqueueBackup queues it later.
 func (e *Engine) enqueueCopies(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) {
 	st := placementOf(v, s, k, sl)
 	if st.owns(v.Self) {
@@ -195,7 +199,7 @@
 	e.enqueueRecords(v, placement{}, st, k, sl)
 }
 
-// enqueueBackup queues the copy in the upstream's data centre of a flow that has lived for a while.
+// enqueueBackup queues the copy in the data centre of the upstream, for a flow that has lived for a while.
 func (e *Engine) enqueueBackup(v *stoatview.View, sh *shard, k stoatpaddle.FlowHash) {
 	f := sh.flows[k]
 	sl := e.reg.Load().slots[f.slot]
--- a/stoatflow/session_test.go
+++ b/stoatflow/session_test.go
@@ -17,25 +17,27 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// A golden session is a text file: a line "@TIME words" for each event, and below it a
-// line "  > ..." for what came of it. STOATPADDLE_UPDATE=1 writes those lines anew.
+// A golden session is a text file with a line "@TIME words" for each event and, below it, a line
+// "  > ..." for each result. STOATPADDLE_UPDATE=1 rewrites the results.
 //
 //	entries a1 a2 b1         the entries; the first letter is the data centre
 //	upstreams a-1 a-2 b-1    the upstreams that take new flows
+//	limit N                  the customer may have N flows open
 //	leaves U                 upstream U is marked as leaving
-//	retires U                an amendment takes upstream U out of the contract
+//	retires U                an amendment removes upstream U from the contract
 //	open F via E             an opening packet of flow F reaches entry E
 //	data F N via E           segment number N of flow F reaches entry E
-//	end F via E              a FIN
-//	opens N via E            N opening packets of N other flows
+//	idle F via E             a keep-alive probe of flow F reaches entry E
+//	end F via E              a FIN of flow F reaches entry E
+//	opens N via E            N opening packets of N other flows reach entry E
 //	starts N via E           N other flows open, acknowledge and send a segment
-//	unheard U via E          100 flows open; those at U get no answer and repeat themselves
+//	unheard U via E          100 flows open; those at U get no answer and repeat their opening packets
 //	again N via E            the first N other flows send another segment
-//	advance                  all entries do their periodic work until nothing is left to send
-//	view E entries ... ;     entry E alone learns of other entries
-//	dies E                   entry E ends without a word; all others learn of it
-//	claims E                 prints how many claims of other entries E remembers
-//	flows E                  prints the flows that entry E owns, tracks and holds copies of
+//	advance                  all entries do their periodic work for ten seconds
+//	view E entries ... ;     only entry E gets a view with these entries
+//	dies E                   entry E dies without notice; the others detect it
+//	claims E                 prints how many claims of other entries E holds
+//	flows E                  prints the numbers of flows that entry E owns, tracks and holds copies of
 func TestSessions(t *testing.T) {
 	stoatgolden.Run(t, func(t *testing.T, text string) string {
 		s := &session{
@@ -45,7 +47,7 @@
 		write := func(line string) { fmt.Fprintln(&s.out, line) }
 		stoatgolden.Each(t, text, write, func(at time.Duration, words []string) {
 			s.now = at
-			s.event(words)
+			s.apply(words)
 		})
 		return s.out.String()
 	})
@@ -57,75 +59,75 @@
 )
 
 type session struct {
-	t         *testing.T
-	now       time.Duration
-	engines   map[string]*stoatflow.Engine
-	views     map[string]*stoatview.View
-	entries   []string
-	upstreams []string
-	retired   []string
-	limits    stoatpaddle.Limits
-	dead      map[stoatpaddle.InstanceID]bool
-	leaving   map[stoatpaddle.InstanceID]bool
-	out       strings.Builder
-	others    int
+	t          *testing.T
+	now        time.Duration
+	engines    map[string]*stoatflow.Engine
+	views      map[string]*stoatview.View
+	entries    []string
+	upstreams  []string
+	retired    []string
+	limits     stoatpaddle.Limits
+	dead       map[stoatpaddle.InstanceID]bool
+	leaving    map[stoatpaddle.InstanceID]bool
+	out        strings.Builder
+	otherFlows int // number of the last flow that is not named
 }
 
-func (s *session) event(f []string) {
-	switch f[0] {
+func (s *session) apply(words []string) {
+	switch words[0] {
 	case "entries":
-		s.entries = f[1:]
-		s.learnAll()
+		s.entries = words[1:]
+		s.updateViews()
 	case "upstreams":
-		s.upstreams = f[1:]
-		s.learnAll()
+		s.upstreams = words[1:]
+		s.updateViews()
 	case "leaves":
-		s.leaving[stoatpaddle.InstanceID(f[1])] = true
-		s.learnAll()
+		s.leaving[stoatpaddle.InstanceID(words[1])] = true
+		s.updateViews()
 	case "retires":
-		s.retired = append(s.retired, f[1])
-		s.upstreams = slices.DeleteFunc(slices.Clone(s.upstreams), func(u string) bool { return u == f[1] })
-		s.learnAll()
+		s.retired = append(s.retired, words[1])
+		s.upstreams = slices.DeleteFunc(slices.Clone(s.upstreams), func(u string) bool { return u == words[1] })
+		s.updateViews()
 	case "limit":
-		s.limits.Flows, _ = strconv.Atoi(f[1])
-		s.learnAll()
+		s.limits.Flows, _ = strconv.Atoi(words[1])
+		s.updateViews()
 	case "view":
-		s.learn(f[1], f[3:])
+		s.updateView(words[1], words[3:])
 	case "dies":
-		s.dead[stoatpaddle.InstanceID(f[1])] = true
-		delete(s.engines, f[1])
-		s.learnAll()
+		s.dead[stoatpaddle.InstanceID(words[1])] = true
+		delete(s.engines, words[1])
+		s.updateViews()
 	case "open":
-		s.packet(f[1], f[3], stoatpacket.Packet{Opens: true, Seq: 1})
+		s.packet(words[1], words[3], stoatpacket.Packet{Opens: true, Seq: 1})
 	case "data":
-		n, _ := strconv.Atoi(f[2])
-		s.packet(f[1], f[4], stoatpacket.Packet{Seq: uint32(1 + 100*n), Size: 100})
+		n, _ := strconv.Atoi(words[2])
+		s.packet(words[1], words[4], stoatpacket.Packet{Seq: uint32(1 + 100*n), Size: 100})
 	case "idle":
-		s.packet(f[1], f[3], stoatpacket.Packet{Seq: 7, Size: 1})
+		s.packet(words[1], words[3], stoatpacket.Packet{Seq: 7, Size: 1})
 	case "end":
-		s.packet(f[1], f[3], stoatpacket.Packet{Ends: true, Seq: 9})
+		s.packet(words[1], words[3], stoatpacket.Packet{Ends: true, Seq: 9})
 	case "opens":
-		s.many(f, stoatpacket.Packet{Opens: true}, true)
+		s.deliverMany(words, stoatpacket.Packet{Opens: true}, true)
 	case "starts":
-		s.many(f, stoatpacket.Packet{Opens: true}, true)
+		s.deliverMany(words, stoatpacket.Packet{Opens: true}, true)
 		for _, p := range []stoatpacket.Packet{{Seq: 2}, {Seq: 101, Size: 100}} {
-			s.others = 0
-			s.many(f, p, false)
+			s.otherFlows = 0
+			s.deliverMany(words, p, false)
 		}
 	case "unheard":
-		s.unheard(f[1], f[3])
+		s.unheard(words[1], words[3])
 	case "again":
-		s.others = 0
-		s.many(f, stoatpacket.Packet{Seq: 201, Size: 100}, true)
+		s.otherFlows = 0
+		s.deliverMany(words, stoatpacket.Packet{Seq: 201, Size: 100}, true)
 	case "advance":
 		s.advance()
 	case "claims":
-		fmt.Fprintf(&s.out, "  > remembers %d claims\n", s.engines[f[1]].Claims())
+		fmt.Fprintf(&s.out, "  > remembers %d claims\n", s.engines[words[1]].Claims())
 	case "flows":
-		own, tracked, copies := s.engines[f[1]].Flows()
+		own, tracked, copies := s.engines[words[1]].Flows()
 		fmt.Fprintf(&s.out, "  > owns %d, tracks %d, holds %d copies\n", own, tracked, copies)
 	default:
-		s.t.Fatal("no such event", f)
+		s.t.Fatal("no such event", words)
 	}
 }
 
@@ -133,38 +135,39 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, id[0], id[1]}), 6081)
 }
 
-func (s *session) learnAll() {
-	for _, e := range s.everybody() {
-		s.learn(e, s.entries)
+// updateViews gives every running entry a view of all entries.
+func (s *session) updateViews() {
+	for _, e := range s.runningEntries() {
+		s.updateView(e, s.entries)
 	}
 }
 
-// unheard opens flows; those placed at the upstream repeat their opening, the others go on.
+// unheard opens flows. Those placed at the upstream repeat their opening packet, the others proceed.
 func (s *session) unheard(upstream, via string) {
 	var silent []string
 	for range 100 {
-		s.others++
-		flow := strconv.Itoa(s.others)
-		path := s.carry(flow, via, stoatpacket.Packet{Opens: true, Seq: 1})
+		s.otherFlows++
+		flow := strconv.Itoa(s.otherFlows)
+		path := s.deliver(flow, via, stoatpacket.Packet{Opens: true, Seq: 1})
 		if path[len(path)-1] == upstream {
 			silent = append(silent, flow)
 			continue
 		}
-		s.carry(flow, via, stoatpacket.Packet{Seq: 2})
+		s.deliver(flow, via, stoatpacket.Packet{Seq: 2})
 	}
 	for range 3 {
 		s.now += time.Second
 		ends := map[string]int{}
 		for _, flow := range silent {
-			path := s.carry(flow, via, stoatpacket.Packet{Opens: true, Seq: 1})
+			path := s.deliver(flow, via, stoatpacket.Packet{Opens: true, Seq: 1})
 			ends[path[len(path)-1]]++
 		}
 		fmt.Fprintf(&s.out, "  > repeated: %v\n", ends)
 	}
 }
 
-// everybody lists the entries that run, also those that leave.
-func (s *session) everybody() []string {
+// runningEntries returns the entries that run, including those that leave.
+func (s *session) runningEntries() []string {
 	out := slices.Clone(s.entries)
 	for id := range s.engines {
 		if !slices.Contains(out, id) {
@@ -175,8 +178,8 @@
 	return slices.DeleteFunc(out, func(id string) bool { return s.dead[stoatpaddle.InstanceID(id)] })
 }
 
-// learn gives one entry a view of the entries and of the present upstreams.
-func (s *session) learn(id string, entries []string) {
+// updateView gives one entry a view of the entries and the current upstreams.
+func (s *session) updateView(id string, entries []string) {
 	if s.engines[id] == nil {
 		s.engines[id] = stoatflow.New(stoatflow.Config{Self: stoatpaddle.InstanceID(id), Start: epoch, MaxOpen: 1024, Seed: 1})
 	}
@@ -205,12 +208,13 @@
 	s.views[id] = v
 }
 
-// packet prints the entries that a packet passes and where it ends.
+// packet delivers a packet and prints the entries that it passes and its end.
 func (s *session) packet(flow, via string, p stoatpacket.Packet) {
-	fmt.Fprintf(&s.out, "  > %s\n", strings.Join(s.carry(flow, via, p), " > "))
+	fmt.Fprintf(&s.out, "  > %s\n", strings.Join(s.deliver(flow, via, p), " > "))
 }
 
-func (s *session) carry(flow, via string, p stoatpacket.Packet) []string {
+// deliver passes a packet from entry to entry and returns its path.
+func (s *session) deliver(flow, via string, p stoatpacket.Packet) []string {
 	src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 0, 1}), uint16(1024+len(flow)*256+int(flow[len(flow)-1])))
 	if n, err := strconv.Atoi(flow); err == nil {
 		src = netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 1 + byte(n>>8), byte(n)}), 1024)
@@ -228,7 +232,7 @@
 			Packet: &p, Key: v.Seed.Hash(p.Tuple), Service: v.Flow(service, stoatpaddle.ProtocolTCP), Header: h, From: from,
 		})
 		if a.Tell.IsValid() {
-			if id := s.at(a.Tell); s.engines[id] != nil {
+			if id := s.entryAt(a.Tell); s.engines[id] != nil {
 				s.engines[id].Learn(epoch.Add(s.now), s.views[id], stoatflow.Record{Key: v.Seed.Hash(p.Tuple), Upstream: a.Upstream.Key})
 			}
 		}
@@ -241,23 +245,24 @@
 			return append(path, "drop")
 		}
 		from, h = relay(via), a.Header
-		via = s.at(a.To)
+		via = s.entryAt(a.To)
 		path = append(path, via)
 	}
 }
 
-func (s *session) at(addr netip.AddrPort) string {
+// entryAt returns the entry with the relay address.
+func (s *session) entryAt(addr netip.AddrPort) string {
 	b := addr.Addr().As4()
 	return string([]byte{b[2], b[3]})
 }
 
-// many sends packets of other flows and sums up where they ended.
-func (s *session) many(f []string, p stoatpacket.Packet, show bool) {
-	n, _ := strconv.Atoi(f[1])
+// deliverMany delivers packets of other flows and prints how many ended at each upstream.
+func (s *session) deliverMany(words []string, p stoatpacket.Packet, show bool) {
+	n, _ := strconv.Atoi(words[1])
 	ends := map[string]int{}
 	for range n {
-		s.others++
-		path := s.carry(strconv.Itoa(s.others), f[3], p)
+		s.otherFlows++
+		path := s.deliver(strconv.Itoa(s.otherFlows), words[3], p)
 		ends[path[len(path)-1]]++
 	}
 	if !show {
@@ -268,12 +273,12 @@
 	}
 }
 
-// advance has all entries work for ten seconds and prints what they sent each other.
+// advance has all entries work for ten seconds and prints the number of records that they sent each other.
 func (s *session) advance() {
 	sent := 0
 	for range 100 {
 		s.now += 100 * time.Millisecond
-		for _, id := range s.everybody() {
+		for _, id := range s.runningEntries() {
 			if e := s.engines[id]; e != nil {
 				for _, b := range e.Advance(epoch.Add(s.now), s.views[id], func(stoatpaddle.InstanceID) bool { return true }) {
 					sent += len(b.Moves) + len(b.Copies)
--- a/stoatflow/silent.go
+++ b/stoatflow/silent.go
@@ -10,29 +10,33 @@
 )
 
 const (
-	// silentRepeats and silentAfter tell a flow that something between its ends lost track
-	// of from one with a bad moment: TCP repeats a segment about six times in 12 s.
+	// silentRepeats and silentAfter distinguish a flow of which a device on the path lost the state from
+	// one with a short disruption. TCP repeats a segment about six times in 12 s.
 	silentRepeats = 6
 	silentAfter   = 10 * time.Second
-	// ejectedRepeats and ejectedAfter apply once the upstream is known not to answer anyone.
+	// ejectedRepeats and ejectedAfter apply while the upstream is ejected, since it is known to answer no
+	// caller.
 	ejectedRepeats = 2
 	ejectedAfter   = time.Second
-	// maxProbeSize is the payload of a keep-alive or window probe at most (RFC 9293, 3.8.4):
-	// an idle flow repeats those for hours.
+	// maxProbeSize is the largest payload of a keep-alive or window probe (RFC 9293, 3.8.4). An idle flow
+	// repeats those for hours.
 	maxProbeSize = 1
 
-	// ejectOpenings and unheardCallers are the evidence that an upstream is dead.
+	// ejectOpenings and ejectCallers are the numbers of repeated opening packets and of callers that sent
+	// them at which an upstream counts as dead.
 	ejectOpenings = 6
 	ejectCallers  = 3
 	ejectDuration = 10 * time.Second
-	// ejectFraction caps the ejected part of a set: a bad signal must not empty it.
-	ejectFraction = 3
+	// ejectDivisor limits the ejected upstreams to less than 1/ejectDivisor of a set, so that a wrong
+	// signal cannot empty the set.
+	ejectDivisor = 3
 )
 
-// updateProgress updates the flow's signs of life and tells whether it has gone silent.
+// updateProgress updates what the packet shows about the progress of the flow and reports whether the flow
+// has gone silent.
 //
-// Answers do not pass this entry, so the only sign of a lost connection is a caller that
-// repeats the same segment. A flow that is merely idle repeats nothing.
+// Answers do not pass through this entry, so the only sign of a lost connection is a caller that repeats
+// the same segment. A flow that is merely idle repeats nothing.
 func (e *Engine) updateProgress(p *packetDecision, sl *slot, f *flow) bool {
 	pkt := p.in.Packet
 	if f.flags&opening != 0 && !pkt.Opens {
@@ -66,15 +70,15 @@
 	return f.repeats >= silentRepeats && stuck >= ticks(silentAfter)
 }
 
-// countUnanswered counts a repeated opening against the upstream and ejects it when several
-// flows of several callers went unanswered and none proceeded.
+// countUnanswered counts a repeated opening packet against the upstream. It ejects the upstream when
+// several flows of several callers went unanswered and none proceeded.
 func (e *Engine) countUnanswered(p *packetDecision, sl *slot) {
 	src := p.in.Packet.Tuple.Src.Addr().As16()
 	sl.callers.Or(1 << (xxhash.Sum64(src[:]) & 63))
 	if sl.unanswered.Add(1) < ejectOpenings || bits.OnesCount64(sl.callers.Load()) < ejectCallers {
 		return
 	}
-	if e.ejectedWithNext(p.in.Service.Set, p.tick)*ejectFraction >= len(p.in.Service.Set.Upstreams) {
+	if e.ejectedWithNext(p.in.Service.Set, p.tick)*ejectDivisor >= len(p.in.Service.Set.Upstreams) {
 		return
 	}
 	sl.ejectedUntil.Store(int64(p.tick + ticks(ejectDuration)))
@@ -88,7 +92,8 @@
 
 func (s *slot) isEjected(now tick) bool { return s.ejectedUntil.Load() > int64(now) }
 
-// ejectedWithNext counts the ejected upstreams, one more than there are, so that the cap holds after the next.
+// ejectedWithNext returns the number of ejected upstreams if one more were ejected, so that the limit holds
+// afterwards.
 func (e *Engine) ejectedWithNext(set *stoatview.Set, now tick) int {
 	n := 1
 	r := e.reg.Load()
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -11,57 +11,57 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// flag is a set of marks on a flow.
+// flag is a bit set of the properties of a flow.
 type flag uint8
 
 const (
-	tracked    flag = 1 << iota // its upstream is not what a newcomer would compute
-	opening                     // the caller has not answered the upstream yet
-	closing                     // the caller sent FIN or RST
+	tracked    flag = 1 << iota // it goes to another upstream than the preferred one
+	opening                     // the caller has not replied to the upstream yet
+	closing                     // the caller sent FIN or RST, or this entry reset the flow
 	owned                       // counted in this entry's load
-	backedUp                    // its copy in the upstream's data centre was sent
-	recordOnly                  // known from a record only; no packet came yet
+	backedUp                    // its copy was queued for the upstream's data centre
+	recordOnly                  // known from a record; no packet has arrived yet
 )
 
-// flow is what an entry remembers of one flow: 16 bytes.
+// flow is the state of one flow in the table. It takes 16 bytes.
 type flow struct {
-	lastSeen   tick   // last packet
-	stuckSince tick   // first sight of the repeated segment
-	seq        uint32 // last segment with payload, or the opening one
+	lastSeen   tick   // time of the last packet
+	stuckSince tick   // first time that the repeated segment was seen
+	seq        uint32 // of the last segment with payload, or of the opening packet
 	slot       slotIndex
 	flags      flag
-	repeats    uint8
+	repeats    uint8 // of the segment with seq
 }
 
-// flowCopy is a tracked flow that another entry owns.
+// flowCopy is the record of a tracked flow that another entry owns.
 type flowCopy struct {
 	slot slotIndex
 }
 
-// claim tells which entry claimed a flow that was not known here. Without it, a packet
-// that an entry with an older view sends here would be decided by hash a second time,
-// perhaps for another upstream.
+// claim records which entry decided for a flow that was not known here. Without it, a packet of the flow
+// that an entry with an older view relays here would be placed by hash a second time, perhaps at another
+// upstream.
 type claim struct {
 	to      netip.AddrPort
 	expires tick
 }
 
-// deferredFlow counts the packets of a flow that only entries beyond a cut may know.
+// deferredFlow counts the dropped packets of a flow that only entries beyond a partition may know.
 type deferredFlow struct {
 	firstSeen tick
-	seen      tick
+	lastSeen  tick
 	packets   int
 }
 
-// shard is a part of the flow table with a lock of its own.
+// shard is a part of the flow table with its own lock.
 type shard struct {
 	mu           sync.Mutex
 	flows        map[stoatpaddle.FlowHash]flow
 	copies       map[stoatpaddle.FlowHash]flowCopy
 	claims       map[stoatpaddle.FlowHash]claim
 	deferred     map[stoatpaddle.FlowHash]deferredFlow
-	openingCount int
-	scannedView  *stoatview.View // the last view that the flows were compared with
+	openingCount int             // flows with the opening flag
+	scannedView  *stoatview.View // the last view with which the flows were compared
 	rnd          *rand.Rand
 }
 
@@ -73,35 +73,36 @@
 	sh.rnd = newRand(seed)
 }
 
-// slotIndex is an upstream's place in the registry.
+// slotIndex is the index of an upstream in registry.slots.
 type slotIndex uint16
 
-// slot counts the flows of one upstream.
+// slot holds the load and the health of one upstream.
 type slot struct {
 	upstream     atomic.Pointer[stoatview.Upstream]
 	key          stoatpaddle.UpstreamKey
 	ref          stoatpaddle.ServiceRef
-	usage        *usage       // of the customer
-	open         atomic.Int64 // flows this entry owns
-	remote       atomic.Int64 // flows the other entries reported
-	openRate     bucket       // new flows
-	firstSeen    time.Time    // when it was first seen here, for slow start
-	warm         bool         // it was there when this entry started, so it needs no slow start
-	unanswered   atomic.Int64 // openings repeated unanswered since the last progress
-	callers      atomic.Uint64
-	ejectedUntil atomic.Int64 // tick until which it takes no new flows
+	usage        *usage        // of the customer
+	open         atomic.Int64  // flows that this entry owns
+	remote       atomic.Int64  // flows that the other entries reported
+	openRate     bucket        // limits new flows
+	firstSeen    time.Time     // by this entry; slow start counts from it
+	warm         bool          // present when this entry started, so that it needs no slow start
+	unanswered   atomic.Int64  // repeated opening packets since a flow last proceeded
+	callers      atomic.Uint64 // bit set of hashes of the callers that repeated them
+	ejectedUntil atomic.Int64  // tick until which it takes no new flows
 }
 
 func (s *slot) load() float64 { return float64(s.open.Load() + s.remote.Load()) }
 
-// registry numbers the upstreams; an index is never used for another upstream.
+// registry assigns an index to each upstream. An index is never reused for another upstream.
 type registry struct {
 	slots       []*slot
 	byKey       map[stoatpaddle.UpstreamKey]slotIndex
-	slotsBySet  map[*stoatview.Set][]*slot // of the present sets, in their order
+	slotsBySet  map[*stoatview.Set][]*slot // of the current sets, in the order of their upstreams
 	setByDigest map[SetDigest]*stoatview.Set
 }
 
+// find returns the slot and the index of an upstream, or nil.
 func (r *registry) find(key stoatpaddle.UpstreamKey) (*slot, slotIndex) {
 	i, ok := r.byKey[key]
 	if !ok {
@@ -110,7 +111,7 @@
 	return r.slots[i], i
 }
 
-// syncRegistry adds the view's upstreams; it runs before the first packet of a view.
+// syncRegistry adds the view's upstreams. It runs before the first packet is handled under the view.
 func (e *Engine) syncRegistry(now time.Time, v *stoatview.View) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
@@ -142,7 +143,8 @@
 	e.reg.Store(r)
 }
 
-// Flows returns how many flows the engine holds, owned ones and others.
+// Flows returns the number of open flows that this entry owns, the number of tracked flows among them, and
+// the number of copies of other flows.
 func (e *Engine) Flows() (own, trackedFlows, copies int) {
 	for i := range e.shards {
 		sh := &e.shards[i]
@@ -161,7 +163,7 @@
 	return own, trackedFlows, copies
 }
 
-// Claims returns how many flows the engine knows to be another entry's by its claim.
+// Claims returns how many flows are recorded as claimed by another entry.
 func (e *Engine) Claims() int {
 	n := 0
 	for i := range e.shards {
@@ -179,7 +181,7 @@
 	Open     uint32
 }
 
-// Loads returns the engine's own load on each upstream, in the order they were first seen.
+// Loads returns the engine's own load on each upstream, in the order in which they were first seen.
 func (e *Engine) Loads() []Load {
 	r := e.reg.Load()
 	out := make([]Load, 0, len(r.slots))
--- a/stoatflow/usage.go
+++ b/stoatflow/usage.go
@@ -8,14 +8,15 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// bucket is a token bucket that refills at a rate.
+// bucket is a token bucket.
 type bucket struct {
 	mu         sync.Mutex
 	tokens     float64
 	refilledAt time.Time
 }
 
-// take takes a token, if there is one, from a bucket of rate a second and as much at most.
+// take takes a token if there is one. The bucket refills at rate tokens a second and holds the tokens of
+// one second, but at least one.
 func (b *bucket) take(now time.Time, rate float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -27,7 +28,7 @@
 	return true
 }
 
-// ready tells whether take would succeed.
+// ready reports whether take would succeed.
 func (b *bucket) ready(now time.Time, rate float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -45,7 +46,7 @@
 	b.refilledAt = now
 }
 
-// usage counts one customer's flows on this entry.
+// usage counts one customer's flows at this entry.
 type usage struct {
 	open  atomic.Int64
 	opens bucket
@@ -69,11 +70,11 @@
 	return u
 }
 
-// admit tells whether the customer may open one more flow here.
+// admit reports whether the customer may open one more flow here.
 //
-// Each entry may act upon an equal part of the limit, so that the whole is kept without
-// asking anybody, also while data centres are cut off from each other.
-// TODO(shares): divide by demand, so that a skewed customer can use all of its limit.
+// Each entry enforces an equal part of the limit, so that the whole limit holds without communication, also
+// during a partition between data centres. TODO(shares): divide by demand, so that a customer whose traffic
+// is skewed can use its whole limit.
 func (u *usage) admit(now time.Time, l stoatpaddle.Limits, entries int) bool {
 	if entries < 1 {
 		entries = 1
