--- a/stoatflow/advance.go
+++ b/stoatflow/advance.go
@@ -26,7 +26,7 @@
 // published.
 func (e *Engine) Prepare(now time.Time, v *stoatview.View) {
 	e.syncRegistry(now, v)
-	e.forgetReports(v)
+	e.pruneReports(v)
 	e.outbox.discardUnreachable(v)
 }
 
@@ -113,8 +113,8 @@
 			delete(sh.claims, k)
 		}
 	}
-	for k, w := range sh.deferred {
-		if t-w.lastSeen >= ticks(openingIdleTimeout) {
+	for k, d := range sh.deferred {
+		if t-d.lastSeen >= ticks(openingIdleTimeout) {
 			delete(sh.deferred, k)
 		}
 	}
--- a/stoatflow/choose.go
+++ b/stoatflow/choose.go
@@ -35,24 +35,24 @@
 // proportional to its deficit. With a hard bound all owners, whose reports of each other's load are old,
 // would divert flows at the same moment and overload the next upstream. With a proportional rule each owner
 // corrects its part.
-func (e *Engine) choose(p *packetDecision, first *stoatview.Upstream) (*slot, slotIndex, bool) {
+func (e *Engine) choose(p *packetDecision, preferred *stoatview.Upstream) (*slot, slotIndex, bool) {
 	r := e.reg.Load()
-	preferred, preferredIndex := r.find(first.Key)
-	c := balancer{p: p, set: p.in.Service.Set, slots: r.slotsBySet[p.in.Service.Set]}
-	if preferred == nil || len(c.slots) == 0 {
-		return preferred, preferredIndex, preferred != nil
+	preferredSlot, preferredIndex := r.find(preferred.Key)
+	b := balancer{p: p, set: p.in.Service.Set, slots: r.slotsBySet[p.in.Service.Set]}
+	if preferredSlot == nil || len(b.slots) == 0 {
+		return preferredSlot, preferredIndex, preferredSlot != nil
 	}
-	c.computeMean()
-	if c.usable(preferred, first) && p.sh.rnd.Float64() >= c.divertProbability(preferred, first, e.gain(p.in.Service.Lean)) {
-		return preferred, preferredIndex, true
+	b.computeMean()
+	if b.usable(preferredSlot, preferred) && p.sh.rnd.Float64() >= b.divertProbability(preferredSlot, preferred, e.gain(p.in.Service.Lean)) {
+		return preferredSlot, preferredIndex, true
 	}
-	if alternative := c.pickUnderloaded(preferred); alternative != nil {
+	if alternative := b.pickUnderloaded(preferredSlot); alternative != nil {
 		return alternative, r.byKey[alternative.key], true
 	}
-	if c.usable(preferred, first) {
-		return preferred, preferredIndex, true
+	if b.usable(preferredSlot, preferred) {
+		return preferredSlot, preferredIndex, true
 	}
-	alternative := c.leastLoaded()
+	alternative := b.leastLoaded()
 	if alternative == nil {
 		return nil, 0, false
 	}
@@ -61,66 +61,66 @@
 
 // computeMean sets the mean load. Upstreams in slow start are left out: they would make all others look
 // overloaded for as long as the flows of those live.
-func (c *balancer) computeMean() {
+func (b *balancer) computeMean() {
 	var load, weight float64
-	for i, u := range c.set.Upstreams {
-		if s := c.slots[i]; s.slowStartShare(c.p.now) == 1 {
+	for i, u := range b.set.Upstreams {
+		if s := b.slots[i]; s.slowStartShare(b.p.now) == 1 {
 			load += s.load()
 			weight += float64(u.Weight)
 		}
 	}
 	if weight > 0 {
-		c.mean = load / weight
+		b.mean = load / weight
 	}
 }
 
 // divertProbability returns the probability that the flow does not go to its preferred upstream.
-func (c *balancer) divertProbability(preferred *slot, u *stoatview.Upstream, gain float64) float64 {
-	if share := preferred.slowStartShare(c.p.now); share < 1 {
+func (b *balancer) divertProbability(preferred *slot, u *stoatview.Upstream, gain float64) float64 {
+	if share := preferred.slowStartShare(b.p.now); share < 1 {
 		return 1 - share
 	}
-	if c.mean <= 0 {
+	if b.mean <= 0 {
 		return 0
 	}
-	return min(maxDivertShare, gain*(preferred.load()/float64(u.Weight)-c.mean)/c.mean)
+	return min(maxDivertShare, gain*(preferred.load()/float64(u.Weight)-b.mean)/b.mean)
 }
 
 // pickUnderloaded returns a warm upstream below the mean other than the preferred one, with a probability
 // proportional to its deficit, or nil if there is none.
-func (c *balancer) pickUnderloaded(preferred *slot) *slot {
+func (b *balancer) pickUnderloaded(preferred *slot) *slot {
 	sum := 0.0
-	for i, u := range c.set.Upstreams {
-		sum += c.deficit(i, u, preferred)
+	for i, u := range b.set.Upstreams {
+		sum += b.deficit(i, u, preferred)
 	}
 	if sum <= 0 {
 		return nil
 	}
-	target := c.p.sh.rnd.Float64() * sum
-	for i, u := range c.set.Upstreams {
-		if target -= c.deficit(i, u, preferred); target < 0 {
-			return c.slots[i]
+	target := b.p.sh.rnd.Float64() * sum
+	for i, u := range b.set.Upstreams {
+		if target -= b.deficit(i, u, preferred); target < 0 {
+			return b.slots[i]
 		}
 	}
 	return nil
 }
 
 // deficit returns by how many flows the upstream is below its share.
-func (c *balancer) deficit(i int, u *stoatview.Upstream, preferred *slot) float64 {
-	s := c.slots[i]
-	if s == preferred || s.slowStartShare(c.p.now) < 1 || !c.usable(s, u) {
+func (b *balancer) deficit(i int, u *stoatview.Upstream, preferred *slot) float64 {
+	s := b.slots[i]
+	if s == preferred || s.slowStartShare(b.p.now) < 1 || !b.usable(s, u) {
 		return 0
 	}
-	return max(0, c.mean*float64(u.Weight)-s.load())
+	return max(0, b.mean*float64(u.Weight)-s.load())
 }
 
 // leastLoaded returns the usable upstream with the lowest load per unit of weight, or nil.
-func (c *balancer) leastLoaded() *slot {
+func (b *balancer) leastLoaded() *slot {
 	var best *slot
 	lowest := 0.0
-	for i, u := range c.set.Upstreams {
-		s := c.slots[i]
+	for i, u := range b.set.Upstreams {
+		s := b.slots[i]
 		l := s.load() / float64(u.Weight)
-		if c.usable(s, u) && (best == nil || l < lowest) {
+		if b.usable(s, u) && (best == nil || l < lowest) {
 			best, lowest = s, l
 		}
 	}
@@ -138,11 +138,11 @@
 }
 
 // usable reports whether the upstream may take a new flow.
-func (c *balancer) usable(s *slot, u *stoatview.Upstream) bool {
-	if s.isEjected(c.p.tick) || u.Connections > 0 && s.load() >= float64(u.Connections) {
+func (b *balancer) usable(s *slot, u *stoatview.Upstream) bool {
+	if s.isEjected(b.p.tick) || u.Connections > 0 && s.load() >= float64(u.Connections) {
 		return false
 	}
-	return u.Opens == 0 || s.openRate.ready(c.p.now, c.p.entryShare(u.Opens))
+	return u.Opens == 0 || s.openRate.ready(b.p.now, b.p.entryShare(u.Opens))
 }
 
 // entryShare returns this entry's equal part of a limit per second.
--- a/stoatflow/drained_test.go
+++ b/stoatflow/drained_test.go
@@ -10,10 +10,10 @@
 	o.init()
 	o.enqueueDrop("b", 7)
 	if !o.drained() {
-		t.Error("a drop that waits for company counts as something to hand over")
+		t.Error("an outbox with a single drop is not drained")
 	}
 	o.enqueueCopy("b", Record{Key: 8})
 	if o.drained() {
-		t.Error("a copy does not")
+		t.Error("an outbox with a copy is drained")
 	}
 }
--- a/stoatflow/engine.go
+++ b/stoatflow/engine.go
@@ -12,7 +12,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// Config configures an Engine. Zero values stand for the defaults.
+// Config configures an Engine. Zero values of Settle, ControlBudget, Gain and MaxOpening stand for the
+// defaults.
 type Config struct {
 	Self    stoatpaddle.InstanceID // this entry
 	Start   time.Time              // origin of the times in the flow table
@@ -73,7 +74,7 @@
 	To       netip.AddrPort
 	Header   Header
 	Reason   stoatpacket.DropReason
-	Tell     netip.AddrPort // if valid, the entry to which a KindNotice datagram about the flow is to be sent
+	Tell     netip.AddrPort // if valid, the entry to notify of the upstream of the flow with a KindNotice datagram
 }
 
 // Engine holds the flow table of one entry. Its methods may be called concurrently.
@@ -97,7 +98,7 @@
 	Opened   atomic.Int64 // TCP flows placed when they opened
 	Adopted  atomic.Int64 // flows that no queried entry knew, placed by hash
 	Tracked  atomic.Int64 // flows that opened at another than their preferred upstream
-	Relayed  atomic.Int64 // packets relayed to the owner or a claimant
+	Relayed  atomic.Int64 // packets relayed to the owner or to a claimant
 	Asked    atomic.Int64 // lookups sent
 	Refused  atomic.Int64 // flows refused because of a limit
 	Silent   atomic.Int64 // flows reset because nothing answered or their upstream is gone
--- a/stoatflow/engine_test.go
+++ b/stoatflow/engine_test.go
@@ -166,19 +166,19 @@
 	stoatflow.Header{Kind: stoatflow.Relayed, Hops: 1}.Put(b[:], seed, 7)
 	h, err := stoatflow.ReadHeader(b[:])
 	if err != nil || h.Kind != stoatflow.Relayed || !stoatflow.Genuine(b[:], seed, 7) {
-		t.Fatal("genuine header refused", err)
+		t.Fatal("authentic header refused", err)
 	}
 	if stoatflow.Genuine(b[:], seed, 8) || stoatflow.Genuine(b[:], stoatpacket.Seed{K0: 1}, 7) {
-		t.Fatal("forged header taken")
+		t.Fatal("forged header accepted")
 	}
 	n := stoatflow.PutNotice(b[:], seed, 7, 9)
 	if r, ok := stoatflow.ReadNotice(b[:n], seed); !ok || r.Key != 7 || r.Upstream != 9 {
-		t.Fatal("genuine notice refused")
+		t.Fatal("authentic notice refused")
 	}
 	b[n-1]++
 	for _, bad := range [][]byte{nil, b[:3], {0x45, 1, 0, 0, 0, 0, 0, 0}, {1, 0, 0, 0, 0, 0, 0, 0}, {1, 9, 0, 0, 0, 0, 0, 0}} {
 		if _, err := stoatflow.ReadHeader(bad); err == nil {
-			t.Fatalf("%v taken", bad)
+			t.Fatalf("%v accepted", bad)
 		}
 	}
 }
--- a/stoatflow/handle.go
+++ b/stoatflow/handle.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// claimLifetime is longer than entries take to learn of a change. With a much longer one the claimant may
-// have left meanwhile.
+// claimLifetime is longer than entries take to learn of a change. With an even longer one the claimant may
+// have left by its end.
 const claimLifetime = 10 * time.Second
 
 // answerLookup handles a lookup, which is a packet whose owner does not know the flow.
@@ -198,8 +198,8 @@
 	if ownedHere {
 		return Action{}, false
 	}
-	// The sender regards this entry as the owner, and this entry the sender. One of them has to decide, or
-	// the packet would go back and forth without end; it is the receiver.
+	// The sender regards this entry as the owner, and this entry the sender. The receiver decides, because
+	// otherwise the packet would go back and forth without end.
 	if h.Kind == Relayed && owner.Relay == p.in.From {
 		return Action{}, false
 	}
@@ -251,14 +251,14 @@
 	h := p.in.Header
 	var buf [stoatview.MaxCandidates]*stoatview.Member
 	candidates := p.view.Candidates(buf[:0], p.in.Service, p.key, p.now, e.cfg.Settle)
-	asked := 0
+	queried := 0
 	if h.Kind == Unknown {
-		asked = int(h.Asked)
+		queried = int(h.Asked)
 	}
-	if asked >= len(candidates) {
+	if queried >= len(candidates) {
 		return Action{}, false
 	}
 	e.stats.Asked.Add(1)
-	next := Header{Kind: Asked, Hops: h.Hops + 1, Asked: uint8(asked + 1)}
-	return Action{Verdict: Relay, To: candidates[asked].Relay, Header: next}, true
+	next := Header{Kind: Asked, Hops: h.Hops + 1, Asked: uint8(queried + 1)}
+	return Action{Verdict: Relay, To: candidates[queried].Relay, Header: next}, true
 }
--- a/stoatflow/header.go
+++ b/stoatflow/header.go
@@ -17,9 +17,9 @@
 const (
 	FromFabric HeaderKind = iota
 	Relayed               // the receiver owns or claimed the flow, according to the sender
-	Asked                 // the sender owns the flow but does not know it; the receiver forwards the packet if it does
-	Unknown               // the answer to KindLookup if the receiver does not know the flow
-	Known                 // tells the owner, after KindLookup, to which upstream the flow goes; no packet follows
+	Asked                 // a lookup: the sender owns the flow without knowing it
+	Unknown               // the answer to a lookup if the receiver does not know the flow either
+	Known                 // tells the owner to which upstream the flow goes; no packet follows
 )
 
 // Header precedes the inner packet in a datagram between entries.
--- a/stoatflow/outbox.go
+++ b/stoatflow/outbox.go
@@ -82,7 +82,7 @@
 	loads  []LoadReport
 }
 
-// minDrops is the number of drops that are sent without other records. Drops are not urgent, and the
+// minDrops is the least number of drops that are sent without other records. Drops are not urgent, and the
 // overhead of one sent alone is twice its own size.
 const minDrops = 32
 
@@ -97,7 +97,7 @@
 	queues         map[stoatpaddle.InstanceID]*queue
 	tokens         float64 // bytes that may be sent now
 	refilledAt     time.Time
-	rotation       int           // which destination is served first
+	rotation       int           // number of flushes; determines which destination comes first
 	gainFactorBits atomic.Uint64 // math.Float64bits of gainFactor
 }
 
@@ -174,7 +174,7 @@
 	q.loads = append(q.loads[:0:0], append(q.loads, l)...)
 }
 
-// discard discards what waits for an entry.
+// discard removes what waits for an entry.
 func (o *outbox) discard(to stoatpaddle.InstanceID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -205,7 +205,7 @@
 	return true
 }
 
-// discardUnreachable discards what waits for entries that the view does not reach any more.
+// discardUnreachable removes what waits for entries that are not reachable under the view.
 func (o *outbox) discardUnreachable(v *stoatview.View) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -216,8 +216,8 @@
 	}
 }
 
-// flush removes as many bytes as the budget allows and returns them in batches. The destination that is
-// served first rotates.
+// flush removes as many bytes as the budget allows and returns them in batches, starting with another
+// destination each time.
 func (o *outbox) flush(now time.Time, budget int, connected func(stoatpaddle.InstanceID) bool) []Batch {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -15,7 +15,7 @@
 	case pkt.ICMP:
 		return e.forwardStateless(p)
 	case pkt.Opens && pkt.Tuple.Protocol == stoatpaddle.ProtocolTCP:
-		return e.open(p)
+		return e.openFlow(p)
 	default:
 		return e.adoptOpen(p)
 	}
@@ -30,10 +30,10 @@
 	return Action{Verdict: Forward, Upstream: u}
 }
 
-// open places a new TCP flow.
-func (e *Engine) open(p *packetDecision) Action {
-	first := p.in.Service.Set.First(p.key)
-	if first == nil {
+// openFlow places a new TCP flow.
+func (e *Engine) openFlow(p *packetDecision) Action {
+	preferred := p.in.Service.Set.First(p.key)
+	if preferred == nil {
 		return Action{Verdict: Reset, Reason: stoatpacket.DropNoUpstream}
 	}
 	// Flows that open but never proceed must not grow the table without limit. Beyond the limit a flow goes
@@ -41,9 +41,9 @@
 	// hash, so the flow is not harmed.
 	if p.sh.openingCount >= e.cfg.MaxOpen/shardCount {
 		e.stats.Flooded.Add(1)
-		return Action{Verdict: Forward, Upstream: first}
+		return Action{Verdict: Forward, Upstream: preferred}
 	}
-	sl, i, ok := e.choose(p, first)
+	sl, i, ok := e.choose(p, preferred)
 	if !ok {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
@@ -56,7 +56,7 @@
 		sl.openRate.take(p.now, p.entryShare(u.Opens))
 	}
 	e.stats.Opened.Add(1)
-	if sl.key != first.Key {
+	if sl.key != preferred.Key {
 		e.stats.Tracked.Add(1)
 	}
 	return e.insert(p, sl, i, opening)
@@ -65,8 +65,7 @@
 // copyLag is how long it may take until the copies of newly tracked flows have left an entry that dies.
 const copyLag = 5 * time.Second
 
-// adoptOpen places a flow that is open already, by the upstream set that was in force when it may have
-// opened.
+// adoptOpen places a flow that may be open already, by the upstream set that was in force when it opened.
 func (e *Engine) adoptOpen(p *packetDecision) Action {
 	s := p.in.Service
 	if p.view.CutLately(p.now) && (p.view.Elsewhere(s, p.key, p.now) || !p.waitedForPartition()) {
@@ -104,8 +103,8 @@
 // waitedForPartition reports whether the flow has been deferred for so long that the entries which may know
 // it would have answered again had the partition ended.
 func (p *packetDecision) waitedForPartition() bool {
-	w, known := p.sh.deferred[p.key]
-	return known && p.tick-w.firstSeen >= ticks(stoatview.CutGrace)
+	d, known := p.sh.deferred[p.key]
+	return known && p.tick-d.firstSeen >= ticks(stoatview.CutGrace)
 }
 
 // deferPlacement drops a packet of a flow that entries beyond a partition may know. If the packet were
@@ -113,19 +112,19 @@
 // partition. A caller whose packets reach no entry that knows the flow is reset in the end, so that it can
 // reconnect here.
 func (e *Engine) deferPlacement(p *packetDecision) Action {
-	w, known := p.sh.deferred[p.key]
+	d, known := p.sh.deferred[p.key]
 	if !known {
-		w.firstSeen = p.tick
+		d.firstSeen = p.tick
 	}
-	w.packets++
-	w.lastSeen = p.tick
-	if w.packets > silentRepeats && p.tick-w.firstSeen >= ticks(silentAfter) {
+	d.packets++
+	d.lastSeen = p.tick
+	if d.packets > silentRepeats && p.tick-d.firstSeen >= ticks(silentAfter) {
 		delete(p.sh.deferred, p.key)
 		e.stats.Silent.Add(1)
 		return Action{Verdict: Reset}
 	}
 	if known || len(p.sh.deferred) < e.cfg.MaxOpen/shardCount {
-		p.sh.deferred[p.key] = w
+		p.sh.deferred[p.key] = d
 	}
 	return Action{Verdict: Drop, Reason: stoatpacket.DropElsewhere}
 }
@@ -136,8 +135,8 @@
 	if flags&opening != 0 {
 		p.sh.openingCount++
 	}
-	first := p.in.Service.Set.First(p.key)
-	if first == nil || first.Key != sl.key {
+	preferred := p.in.Service.Set.First(p.key)
+	if preferred == nil || preferred.Key != sl.key {
 		f.flags |= tracked
 	}
 	e.countOwned(sl, &f)
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -32,12 +32,12 @@
 	}
 }
 
-// Learn applies a KindNotice datagram, which says where a flow goes that this entry looked up.
+// Learn applies a KindNotice datagram, which says where a flow goes that this entry owns.
 func (e *Engine) Learn(now time.Time, v *stoatview.View, r Record) {
 	e.receiveMove(now, v, e.reg.Load(), r)
 }
 
-// receiveMove adds a flow of which this entry was told that it owns it.
+// receiveMove adds a flow that another entry handed over to the table.
 func (e *Engine) receiveMove(now time.Time, v *stoatview.View, r *registry, rec Record) {
 	sl, i := r.find(rec.Upstream)
 	if sl == nil {
@@ -57,7 +57,7 @@
 // receivedReports holds the last report of each entry on each set, so that a new report replaces it.
 type receivedReports map[stoatpaddle.InstanceID]map[SetDigest]LoadReport
 
-// receiveLoad replaces what the entry reported on the set before.
+// receiveLoad replaces the entry's earlier report on the set.
 func (e *Engine) receiveLoad(r *registry, from stoatpaddle.InstanceID, l LoadReport) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
@@ -86,9 +86,9 @@
 	}
 }
 
-// forgetReports drops the reports of entries that left and those on sets that changed, and recomputes the
-// remote loads. Their flows are counted by the entries that own them now.
-func (e *Engine) forgetReports(v *stoatview.View) {
+// pruneReports drops the reports of entries that left and those on sets that changed, and recomputes the
+// remote loads. The flows of an entry that left are counted by the entries that own them now.
+func (e *Engine) pruneReports(v *stoatview.View) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
 	r := e.reg.Load()
--- a/stoatflow/resync.go
+++ b/stoatflow/resync.go
@@ -60,22 +60,22 @@
 		if s == nil {
 			continue
 		}
-		if st := placementOf(v, s, k, sl); st.tracked {
-			e.resend(v, st, k, sl, peer)
+		if pl := placementOf(v, s, k, sl); pl.tracked {
+			e.resend(v, pl, k, sl, peer)
 		}
 	}
 }
 
 // resend queues the record of a flow if the peer is its owner or should hold a copy.
-func (e *Engine) resend(v *stoatview.View, st placement, k stoatpaddle.FlowHash, sl *slot, peer stoatpaddle.InstanceID) {
+func (e *Engine) resend(v *stoatview.View, pl placement, k stoatpaddle.FlowHash, sl *slot, peer stoatpaddle.InstanceID) {
 	r := Record{Key: k, Upstream: sl.key}
 	isPeer := func(m *stoatview.Member) bool { return m != nil && m.ID == peer }
 	switch {
-	case !st.owns(v.Self):
-		if isPeer(st.owner) {
+	case !pl.owns(v.Self):
+		if isPeer(pl.owner) {
 			e.outbox.enqueueMove(peer, r)
 		}
-	case isPeer(st.next) || isPeer(st.local):
+	case isPeer(pl.next) || isPeer(pl.local):
 		e.outbox.enqueueCopy(peer, r)
 	}
 }
--- a/stoatflow/scan.go
+++ b/stoatflow/scan.go
@@ -10,27 +10,29 @@
 
 // placement is where a flow and its copies belong under a view.
 type placement struct {
-	owner, next, local *stoatview.Member // local is the owner within the data centre of the upstream, if that differs from the home
+	// local is the owner within the data centre of the upstream; it is nil if that is also the data centre
+	// of the preferred upstream.
+	owner, next, local *stoatview.Member
 	tracked            bool
 }
 
 // placementOf returns the placement of a flow that goes to the upstream in sl.
 func placementOf(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) placement {
-	first := s.Set.First(k)
-	var st placement
+	preferred := s.Set.First(k)
+	var pl placement
 	home := stoatpaddle.DataCentreID("")
-	if first != nil {
-		home = first.DataCentre
+	if preferred != nil {
+		home = preferred.DataCentre
 	}
-	st.tracked = first == nil || first.Key != sl.key
-	st.owner, st.next = v.Ring.OwnerNext(k, home)
+	pl.tracked = preferred == nil || preferred.Key != sl.key
+	pl.owner, pl.next = v.Ring.OwnerNext(k, home)
 	if dc := sl.upstream.Load().DataCentre; dc != home {
-		st.local = v.Ring.Owner(k, dc)
+		pl.local = v.Ring.Owner(k, dc)
 	}
-	return st
+	return pl
 }
 
-func (st placement) owns(id stoatpaddle.InstanceID) bool { return st.owner != nil && st.owner.ID == id }
+func (pl placement) owns(id stoatpaddle.InstanceID) bool { return pl.owner != nil && pl.owner.ID == id }
 
 // scanShard compares a shard's flows with a new view. Flows that do not go to their preferred upstream
 // under the view become tracked and are copied, and tracked flows that another entry owns are handed over.
@@ -88,19 +90,19 @@
 			old = placementOf(prev, prevService, k, sl)
 		}
 	}
-	st := placementOf(v, s, k, sl)
+	pl := placementOf(v, s, k, sl)
 	f.flags &^= tracked | backedUp
-	if st.tracked {
+	if pl.tracked {
 		f.flags |= tracked | backedUp
 	}
-	if st.owns(v.Self) {
+	if pl.owns(v.Self) {
 		e.countOwned(sl, &f)
 	} else {
 		e.uncountOwned(sl, &f)
 	}
 	sh.flows[k] = f
-	if st.tracked || ambiguousOnLeave(v, s, k, sl) {
-		e.enqueueRecords(v, old, st, k, sl)
+	if pl.tracked || ambiguousOnLeave(v, s, k, sl) {
+		e.enqueueRecords(v, old, pl, k, sl)
 	}
 }
 
@@ -111,25 +113,25 @@
 	if len(v.Cut) == 0 || v.Ring.Find(v.Self) != nil {
 		return false
 	}
-	first := s.Whole.First(k)
-	return first == nil || first.Key != sl.key
+	preferred := s.Whole.First(k)
+	return preferred == nil || preferred.Key != sl.key
 }
 
 // enqueueRecords queues the records that the change of the placement from old to st requires.
-func (e *Engine) enqueueRecords(v *stoatview.View, old, st placement, k stoatpaddle.FlowHash, sl *slot) {
+func (e *Engine) enqueueRecords(v *stoatview.View, old, pl placement, k stoatpaddle.FlowHash, sl *slot) {
 	r := Record{Key: k, Upstream: sl.key}
-	if !st.owns(v.Self) {
-		if st.owner != nil && (!old.tracked || !sameMember(old.owner, st.owner)) {
-			e.outbox.enqueueMove(st.owner.ID, r)
+	if !pl.owns(v.Self) {
+		if pl.owner != nil && (!old.tracked || !sameMember(old.owner, pl.owner)) {
+			e.outbox.enqueueMove(pl.owner.ID, r)
 		}
 		return
 	}
 	newlyOwned := !old.tracked || !old.owns(v.Self)
-	if st.next != nil && (newlyOwned || !sameMember(old.next, st.next)) {
-		e.outbox.enqueueCopy(st.next.ID, r)
+	if pl.next != nil && (newlyOwned || !sameMember(old.next, pl.next)) {
+		e.outbox.enqueueCopy(pl.next.ID, r)
 	}
-	if thirdEntry(st.local, v.Self, st.next) && (newlyOwned || !sameMember(old.local, st.local)) {
-		e.outbox.enqueueCopy(st.local.ID, r)
+	if thirdEntry(pl.local, v.Self, pl.next) && (newlyOwned || !sameMember(old.local, pl.local)) {
+		e.outbox.enqueueCopy(pl.local.ID, r)
 	}
 }
 
@@ -174,16 +176,16 @@
 		e.uncountOwned(e.reg.Load().slots[old.slot], &old)
 	}
 	f := flow{lastSeen: e.tick(now), slot: i, flags: recordOnly}
-	st := placementOf(v, s, k, sl)
-	if st.tracked {
+	pl := placementOf(v, s, k, sl)
+	if pl.tracked {
 		f.flags |= tracked | backedUp
 	}
-	if st.owns(v.Self) {
+	if pl.owns(v.Self) {
 		e.countOwned(sl, &f)
 	}
 	sh.flows[k] = f
-	if st.tracked {
-		e.enqueueRecords(v, placement{}, st, k, sl)
+	if pl.tracked {
+		e.enqueueRecords(v, placement{}, pl, k, sl)
 	}
 }
 
@@ -192,11 +194,11 @@
 // The copy in the data centre of the upstream is needed only if that is partitioned, and most flows are
 // short, so enqueueBackup queues it later.
 func (e *Engine) enqueueCopies(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) {
-	st := placementOf(v, s, k, sl)
-	if st.owns(v.Self) {
-		st.local = nil
+	pl := placementOf(v, s, k, sl)
+	if pl.owns(v.Self) {
+		pl.local = nil
 	}
-	e.enqueueRecords(v, placement{}, st, k, sl)
+	e.enqueueRecords(v, placement{}, pl, k, sl)
 }
 
 // enqueueBackup queues the copy in the data centre of the upstream, for a flow that has lived for a while.
@@ -209,8 +211,8 @@
 	}
 	f.flags |= backedUp
 	sh.flows[k] = f
-	if st := placementOf(v, s, k, sl); st.owns(v.Self) && thirdEntry(st.local, v.Self, st.next) {
-		e.outbox.enqueueCopy(st.local.ID, Record{Key: k, Upstream: sl.key})
+	if pl := placementOf(v, s, k, sl); pl.owns(v.Self) && thirdEntry(pl.local, v.Self, pl.next) {
+		e.outbox.enqueueCopy(pl.local.ID, Record{Key: k, Upstream: sl.key})
 	}
 }
 
@@ -220,14 +222,14 @@
 	if s == nil {
 		return
 	}
-	st := placementOf(v, s, k, sl)
-	if !st.owns(v.Self) {
+	pl := placementOf(v, s, k, sl)
+	if !pl.owns(v.Self) {
 		return
 	}
-	if st.next != nil {
-		e.outbox.enqueueDrop(st.next.ID, k)
+	if pl.next != nil {
+		e.outbox.enqueueDrop(pl.next.ID, k)
 	}
-	if f.flags&backedUp != 0 && thirdEntry(st.local, v.Self, st.next) {
-		e.outbox.enqueueDrop(st.local.ID, k)
+	if f.flags&backedUp != 0 && thirdEntry(pl.local, v.Self, pl.next) {
+		e.outbox.enqueueDrop(pl.local.ID, k)
 	}
 }
--- a/stoatflow/silent.go
+++ b/stoatflow/silent.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// silentRepeats and silentAfter distinguish a flow of which a device on the path lost the state from
+	// silentRepeats and silentAfter distinguish a flow whose state was lost by a device on its path from
 	// one with a short disruption. TCP repeats a segment about six times in 12 s.
 	silentRepeats = 6
 	silentAfter   = 10 * time.Second
@@ -32,7 +32,7 @@
 	ejectDivisor = 3
 )
 
-// updateProgress updates what the packet shows about the progress of the flow and reports whether the flow
+// updateProgress updates the flow's retransmission counters with the packet and reports whether the flow
 // has gone silent.
 //
 // Answers do not pass through this entry, so the only sign of a lost connection is a caller that repeats
--- a/stoatflow/usage.go
+++ b/stoatflow/usage.go
@@ -48,8 +48,8 @@
 
 // usage counts one customer's flows at this entry.
 type usage struct {
-	open  atomic.Int64
-	opens bucket
+	open     atomic.Int64
+	openRate bucket
 }
 
 type usageTable struct {
@@ -73,8 +73,8 @@
 // admit reports whether the customer may open one more flow here.
 //
 // Each entry enforces an equal part of the limit, so that the whole limit holds without communication, also
-// during a partition between data centres. TODO(shares): divide by demand, so that a customer whose traffic
-// is skewed can use its whole limit.
+// during a partition between data centres.
+// TODO(shares): divide by demand, so that a customer with skewed traffic can use its whole limit.
 func (u *usage) admit(now time.Time, l stoatpaddle.Limits, entries int) bool {
 	if entries < 1 {
 		entries = 1
@@ -85,5 +85,5 @@
 	if l.Opens == 0 {
 		return true
 	}
-	return u.opens.take(now, float64(l.Opens)/float64(entries))
+	return u.openRate.take(now, float64(l.Opens)/float64(entries))
 }
