--- a/stoatflow/header.go
+++ b/stoatflow/header.go
@@ -80,8 +80,8 @@
 	return HeaderSize + noticeSize
 }
 
-// ReadNotice decodes what follows the header of a KindNotice datagram. ok is false unless an entry of the
-// cluster made the datagram.
+// ReadNotice decodes what follows the header of a KindNotice datagram. ok is false unless an entry of
+// the cluster made the datagram.
 func ReadNotice(b []byte, seed stoatpacket.Seed) (r Record, ok bool) {
 	if len(b) < HeaderSize+noticeSize {
 		return Record{}, false
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -143,8 +143,8 @@
 	e.reg.Store(r)
 }
 
-// Flows returns the number of open flows that this entry owns, the number of tracked flows among them, and
-// the number of copies of other flows.
+// Flows returns the number of open flows that this entry owns, the number of tracked flows among
+// them, and the number of copies of other flows.
 func (e *Engine) Flows() (own, trackedFlows, copies int) {
 	for i := range e.shards {
 		sh := &e.shards[i]
--- a/stoatview/owner.go
+++ b/stoatview/owner.go
@@ -86,9 +86,9 @@
 	return append(buf, m)
 }
 
-// Before returns the entry that owned this flow within this entry's data centre before this entry did, or
-// nil if ownership did not change less than settle ago. An entry that receives a lookup soon after it
-// joined forwards the lookup to that entry, which may know the flow.
+// Before returns the entry that owned this flow within this entry's data centre before this entry
+// did, or nil if ownership did not change less than settle ago. An entry that receives a lookup
+// soon after it joined forwards the lookup to that entry, which may know the flow.
 func (v *View) Before(k stoatpaddle.FlowHash, now time.Time, settle time.Duration) *Member {
 	self := v.Ring.Find(v.Self)
 	if self == nil || v.Ring.Owner(k, self.DataCentre) != self {
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// CutGrace is how long the entries beyond a partition may take to answer again, one after the other, once
-// the first of them does.
+// CutGrace is how long the entries beyond a partition may take to answer again, one after the other,
+// once the first of them does.
 const CutGrace = 3 * time.Second
 
 // CutLately reports whether a data centre is partitioned or was less than PartitionGrace ago.
@@ -114,10 +114,11 @@
 	return len(v.Cut) > 0 || now.Sub(v.partitionSeen) < CutGrace
 }
 
-// Elsewhere reports whether a packet that opens nothing and is unknown here may belong to a flow that only
-// entries beyond a partition know. That is so if its preferred upstream is beyond the partition, if this
-// entry owned the flow before the partition, and so would know it had it opened here, or if this entry took
-// ownership because of the partition. For PartitionGrace after a partition it is so for every flow.
+// Elsewhere reports whether a packet that opens nothing and is unknown here may belong to a
+// flow that only entries beyond a partition know. That is so if its preferred upstream is
+// beyond the partition, if this entry owned the flow before the partition, and so would know
+// it had it opened here, or if this entry took ownership because of the partition. For
+// PartitionGrace after a partition it is so for every flow.
 func (v *View) Elsewhere(s *Service, k stoatpaddle.FlowHash, now time.Time) bool {
 	if len(v.Cut) == 0 {
 		return v.CutLately(now)
