--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -50,25 +50,25 @@
 
 // HoldsOf returns what a child has that was sent all of the table.
 func HoldsOf(t *stoatroute.Table) Holds {
-	return Holds{change: t.Change, version: t.Declaration.Version}
+	return Holds{change: t.ChangeSeq, version: t.Declaration.Version}
 }
 
 // EncodeBody returns what t has that a child does not, or nil if there is nothing.
 func EncodeBody(now time.Time, t *stoatroute.Table, child Holds) *Body {
-	if child.change == t.Change {
+	if child.change == t.ChangeSeq {
 		return nil
 	}
 	n := &names{place: map[string]int{}}
 	w := &Body{Whole: child.change == 0}
-	if t.Altered > child.change {
+	if t.DeclarationSeq > child.change {
 		w.Declared = encodeConfig(n, t, child)
 	}
-	for _, u := range t.Since(child.change) {
+	for _, u := range t.UpstreamsSince(child.change) {
 		r := &u.Registration
 		w.Upstreams = append(w.Upstreams, wireHeld{
 			ID: string(r.ID), Target: uint64(r.Target), Service: n.of(string(r.Service)), Centre: n.of(string(r.DataCentre)),
 			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.Created),
-			Standing: uint8(u.Standing), ColdMS: max(0, u.Warm.Sub(now).Milliseconds()), Life: uint64(r.Incarnation),
+			Standing: uint8(u.State), ColdMS: max(0, u.WarmAt.Sub(now).Milliseconds()), Life: uint64(r.Incarnation),
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
@@ -110,7 +110,7 @@
 			out.Backends = append(out.Backends, wireBackend{Service: n.of(string(b.Service)), Weight: uint32(b.Weight)})
 		}
 		if held := t.Route(r.Listen); held != nil {
-			for _, s := range held.Earlier() {
+			for _, s := range held.FormerServices() {
 				out.Earlier = append(out.Earlier, n.of(string(s)))
 			}
 		}
