--- a/stoatflow/advance.go
+++ b/stoatflow/advance.go
@@ -9,111 +9,113 @@
 )
 
 const (
-	scanAtOnce = 8 // shards compared with a new view in one Advance
-	// sendEvery is how long records wait for company: a flow whose owner dies before its
-	// copy left may break.
-	sendEvery = 200 * time.Millisecond
+	shardsPerAdvance = 8 // shards that one Advance compares with a new view
+	// flushInterval is how long records wait to be sent in one batch. A flow breaks if its owner dies
+	// before its copy was sent.
+	flushInterval = 200 * time.Millisecond
 
-	openingIdle = 10 * time.Second
-	closingIdle = 2 * time.Second
-	// tcpIdle is long, because a feed may be quiet for hours; it bounds the flows whose
-	// callers vanished without a word.
-	tcpIdle = 8 * time.Hour
-	udpIdle = 5 * time.Minute
+	openingIdleTimeout = 10 * time.Second
+	closingIdleTimeout = 2 * time.Second
+	// tcpIdleTimeout is long because a data feed may be idle for hours. It limits the number of flows whose
+	// callers vanished without closing them.
+	tcpIdleTimeout = 8 * time.Hour
+	udpIdleTimeout = 5 * time.Minute
 )
 
-// Prepare makes the engine ready for packets under the view; call it before the view is published.
+// Prepare makes the engine ready for packets under the view. It must be called before the view is
+// published.
 func (e *Engine) Prepare(now time.Time, v *stoatview.View) {
 	e.syncRegistry(now, v)
-	e.forgetReports(v)
-	e.out.keep(v)
+	e.pruneReports(v)
+	e.outbox.discardUnreachable(v)
 }
 
-// Advance does the periodic work and returns what to send; call it from one goroutine
-// about every 100 ms. What is for an entry without a connection waits.
+// Advance does the periodic work and returns the batches to send. It must be called from one goroutine
+// about every 100 ms. Records for an entry without a connection remain queued.
 func (e *Engine) Advance(now time.Time, v *stoatview.View, connected func(stoatpaddle.InstanceID) bool) []Batch {
 	scanned := 0
 	for i := range e.shards {
-		if scanned == scanAtOnce {
+		if scanned == shardsPerAdvance {
 			break
 		}
-		if e.shards[i].scanned != v {
-			e.scan(now, v, &e.shards[i])
+		if e.shards[i].scannedView != v {
+			e.scanShard(now, v, &e.shards[i])
 			scanned++
 		}
 	}
 	e.resync(v)
-	e.sweepShard(now, v, &e.shards[e.sweep%shardCount])
-	e.sweep++
-	if now.Sub(e.sent) < sendEvery {
+	e.sweepShard(now, v, &e.shards[e.nextSweep%shardCount])
+	e.nextSweep++
+	if now.Sub(e.lastFlush) < flushInterval {
 		return nil
 	}
-	e.sent = now
+	e.lastFlush = now
 	e.reportLoads(now, v)
-	out := e.out.flush(now, e.cfg.Budget, connected)
+	out := e.outbox.flush(now, e.cfg.Budget, connected)
 	for i := range out {
 		e.stats.Bytes.Add(int64(out[i].Size()))
 	}
 	return out
 }
 
-// Drained tells whether nothing is left to scan or send, so that a leaving entry may go.
+// Drained reports whether nothing is left to scan or send, so that a leaving entry may stop.
 func (e *Engine) Drained(v *stoatview.View) bool {
 	for i := range e.shards {
 		sh := &e.shards[i]
 		sh.mu.Lock()
-		done := sh.scanned == v
+		done := sh.scannedView == v
 		sh.mu.Unlock()
 		if !done {
 			return false
 		}
 	}
-	return e.out.sent()
+	return e.outbox.drained()
 }
 
-// HandoverTime estimates how long the budget takes to hand over every tracked flow.
+// HandoverTime estimates how long it takes to hand over every tracked flow within the byte budget.
 func (e *Engine) HandoverTime() time.Duration {
 	_, trackedFlows, _ := e.Flows()
-	bytes := e.out.pending() + trackedFlows*RecordSize
+	bytes := e.outbox.pendingBytes() + trackedFlows*RecordSize
 	return time.Duration(bytes) * time.Second / time.Duration(e.cfg.Budget)
 }
 
-// sweepShard removes flows that ended or went idle, and what only mattered while views differed.
+// sweepShard removes flows that ended or are idle, expired claims, and, once the view is settled, the flows
+// and copies that this entry does not need to keep any more.
 func (e *Engine) sweepShard(now time.Time, v *stoatview.View, sh *shard) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	t := e.tick(now)
 	settled := now.Sub(v.Changed) > e.cfg.Settle
 	r := e.reg.Load()
-	var late []stoatpaddle.FlowHash
+	var unbacked []stoatpaddle.FlowHash
 	for k, f := range sh.flows {
-		if t-f.seen > idleOf(f, v, r.slots[f.slot]) {
-			e.forget(v, sh, k, f)
+		if t-f.lastSeen > idleTimeout(f, v, r.slots[f.slot]) {
+			e.removeFlow(v, sh, k, f)
 			continue
 		}
-		if f.flags&(tracked|owned|backed) == tracked|owned {
-			late = append(late, k)
+		if f.flags&(tracked|owned|backedUp) == tracked|owned {
+			unbacked = append(unbacked, k)
 		}
 		if settled && f.flags&owned == 0 && f.flags&closing == 0 {
-			// Its owner knows it by now, if it is tracked, or computes it.
+			// Its owner knows the flow by now if it is tracked, and otherwise computes its upstream.
 			if f.flags&opening != 0 {
-				sh.opening--
+				sh.openingCount--
 			}
 			delete(sh.flows, k)
 		}
 	}
-	slices.Sort(late)
-	for _, k := range late {
-		e.backUp(v, sh, k)
+	slices.Sort(unbacked)
+	for _, k := range unbacked {
+		e.enqueueBackup(v, sh, k)
 	}
-	for k, m := range sh.moved {
-		if t >= m.until {
-			delete(sh.moved, k)
+	for k, c := range sh.claims {
+		if t >= c.expires {
+			delete(sh.claims, k)
 		}
 	}
-	for k, w := range sh.waiting {
-		if t-w.seen >= ticks(openingIdle) {
-			delete(sh.waiting, k)
+	for k, d := range sh.deferred {
+		if t-d.lastSeen >= ticks(openingIdleTimeout) {
+			delete(sh.deferred, k)
 		}
 	}
 	if settled {
@@ -121,37 +123,38 @@
 	}
 }
 
-func idleOf(f flow, v *stoatview.View, sl *slot) tick {
+// idleTimeout returns after how long without a packet the flow is removed.
+func idleTimeout(f flow, v *stoatview.View, sl *slot) tick {
 	switch {
 	case f.flags&closing != 0:
-		return ticks(closingIdle)
+		return ticks(closingIdleTimeout)
 	case f.flags&opening != 0:
-		return ticks(openingIdle)
+		return ticks(openingIdleTimeout)
 	}
 	if s := v.Service(sl.ref); s != nil && s.Protocol != tcp {
-		return ticks(udpIdle)
+		return ticks(udpIdleTimeout)
 	}
-	return ticks(tcpIdle)
+	return ticks(tcpIdleTimeout)
 }
 
-// sweepCopies removes the copies of which this entry is not a holder any more.
+// sweepCopies removes the copies that this entry does not need to hold any more.
 func (e *Engine) sweepCopies(v *stoatview.View, sh *shard) {
 	r := e.reg.Load()
 	for k, c := range sh.copies {
 		sl := r.slots[c.slot]
 		s := v.Service(sl.ref)
-		if s == nil || !holds(v, s, k, sl) {
+		if s == nil || !holdsCopy(v, s, k, sl) {
 			delete(sh.copies, k)
 		}
 	}
 }
 
-// holds tells whether this entry keeps the copy of a flow on that upstream.
-func holds(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
+// holdsCopy reports whether this entry is one of those that keep a copy of the flow.
+func holdsCopy(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
 	owner, next := v.OwnerNext(s, k)
 	if owner != nil && owner.ID == v.Self || next != nil && next.ID == v.Self {
 		return true
 	}
-	m := v.Ring.Owner(k, sl.up.Load().DataCentre)
+	m := v.Ring.Owner(k, sl.upstream.Load().DataCentre)
 	return m != nil && m.ID == v.Self
 }
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -8,21 +8,21 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// decide places a flow that no entry knows.
-func (e *Engine) decide(p *place) Action {
+// placeUnknown chooses the upstream of a flow that no queried entry knows.
+func (e *Engine) placeUnknown(p *packetDecision) Action {
 	pkt := p.in.Packet
 	switch {
 	case pkt.ICMP:
-		return e.stray(p)
+		return e.forwardStateless(p)
 	case pkt.Opens && pkt.Tuple.Protocol == stoatpaddle.ProtocolTCP:
-		return e.open(p)
+		return e.openFlow(p)
 	default:
-		return e.adopt(p)
+		return e.adoptOpen(p)
 	}
 }
 
-// stray forwards a packet to its first choice, without state.
-func (e *Engine) stray(p *place) Action {
+// forwardStateless forwards a packet to its preferred upstream without adding the flow to the table.
+func (e *Engine) forwardStateless(p *packetDecision) Action {
 	u := p.in.Service.Set.First(p.key)
 	if u == nil {
 		return Action{Verdict: Drop, Reason: stoatpacket.DropNoUpstream}
@@ -30,46 +30,46 @@
 	return Action{Verdict: Forward, Upstream: u}
 }
 
-// open places a new TCP flow.
-func (e *Engine) open(p *place) Action {
-	first := p.in.Service.Set.First(p.key)
-	if first == nil {
+// openFlow places a new TCP flow.
+func (e *Engine) openFlow(p *packetDecision) Action {
+	preferred := p.in.Service.Set.First(p.key)
+	if preferred == nil {
 		return Action{Verdict: Reset, Reason: stoatpacket.DropNoUpstream}
 	}
-	// Openings that never proceed must not grow the table without bound. Beyond the
-	// cap a flow goes to its first choice without being remembered: its next packet
-	// finds the same place by hash, so it lives like any other.
-	if p.sh.opening >= e.cfg.MaxOpen/shardCount {
+	// Flows that open but never proceed must not grow the table without limit. Beyond the limit a flow goes
+	// to its preferred upstream without an entry in the table. Its next packet finds the same upstream by
+	// hash, so the flow is not harmed.
+	if p.sh.openingCount >= e.cfg.MaxOpen/shardCount {
 		e.stats.Flooded.Add(1)
-		return Action{Verdict: Forward, Upstream: first}
+		return Action{Verdict: Forward, Upstream: preferred}
 	}
-	sl, i, ok := e.choose(p, first)
+	sl, i, ok := e.choose(p, preferred)
 	if !ok {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
-	if !sl.use.admit(p.now, p.in.Service.Limits, len(p.view.Ring.Members)) {
+	if !sl.usage.admit(p.now, p.in.Service.Limits, len(p.view.Ring.Members)) {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
-	if u := sl.up.Load(); u.Opens > 0 {
-		sl.opens.take(p.now, p.part(u.Opens))
+	if u := sl.upstream.Load(); u.Opens > 0 {
+		sl.openRate.take(p.now, p.entryShare(u.Opens))
 	}
 	e.stats.Opened.Add(1)
-	if sl.key != first.Key {
+	if sl.key != preferred.Key {
 		e.stats.Tracked.Add(1)
 	}
 	return e.insert(p, sl, i, opening)
 }
 
-// copyLag is how long copies of newly tracked flows may take to leave a dying entry.
+// copyLag is how long it may take until the copies of newly tracked flows have left an entry that dies.
 const copyLag = 5 * time.Second
 
-// adopt places a flow that is open already, by the set that it can belong to.
-func (e *Engine) adopt(p *place) Action {
+// adoptOpen places a flow that may be open already, by the upstream set that was in force when it opened.
+func (e *Engine) adoptOpen(p *packetDecision) Action {
 	s := p.in.Service
-	if p.view.CutLately(p.now) && (p.view.Elsewhere(s, p.key, p.now) || !p.patient()) {
-		return e.wait(p)
+	if p.view.CutLately(p.now) && (p.view.Elsewhere(s, p.key, p.now) || !p.waitedForPartition()) {
+		return e.deferPlacement(p)
 	}
 	set := s.Set
 	if at, ok := p.view.TakenOver(s, p.key); ok {
@@ -83,16 +83,16 @@
 		return Action{Verdict: Drop, Reason: stoatpacket.DropNoUpstream}
 	}
 	if p.view.Cut[u.DataCentre] {
-		return e.wait(p)
+		return e.deferPlacement(p)
 	}
 	sl, i := e.reg.Load().find(u.Key)
-	// Opening packets fill the table to half of this at most, so that a flood of them
-	// leaves room for flows that go on.
-	if sl == nil || p.sh.opening >= 2*e.cfg.MaxOpen/shardCount {
+	// Opening packets fill the table to half of this limit at most, so that a flood of them leaves room for
+	// flows that are open.
+	if sl == nil || p.sh.openingCount >= 2*e.cfg.MaxOpen/shardCount {
 		return Action{Verdict: Forward, Upstream: u}
 	}
-	// Every UDP packet may be a flow's first: unknown ones count against the limit.
-	if p.in.Packet.Opens && !sl.use.admit(p.now, s.Limits, len(p.view.Ring.Members)) {
+	// Every UDP packet may be the first of its flow, so unknown ones count against the limit.
+	if p.in.Packet.Opens && !sl.usage.admit(p.now, s.Limits, len(p.view.Ring.Members)) {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
@@ -100,83 +100,86 @@
 	return e.insert(p, sl, i, opening)
 }
 
-// patient tells whether the flow has been waiting for long enough that the entries which
-// might know it would have been heard again, were the cut over.
-func (p *place) patient() bool {
-	w, known := p.sh.waiting[p.key]
-	return known && p.tick-w.since >= ticks(stoatview.CutGrace)
+// waitedForPartition reports whether the flow has been deferred for so long that the entries which may know
+// it would have answered again had the partition ended.
+func (p *packetDecision) waitedForPartition() bool {
+	d, known := p.sh.deferred[p.key]
+	return known && p.tick-d.firstSeen >= ticks(stoatview.CutGrace)
 }
 
-// wait drops a packet of a flow that entries beyond a cut may know. Placed by hash, it
-// would reach an upstream that resets the flow, which may live on once the cut is over.
-// A caller who finds no other way is reset in the end, so that it can reconnect here.
-func (e *Engine) wait(p *place) Action {
-	w, known := p.sh.waiting[p.key]
+// deferPlacement drops a packet of a flow that entries beyond a partition may know. If the packet were
+// placed by hash it would reach an upstream that resets the flow, which could otherwise go on after the
+// partition. A caller whose packets reach no entry that knows the flow is reset in the end, so that it can
+// reconnect here.
+func (e *Engine) deferPlacement(p *packetDecision) Action {
+	d, known := p.sh.deferred[p.key]
 	if !known {
-		w.since = p.tick
+		d.firstSeen = p.tick
 	}
-	w.packets++
-	w.seen = p.tick
-	if w.packets > silentRepeats && p.tick-w.since >= ticks(silentAfter) {
-		delete(p.sh.waiting, p.key)
+	d.packets++
+	d.lastSeen = p.tick
+	if d.packets > silentRepeats && p.tick-d.firstSeen >= ticks(silentAfter) {
+		delete(p.sh.deferred, p.key)
 		e.stats.Silent.Add(1)
 		return Action{Verdict: Reset}
 	}
-	if known || len(p.sh.waiting) < e.cfg.MaxOpen/shardCount {
-		p.sh.waiting[p.key] = w
+	if known || len(p.sh.deferred) < e.cfg.MaxOpen/shardCount {
+		p.sh.deferred[p.key] = d
 	}
 	return Action{Verdict: Drop, Reason: stoatpacket.DropElsewhere}
 }
 
-// insert remembers the flow and forwards its packet.
-func (e *Engine) insert(p *place, sl *slot, i slotIndex, flags flag) Action {
-	f := flow{seen: p.tick, stuck: p.tick, seq: p.in.Packet.Seq, slot: i, flags: flags}
+// insert adds the flow to the table and forwards its packet.
+func (e *Engine) insert(p *packetDecision, sl *slot, i slotIndex, flags flag) Action {
+	f := flow{lastSeen: p.tick, stuckSince: p.tick, seq: p.in.Packet.Seq, slot: i, flags: flags}
 	if flags&opening != 0 {
-		p.sh.opening++
+		p.sh.openingCount++
 	}
-	first := p.in.Service.Set.First(p.key)
-	if first == nil || first.Key != sl.key {
+	preferred := p.in.Service.Set.First(p.key)
+	if preferred == nil || preferred.Key != sl.key {
 		f.flags |= tracked
 	}
-	e.count(sl, &f)
+	e.countOwned(sl, &f)
 	if p.in.Packet.Ends {
-		e.uncount(sl, &f)
+		e.uncountOwned(sl, &f)
 		f.flags |= closing
 	}
 	p.sh.flows[p.key] = f
-	// Another entry may hold a record of the flow that this one replaces, and not have
-	// been told to drop it because its owner changed; the new record overrides it.
-	if (f.flags&tracked != 0 || p.replaces) && f.flags&closing == 0 {
-		e.copyOut(p.view, p.in.Service, p.key, sl)
+	// Another entry may hold a record of the flow that this one replaces. If ownership changed since,
+	// nothing told that entry to drop it. The new record overwrites it.
+	if (f.flags&tracked != 0 || p.replacesTracked) && f.flags&closing == 0 {
+		e.enqueueCopies(p.view, p.in.Service, p.key, sl)
 	}
-	return Action{Verdict: Forward, Upstream: sl.up.Load()}
+	return Action{Verdict: Forward, Upstream: sl.upstream.Load()}
 }
 
-func (e *Engine) count(sl *slot, f *flow) {
+// countOwned adds the flow to this entry's load unless it is counted already.
+func (e *Engine) countOwned(sl *slot, f *flow) {
 	if f.flags&owned == 0 {
 		f.flags |= owned
 		sl.open.Add(1)
-		sl.use.open.Add(1)
+		sl.usage.open.Add(1)
 	}
 }
 
-func (e *Engine) uncount(sl *slot, f *flow) {
+// uncountOwned removes the flow from this entry's load if it is counted.
+func (e *Engine) uncountOwned(sl *slot, f *flow) {
 	if f.flags&owned != 0 {
 		f.flags &^= owned
 		sl.open.Add(-1)
-		sl.use.open.Add(-1)
+		sl.usage.open.Add(-1)
 	}
 }
 
-// forget removes the flow from the table and its copies from the other entries.
-func (e *Engine) forget(v *stoatview.View, sh *shard, k stoatpaddle.FlowHash, f flow) {
+// removeFlow removes the flow from the table and queues the removal of its copies at the other entries.
+func (e *Engine) removeFlow(v *stoatview.View, sh *shard, k stoatpaddle.FlowHash, f flow) {
 	sl := e.reg.Load().slots[f.slot]
-	e.uncount(sl, &f)
+	e.uncountOwned(sl, &f)
 	if f.flags&opening != 0 {
-		sh.opening--
+		sh.openingCount--
 	}
 	delete(sh.flows, k)
 	if f.flags&tracked != 0 {
-		e.dropOut(v, k, f, sl)
+		e.enqueueDrops(v, k, f, sl)
 	}
 }
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -7,7 +7,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// Receive takes in what another entry told about flows.
+// Receive applies a batch from another entry.
 func (e *Engine) Receive(now time.Time, v *stoatview.View, from stoatpaddle.InstanceID, b Batch) {
 	r := e.reg.Load()
 	for _, rec := range b.Moves {
@@ -17,7 +17,7 @@
 		if sl, i := r.find(rec.Upstream); sl != nil {
 			sh := e.shard(rec.Key)
 			sh.mu.Lock()
-			sh.copies[rec.Key] = copied{slot: i}
+			sh.copies[rec.Key] = flowCopy{slot: i}
 			sh.mu.Unlock()
 		}
 	}
@@ -32,11 +32,12 @@
 	}
 }
 
-// Learn takes in where a flow goes that this entry asked about.
+// Learn applies a KindNotice datagram, which says where a flow goes that this entry owns.
 func (e *Engine) Learn(now time.Time, v *stoatview.View, r Record) {
 	e.receiveMove(now, v, e.reg.Load(), r)
 }
 
+// receiveMove adds a flow that another entry handed over to the table.
 func (e *Engine) receiveMove(now time.Time, v *stoatview.View, r *registry, rec Record) {
 	sl, i := r.find(rec.Upstream)
 	if sl == nil {
@@ -50,22 +51,23 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	delete(sh.copies, rec.Key)
-	e.own(now, v, s, sh, rec.Key, sl, i)
+	e.insertFromRecord(now, v, s, sh, rec.Key, sl, i)
 }
 
-// reports remembers what each entry last reported, so that a new report replaces it.
-type reports map[stoatpaddle.InstanceID]map[SetDigest]LoadReport
+// receivedReports holds the last report of each entry on each set, so that a new report replaces it.
+type receivedReports map[stoatpaddle.InstanceID]map[SetDigest]LoadReport
 
+// receiveLoad replaces the entry's earlier report on the set.
 func (e *Engine) receiveLoad(r *registry, from stoatpaddle.InstanceID, l LoadReport) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
-	// A report about another set than the present one is of no use.
-	set := r.named[l.Set]
+	// A report on a set that is not current is of no use.
+	set := r.setByDigest[l.Set]
 	if set == nil || len(set.Upstreams) != len(l.Open) {
 		return
 	}
 	if e.reports == nil {
-		e.reports = reports{}
+		e.reports = receivedReports{}
 	}
 	if e.reports[from] == nil {
 		e.reports[from] = map[SetDigest]LoadReport{}
@@ -77,30 +79,30 @@
 	e.reports[from][l.Set] = l
 }
 
-// addRemote adds a report to what other entries hold on each upstream, or takes it away.
+// addRemote adds a report to the remote load on each upstream; with a sign of -1 it subtracts it.
 func (r *registry) addRemote(l LoadReport, sign int64) {
-	for i, sl := range r.sets[r.named[l.Set]] {
+	for i, sl := range r.slotsBySet[r.setByDigest[l.Set]] {
 		sl.remote.Add(sign * int64(l.Open[i]))
 	}
 }
 
-// forgetReports drops the reports of entries that left and of sets that changed: their
-// flows are counted by the entries that own them now.
-func (e *Engine) forgetReports(v *stoatview.View) {
+// pruneReports drops the reports of entries that left and those on sets that changed, and recomputes the
+// remote loads. The flows of an entry that left are counted by the entries that own them now.
+func (e *Engine) pruneReports(v *stoatview.View) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
 	r := e.reg.Load()
 	for _, sl := range r.slots {
 		sl.remote.Store(0)
 	}
-	for from, byset := range e.reports {
+	for from, bySet := range e.reports {
 		if v.Ring.Find(from) == nil {
 			delete(e.reports, from)
 			continue
 		}
-		for d, l := range byset {
-			if r.named[d] == nil {
-				delete(byset, d)
+		for d, l := range bySet {
+			if r.setByDigest[d] == nil {
+				delete(bySet, d)
 				continue
 			}
 			r.addRemote(l, 1)
--- a/stoatflow/resync.go
+++ b/stoatflow/resync.go
@@ -5,46 +5,47 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// peerSync is the progress of telling one peer everything it should hold.
+// peerSync is the progress of sending one peer every record that it should hold.
 type peerSync struct {
-	peer stoatpaddle.InstanceID
-	next int // shard
+	peer      stoatpaddle.InstanceID
+	nextShard int
 }
 
-// Resync begins to send a peer every record that it should hold. Records are not
-// acknowledged one by one: what a broken connection lost, the next one brings again.
+// Resync starts to send a peer every record that it should hold. Records are not acknowledged one by one;
+// those that a broken connection lost are sent again over the next one.
 func (e *Engine) Resync(peer stoatpaddle.InstanceID) {
-	e.out.clear(peer)
+	e.outbox.discard(peer)
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
-	for i := range e.syncs {
-		if e.syncs[i].peer == peer {
-			e.syncs[i].next = 0
+	for i := range e.resyncs {
+		if e.resyncs[i].peer == peer {
+			e.resyncs[i].nextShard = 0
 			return
 		}
 	}
-	e.syncs = append(e.syncs, peerSync{peer: peer})
+	e.resyncs = append(e.resyncs, peerSync{peer: peer})
 }
 
-// resync goes through a few shards for each peer that is being told.
+// resync processes a few shards for each peer with a resync in progress.
 func (e *Engine) resync(v *stoatview.View) {
 	e.regMu.Lock()
-	syncs := append([]peerSync(nil), e.syncs...)
-	left := e.syncs[:0]
-	for _, s := range e.syncs {
-		if s.next += scanAtOnce; s.next < shardCount {
-			left = append(left, s)
+	syncs := append([]peerSync(nil), e.resyncs...)
+	remaining := e.resyncs[:0]
+	for _, s := range e.resyncs {
+		if s.nextShard += shardsPerAdvance; s.nextShard < shardCount {
+			remaining = append(remaining, s)
 		}
 	}
-	e.syncs = left
+	e.resyncs = remaining
 	e.regMu.Unlock()
 	for _, s := range syncs {
-		for i := s.next; i < min(s.next+scanAtOnce, shardCount); i++ {
+		for i := s.nextShard; i < min(s.nextShard+shardsPerAdvance, shardCount); i++ {
 			e.resyncShard(v, &e.shards[i], s.peer)
 		}
 	}
 }
 
+// resyncShard queues the records of the tracked flows in the shard that the peer should hold.
 func (e *Engine) resyncShard(v *stoatview.View, sh *shard, peer stoatpaddle.InstanceID) {
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
@@ -59,21 +60,22 @@
 		if s == nil {
 			continue
 		}
-		if st := standingOf(v, s, k, sl); st.tracked {
-			e.resend(v, st, k, sl, peer)
+		if pl := placementOf(v, s, k, sl); pl.tracked {
+			e.resend(v, pl, k, sl, peer)
 		}
 	}
 }
 
-func (e *Engine) resend(v *stoatview.View, st standing, k stoatpaddle.FlowHash, sl *slot, peer stoatpaddle.InstanceID) {
+// resend queues the record of a flow if the peer is its owner or should hold a copy.
+func (e *Engine) resend(v *stoatview.View, pl placement, k stoatpaddle.FlowHash, sl *slot, peer stoatpaddle.InstanceID) {
 	r := Record{Key: k, Upstream: sl.key}
-	is := func(m *stoatview.Member) bool { return m != nil && m.ID == peer }
+	isPeer := func(m *stoatview.Member) bool { return m != nil && m.ID == peer }
 	switch {
-	case !st.owns(v.Self):
-		if is(st.owner) {
-			e.out.move(peer, r)
+	case !pl.owns(v.Self):
+		if isPeer(pl.owner) {
+			e.outbox.enqueueMove(peer, r)
 		}
-	case is(st.next) || is(st.local):
-		e.out.copy(peer, r)
+	case isPeer(pl.next) || isPeer(pl.local):
+		e.outbox.enqueueCopy(peer, r)
 	}
 }
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -11,97 +11,98 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// flag is a set of marks on a flow.
+// flag is a bit set of the properties of a flow.
 type flag uint8
 
 const (
-	tracked flag = 1 << iota // its upstream is not what a newcomer would compute
-	opening                  // the caller has not answered the upstream yet
-	closing                  // the caller sent FIN or RST
-	owned                    // counted in this entry's load
-	backed                   // its copy in the upstream's data centre was sent
-	told                     // known from a record only; no packet came yet
+	tracked    flag = 1 << iota // it goes to another upstream than the preferred one
+	opening                     // the caller has not replied to the upstream yet
+	closing                     // the caller sent FIN or RST, or this entry reset the flow
+	owned                       // counted in this entry's load
+	backedUp                    // its copy was queued for the upstream's data centre
+	recordOnly                  // known from a record; no packet has arrived yet
 )
 
-// flow is what an entry remembers of one flow: 16 bytes.
+// flow is the state of one flow in the table. It takes 16 bytes.
 type flow struct {
-	seen    tick   // last packet
-	stuck   tick   // first sight of the repeated segment
-	seq     uint32 // last segment with payload, or the opening one
-	slot    slotIndex
-	flags   flag
-	repeats uint8
+	lastSeen   tick   // time of the last packet
+	stuckSince tick   // first time that the repeated segment was seen
+	seq        uint32 // of the last segment with payload, or of the opening packet
+	slot       slotIndex
+	flags      flag
+	repeats    uint8 // of the segment with seq
 }
 
-// copied is a tracked flow that another entry owns.
-type copied struct {
+// flowCopy is the record of a tracked flow that another entry owns.
+type flowCopy struct {
 	slot slotIndex
 }
 
-// moved tells which entry claimed a flow that was not known here. Without it, a packet
-// that an entry with an older view sends here would be decided by hash a second time,
-// perhaps for another upstream.
-type moved struct {
-	to    netip.AddrPort
-	until tick
+// claim records which entry decided for a flow that was not known here. Without it, a packet of the flow
+// that an entry with an older view relays here would be placed by hash a second time, perhaps at another
+// upstream.
+type claim struct {
+	to      netip.AddrPort
+	expires tick
 }
 
-// waiting counts the packets of a flow that only entries beyond a cut may know.
-type waiting struct {
-	since   tick
-	seen    tick
-	packets int
+// deferredFlow counts the dropped packets of a flow that only entries beyond a partition may know.
+type deferredFlow struct {
+	firstSeen tick
+	lastSeen  tick
+	packets   int
 }
 
-// shard is a part of the flow table with a lock of its own.
+// shard is a part of the flow table with its own lock.
 type shard struct {
-	mu      sync.Mutex
-	flows   map[stoatpaddle.FlowHash]flow
-	copies  map[stoatpaddle.FlowHash]copied
-	moved   map[stoatpaddle.FlowHash]moved
-	waiting map[stoatpaddle.FlowHash]waiting
-	opening int
-	scanned *stoatview.View // the last view that the flows were compared with
-	rnd     *rand.Rand
+	mu           sync.Mutex
+	flows        map[stoatpaddle.FlowHash]flow
+	copies       map[stoatpaddle.FlowHash]flowCopy
+	claims       map[stoatpaddle.FlowHash]claim
+	deferred     map[stoatpaddle.FlowHash]deferredFlow
+	openingCount int             // flows with the opening flag
+	scannedView  *stoatview.View // the last view with which the flows were compared
+	rnd          *rand.Rand
 }
 
 func (sh *shard) init(seed uint64) {
 	sh.flows = map[stoatpaddle.FlowHash]flow{}
-	sh.copies = map[stoatpaddle.FlowHash]copied{}
-	sh.moved = map[stoatpaddle.FlowHash]moved{}
-	sh.waiting = map[stoatpaddle.FlowHash]waiting{}
+	sh.copies = map[stoatpaddle.FlowHash]flowCopy{}
+	sh.claims = map[stoatpaddle.FlowHash]claim{}
+	sh.deferred = map[stoatpaddle.FlowHash]deferredFlow{}
 	sh.rnd = newRand(seed)
 }
 
-// slotIndex is an upstream's place in the registry.
+// slotIndex is the index of an upstream in registry.slots.
 type slotIndex uint16
 
-// slot counts the flows of one upstream.
+// slot holds the load and the health of one upstream.
 type slot struct {
-	up      atomic.Pointer[stoatview.Upstream]
-	key     stoatpaddle.UpstreamKey
-	ref     stoatpaddle.ServiceRef
-	use     *usage       // of the customer
-	open    atomic.Int64 // flows this entry owns
-	remote  atomic.Int64 // flows the other entries reported
-	opens   bucket       // new flows
-	since   time.Time    // when it was first seen here, for slow start
-	warm    bool         // it was there when this entry started, so it needs no slow start
-	unheard atomic.Int64 // openings repeated unanswered since the last progress
-	callers atomic.Uint64
-	ejected atomic.Int64 // tick until which it takes no new flows
+	upstream     atomic.Pointer[stoatview.Upstream]
+	key          stoatpaddle.UpstreamKey
+	ref          stoatpaddle.ServiceRef
+	usage        *usage        // of the customer
+	open         atomic.Int64  // flows that this entry owns
+	remote       atomic.Int64  // flows that the other entries reported
+	openRate     bucket        // limits new flows
+	firstSeen    time.Time     // by this entry; slow start counts from it
+	warm         bool          // present when this entry started, so that it needs no slow start
+	unanswered   atomic.Int64  // repeated opening packets since a flow last proceeded
+	callers      atomic.Uint64 // bit set of hashes of the callers that repeated them
+	ejectedUntil atomic.Int64  // tick until which it takes no new flows
 }
 
 func (s *slot) load() float64 { return float64(s.open.Load() + s.remote.Load()) }
 
-// registry numbers the upstreams; an index is never used for another upstream.
+// registry assigns an index to each upstream. An index is never reused for another upstream.
 type registry struct {
-	slots []*slot
-	byKey map[stoatpaddle.UpstreamKey]slotIndex
-	sets  map[*stoatview.Set][]*slot // of the present sets, in their order
-	named map[SetDigest]*stoatview.Set
+	slots       []*slot
+	byKey       map[stoatpaddle.UpstreamKey]slotIndex
+	slotsBySet  map[*stoatview.Set][]*slot // of the current sets, in the order of their upstreams
+	setByDigest map[SetDigest]*stoatview.Set
 }
 
+// find returns the slot and the index of an upstream, or nil.
 func (r *registry) find(key stoatpaddle.UpstreamKey) (*slot, slotIndex) {
 	i, ok := r.byKey[key]
 	if !ok {
@@ -110,7 +111,7 @@
 	return r.slots[i], i
 }
 
-// syncRegistry adds the view's upstreams; it runs before the first packet of a view.
+// syncRegistry adds the view's upstreams. It runs before the first packet is handled under the view.
 func (e *Engine) syncRegistry(now time.Time, v *stoatview.View) {
 	e.regMu.Lock()
 	defer e.regMu.Unlock()
@@ -122,27 +123,28 @@
 	for _, s := range v.Services {
 		for _, u := range s.Upstreams() {
 			if i, ok := r.byKey[u.Key]; ok {
-				r.slots[i].up.Store(u)
+				r.slots[i].upstream.Store(u)
 				continue
 			}
-			sl := &slot{key: u.Key, ref: u.Ref, use: e.usage.get(u.Ref.Customer), since: now, warm: len(old.slots) == 0}
-			sl.up.Store(u)
+			sl := &slot{key: u.Key, ref: u.Ref, usage: e.usage.get(u.Ref.Customer), firstSeen: now, warm: len(old.slots) == 0}
+			sl.upstream.Store(u)
 			r.byKey[u.Key] = slotIndex(len(r.slots))
 			r.slots = append(r.slots, sl)
 		}
 	}
-	r.sets = make(map[*stoatview.Set][]*slot, len(v.Services))
-	r.named = make(map[SetDigest]*stoatview.Set, len(v.Services))
+	r.slotsBySet = make(map[*stoatview.Set][]*slot, len(v.Services))
+	r.setByDigest = make(map[SetDigest]*stoatview.Set, len(v.Services))
 	for _, s := range v.Services {
-		r.named[digest(s.Set)] = s.Set
+		r.setByDigest[digest(s.Set)] = s.Set
 		for _, u := range s.Set.Upstreams {
-			r.sets[s.Set] = append(r.sets[s.Set], r.slots[r.byKey[u.Key]])
+			r.slotsBySet[s.Set] = append(r.slotsBySet[s.Set], r.slots[r.byKey[u.Key]])
 		}
 	}
 	e.reg.Store(r)
 }
 
-// Flows returns how many flows the engine holds, owned ones and others.
+// Flows returns the number of open flows that this entry owns, the number of tracked flows among
+// them, and the number of copies of other flows.
 func (e *Engine) Flows() (own, trackedFlows, copies int) {
 	for i := range e.shards {
 		sh := &e.shards[i]
@@ -161,13 +163,13 @@
 	return own, trackedFlows, copies
 }
 
-// Claims returns how many flows the engine knows to be another entry's by its claim.
+// Claims returns how many flows are recorded as claimed by another entry.
 func (e *Engine) Claims() int {
 	n := 0
 	for i := range e.shards {
 		sh := &e.shards[i]
 		sh.mu.Lock()
-		n += len(sh.moved)
+		n += len(sh.claims)
 		sh.mu.Unlock()
 	}
 	return n
@@ -179,7 +181,7 @@
 	Open     uint32
 }
 
-// Loads returns the engine's own load on each upstream, in the order they were first seen.
+// Loads returns the engine's own load on each upstream, in the order in which they were first seen.
 func (e *Engine) Loads() []Load {
 	r := e.reg.Load()
 	out := make([]Load, 0, len(r.slots))
--- a/stoatflow/usage.go
+++ b/stoatflow/usage.go
@@ -8,18 +8,19 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// bucket is a token bucket that refills at a rate.
+// bucket is a token bucket.
 type bucket struct {
-	mu     sync.Mutex
-	tokens float64
-	filled time.Time
+	mu         sync.Mutex
+	tokens     float64
+	refilledAt time.Time
 }
 
-// take takes a token, if there is one, from a bucket of rate a second and as much at most.
+// take takes a token if there is one. The bucket refills at rate tokens a second and holds the tokens of
+// one second, but at least one.
 func (b *bucket) take(now time.Time, rate float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now, rate)
+	b.refill(now, rate)
 	if b.tokens < 1 {
 		return false
 	}
@@ -27,53 +28,53 @@
 	return true
 }
 
-// ready tells whether take would succeed.
+// ready reports whether take would succeed.
 func (b *bucket) ready(now time.Time, rate float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fill(now, rate)
+	b.refill(now, rate)
 	return b.tokens >= 1
 }
 
-func (b *bucket) fill(now time.Time, rate float64) {
+func (b *bucket) refill(now time.Time, rate float64) {
 	burst := max(1, rate)
-	if b.filled.IsZero() {
+	if b.refilledAt.IsZero() {
 		b.tokens = burst
 	} else {
-		b.tokens = min(burst, b.tokens+rate*now.Sub(b.filled).Seconds())
+		b.tokens = min(burst, b.tokens+rate*now.Sub(b.refilledAt).Seconds())
 	}
-	b.filled = now
+	b.refilledAt = now
 }
 
-// usage counts one customer's flows on this entry.
+// usage counts one customer's flows at this entry.
 type usage struct {
-	open  atomic.Int64
-	opens bucket
+	open     atomic.Int64
+	openRate bucket
 }
 
 type usageTable struct {
-	mu sync.Mutex
-	by map[stoatpaddle.CustomerID]*usage
+	mu         sync.Mutex
+	byCustomer map[stoatpaddle.CustomerID]*usage
 }
 
-func (t *usageTable) init() { t.by = map[stoatpaddle.CustomerID]*usage{} }
+func (t *usageTable) init() { t.byCustomer = map[stoatpaddle.CustomerID]*usage{} }
 
 func (t *usageTable) get(c stoatpaddle.CustomerID) *usage {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	u := t.by[c]
+	u := t.byCustomer[c]
 	if u == nil {
 		u = &usage{}
-		t.by[c] = u
+		t.byCustomer[c] = u
 	}
 	return u
 }
 
-// admit tells whether the customer may open one more flow here.
+// admit reports whether the customer may open one more flow here.
 //
-// Each entry may act upon an equal part of the limit, so that the whole is kept without
-// asking anybody, also while data centres are cut off from each other.
-// TODO(shares): divide by demand, so that a skewed customer can use all of its limit.
+// Each entry enforces an equal part of the limit, so that the whole limit holds without communication, also
+// during a partition between data centres.
+// TODO(shares): divide by demand, so that a customer with skewed traffic can use its whole limit.
 func (u *usage) admit(now time.Time, l stoatpaddle.Limits, entries int) bool {
 	if entries < 1 {
 		entries = 1
@@ -84,5 +85,5 @@
 	if l.Opens == 0 {
 		return true
 	}
-	return u.opens.take(now, float64(l.Opens)/float64(entries))
+	return u.openRate.take(now, float64(l.Opens)/float64(entries))
 }
