--- a/stoatecho/ended.go
+++ b/stoatecho/ended.go
@@ -66,6 +66,6 @@
 		out = append(out, OrphanedFlow{Tuple: tuple, Ack: f.requestAck, Upstream: u})
 		e.forget(tuple)
 	}
-	e.stats.Resets[stoatpacket.DropGone] += int64(len(out))
+	e.stats.Resets[stoatpacket.DropUpstreamGone] += int64(len(out))
 	return out
 }
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -139,7 +139,7 @@
 	if again := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(again) != 0 {
 		t.Errorf("returned twice: %+v", again)
 	}
-	wantReset(t, idle.sendRequest(), stoatpacket.DropGone)
+	wantReset(t, idle.sendRequest(), stoatpacket.DropUpstreamGone)
 	wantForward(t, "elsewhere", other.retransmit())
 }
 
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -233,11 +233,11 @@
 func (e *Engine) beforeTable(now time.Time, p *stoatpacket.Packet) Action {
 	switch {
 	case now.Sub(e.cfg.Start) <= startGrace:
-		return Action{Verdict: Wait, Reason: stoatpacket.DropYoung}
+		return Action{Verdict: Wait, Reason: stoatpacket.DropUnconfigured}
 	case p.Opens:
-		return Action{Verdict: Reset, Reason: stoatpacket.DropYoung}
+		return Action{Verdict: Reset, Reason: stoatpacket.DropUnconfigured}
 	}
-	return Action{Reason: stoatpacket.DropYoung}
+	return Action{Reason: stoatpacket.DropUnconfigured}
 }
 
 // forwardOpen forwards a packet of an open flow to the upstream that its cookie names.
@@ -256,7 +256,7 @@
 	}
 	if e.hasEnded(u) {
 		e.forget(p.Tuple)
-		return Action{Verdict: Reset, Upstream: u, Reason: stoatpacket.DropGone}
+		return Action{Verdict: Reset, Upstream: u, Reason: stoatpacket.DropUpstreamGone}
 	}
 	return a
 }
@@ -270,12 +270,12 @@
 		if len(e.unprovenCookies) < maxUnproven {
 			e.unprovenCookies[p.Cookie] = now
 		}
-		return Action{Reason: stoatpacket.DropUnproven}
+		return Action{Reason: stoatpacket.DropUnverified}
 	}
 	if !t.CompleteAsOf.After(since) || p.Reset {
-		return Action{Reason: stoatpacket.DropUnproven}
+		return Action{Reason: stoatpacket.DropUnverified}
 	}
-	return Action{Verdict: Reset, Reason: stoatpacket.DropGone}
+	return Action{Verdict: Reset, Reason: stoatpacket.DropUpstreamGone}
 }
 
 // maxUnproven bounds the unknown cookies that are remembered, so that a flood of forged ones cannot exhaust the
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -89,7 +89,7 @@
 }
 
 func (c *caller) syn(copies int) stoatecho.Action {
-	return c.send(stoatpacket.Packet{Opens: true, Copies: copies})
+	return c.send(stoatpacket.Packet{Opens: true, Retransmits: copies})
 }
 
 // open sends a SYN and, 10 ms later, the packet that completes the handshake.
@@ -203,13 +203,13 @@
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
 	c.cookie = stoatroute.KeyOf(77)
-	wantDrop(t, c.sendRequest(), stoatpacket.DropUnproven)
-	wantDrop(t, c.retransmit(), stoatpacket.DropUnproven)
+	wantDrop(t, c.sendRequest(), stoatpacket.DropUnverified)
+	wantDrop(t, c.retransmit(), stoatpacket.DropUnverified)
 	w.book.MarkCurrent(w.now) // sent at the same moment: it may have been first
-	wantDrop(t, c.retransmit(), stoatpacket.DropUnproven)
+	wantDrop(t, c.retransmit(), stoatpacket.DropUnverified)
 	w.after(ms)
 	w.book.MarkCurrent(w.now)
-	wantReset(t, c.retransmit(), stoatpacket.DropGone)
+	wantReset(t, c.retransmit(), stoatpacket.DropUpstreamGone)
 }
 
 // Callers of an upstream that has ended are reset at once. An upstream that is leaving keeps its open flows and
@@ -223,7 +223,7 @@
 	}
 	w.rev++
 	w.book.MarkGone(w.now, "i-1", w.rev)
-	wantReset(t, callers["i-1"].sendRequest(), stoatpacket.DropGone)
+	wantReset(t, callers["i-1"].sendRequest(), stoatpacket.DropUpstreamGone)
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{ID: "i-2", Target: 2, Service: "app", DataCentre: "here", Slots: 3, Leaving: true}, w.rev)
 	if a := callers["i-2"].sendRequest(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-2" {
@@ -252,7 +252,7 @@
 	w.after(20 * ms)
 	w.rev++
 	w.book.MarkGone(w.now, "i-1", w.rev)
-	wantReset(t, list[1].sendRequest(), stoatpacket.DropGone)
+	wantReset(t, list[1].sendRequest(), stoatpacket.DropUpstreamGone)
 	w.after(20 * ms)
 	if a := list[0].ackAnswer(); a.Verdict != stoatecho.Forward {
 		t.Errorf("%+v", a)
@@ -283,8 +283,8 @@
 		t.Errorf("%+v", a)
 	}
 	w.after(1100 * ms)
-	wantReset(t, c.syn(2), stoatpacket.DropYoung)
-	wantDrop(t, c.sendRequest(), stoatpacket.DropYoung)
+	wantReset(t, c.syn(2), stoatpacket.DropUnconfigured)
+	wantDrop(t, c.sendRequest(), stoatpacket.DropUnconfigured)
 }
 
 // An opening is lost while its upstream answers other callers. The retransmission goes to the same upstream: at
--- a/stoatecho/hold_test.go
+++ b/stoatecho/hold_test.go
@@ -15,12 +15,12 @@
 	var h stoatecho.HoldQueue
 	a, b := w.caller(idempotentAddr), w.caller(nonIdempotentAddr)
 	for i, c := range []*caller{a, b, a, a} {
-		if !h.Add(w.now, &stoatpacket.Packet{Tuple: c.tuple, Opens: true, Copies: i}, []byte{byte(i)}) {
+		if !h.Add(w.now, &stoatpacket.Packet{Tuple: c.tuple, Opens: true, Retransmits: i}, []byte{byte(i)}) {
 			t.Fatal("no room")
 		}
 	}
 	list := h.Take()
-	if len(list) != 2 || list[0].Data[0] != 3 || list[0].Packet.Copies != 3 || list[1].Data[0] != 1 {
+	if len(list) != 2 || list[0].Data[0] != 3 || list[0].Packet.Retransmits != 3 || list[1].Data[0] != 1 {
 		t.Errorf("%+v", list)
 	}
 	if len(h.Take()) != 0 {
--- a/stoatecho/open.go
+++ b/stoatecho/open.go
@@ -14,7 +14,7 @@
 func (e *Engine) open(now time.Time, t *stoatroute.Table, r *stoatroute.Route, p *stoatpacket.Packet) Action {
 	a := Action{Verdict: Forward, Opened: true}
 	var except stoatpaddle.UpstreamKey
-	if f := e.flows[p.Tuple]; f != nil && f.opening && p.Copies > 0 {
+	if f := e.flows[p.Tuple]; f != nil && f.opening && p.Retransmits > 0 {
 		u := t.Upstream(f.key)
 		if e.keepsUpstream(now, t, r, u, f, &a) {
 			return Action{Verdict: Forward, Upstream: u}
@@ -22,7 +22,7 @@
 		except, a.Moved = f.key, true
 	}
 	e.forget(p.Tuple)
-	if p.Copies == 0 {
+	if p.Retransmits == 0 {
 		except = e.lastRefusedBy(now, p)
 	}
 	u, admitted, excluded := e.choose(now, t, r, except, a.Moved)
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -53,7 +53,7 @@
 		reason := platform.ReadPacket(m.buf[platform.TargetSize:platform.TargetSize+n], &p)
 		// Resets towards this entry itself would come back as packets.
 		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.own {
-			reason = stoatpacket.DropOwn
+			reason = stoatpacket.DropOwnSource
 		}
 		if reason != stoatpacket.DropNone {
 			e.counts.malformed[reason].Add(1)
@@ -127,7 +127,7 @@
 		_, _ = e.conn.WriteToUDPAddrPort(buf, a.Upstream.Addr)
 		if a.Opened {
 			e.logFlow(now, EventOpened, t, a, p, append(loadFields(a),
-				stoatevent.F("copies", strconv.Itoa(p.Copies)), stoatevent.F("moved", strconv.FormatBool(a.Moved)))...)
+				stoatevent.F("copies", strconv.Itoa(p.Retransmits)), stoatevent.F("moved", strconv.FormatBool(a.Moved)))...)
 		}
 	case stoatecho.Reset:
 		e.sendReset(m, p)
@@ -144,7 +144,7 @@
 		e.logFlow(now, EventReset, t, a, p, fields...)
 	case stoatecho.Drop:
 		e.logDrop(now, p, a.Reason)
-		if a.Reason == stoatpacket.DropUnproven {
+		if a.Reason == stoatpacket.DropUnverified {
 			e.doubt(now)
 		}
 	}
@@ -194,7 +194,7 @@
 		p := stoatpacket.Packet{Tuple: x.Tuple, Ack: x.Ack}
 		e.sendReset(m, &p)
 		e.logFlow(now, EventReset, t, stoatecho.Action{Upstream: x.Upstream}, &p,
-			stoatevent.F("reason", stoatpacket.DropGone.String()), stoatevent.F("opens", "false"), stoatevent.F("waited", "true"))
+			stoatevent.F("reason", stoatpacket.DropUpstreamGone.String()), stoatevent.F("opens", "false"), stoatevent.F("waited", "true"))
 	}
 }
 
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -169,7 +169,7 @@
 		{set.Tunnel, []byte{0x45, 0}, stoatpacket.DropShort},
 		{set.Tunnel, []byte{0x15}, stoatpacket.DropNotIP},
 		{set.Tunnel, segment, stoatpacket.DropUnknownService},
-		{set.Relay, segment, stoatpacket.DropForeignRelay},
+		{set.Relay, segment, stoatpacket.DropUnauthenticated},
 	} {
 		before := e.Dropped(c.reason)
 		until(func() bool {
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -74,7 +74,7 @@
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		h, err := stoatflow.ReadHeader(w.buf[:n])
 		if err != nil {
-			e.drop(stoatpacket.DropForeignRelay)
+			e.drop(stoatpacket.DropUnauthenticated)
 			continue
 		}
 		if h.Kind == stoatflow.Known {
@@ -93,7 +93,7 @@
 	}
 	r, ok := stoatflow.ReadNotice(data, v.Seed)
 	if !ok {
-		e.drop(stoatpacket.DropForeignRelay)
+		e.drop(stoatpacket.DropUnauthenticated)
 		return
 	}
 	e.engine.Learn(clock(), v, r)
@@ -122,7 +122,7 @@
 	// Only entries may say what a packet is: a stranger's header could make this entry
 	// decide for flows that others own.
 	if h.Kind != stoatflow.FromFabric && !stoatflow.Genuine(w.buf, v.Seed, k) {
-		e.drop(stoatpacket.DropForeignRelay)
+		e.drop(stoatpacket.DropUnauthenticated)
 		return
 	}
 	in := stoatflow.Inbound{Packet: &w.packet, Key: k, Service: svc, Header: h, From: from}
--- a/stoatflow/handle.go
+++ b/stoatflow/handle.go
@@ -37,7 +37,7 @@
 	// the same, because no entry knows its flow.
 	hopsExhausted := in.Header.Hops >= maxHops
 	if hopsExhausted && !in.Packet.Opens {
-		return Action{Verdict: Drop, Reason: stoatpacket.DropHops}
+		return Action{Verdict: Drop, Reason: stoatpacket.DropHopLimit}
 	}
 	if hopsExhausted {
 		return p.notifyOwner(e.placeUnknown(&p))
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -126,7 +126,7 @@
 	if known || len(p.sh.deferred) < e.cfg.MaxOpen/shardCount {
 		p.sh.deferred[p.key] = d
 	}
-	return Action{Verdict: Drop, Reason: stoatpacket.DropElsewhere}
+	return Action{Verdict: Drop, Reason: stoatpacket.DropPartitioned}
 }
 
 // insert adds the flow to the table and forwards its packet.
--- a/stoatpacket/packet.go
+++ b/stoatpacket/packet.go
@@ -22,19 +22,19 @@
 	DropUnknownService
 	DropLimit
 	DropNoUpstream
-	DropHops         // passed too many entries
-	DropForeignRelay // a relayed datagram that no entry of the cluster sent
-	DropElsewhere    // its flow may be known only to entries beyond a partition
-	DropLength       // its length field differs from the length of the datagram
-	DropFlags        // flags that no caller sends
-	DropOwn          // the caller's address is one of this entry
-	DropForged       // the cookie belongs to a service that the route never had
-	DropUnproven     // this entry cannot verify the cookie yet
-	DropYoung        // this entry has no configuration yet
-	DropGone         // the flow's upstream is gone
-	DropNoRoute      // no route has the address
-	DropOverload     // it would be answered late and delay others
-	DropCount        // number of reasons
+	DropHopLimit        // passed too many entries
+	DropUnauthenticated // a relayed datagram that no entry of the cluster sent
+	DropPartitioned     // its flow may be known only to entries beyond a partition
+	DropLength          // its length field differs from the length of the datagram
+	DropFlags           // flags that no caller sends
+	DropOwnSource       // the caller's address is one of this entry
+	DropForged          // the cookie belongs to a service that the route never had
+	DropUnverified      // this entry cannot verify the cookie yet
+	DropUnconfigured    // this entry has no configuration yet
+	DropUpstreamGone    // the flow's upstream is gone
+	DropNoRoute         // no route has the address
+	DropOverload        // it would be answered late and delay others
+	DropCount           // number of reasons
 )
 
 var dropNames = [DropCount]string{
@@ -64,8 +64,8 @@
 	Size  int    // TCP payload in bytes
 
 	// These fields are set on a fabric whose packets return what an entry wrote into earlier ones.
-	Cookie stoatpaddle.UpstreamKey // key of the flow's upstream; 0 while the flow opens
-	Copies int                     // of an opening packet: how many were sent before it
+	Cookie      stoatpaddle.UpstreamKey // key of the flow's upstream; 0 while the flow opens
+	Retransmits int                     // of an opening packet: how many were sent before it
 }
 
 // Seed is the cluster's secret hash key. Without a secret, callers could choose tuples that all hash to one
