--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -113,7 +113,7 @@
 		e.drop(reason)
 		return
 	}
-	svc := v.Flow(w.packet.Tuple.Dst, w.packet.Tuple.Protocol)
+	svc := v.FlowService(w.packet.Tuple.Dst, w.packet.Tuple.Protocol)
 	if svc == nil {
 		e.drop(stoatpacket.DropUnknownService)
 		return
--- a/stoatflow/advance.go
+++ b/stoatflow/advance.go
@@ -85,7 +85,7 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	t := e.tick(now)
-	settled := now.Sub(v.Changed) > e.cfg.Settle
+	settled := now.Sub(v.ChangedAt) > e.cfg.Settle
 	r := e.reg.Load()
 	var unbacked []stoatpaddle.FlowHash
 	for k, f := range sh.flows {
@@ -151,10 +151,10 @@
 
 // holdsCopy reports whether this entry is one of those that keep a copy of the flow.
 func holdsCopy(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
-	owner, next := v.OwnerNext(s, k)
+	owner, next := v.OwnerAndNext(s, k)
 	if owner != nil && owner.ID == v.Self || next != nil && next.ID == v.Self {
 		return true
 	}
-	m := v.Ring.Owner(k, sl.upstream.Load().DataCentre)
+	m := v.Entries.Owner(k, sl.upstream.Load().DataCentre)
 	return m != nil && m.ID == v.Self
 }
--- a/stoatflow/choose.go
+++ b/stoatflow/choose.go
@@ -23,7 +23,7 @@
 // balancer chooses the upstream of one new flow by the loads of its service.
 type balancer struct {
 	p     *packetDecision
-	set   *stoatview.Set
+	set   *stoatview.UpstreamSet
 	slots []*slot // of the set's upstreams, in their order
 	mean  float64 // load per unit of weight over the warm upstreams
 }
@@ -147,5 +147,5 @@
 
 // entryShare returns this entry's equal part of a limit per second.
 func (p *packetDecision) entryShare(limit int) float64 {
-	return float64(limit) / float64(max(1, len(p.view.Ring.Members)))
+	return float64(limit) / float64(max(1, len(p.view.Entries.Members)))
 }
--- a/stoatflow/engine_test.go
+++ b/stoatflow/engine_test.go
@@ -106,7 +106,7 @@
 
 func (n *naiveTable) check(t *rapid.T, e *stoatflow.Engine, v *stoatview.View, now time.Time, tuple stoatpacket.Tuple) {
 	ref, claimed := n.serviceOf(tuple)
-	svc := v.Flow(tuple.Dst, tuple.Protocol)
+	svc := v.FlowService(tuple.Dst, tuple.Protocol)
 	if (svc != nil) != claimed || svc != nil && svc.Ref != ref {
 		t.Fatalf("%v belongs to %v, found %v", tuple, ref, svc)
 	}
@@ -149,7 +149,7 @@
 		}
 		p := stoatpacket.Packet{Tuple: stoatpacket.Tuple{Dst: service, Protocol: stoatpaddle.ProtocolTCP}, Opens: opens}
 		a := s.engines["a1"].Handle(epoch, v, &stoatflow.Inbound{
-			Packet: &p, Key: 5, Service: v.Flow(service, stoatpaddle.ProtocolTCP), From: relay("a2"),
+			Packet: &p, Key: 5, Service: v.FlowService(service, stoatpaddle.ProtocolTCP), From: relay("a2"),
 			Header: stoatflow.Header{Kind: stoatflow.Relayed, Hops: 200},
 		})
 		if a.Verdict != want {
@@ -211,7 +211,7 @@
 	s.updateViews()
 	v, e := s.views["a1"], s.engines["a1"]
 	p := stoatpacket.Packet{Tuple: stoatpacket.Tuple{Dst: service, Protocol: stoatpaddle.ProtocolTCP}}
-	in := &stoatflow.Inbound{Packet: &p, Service: v.Flow(service, stoatpaddle.ProtocolTCP)}
+	in := &stoatflow.Inbound{Packet: &p, Service: v.FlowService(service, stoatpaddle.ProtocolTCP)}
 	b.ReportAllocs()
 	for i := range b.N {
 		in.Key = stoatpaddle.FlowHash(i) * 0x9e3779b97f4a % (1 << 48)
@@ -234,7 +234,7 @@
 	v, e := s.views["a1"], s.engines["a1"]
 	packets := make([]stoatpacket.Packet, n)
 	keys := make([]stoatpaddle.FlowHash, n)
-	svc := v.Flow(service, stoatpaddle.ProtocolTCP)
+	svc := v.FlowService(service, stoatpaddle.ProtocolTCP)
 	for i := range packets {
 		src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 1024)
 		packets[i] = stoatpacket.Packet{Tuple: stoatpacket.Tuple{Src: src, Dst: service, Protocol: stoatpaddle.ProtocolTCP}, Size: 100}
@@ -251,7 +251,7 @@
 // benchmarkKnown measures the handling of a packet of one of n known flows.
 func benchmarkKnown(b *testing.B, n int) {
 	e, v, packets, keys := openFlows(n)
-	svc := v.Flow(service, stoatpaddle.ProtocolTCP)
+	svc := v.FlowService(service, stoatpaddle.ProtocolTCP)
 	in := &stoatflow.Inbound{Service: svc}
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/stoatflow/handle.go
+++ b/stoatflow/handle.go
@@ -111,7 +111,7 @@
 	if p.in.Packet.Tuple.Protocol != tcp {
 		return false
 	}
-	return f.flags&closing != 0 || f.flags&opening != 0 && !p.in.Service.Set.Has(sl.key)
+	return f.flags&closing != 0 || f.flags&opening != 0 && !p.in.Service.Set.Contains(sl.key)
 }
 
 // forward forwards the packet and, after a lookup, has the owner notified of the flow's upstream. A new
@@ -161,7 +161,7 @@
 		return e.relayTo(p.in.Header, to)
 	}
 	h := p.in.Header
-	if m := p.view.Before(p.key, p.now, e.cfg.Settle); m != nil && m.Relay != p.in.From {
+	if m := p.view.PreviousOwner(p.key, p.now, e.cfg.Settle); m != nil && m.Relay != p.in.From {
 		// That entry may regard itself as the owner and open the flow.
 		if p.in.Packet.Opens {
 			e.recordClaim(p, m.Relay)
@@ -170,7 +170,7 @@
 	}
 	// While the owner defers the flow because of a partition it does not claim the flow, and packets that
 	// are relayed back to the owner would go round in a cycle.
-	if p.in.Packet.Opens || !p.view.CutLately(p.now) {
+	if p.in.Packet.Opens || !p.view.RecentlyPartitioned(p.now) {
 		e.recordClaim(p, p.in.From)
 	}
 	return Action{Verdict: Relay, To: p.in.From, Header: Header{Kind: Unknown, Hops: h.Hops + 1, Asked: h.Asked}}
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -23,7 +23,7 @@
 
 // forwardStateless forwards a packet to its preferred upstream without adding the flow to the table.
 func (e *Engine) forwardStateless(p *packetDecision) Action {
-	u := p.in.Service.Set.First(p.key)
+	u := p.in.Service.Set.Preferred(p.key)
 	if u == nil {
 		return Action{Verdict: Drop, Reason: stoatpacket.DropNoUpstream}
 	}
@@ -32,7 +32,7 @@
 
 // openFlow places a new TCP flow.
 func (e *Engine) openFlow(p *packetDecision) Action {
-	preferred := p.in.Service.Set.First(p.key)
+	preferred := p.in.Service.Set.Preferred(p.key)
 	if preferred == nil {
 		return Action{Verdict: Reset, Reason: stoatpacket.DropNoUpstream}
 	}
@@ -48,7 +48,7 @@
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
-	if !sl.usage.admit(p.now, p.in.Service.Limits, len(p.view.Ring.Members)) {
+	if !sl.usage.admit(p.now, p.in.Service.Limits, len(p.view.Entries.Members)) {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
@@ -68,21 +68,21 @@
 // adoptOpen places a flow that may be open already, by the upstream set that was in force when it opened.
 func (e *Engine) adoptOpen(p *packetDecision) Action {
 	s := p.in.Service
-	if p.view.CutLately(p.now) && (p.view.Elsewhere(s, p.key, p.now) || !p.waitedForPartition()) {
+	if p.view.RecentlyPartitioned(p.now) && (p.view.MayBeBeyondPartition(s, p.key, p.now) || !p.waitedForPartition()) {
 		return e.deferPlacement(p)
 	}
 	set := s.Set
-	if at, ok := p.view.TakenOver(s, p.key); ok {
+	if at, ok := p.view.OwnedSince(s, p.key); ok {
 		set = s.SetAt(at.Add(-copyLag))
 	}
-	u := set.First(p.key)
-	if u == nil || p.view.Upstream(u.Key) == nil || p.in.Packet.Opens && !s.Set.Has(u.Key) {
-		u = s.Set.First(p.key)
+	u := set.Preferred(p.key)
+	if u == nil || p.view.Upstream(u.Key) == nil || p.in.Packet.Opens && !s.Set.Contains(u.Key) {
+		u = s.Set.Preferred(p.key)
 	}
 	if u == nil {
 		return Action{Verdict: Drop, Reason: stoatpacket.DropNoUpstream}
 	}
-	if p.view.Cut[u.DataCentre] {
+	if p.view.Partitioned[u.DataCentre] {
 		return e.deferPlacement(p)
 	}
 	sl, i := e.reg.Load().find(u.Key)
@@ -92,7 +92,7 @@
 		return Action{Verdict: Forward, Upstream: u}
 	}
 	// Every UDP packet may be the first of its flow, so unknown ones count against the limit.
-	if p.in.Packet.Opens && !sl.usage.admit(p.now, s.Limits, len(p.view.Ring.Members)) {
+	if p.in.Packet.Opens && !sl.usage.admit(p.now, s.Limits, len(p.view.Entries.Members)) {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
@@ -104,7 +104,7 @@
 // it would have answered again had the partition ended.
 func (p *packetDecision) waitedForPartition() bool {
 	d, known := p.sh.deferred[p.key]
-	return known && p.tick-d.firstSeen >= ticks(stoatview.CutGrace)
+	return known && p.tick-d.firstSeen >= ticks(stoatview.PartitionGrace)
 }
 
 // deferPlacement drops a packet of a flow that entries beyond a partition may know. If the packet were
@@ -135,7 +135,7 @@
 	if flags&opening != 0 {
 		p.sh.openingCount++
 	}
-	preferred := p.in.Service.Set.First(p.key)
+	preferred := p.in.Service.Set.Preferred(p.key)
 	if preferred == nil || preferred.Key != sl.key {
 		f.flags |= tracked
 	}
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -96,7 +96,7 @@
 		sl.remote.Store(0)
 	}
 	for from, bySet := range e.reports {
-		if v.Ring.Find(from) == nil {
+		if v.Entries.Find(from) == nil {
 			delete(e.reports, from)
 			continue
 		}
--- a/stoatflow/report.go
+++ b/stoatflow/report.go
@@ -34,7 +34,7 @@
 
 // reportLoads queues reports of the load on each upstream for the other entries.
 func (e *Engine) reportLoads(now time.Time, v *stoatview.View) {
-	self := v.Ring.Find(v.Self)
+	self := v.Entries.Find(v.Self)
 	if self == nil {
 		return
 	}
@@ -52,7 +52,7 @@
 }
 
 // loadsOf returns this entry's load on each upstream of a set.
-func (e *Engine) loadsOf(set *stoatview.Set) LoadReport {
+func (e *Engine) loadsOf(set *stoatview.UpstreamSet) LoadReport {
 	report := LoadReport{Set: digest(set)}
 	for _, sl := range e.reg.Load().slotsBySet[set] {
 		report.Open = append(report.Open, uint32(max(0, sl.open.Load())))
@@ -78,7 +78,7 @@
 // enqueueReport queues the report for the other entries, either those of this data centre or those of
 // others.
 func (e *Engine) enqueueReport(v *stoatview.View, self *stoatview.Member, l LoadReport, far bool) {
-	for _, m := range v.Ring.Members {
+	for _, m := range v.Entries.Members {
 		if m != self && far == (m.DataCentre != self.DataCentre) {
 			e.outbox.enqueueLoads(m.ID, l)
 		}
@@ -100,7 +100,7 @@
 }
 
 // digest returns a hash of the keys of the set's upstreams.
-func digest(set *stoatview.Set) SetDigest {
+func digest(set *stoatview.UpstreamSet) SetDigest {
 	h := fnv.New32a()
 	for _, u := range set.Upstreams {
 		k := u.Key
--- a/stoatflow/scan.go
+++ b/stoatflow/scan.go
@@ -18,16 +18,16 @@
 
 // placementOf returns the placement of a flow that goes to the upstream in sl.
 func placementOf(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) placement {
-	preferred := s.Set.First(k)
+	preferred := s.Set.Preferred(k)
 	var pl placement
 	home := stoatpaddle.DataCentreID("")
 	if preferred != nil {
 		home = preferred.DataCentre
 	}
 	pl.tracked = preferred == nil || preferred.Key != sl.key
-	pl.owner, pl.next = v.Ring.OwnerNext(k, home)
+	pl.owner, pl.next = v.Entries.OwnerAndNext(k, home)
 	if dc := sl.upstream.Load().DataCentre; dc != home {
-		pl.local = v.Ring.Owner(k, dc)
+		pl.local = v.Entries.Owner(k, dc)
 	}
 	return pl
 }
@@ -41,7 +41,7 @@
 	defer sh.mu.Unlock()
 	prev := sh.scannedView
 	sh.scannedView = v
-	if prev != nil && prev.Ring == v.Ring && sameSets(prev, v) {
+	if prev != nil && prev.Entries == v.Entries && sameSets(prev, v) {
 		return
 	}
 	e.scanCopies(now, v, sh)
@@ -110,10 +110,10 @@
 // preferred one of the full set. The next owner could not tell the flow from one that lives beyond the
 // partition, so it is handed over although its upstream can be computed.
 func ambiguousOnLeave(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
-	if len(v.Cut) == 0 || v.Ring.Find(v.Self) != nil {
+	if len(v.Partitioned) == 0 || v.Entries.Find(v.Self) != nil {
 		return false
 	}
-	preferred := s.Whole.First(k)
+	preferred := s.FullSet.Preferred(k)
 	return preferred == nil || preferred.Key != sl.key
 }
 
@@ -153,7 +153,7 @@
 			delete(sh.copies, k)
 			continue
 		}
-		owner, _ := v.OwnerNext(s, k)
+		owner, _ := v.OwnerAndNext(s, k)
 		if owner == nil || owner.ID != v.Self {
 			continue
 		}
--- a/stoatflow/session_test.go
+++ b/stoatflow/session_test.go
@@ -229,7 +229,7 @@
 			return append(path, "lost")
 		}
 		a := e.Handle(epoch.Add(s.now), v, &stoatflow.Inbound{
-			Packet: &p, Key: v.Seed.Hash(p.Tuple), Service: v.Flow(service, stoatpaddle.ProtocolTCP), Header: h, From: from,
+			Packet: &p, Key: v.Seed.Hash(p.Tuple), Service: v.FlowService(service, stoatpaddle.ProtocolTCP), Header: h, From: from,
 		})
 		if a.Tell.IsValid() {
 			if id := s.entryAt(a.Tell); s.engines[id] != nil {
--- a/stoatflow/silent.go
+++ b/stoatflow/silent.go
@@ -94,7 +94,7 @@
 
 // ejectedWithNext returns the number of ejected upstreams if one more were ejected, so that the limit holds
 // afterwards.
-func (e *Engine) ejectedWithNext(set *stoatview.Set, now tick) int {
+func (e *Engine) ejectedWithNext(set *stoatview.UpstreamSet, now tick) int {
 	n := 1
 	r := e.reg.Load()
 	for _, u := range set.Upstreams {
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -98,8 +98,8 @@
 type registry struct {
 	slots       []*slot
 	byKey       map[stoatpaddle.UpstreamKey]slotIndex
-	slotsBySet  map[*stoatview.Set][]*slot // of the current sets, in the order of their upstreams
-	setByDigest map[SetDigest]*stoatview.Set
+	slotsBySet  map[*stoatview.UpstreamSet][]*slot // of the current sets, in the order of their upstreams
+	setByDigest map[SetDigest]*stoatview.UpstreamSet
 }
 
 // find returns the slot and the index of an upstream, or nil.
@@ -132,8 +132,8 @@
 			r.slots = append(r.slots, sl)
 		}
 	}
-	r.slotsBySet = make(map[*stoatview.Set][]*slot, len(v.Services))
-	r.setByDigest = make(map[SetDigest]*stoatview.Set, len(v.Services))
+	r.slotsBySet = make(map[*stoatview.UpstreamSet][]*slot, len(v.Services))
+	r.setByDigest = make(map[SetDigest]*stoatview.UpstreamSet, len(v.Services))
 	for _, s := range v.Services {
 		r.setByDigest[digest(s.Set)] = s.Set
 		for _, u := range s.Set.Upstreams {
--- a/stoatview/entryset.go
+++ b/stoatview/entryset.go
@@ -21,21 +21,21 @@
 	return &Member{ID: id, DataCentre: dc, Relay: relay, seed: seedOf("entry", string(id))}
 }
 
-// Ring holds the entries that own flows, in ascending order of id. It is immutable.
-type Ring struct {
+// EntrySet holds the entries that own flows, in ascending order of id. It is immutable.
+type EntrySet struct {
 	Members []*Member
 	centres []stoatpaddle.DataCentreID // the data centres of the members, each listed once
 }
 
-// NewRing returns the set of the members, which it sorts in place.
-func NewRing(members []*Member) *Ring {
+// NewEntrySet returns the set of the members, which it sorts in place.
+func NewEntrySet(members []*Member) *EntrySet {
 	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
 	return newSortedEntrySet(members)
 }
 
 // newSortedEntrySet returns the set of members that are already sorted by id.
-func newSortedEntrySet(members []*Member) *Ring {
-	e := &Ring{Members: members}
+func newSortedEntrySet(members []*Member) *EntrySet {
+	e := &EntrySet{Members: members}
 	for _, m := range members {
 		if !slices.Contains(e.centres, m.DataCentre) {
 			e.centres = append(e.centres, m.DataCentre)
@@ -50,13 +50,13 @@
 // The owner is in the same data centre as the preferred upstream, so that a partition between data centres
 // does not separate a flow's owner from its upstream. If the data centre has no entry, an entry of another
 // data centre is the owner.
-func (e *Ring) Owner(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) *Member {
-	owner, _ := e.OwnerNext(k, dc)
+func (e *EntrySet) Owner(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) *Member {
+	owner, _ := e.OwnerAndNext(k, dc)
 	return owner
 }
 
-// OwnerNext returns the owner and its successor, the entry that would own the flow if the owner left.
-func (e *Ring) OwnerNext(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) (owner, next *Member) {
+// OwnerAndNext returns the owner and its successor, the entry that would own the flow if the owner left.
+func (e *EntrySet) OwnerAndNext(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) (owner, next *Member) {
 	owner, next = e.topTwo(k, dc, nil)
 	if owner == nil {
 		return e.topTwo(k, "", nil)
@@ -69,7 +69,7 @@
 
 // topTwo returns the members with the two highest scores within dc, or over all data centres if dc is
 // empty.
-func (e *Ring) topTwo(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, excluded *Member) (first, second *Member) {
+func (e *EntrySet) topTwo(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, excluded *Member) (first, second *Member) {
 	var firstScore, secondScore uint64
 	for _, m := range e.Members {
 		if m == excluded || (dc != "" && m.DataCentre != dc) {
@@ -88,7 +88,7 @@
 }
 
 // Find returns the member with the id, or nil.
-func (e *Ring) Find(id stoatpaddle.InstanceID) *Member {
+func (e *EntrySet) Find(id stoatpaddle.InstanceID) *Member {
 	i := sort.Search(len(e.Members), func(i int) bool { return e.Members[i].ID >= id })
 	if i < len(e.Members) && e.Members[i].ID == id {
 		return e.Members[i]
@@ -98,7 +98,7 @@
 
 // without returns the set without the members for which remove returns true. It returns the set itself if
 // none is removed.
-func (e *Ring) without(remove func(*Member) bool) *Ring {
+func (e *EntrySet) without(remove func(*Member) bool) *EntrySet {
 	kept := make([]*Member, 0, len(e.Members))
 	for _, m := range e.Members {
 		if !remove(m) {
@@ -112,7 +112,7 @@
 }
 
 // equal reports whether both sets have the same members at the same relay addresses.
-func (e *Ring) equal(other *Ring) bool {
+func (e *EntrySet) equal(other *EntrySet) bool {
 	if len(e.Members) != len(other.Members) {
 		return false
 	}
--- a/stoatview/next.go
+++ b/stoatview/next.go
@@ -18,33 +18,33 @@
 
 // Input holds the data from which a view is built.
 type Input struct {
-	Self      stoatpaddle.InstanceID
-	Seed      stoatpacket.Seed
-	Contracts []stoatpaddle.Contract            // in any order
-	Instances []stoatpaddle.Instance            // in any order
-	Dead      map[stoatpaddle.InstanceID]bool   // entries that do not answer
-	Cut       map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
-	Leaving   map[stoatpaddle.InstanceID]bool   // upstreams marked as leaving
+	Self        stoatpaddle.InstanceID
+	Seed        stoatpacket.Seed
+	Contracts   []stoatpaddle.Contract            // in any order
+	Instances   []stoatpaddle.Instance            // in any order
+	Dead        map[stoatpaddle.InstanceID]bool   // entries that do not answer
+	Partitioned map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
+	Leaving     map[stoatpaddle.InstanceID]bool   // upstreams marked as leaving
 }
 
 // Next returns the view that follows prev under the input; prev is nil for the first view.
 func Next(prev *View, now time.Time, in Input) *View {
 	v := &View{
-		Number: 1,
-		Self:   in.Self,
-		Seed:   in.Seed,
-		Ring:   liveEntries(in),
+		Number:  1,
+		Self:    in.Self,
+		Seed:    in.Seed,
+		Entries: liveEntries(in),
 	}
 	if prev != nil {
 		v.Number = prev.Number + 1
-		v.Changed = prev.Changed
+		v.ChangedAt = prev.ChangedAt
 		v.partitionSeen = prev.partitionSeen
-		if prev.Ring.equal(v.Ring) {
-			v.Ring = prev.Ring
+		if prev.Entries.equal(v.Entries) {
+			v.Entries = prev.Entries
 		}
 	}
 	v.updatePartitions(prev, now, in)
-	v.Past = pastEntrySets(prev, v.Ring, now, in)
+	v.PastEntries = pastEntrySets(prev, v.Entries, now, in)
 	v.initIndexes(in)
 	v.markDeparted()
 	for _, c := range sortedContracts(in.Contracts) {
@@ -52,30 +52,30 @@
 			v.addService(prev, now, in, c, &c.Services[i])
 		}
 	}
-	if prev == nil || prev.Ring != v.Ring {
-		v.Changed = now
+	if prev == nil || prev.Entries != v.Entries {
+		v.ChangedAt = now
 	}
 	return v
 }
 
 // updatePartitions records which data centres are partitioned from this entry, and since when.
 func (v *View) updatePartitions(prev *View, now time.Time, in Input) {
-	v.Cut = in.Cut
+	v.Partitioned = in.Partitioned
 	if prev != nil {
-		v.CutAt = prev.CutAt
+		v.PartitionedAt = prev.PartitionedAt
 	}
-	if len(in.Cut) > 0 || prev != nil && len(prev.Cut) > 0 {
+	if len(in.Partitioned) > 0 || prev != nil && len(prev.Partitioned) > 0 {
 		v.partitionSeen = now
 	}
-	for dc := range in.Cut {
-		if prev == nil || !prev.Cut[dc] {
-			v.CutAt = now
+	for dc := range in.Partitioned {
+		if prev == nil || !prev.Partitioned[dc] {
+			v.PartitionedAt = now
 		}
 	}
 }
 
 // liveEntries returns the set of the entries that are live and answer.
-func liveEntries(in Input) *Ring {
+func liveEntries(in Input) *EntrySet {
 	var members []*Member
 	for _, i := range in.Instances {
 		if i.Role != stoatpaddle.RoleEntry || i.State != stoatpaddle.StateLive || in.Dead[i.ID] {
@@ -83,13 +83,13 @@
 		}
 		members = append(members, NewMember(i.ID, i.DataCentre, i.Relay))
 	}
-	return NewRing(members)
+	return NewEntrySet(members)
 }
 
 // pastEntrySets returns the earlier entry sets under which another entry may still know a flow. Members
 // that are dead or gone are removed from them, so that the owner under an earlier set is the entry that
 // holds the copies of the dead owner's flows. A packet relayed to a dead entry for a lookup would be lost.
-func pastEntrySets(prev *View, entries *Ring, now time.Time, in Input) []PastRing {
+func pastEntrySets(prev *View, entries *EntrySet, now time.Time, in Input) []PastEntrySet {
 	answering := map[stoatpaddle.InstanceID]bool{}
 	for _, i := range in.Instances {
 		answering[i.ID] = !in.Dead[i.ID]
@@ -99,16 +99,16 @@
 		// A joining entry takes over flows from entries that it never saw as owners. Without this set it
 		// would place flows by hash that those entries know.
 		before := entries.without(func(m *Member) bool { return m.ID == in.Self })
-		return []PastRing{{Full: before, Ring: before, Until: now}}
+		return []PastEntrySet{{Original: before, Live: before, Until: now}}
 	}
-	past := prev.Past
-	if prev.Ring != entries {
-		past = append([]PastRing{{Full: prev.Ring, Until: now}}, past...)
+	past := prev.PastEntries
+	if prev.Entries != entries {
+		past = append([]PastEntrySet{{Original: prev.Entries, Until: now}}, past...)
 	}
 	past = dropShortestLived(past)
-	out := make([]PastRing, 0, len(past))
+	out := make([]PastEntrySet, 0, len(past))
 	for _, p := range past {
-		out = append(out, PastRing{Full: p.Full, Ring: p.Full.without(unreachable), Until: p.Until})
+		out = append(out, PastEntrySet{Original: p.Original, Live: p.Original.without(unreachable), Until: p.Until})
 	}
 	return out
 }
@@ -116,7 +116,7 @@
 // dropShortestLived removes the entry set that was in force for the shortest time if there are too many.
 // The start or the end of a partition creates one set per entry that fails or recovers, and these
 // short-lived sets must not displace the one before them.
-func dropShortestLived(past []PastRing) []PastRing {
+func dropShortestLived(past []PastEntrySet) []PastEntrySet {
 	if len(past) <= maxPastEntrySets {
 		return past
 	}
@@ -144,8 +144,8 @@
 
 // markDeparted records that entries which left do not answer: a packet sent to one would be lost.
 func (v *View) markDeparted() {
-	for _, p := range v.Past {
-		for _, m := range p.Full.Members {
+	for _, p := range v.PastEntries {
+		for _, m := range p.Original.Members {
 			if _, known := v.relayAnswers[m.Relay]; !known {
 				v.relayAnswers[m.Relay] = false
 			}
@@ -173,17 +173,17 @@
 		retired := s.newUpstream(svc, &svc.Retired[i].Upstream)
 		s.byKey[retired.Key] = retired
 	}
-	s.Set = NewSet(s.Active)
-	s.Whole = s.Set
+	s.Set = NewUpstreamSet(s.Active)
+	s.FullSet = s.Set
 	if len(s.partitioned) > 0 {
-		s.Whole = NewSet(append(s.partitioned, s.Active...))
+		s.FullSet = NewUpstreamSet(append(s.partitioned, s.Active...))
 	}
 	var old *Service
 	if prev != nil {
 		old = prev.Service(ref)
 	}
 	if s.inheritSets(old, now) {
-		v.Changed = now
+		v.ChangedAt = now
 	}
 	v.Services = append(v.Services, s)
 	v.byRef[ref] = s
@@ -202,7 +202,7 @@
 // newUpstream builds the data that the routing needs about an upstream.
 func (s *Service) newUpstream(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) *Upstream {
 	return &Upstream{
-		Key: KeyOf(s.Ref, u.ID), Ref: s.Ref, ID: u.ID, DataCentre: u.DataCentre, Addr: u.Addr,
+		Key: UpstreamKeyOf(s.Ref, u.ID), Ref: s.Ref, ID: u.ID, DataCentre: u.DataCentre, Addr: u.Addr,
 		Weight: effectiveWeight(svc, u), Slots: u.Slots, Connections: u.Connections, Opens: u.Opens,
 		seed: seedOf("upstream", s.Ref.String()+"/"+string(u.ID)),
 	}
@@ -216,7 +216,7 @@
 	if in.Leaving[id] {
 		return
 	}
-	if in.Cut[u.DataCentre] {
+	if in.Partitioned[u.DataCentre] {
 		s.partitioned = append(s.partitioned, up)
 		return
 	}
@@ -243,19 +243,19 @@
 	if old == nil {
 		return true
 	}
-	s.Past = old.Past
+	s.PastSets = old.PastSets
 	changed := !old.Set.sameUpstreams(s.Set)
 	if !changed {
 		s.Set = old.Set
 	} else {
-		s.Past = append([]PastSet{{Set: old.Set, Until: now}}, old.Past...)
-		if len(s.Past) > maxPastSets {
-			s.Past = s.Past[:maxPastSets]
+		s.PastSets = append([]PastUpstreamSet{{Set: old.Set, Until: now}}, old.PastSets...)
+		if len(s.PastSets) > maxPastSets {
+			s.PastSets = s.PastSets[:maxPastSets]
 		}
 	}
 	// An upstream that was removed from the contract still has open flows, so it can be found by key as
 	// long as an earlier set contains it. One that is declared again under its key is the same upstream.
-	for _, p := range s.Past {
+	for _, p := range s.PastSets {
 		for _, u := range p.Set.Upstreams {
 			if _, known := s.byKey[u.Key]; !known {
 				s.byKey[u.Key] = u
--- a/stoatview/owner.go
+++ b/stoatview/owner.go
@@ -8,18 +8,18 @@
 
 // Owner returns the entry that decides for the flow under this view, or nil if there are no entries.
 func (v *View) Owner(s *Service, k stoatpaddle.FlowHash) *Member {
-	return v.Ring.Owner(k, homeCentre(s.Set, k))
+	return v.Entries.Owner(k, homeCentre(s.Set, k))
 }
 
-// OwnerNext returns the flow's owner and its successor, the entry that would own the flow if the owner
+// OwnerAndNext returns the flow's owner and its successor, the entry that would own the flow if the owner
 // left.
-func (v *View) OwnerNext(s *Service, k stoatpaddle.FlowHash) (owner, next *Member) {
-	return v.Ring.OwnerNext(k, homeCentre(s.Set, k))
+func (v *View) OwnerAndNext(s *Service, k stoatpaddle.FlowHash) (owner, next *Member) {
+	return v.Entries.OwnerAndNext(k, homeCentre(s.Set, k))
 }
 
 // homeCentre returns the data centre of the flow's preferred upstream, or "" if the set is empty.
-func homeCentre(set *Set, k stoatpaddle.FlowHash) stoatpaddle.DataCentreID {
-	if u := set.First(k); u != nil {
+func homeCentre(set *UpstreamSet, k stoatpaddle.FlowHash) stoatpaddle.DataCentreID {
+	if u := set.Preferred(k); u != nil {
 		return u.DataCentre
 	}
 	return ""
@@ -32,18 +32,18 @@
 // under the entry sets and upstream sets that were in force less than settle ago. It appends nothing when
 // the view has been unchanged for that long.
 func (v *View) Candidates(buf []*Member, s *Service, k stoatpaddle.FlowHash, now time.Time, settle time.Duration) []*Member {
-	if now.Sub(v.Changed) >= settle {
+	if now.Sub(v.ChangedAt) >= settle {
 		return buf
 	}
 	if now.Sub(v.partitionSeen) < settle {
 		buf = v.appendCopyHolders(buf, k)
 	}
-	buf = v.appendOwners(buf, s, k, v.Ring, now, settle)
-	for _, p := range v.Past {
+	buf = v.appendOwners(buf, s, k, v.Entries, now, settle)
+	for _, p := range v.PastEntries {
 		if now.Sub(p.Until) >= settle {
 			break
 		}
-		buf = v.appendOwners(buf, s, k, p.Ring, now, settle)
+		buf = v.appendOwners(buf, s, k, p.Live, now, settle)
 	}
 	return buf
 }
@@ -51,10 +51,10 @@
 // appendOwners appends the flow's owners within one entry set, under the current and the recent upstream
 // sets.
 func (v *View) appendOwners(
-	buf []*Member, s *Service, k stoatpaddle.FlowHash, entries *Ring, now time.Time, settle time.Duration,
+	buf []*Member, s *Service, k stoatpaddle.FlowHash, entries *EntrySet, now time.Time, settle time.Duration,
 ) []*Member {
 	buf = v.appendCandidate(buf, entries.Owner(k, homeCentre(s.Set, k)))
-	for _, p := range s.Past {
+	for _, p := range s.PastSets {
 		if now.Sub(p.Until) >= settle {
 			break
 		}
@@ -66,8 +66,8 @@
 // appendCopyHolders appends the flow's owner in each data centre. After a partition the owner in the flow's
 // home data centre may be gone, but a flow whose upstream is in another data centre has a copy there.
 func (v *View) appendCopyHolders(buf []*Member, k stoatpaddle.FlowHash) []*Member {
-	for _, dc := range v.Ring.centres {
-		buf = v.appendCandidate(buf, v.Ring.Owner(k, dc))
+	for _, dc := range v.Entries.centres {
+		buf = v.appendCandidate(buf, v.Entries.Owner(k, dc))
 	}
 	return buf
 }
@@ -86,57 +86,57 @@
 	return append(buf, m)
 }
 
-// Before returns the entry that owned this flow within this entry's data centre before this entry
+// PreviousOwner returns the entry that owned this flow within this entry's data centre before this entry
 // did, or nil if ownership did not change less than settle ago. An entry that receives a lookup
 // soon after it joined forwards the lookup to that entry, which may know the flow.
-func (v *View) Before(k stoatpaddle.FlowHash, now time.Time, settle time.Duration) *Member {
-	self := v.Ring.Find(v.Self)
-	if self == nil || v.Ring.Owner(k, self.DataCentre) != self {
+func (v *View) PreviousOwner(k stoatpaddle.FlowHash, now time.Time, settle time.Duration) *Member {
+	self := v.Entries.Find(v.Self)
+	if self == nil || v.Entries.Owner(k, self.DataCentre) != self {
 		return nil
 	}
-	for _, p := range v.Past {
+	for _, p := range v.PastEntries {
 		if now.Sub(p.Until) >= settle {
 			return nil
 		}
-		if m := p.Ring.Owner(k, self.DataCentre); m != nil && m.ID != v.Self {
+		if m := p.Live.Owner(k, self.DataCentre); m != nil && m.ID != v.Self {
 			return m
 		}
 	}
 	return nil
 }
 
-// CutGrace is how long the entries beyond a partition may take to answer again, one after the other,
+// PartitionGrace is how long the entries beyond a partition may take to answer again, one after the other,
 // once the first of them does.
-const CutGrace = 3 * time.Second
+const PartitionGrace = 3 * time.Second
 
-// CutLately reports whether a data centre is partitioned or was less than PartitionGrace ago.
-func (v *View) CutLately(now time.Time) bool {
-	return len(v.Cut) > 0 || now.Sub(v.partitionSeen) < CutGrace
+// RecentlyPartitioned reports whether a data centre is partitioned or was less than PartitionGrace ago.
+func (v *View) RecentlyPartitioned(now time.Time) bool {
+	return len(v.Partitioned) > 0 || now.Sub(v.partitionSeen) < PartitionGrace
 }
 
-// Elsewhere reports whether a packet that opens nothing and is unknown here may belong to a
+// MayBeBeyondPartition reports whether a packet that opens nothing and is unknown here may belong to a
 // flow that only entries beyond a partition know. That is so if its preferred upstream is
 // beyond the partition, if this entry owned the flow before the partition, and so would know
 // it had it opened here, or if this entry took ownership because of the partition. For
 // PartitionGrace after a partition it is so for every flow.
-func (v *View) Elsewhere(s *Service, k stoatpaddle.FlowHash, now time.Time) bool {
-	if len(v.Cut) == 0 {
-		return v.CutLately(now)
+func (v *View) MayBeBeyondPartition(s *Service, k stoatpaddle.FlowHash, now time.Time) bool {
+	if len(v.Partitioned) == 0 {
+		return v.RecentlyPartitioned(now)
 	}
-	if v.Cut[homeCentre(s.Whole, k)] {
+	if v.Partitioned[homeCentre(s.FullSet, k)] {
 		return true
 	}
-	at, ok := v.TakenOver(s, k)
-	return !ok || !at.After(v.CutAt)
+	at, ok := v.OwnedSince(s, k)
+	return !ok || !at.After(v.PartitionedAt)
 }
 
-// TakenOver returns when this entry began to own the flow, which is the end of the last entry set under
+// OwnedSince returns when this entry began to own the flow, which is the end of the last entry set under
 // which another entry owned it. ok is false if this entry has owned it for as long as the view records. A
 // flow that opened later is known here, so an unknown packet that opens nothing belongs to a flow of the
 // upstream set that was in force at that time.
-func (v *View) TakenOver(s *Service, k stoatpaddle.FlowHash) (at time.Time, ok bool) {
-	for _, p := range v.Past {
-		m := p.Full.Owner(k, homeCentre(s.SetAt(p.Until.Add(-1)), k))
+func (v *View) OwnedSince(s *Service, k stoatpaddle.FlowHash) (at time.Time, ok bool) {
+	for _, p := range v.PastEntries {
+		m := p.Original.Owner(k, homeCentre(s.SetAt(p.Until.Add(-1)), k))
 		if m == nil || m.ID != v.Self {
 			return p.Until, true
 		}
--- a/stoatview/rendezvous.go
+++ b/stoatview/rendezvous.go
@@ -30,7 +30,7 @@
 	return -float64(w) / math.Log(u)
 }
 
-// KeyOf returns the key that identifies an upstream in records between entries.
-func KeyOf(ref stoatpaddle.ServiceRef, id stoatpaddle.UpstreamID) stoatpaddle.UpstreamKey {
+// UpstreamKeyOf returns the key that identifies an upstream in records between entries.
+func UpstreamKeyOf(ref stoatpaddle.ServiceRef, id stoatpaddle.UpstreamID) stoatpaddle.UpstreamKey {
 	return stoatpaddle.UpstreamKey(xxhash.Sum64String(ref.String() + "/" + string(id)))
 }
--- a/stoatview/set.go
+++ b/stoatview/set.go
@@ -21,15 +21,15 @@
 	seed        uint64
 }
 
-// Set holds the upstreams that take new flows of one service, in ascending order of key. It is immutable.
-type Set struct {
+// UpstreamSet holds the upstreams that take new flows of one service, in ascending order of key. It is immutable.
+type UpstreamSet struct {
 	Upstreams    []*Upstream
 	equalWeights bool // the upstreams all have the same weight
 }
 
-// NewSet returns a set of those of the upstreams whose weight is positive.
-func NewSet(upstreams []*Upstream) *Set {
-	s := &Set{equalWeights: true}
+// NewUpstreamSet returns a set of those of the upstreams whose weight is positive.
+func NewUpstreamSet(upstreams []*Upstream) *UpstreamSet {
+	s := &UpstreamSet{equalWeights: true}
 	for _, u := range upstreams {
 		if u.Weight > 0 {
 			s.Upstreams = append(s.Upstreams, u)
@@ -42,11 +42,11 @@
 	return s
 }
 
-// First returns the upstream with the highest rendezvous score for the flow, or nil if the set is empty.
+// Preferred returns the upstream with the highest rendezvous score for the flow, or nil if the set is empty.
 //
 // OPT(rendezvous): the cost is linear in the size of the set; above a few hundred upstreams a skeleton (Yao
 // and Ravishankar 2008) would make it logarithmic.
-func (s *Set) First(k stoatpaddle.FlowHash) *Upstream {
+func (s *UpstreamSet) Preferred(k stoatpaddle.FlowHash) *Upstream {
 	if !s.equalWeights {
 		return s.firstWeighted(k)
 	}
@@ -60,7 +60,7 @@
 	return best
 }
 
-func (s *Set) firstWeighted(k stoatpaddle.FlowHash) *Upstream {
+func (s *UpstreamSet) firstWeighted(k stoatpaddle.FlowHash) *Upstream {
 	var best *Upstream
 	var bestScore float64
 	for _, u := range s.Upstreams {
@@ -71,14 +71,14 @@
 	return best
 }
 
-// Has reports whether the set contains the upstream.
-func (s *Set) Has(key stoatpaddle.UpstreamKey) bool {
+// Contains reports whether the set contains the upstream.
+func (s *UpstreamSet) Contains(key stoatpaddle.UpstreamKey) bool {
 	i := sort.Search(len(s.Upstreams), func(i int) bool { return s.Upstreams[i].Key >= key })
 	return i < len(s.Upstreams) && s.Upstreams[i].Key == key
 }
 
 // sameUpstreams reports whether both sets place every flow alike and have the same limits on each upstream.
-func (s *Set) sameUpstreams(other *Set) bool {
+func (s *UpstreamSet) sameUpstreams(other *UpstreamSet) bool {
 	if len(s.Upstreams) != len(other.Upstreams) {
 		return false
 	}
--- a/stoatview/view.go
+++ b/stoatview/view.go
@@ -9,17 +9,17 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// PastSet is an upstream set that was in force until a time.
-type PastSet struct {
-	Set   *Set
+// PastUpstreamSet is an upstream set that was in force until a time.
+type PastUpstreamSet struct {
+	Set   *UpstreamSet
 	Until time.Time
 }
 
-// PastRing is an entry set that was in force until a time.
-type PastRing struct {
-	Full  *Ring // as it was in force
-	Ring  *Ring // without the members that are dead or gone now
-	Until time.Time
+// PastEntrySet is an entry set that was in force until a time.
+type PastEntrySet struct {
+	Original *EntrySet // as it was in force
+	Live     *EntrySet // without the members that are dead or gone now
+	Until    time.Time
 }
 
 // Service is the routing data of one service.
@@ -30,10 +30,10 @@
 	Limits      stoatpaddle.Limits
 	Protocol    stoatpaddle.Protocol
 	Host        string
-	Set         *Set        // the upstreams that take new flows
-	Whole       *Set        // Set and the upstreams in partitioned data centres
-	Past        []PastSet   // newest first
-	Active      []*Upstream // declared, not leaving and not partitioned; also those of weight 0
+	Set         *UpstreamSet      // the upstreams that take new flows
+	FullSet     *UpstreamSet      // Set and the upstreams in partitioned data centres
+	PastSets    []PastUpstreamSet // newest first
+	Active      []*Upstream       // declared, not leaving and not partitioned; also those of weight 0
 	byKey       map[stoatpaddle.UpstreamKey]*Upstream
 	partitioned []*Upstream // declared and not leaving, but in a partitioned data centre
 }
@@ -42,9 +42,9 @@
 func (s *Service) Upstream(key stoatpaddle.UpstreamKey) *Upstream { return s.byKey[key] }
 
 // SetAt returns the set that was in force at t, or the oldest recorded one if t is earlier.
-func (s *Service) SetAt(t time.Time) *Set {
+func (s *Service) SetAt(t time.Time) *UpstreamSet {
 	set := s.Set
-	for _, p := range s.Past {
+	for _, p := range s.PastSets {
 		if !t.Before(p.Until) {
 			break
 		}
@@ -64,12 +64,12 @@
 	Number        uint64
 	Self          stoatpaddle.InstanceID
 	Seed          stoatpacket.Seed
-	Ring          *Ring
-	Past          []PastRing                        // newest first
+	Entries       *EntrySet
+	PastEntries   []PastEntrySet                    // newest first
 	Services      []*Service                        // ascending by reference
-	Changed       time.Time                         // when the entry set or any upstream set last changed
-	Cut           map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
-	CutAt         time.Time                         // when a data centre was last added to Partitioned
+	ChangedAt     time.Time                         // when the entry set or any upstream set last changed
+	Partitioned   map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
+	PartitionedAt time.Time                         // when a data centre was last added to Partitioned
 	partitionSeen time.Time                         // when Partitioned was last not empty
 	flowServices  map[destination]*Service
 	callServices  map[string]*Service
@@ -78,13 +78,13 @@
 	relayAnswers  map[netip.AddrPort]bool // of all known entries; true for those that answer
 }
 
-// Flow returns the flow service that listens on the destination, or nil.
-func (v *View) Flow(dst netip.AddrPort, proto stoatpaddle.Protocol) *Service {
+// FlowService returns the flow service that listens on the destination, or nil.
+func (v *View) FlowService(dst netip.AddrPort, proto stoatpaddle.Protocol) *Service {
 	return v.flowServices[destination{dst: dst, proto: proto}]
 }
 
-// Host returns the call service with that authority, or nil.
-func (v *View) Host(host string) *Service { return v.callServices[host] }
+// CallService returns the call service with that authority, or nil.
+func (v *View) CallService(host string) *Service { return v.callServices[host] }
 
 // Service returns the service with the reference, or nil.
 func (v *View) Service(ref stoatpaddle.ServiceRef) *Service { return v.byRef[ref] }
@@ -112,11 +112,11 @@
 // Reachable reports whether records may be sent to the entry: it is a member of the current entry set, or
 // it left a short while ago and still serves.
 func (v *View) Reachable(id stoatpaddle.InstanceID) bool {
-	if v.Ring.Find(id) != nil {
+	if v.Entries.Find(id) != nil {
 		return true
 	}
-	for _, p := range v.Past {
-		if p.Ring.Find(id) != nil {
+	for _, p := range v.PastEntries {
+		if p.Live.Find(id) != nil {
 			return true
 		}
 	}
