--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	forged := append(make([]byte, stoatflow.HeaderSize), segment...)
-	stoatflow.Header{Kind: stoatflow.Relayed}.Put(forged, stoatpacket.Seed{}, 0)
+	stoatflow.Header{Kind: stoatflow.KindRelay}.Encode(forged, stoatpacket.Seed{}, 0)
 	for _, c := range []struct {
 		to     netip.AddrPort
 		data   []byte
--- a/stoatflow/advance.go
+++ b/stoatflow/advance.go
@@ -51,7 +51,7 @@
 	}
 	e.lastFlush = now
 	e.reportLoads(now, v)
-	out := e.outbox.flush(now, e.cfg.Budget, connected)
+	out := e.outbox.flush(now, e.cfg.ControlBudget, connected)
 	for i := range out {
 		e.stats.Bytes.Add(int64(out[i].Size()))
 	}
@@ -74,9 +74,9 @@
 
 // HandoverTime estimates how long it takes to hand over every tracked flow within the byte budget.
 func (e *Engine) HandoverTime() time.Duration {
-	_, trackedFlows, _ := e.Flows()
+	_, trackedFlows, _ := e.FlowCounts()
 	bytes := e.outbox.pendingBytes() + trackedFlows*RecordSize
-	return time.Duration(bytes) * time.Second / time.Duration(e.cfg.Budget)
+	return time.Duration(bytes) * time.Second / time.Duration(e.cfg.ControlBudget)
 }
 
 // sweepShard removes flows that ended or are idle, expired claims, and, once the view is settled, the flows
--- a/stoatflow/engine.go
+++ b/stoatflow/engine.go
@@ -15,21 +15,21 @@
 // Config configures an Engine. Zero values of Settle, ControlBudget, Gain and MaxOpening stand for the
 // defaults.
 type Config struct {
-	Self    stoatpaddle.InstanceID // this entry
-	Start   time.Time              // origin of the times in the flow table
-	Settle  time.Duration          // how long after a change other entries are queried about unknown flows
-	Budget  int                    // limit on control traffic, bytes a second
-	Gain    float64                // weight of load differences for customers with lean = balance
-	MaxOpen int                    // limit on opening flows in the table, over all shards
-	Seed    uint64                 // of the random choices
+	Self          stoatpaddle.InstanceID // this entry
+	Start         time.Time              // origin of the times in the flow table
+	Settle        time.Duration          // how long after a change other entries are queried about unknown flows
+	ControlBudget int                    // limit on control traffic, bytes a second
+	Gain          float64                // weight of load differences for customers with lean = balance
+	MaxOpening    int                    // limit on opening flows in the table, over all shards
+	Seed          uint64                 // of the random choices
 }
 
 // The defaults of Config.
 const (
-	DefaultSettle  = 60 * time.Second
-	DefaultBudget  = 1750
-	DefaultGain    = 12.0
-	DefaultMaxOpen = 1 << 16
+	DefaultSettle        = 60 * time.Second
+	DefaultControlBudget = 1750
+	DefaultGain          = 12.0
+	DefaultMaxOpening    = 1 << 16
 )
 
 // leanFlowsGain is the part of the gain that applies to customers with lean = flows, for whom a broken flow
@@ -69,12 +69,12 @@
 
 // Action is the decision about one packet.
 type Action struct {
-	Verdict  Verdict
-	Upstream *stoatview.Upstream
-	To       netip.AddrPort
-	Header   Header
-	Reason   stoatpacket.DropReason
-	Tell     netip.AddrPort // if valid, the entry to notify of the upstream of the flow with a KindNotice datagram
+	Verdict    Verdict
+	Upstream   *stoatview.Upstream
+	To         netip.AddrPort
+	Header     Header
+	Reason     stoatpacket.DropReason
+	NotifyAddr netip.AddrPort // if valid, the entry to notify of the upstream of the flow with a KindNotice datagram
 }
 
 // Engine holds the flow table of one entry. Its methods may be called concurrently.
@@ -99,7 +99,7 @@
 	Adopted  atomic.Int64 // flows that no queried entry knew, placed by hash
 	Tracked  atomic.Int64 // flows that opened at another than their preferred upstream
 	Relayed  atomic.Int64 // packets relayed to the owner or to a claimant
-	Asked    atomic.Int64 // lookups sent
+	Lookups  atomic.Int64 // lookups sent
 	Refused  atomic.Int64 // flows refused because of a limit
 	Silent   atomic.Int64 // flows reset because nothing answered or their upstream is gone
 	Flooded  atomic.Int64 // flows that opened without a table entry
@@ -112,14 +112,14 @@
 	if cfg.Settle == 0 {
 		cfg.Settle = DefaultSettle
 	}
-	if cfg.Budget == 0 {
-		cfg.Budget = DefaultBudget
+	if cfg.ControlBudget == 0 {
+		cfg.ControlBudget = DefaultControlBudget
 	}
 	if cfg.Gain == 0 {
 		cfg.Gain = DefaultGain
 	}
-	if cfg.MaxOpen == 0 {
-		cfg.MaxOpen = DefaultMaxOpen
+	if cfg.MaxOpening == 0 {
+		cfg.MaxOpening = DefaultMaxOpening
 	}
 	e := &Engine{cfg: cfg}
 	for i := range e.shards {
--- a/stoatflow/engine_test.go
+++ b/stoatflow/engine_test.go
@@ -150,7 +150,7 @@
 		p := stoatpacket.Packet{Tuple: stoatpacket.Tuple{Dst: service, Protocol: stoatpaddle.ProtocolTCP}, Opens: opens}
 		a := s.engines["a1"].Handle(epoch, v, &stoatflow.Inbound{
 			Packet: &p, Key: 5, Service: v.FlowService(service, stoatpaddle.ProtocolTCP), From: relay("a2"),
-			Header: stoatflow.Header{Kind: stoatflow.Relayed, Hops: 200},
+			Header: stoatflow.Header{Kind: stoatflow.KindRelay, Hops: 200},
 		})
 		if a.Verdict != want {
 			t.Errorf("opens=%t: verdict %d, want %d", opens, a.Verdict, want)
@@ -163,21 +163,21 @@
 func TestForgedHeaders(t *testing.T) {
 	seed := stoatpacket.Seed{K0: 1, K1: 2}
 	var b [64]byte
-	stoatflow.Header{Kind: stoatflow.Relayed, Hops: 1}.Put(b[:], seed, 7)
-	h, err := stoatflow.ReadHeader(b[:])
-	if err != nil || h.Kind != stoatflow.Relayed || !stoatflow.Genuine(b[:], seed, 7) {
+	stoatflow.Header{Kind: stoatflow.KindRelay, Hops: 1}.Encode(b[:], seed, 7)
+	h, err := stoatflow.DecodeHeader(b[:])
+	if err != nil || h.Kind != stoatflow.KindRelay || !stoatflow.VerifyTag(b[:], seed, 7) {
 		t.Fatal("authentic header refused", err)
 	}
-	if stoatflow.Genuine(b[:], seed, 8) || stoatflow.Genuine(b[:], stoatpacket.Seed{K0: 1}, 7) {
+	if stoatflow.VerifyTag(b[:], seed, 8) || stoatflow.VerifyTag(b[:], stoatpacket.Seed{K0: 1}, 7) {
 		t.Fatal("forged header accepted")
 	}
-	n := stoatflow.PutNotice(b[:], seed, 7, 9)
-	if r, ok := stoatflow.ReadNotice(b[:n], seed); !ok || r.Key != 7 || r.Upstream != 9 {
+	n := stoatflow.EncodeNotice(b[:], seed, 7, 9)
+	if r, ok := stoatflow.DecodeNotice(b[:n], seed); !ok || r.Key != 7 || r.Upstream != 9 {
 		t.Fatal("authentic notice refused")
 	}
 	b[n-1]++
 	for _, bad := range [][]byte{nil, b[:3], {0x45, 1, 0, 0, 0, 0, 0, 0}, {1, 0, 0, 0, 0, 0, 0, 0}, {1, 9, 0, 0, 0, 0, 0, 0}} {
-		if _, err := stoatflow.ReadHeader(bad); err == nil {
+		if _, err := stoatflow.DecodeHeader(bad); err == nil {
 			t.Fatalf("%v accepted", bad)
 		}
 	}
@@ -192,7 +192,7 @@
 		e, _, _, _ := openFlows(n)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		own, _, _ := e.Flows()
+		own, _, _ := e.FlowCounts()
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(own), "bytes/flow")
 	}
 }
--- a/stoatflow/handle.go
+++ b/stoatflow/handle.go
@@ -42,7 +42,7 @@
 	if hopsExhausted {
 		return p.notifyOwner(e.placeUnknown(&p))
 	}
-	if in.Header.Kind == Asked {
+	if in.Header.Kind == KindLookup {
 		return e.answerLookup(&p)
 	}
 	if a, ok := e.relayToOwner(&p); ok {
@@ -63,7 +63,7 @@
 func (p *packetDecision) notifyOwner(a Action) Action {
 	owner := p.view.Owner(p.in.Service, p.key)
 	if a.Verdict == Forward && owner != nil && owner.ID != p.view.Self {
-		a.Tell = owner.Relay
+		a.NotifyAddr = owner.Relay
 	}
 	return a
 }
@@ -119,8 +119,8 @@
 // budget.
 func (p *packetDecision) forward(sl *slot) Action {
 	a := Action{Verdict: Forward, Upstream: sl.upstream.Load()}
-	if p.in.Header.Kind == Asked {
-		a.Tell = p.in.From
+	if p.in.Header.Kind == KindLookup {
+		a.NotifyAddr = p.in.From
 	}
 	return a
 }
@@ -140,7 +140,7 @@
 // recordClaim records the entry that decides for the flow. A flood of opening packets while views differ
 // must not fill the memory with claims; beyond the limit packets are placed by hash.
 func (e *Engine) recordClaim(p *packetDecision, to netip.AddrPort) {
-	if _, known := p.sh.claims[p.key]; known || len(p.sh.claims) < e.cfg.MaxOpen/shardCount {
+	if _, known := p.sh.claims[p.key]; known || len(p.sh.claims) < e.cfg.MaxOpening/shardCount {
 		p.sh.claims[p.key] = claim{to: to, expires: p.tick + ticks(claimLifetime)}
 	}
 }
@@ -166,14 +166,14 @@
 		if p.in.Packet.Opens {
 			e.recordClaim(p, m.Relay)
 		}
-		return Action{Verdict: Relay, To: m.Relay, Header: Header{Kind: Asked, Hops: h.Hops + 1, Asked: h.Asked}}
+		return Action{Verdict: Relay, To: m.Relay, Header: Header{Kind: KindLookup, Hops: h.Hops + 1, Queried: h.Queried}}
 	}
 	// While the owner defers the flow because of a partition it does not claim the flow, and packets that
 	// are relayed back to the owner would go round in a cycle.
 	if p.in.Packet.Opens || !p.view.RecentlyPartitioned(p.now) {
 		e.recordClaim(p, p.in.From)
 	}
-	return Action{Verdict: Relay, To: p.in.From, Header: Header{Kind: Unknown, Hops: h.Hops + 1, Asked: h.Asked}}
+	return Action{Verdict: Relay, To: p.in.From, Header: Header{Kind: KindLookupMiss, Hops: h.Hops + 1, Queried: h.Queried}}
 }
 
 // relayToOwner relays the packet to the entry that owns or claimed the flow, if that is another one.
@@ -181,13 +181,13 @@
 	h := p.in.Header
 	owner := p.view.Owner(p.in.Service, p.key)
 	ownedHere := owner == nil || owner.ID == p.view.Self
-	if h.Kind == Unknown {
+	if h.Kind == KindLookupMiss {
 		// This is the answer to a lookup that this entry forwarded for the owner.
 		if ownedHere || owner.Relay == p.in.From {
 			return Action{}, false
 		}
 		e.recordClaim(p, owner.Relay)
-		return Action{Verdict: Relay, To: owner.Relay, Header: Header{Kind: Unknown, Hops: h.Hops + 1, Asked: h.Asked}}, true
+		return Action{Verdict: Relay, To: owner.Relay, Header: Header{Kind: KindLookupMiss, Hops: h.Hops + 1, Queried: h.Queried}}, true
 	}
 	if h.Hops >= maxRelays {
 		return Action{}, false
@@ -200,7 +200,7 @@
 	}
 	// The sender regards this entry as the owner, and this entry the sender. The receiver decides, because
 	// otherwise the packet would go back and forth without end.
-	if h.Kind == Relayed && owner.Relay == p.in.From {
+	if h.Kind == KindRelay && owner.Relay == p.in.From {
 		return Action{}, false
 	}
 	return e.relayTo(h, owner.Relay), true
@@ -212,8 +212,8 @@
 	if !ownedHere {
 		return e.relayTo(h, to)
 	}
-	e.stats.Asked.Add(1)
-	return Action{Verdict: Relay, To: to, Header: Header{Kind: Asked, Hops: h.Hops + 1}}
+	e.stats.Lookups.Add(1)
+	return Action{Verdict: Relay, To: to, Header: Header{Kind: KindLookup, Hops: h.Hops + 1}}
 }
 
 // claimant returns the entry that claimed the flow here, unless the packet comes from it.
@@ -228,7 +228,7 @@
 // relayTo relays the packet to the entry at the address.
 func (e *Engine) relayTo(h Header, to netip.AddrPort) Action {
 	e.stats.Relayed.Add(1)
-	return Action{Verdict: Relay, To: to, Header: Header{Kind: Relayed, Hops: h.Hops + 1}}
+	return Action{Verdict: Relay, To: to, Header: Header{Kind: KindRelay, Hops: h.Hops + 1}}
 }
 
 // promoteCopy takes a flow over from the copy that its former owner left here.
@@ -252,13 +252,13 @@
 	var buf [stoatview.MaxCandidates]*stoatview.Member
 	candidates := p.view.Candidates(buf[:0], p.in.Service, p.key, p.now, e.cfg.Settle)
 	queried := 0
-	if h.Kind == Unknown {
-		queried = int(h.Asked)
+	if h.Kind == KindLookupMiss {
+		queried = int(h.Queried)
 	}
 	if queried >= len(candidates) {
 		return Action{}, false
 	}
-	e.stats.Asked.Add(1)
-	next := Header{Kind: Asked, Hops: h.Hops + 1, Asked: uint8(queried + 1)}
+	e.stats.Lookups.Add(1)
+	next := Header{Kind: KindLookup, Hops: h.Hops + 1, Queried: uint8(queried + 1)}
 	return Action{Verdict: Relay, To: candidates[queried].Relay, Header: next}, true
 }
--- a/stoatflow/outbox.go
+++ b/stoatflow/outbox.go
@@ -39,15 +39,15 @@
 
 // The encoded sizes in bytes. A test of the codec checks them against what it sends.
 const (
-	RecordSize = 10
-	DropSize   = 6
-	BatchSize  = 14 // frame, kind and the lengths of short lists
-	reportSize = 7
+	RecordSize    = 10
+	DropSize      = 6
+	BatchOverhead = 14 // frame, kind and the lengths of short lists
+	reportSize    = 7
 )
 
 // Size returns the encoded size in bytes.
 func (b *Batch) Size() int {
-	n := BatchSize + encodedListSize(len(b.Moves)*RecordSize) + encodedListSize(len(b.Copies)*RecordSize) + encodedListSize(len(b.Drops)*DropSize)
+	n := BatchOverhead + encodedListSize(len(b.Moves)*RecordSize) + encodedListSize(len(b.Copies)*RecordSize) + encodedListSize(len(b.Drops)*DropSize)
 	for _, l := range b.Loads {
 		n += l.size()
 	}
@@ -72,7 +72,7 @@
 }
 
 // minBatchRoom is the least room that a batch gets, so that its fixed overhead pays off.
-const minBatchRoom = BatchSize + 4*RecordSize
+const minBatchRoom = BatchOverhead + 4*RecordSize
 
 // queue holds the records that wait to be sent to one entry.
 type queue struct {
@@ -236,7 +236,7 @@
 		// Each destination gets an equal part: a long queue for one must not delay urgent records for
 		// others.
 		room := 0
-		if o.tokens > BatchSize {
+		if o.tokens > BatchOverhead {
 			room = max(int(o.tokens)/(len(ids)-i), minBatchRoom)
 		}
 		b := o.queues[id].take(room)
@@ -267,7 +267,7 @@
 // sent, because owners with old reports track more flows and need even more room.
 func (q *queue) take(room int) Batch {
 	var b Batch
-	room -= BatchSize
+	room -= BatchOverhead
 	for _, l := range q.loads {
 		room -= l.size()
 	}
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -39,7 +39,7 @@
 	// Flows that open but never proceed must not grow the table without limit. Beyond the limit a flow goes
 	// to its preferred upstream without an entry in the table. Its next packet finds the same upstream by
 	// hash, so the flow is not harmed.
-	if p.sh.openingCount >= e.cfg.MaxOpen/shardCount {
+	if p.sh.openingCount >= e.cfg.MaxOpening/shardCount {
 		e.stats.Flooded.Add(1)
 		return Action{Verdict: Forward, Upstream: preferred}
 	}
@@ -88,7 +88,7 @@
 	sl, i := e.reg.Load().find(u.Key)
 	// Opening packets fill the table to half of this limit at most, so that a flood of them leaves room for
 	// flows that are open.
-	if sl == nil || p.sh.openingCount >= 2*e.cfg.MaxOpen/shardCount {
+	if sl == nil || p.sh.openingCount >= 2*e.cfg.MaxOpening/shardCount {
 		return Action{Verdict: Forward, Upstream: u}
 	}
 	// Every UDP packet may be the first of its flow, so unknown ones count against the limit.
@@ -123,7 +123,7 @@
 		e.stats.Silent.Add(1)
 		return Action{Verdict: Reset}
 	}
-	if known || len(p.sh.deferred) < e.cfg.MaxOpen/shardCount {
+	if known || len(p.sh.deferred) < e.cfg.MaxOpening/shardCount {
 		p.sh.deferred[p.key] = d
 	}
 	return Action{Verdict: Drop, Reason: stoatpacket.DropPartitioned}
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Learn applies a KindNotice datagram, which says where a flow goes that this entry owns.
-func (e *Engine) Learn(now time.Time, v *stoatview.View, r Record) {
+// ReceiveNotice applies a KindNotice datagram, which says where a flow goes that this entry owns.
+func (e *Engine) ReceiveNotice(now time.Time, v *stoatview.View, r Record) {
 	e.receiveMove(now, v, e.reg.Load(), r)
 }
 
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -143,9 +143,9 @@
 	e.reg.Store(r)
 }
 
-// Flows returns the number of open flows that this entry owns, the number of tracked flows among
+// FlowCounts returns the number of open flows that this entry owns, the number of tracked flows among
 // them, and the number of copies of other flows.
-func (e *Engine) Flows() (own, trackedFlows, copies int) {
+func (e *Engine) FlowCounts() (own, trackedFlows, copies int) {
 	for i := range e.shards {
 		sh := &e.shards[i]
 		sh.mu.Lock()
@@ -163,8 +163,8 @@
 	return own, trackedFlows, copies
 }
 
-// Claims returns how many flows are recorded as claimed by another entry.
-func (e *Engine) Claims() int {
+// ClaimCount returns how many flows are recorded as claimed by another entry.
+func (e *Engine) ClaimCount() int {
 	n := 0
 	for i := range e.shards {
 		sh := &e.shards[i]
@@ -175,19 +175,19 @@
 	return n
 }
 
-// Load is the number of flows that an entry owns on one upstream.
-type Load struct {
+// UpstreamLoad is the number of flows that an entry owns on one upstream.
+type UpstreamLoad struct {
 	Upstream stoatpaddle.UpstreamKey
 	Open     uint32
 }
 
 // Loads returns the engine's own load on each upstream, in the order in which they were first seen.
-func (e *Engine) Loads() []Load {
+func (e *Engine) Loads() []UpstreamLoad {
 	r := e.reg.Load()
-	out := make([]Load, 0, len(r.slots))
+	out := make([]UpstreamLoad, 0, len(r.slots))
 	for _, s := range r.slots {
 		if n := s.open.Load(); n > 0 {
-			out = append(out, Load{Upstream: s.key, Open: uint32(n)})
+			out = append(out, UpstreamLoad{Upstream: s.key, Open: uint32(n)})
 		}
 	}
 	return out
--- a/stoatmeasure/fleet.go
+++ b/stoatmeasure/fleet.go
@@ -153,7 +153,7 @@
 // boot starts an entry that knows everything declared so far.
 func (f *fleet) boot(e *entry) {
 	e.engine = stoatflow.New(stoatflow.Config{
-		Self: e.inst.ID, Start: epoch, Gain: f.cfg.Gain, Budget: f.cfg.Budget, Seed: f.rnd.Uint64(),
+		Self: e.inst.ID, Start: epoch, Gain: f.cfg.Gain, ControlBudget: f.cfg.Budget, Seed: f.rnd.Uint64(),
 	})
 	e.input = stoatview.Input{
 		Self: e.inst.ID, Seed: stoatpacket.Seed{K0: f.cfg.Seed, K1: 1}, Contracts: []stoatpaddle.Contract{f.contract},
--- a/stoatmeasure/traffic.go
+++ b/stoatmeasure/traffic.go
@@ -174,14 +174,14 @@
 
 // tell carries a Known datagram.
 func (f *fleet) tell(e *entry, a stoatflow.Action, k stoatpaddle.FlowHash) {
-	if !a.Tell.IsValid() {
+	if !a.NotifyAddr.IsValid() {
 		return
 	}
-	to := f.byRelay[a.Tell]
+	to := f.byRelay[a.NotifyAddr]
 	f.result.Notices++
 	f.q.after(f.delay(e, to), func() {
 		if to.alive && f.reach(e, to) {
-			to.engine.Learn(f.now(), to.view, stoatflow.Record{Key: k, Upstream: a.Upstream.Key})
+			to.engine.ReceiveNotice(f.now(), to.view, stoatflow.Record{Key: k, Upstream: a.Upstream.Key})
 		}
 	})
 }
