--- a/stoatoutlier/codec.go
+++ b/stoatoutlier/codec.go
@@ -6,23 +6,23 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// WireReport is a Report as entries send it, as a msgpack array. Times are ages, since the clocks
-// of two entries may differ.
+// WireReport is the wire form of a Report, a msgpack array. Times are sent as ages because the clocks of
+// two entries may differ.
 type WireReport struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      uint32
 	Answered int
 	Failed   int
-	Waiting  int   // entries that wait in vain
-	FirstMS  int64 // since when the first of them waits; -1: none does
-	SecondMS int64
-	HeardMS  int64 // -1: no sign of late
+	Waiting  int   // entries that wait for an overdue answer
+	FirstMS  int64 // age of the earliest wait; -1: no entry waits
+	SecondMS int64 // age of the second wait; -1: at most one entry waits
+	HeardMS  int64 // age of the last sign of life; -1: none recently
 }
 
-// MaxReportBytes is more than the longest list of reports takes.
+// MaxReportBytes is an upper bound for the encoded size of a full list of reports.
 const MaxReportBytes = 48 * maxReports
 
-// Encode maps reports for sending at that time.
+// Encode converts reports to their wire form at the time now.
 func Encode(now time.Time, list []Report) []WireReport {
 	out := make([]WireReport, 0, len(list))
 	for i := range list {
@@ -35,7 +35,8 @@
 	return out
 }
 
-// Decode maps what came at that time, and leaves out what nobody can have seen.
+// Decode converts reports that were received at the time now. It leaves out reports with a negative count,
+// which no entry can have observed, and everything beyond maxReports.
 func Decode(now time.Time, list []WireReport) []Report {
 	out := make([]Report, 0, min(len(list), maxReports))
 	for _, w := range list[:min(len(list), maxReports)] {
@@ -57,7 +58,7 @@
 	return max(0, now.Sub(t).Milliseconds())
 }
 
-// maxAge is older than anything that still counts; a greater one would not fit a duration.
+// maxAge is longer ago than anything that still counts. Ages far beyond it would overflow a time.Duration.
 const maxAge = time.Hour
 
 func timeOf(now time.Time, ageMS int64) time.Time {
--- a/stoatoutlier/delay.go
+++ b/stoatoutlier/delay.go
@@ -6,28 +6,30 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// delay follows how long what one entry says takes to all others.
+// delayEstimator measures how long a claim of this entry takes to the root of the relay tree and back in
+// the sum.
 //
-// The failure without it: a data centre of three hundred entries has a deeper tree than one of
-// thirty. Two entries lost a packet to the same upstream, and the news that a third one heard from
-// it was still under way when the others ejected it.
+// A fixed delay is not enough: a data centre of three hundred entries has a deeper tree than one of thirty.
+// Two entries lost a packet to the same upstream there, and the report that a third entry had heard from it
+// was still on its way when the others ejected the upstream.
 type delay struct {
-	key  stoatpaddle.UpstreamKey // of a claim that is under way
-	sent time.Time               // zero: none is
-	took time.Duration           // up to the root and back; 0: not known
+	key  stoatpaddle.UpstreamKey // upstream of the claim that is being timed
+	sent time.Time               // when that claim was sent; zero: no claim is being timed
+	took time.Duration           // time to the root and back; 0: not measured yet
 }
 
 const (
-	// delayFirst is assumed until there was a claim to follow: three levels, up and down, twice.
+	// initialDelay is used until a claim has been timed: three levels, up and down, twice.
 	delayFirst = 150 * time.Millisecond
 	delayLeast = 100 * time.Millisecond
-	// delayMost bounds what one report that was lost and sent again makes of it.
+	// maxDelay limits the effect of a single report that was lost and sent again.
 	delayMost = 500 * time.Millisecond
-	// delayWeight is the share of a sample that is shorter than the mean; a longer one counts in full.
+	// decreaseWeight is the weight of a sample that is shorter than the estimate. A longer sample replaces
+	// the estimate.
 	delayWeight = 0.125
 )
 
-// reported notes that a claim of this entry's own leaves.
+// reportSent starts to time a claim of this entry's own that the update carries, unless one is being timed.
 func (d *delay) reported(now time.Time, own []Report, u Update) {
 	if !d.sent.IsZero() && now.Sub(d.sent) < delayMost {
 		return
@@ -42,7 +44,7 @@
 	}
 }
 
-// followed notes a sum that came back.
+// sumReceived ends the measurement if the sum contains the claim that is being timed.
 func (d *delay) followed(now time.Time, sum []Report) {
 	if d.sent.IsZero() {
 		return
@@ -60,8 +62,9 @@
 	d.took -= time.Duration(delayWeight * float64(d.took-took))
 }
 
-// Delay is how long a sign of life may take from the entry that had it to this one: the others have
-// to hear first that it is waited for, and then this one of their answer.
+// PropagationDelay returns how long a sign of life may take from the entry that observed it to this one.
+// That is two round trips: the other entries have to learn first that this entry waits for the upstream,
+// and then this entry has to learn of their answer.
 func (p *Pool) Delay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/stoatoutlier/doc.go
+++ b/stoatoutlier/doc.go
@@ -1,7 +1,7 @@
-// Package stoatoutlier adds up what the entries of a data centre see of their upstreams.
+// Package stoatoutlier aggregates the upstream failures that the entries of a data centre observe.
 //
-// One entry of forty sees a fortieth of an upstream's requests, which is too little to tell a
-// failing upstream from a lost packet. So each entry reports what it and the entries below it in
-// the relay tree saw to its relay parent, and is sent the sum over all. Only upstreams that
-// somebody saw failing are named: in a quiet time nothing is sent.
+// One entry out of forty sees only a fortieth of an upstream's requests, which is too little to tell a
+// failing upstream from a lost packet. Each entry therefore reports to its parent in the relay tree what it
+// and the entries below it observed, and receives the sum over the whole data centre. Reports name only
+// upstreams that at least one entry saw failing, so that nothing is sent while nothing fails.
 package stoatoutlier
--- a/stoatoutlier/pacer.go
+++ b/stoatoutlier/pacer.go
@@ -3,23 +3,23 @@
 import "time"
 
 const (
-	// turnGap is the least time between two turns of an entry: what changes meanwhile goes into one
-	// message. Up and down four levels of the tree it adds up to a fifth of a second at most.
+	// roundGap is the minimum time between two rounds of an entry. Changes in between go into one message.
+	// Up and down four levels of the tree, the gaps add up to a fifth of a second at most.
 	turnGap = 20 * time.Millisecond
-	// turnBurst and turnRate bound the turns, and with them what an entry sends for it: a failure
-	// is known everywhere within the first of them, and links that lose packets for minutes make
-	// turnRate messages of 160 bytes a second on each link, 1 KB.
+	// roundBurst and roundRate (rounds a second) limit the rounds, and with them the messages that an entry
+	// sends. A failure is known everywhere within the first few rounds. Links that lose packets for minutes
+	// cause roundRate messages of 160 bytes a second on each link, which is 1 KB.
 	turnBurst = 60
 	turnRate  = 6.0
 )
 
-// Pacer spaces the turns of one entry. Its zero value is ready.
+// Pacer limits how often an entry runs a round. Its zero value is ready to use.
 type Pacer struct {
-	spent float64 // of the burst
-	at    time.Time
+	spent float64   // rounds taken out of the burst
+	at    time.Time // time of the last round
 }
 
-// Took notes a turn, and returns how long to wait for the next one.
+// RecordRound records a round, and returns how long to wait for the next one.
 func (p *Pacer) Took(now time.Time) time.Duration {
 	if !p.at.IsZero() {
 		p.spent = max(0, p.spent-turnRate*now.Sub(p.at).Seconds())
--- a/stoatoutlier/pool.go
+++ b/stoatoutlier/pool.go
@@ -9,28 +9,31 @@
 )
 
 const (
-	// reportSoon and reportLater are the pauses between two reports: the first for counts of
-	// failures that changed, the second for all that is known, changed or not.
+	// countInterval and fullInterval are the intervals between two reports: the first for failure counts
+	// that changed, the second for everything that is known, changed or not.
 	reportSoon  = 500 * time.Millisecond
 	reportLater = 2 * time.Second
-	// reportKept is how long a report counts: two that are lost in a row are missed.
+	// reportTTL is how long a received report counts. It survives the loss of one report, but not of two in
+	// a row.
 	reportKept = 3 * reportLater
-	// maxReports bounds a report. More upstreams than that do not fail while others serve.
+	// maxReports limits the reports in one message. More upstreams than that do not fail while others
+	// serve.
 	maxReports = 256
 )
 
-// Pool adds up reports. Its methods may be called by several goroutines.
+// Aggregator adds up the reports of this entry and its children, and keeps the sum over the data centre
+// that its parent sends. Its methods may be called by several goroutines.
 type Pool struct {
 	mu       sync.Mutex
 	children map[netip.AddrPort]timed
-	parent   netip.AddrPort // in this data centre; invalid: none
+	parent   netip.AddrPort // relay parent in this data centre; invalid: none
 	sum      timed          // over the data centre, as the parent sent it
-	up       Stream         // to the parent
+	up       Stream         // what the parent was sent
 	delay    delay
-	changed  time.Time // when the parent last became another one
+	changed  time.Time // when the parent last changed
 }
 
-// timed is a list of reports, ascending by key, and when it came.
+// receivedReports is a list of reports, sorted by key, and the time at which it was received.
 type timed struct {
 	at   time.Time
 	list []Report
@@ -38,8 +41,9 @@
 
 func (r *timed) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < reportKept }
 
-// Take takes in what a child and those below it saw, and tells whether that was enough: a change of
-// reports that are not known here says nothing.
+// HandleChildUpdate applies an update from a child, which covers the child and the entries below it. It
+// returns false if the update only names changes to reports that are not known here; the child then has to
+// send everything.
 func (p *Pool) Take(now time.Time, from netip.AddrPort, u Update) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,14 +63,16 @@
 	return true
 }
 
-// Forget drops what a child saw: it reports to another one now, and would count twice.
+// RemoveChild drops the reports of a child that now reports to another parent, so that they don't count
+// twice.
 func (p *Pool) Forget(child netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.children, child)
 }
 
-// Follow notes the relay parent in this data centre, invalid for none, and what it sent of the sum.
+// HandleParentUpdate records the relay parent in this data centre, invalid for none, and applies its update
+// of the sum.
 func (p *Pool) Follow(now time.Time, parent netip.AddrPort, u Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,25 +85,26 @@
 	}
 }
 
-// steadyAfter is how long a place in the tree must last for the sum to have what all entries heard:
-// an entry that has just come knows who is waited for, and not yet who answered.
+// stableAfter is how long an entry must have had its parent before the sum covers what all entries heard.
+// An entry that has just joined knows which upstreams are being waited for, but not yet which of them
+// answered.
 const steadyAfter = 500 * time.Millisecond
 
-// Steady tells whether this entry's place in the tree has lasted.
+// Stable reports whether this entry has had its parent for long enough to rely on the sum.
 func (p *Pool) Steady(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.changed) >= steadyAfter
 }
 
-// Lost notes that the parent did not take a report: the next one has all.
+// ResetParentStream makes the next report contain everything, after the parent did not accept one.
 func (p *Pool) Lost() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.up = Stream{}
 }
 
-// Suspects returns the upstreams that somebody saw failing, as far as this entry knows.
+// Suspects returns the upstreams that any entry saw failing, as far as this entry knows.
 func (p *Pool) Suspects(now time.Time) map[stoatpaddle.UpstreamKey]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +126,7 @@
 	}
 }
 
-// add returns what this entry and those below it saw, ascending by key.
+// subtreeSum returns the sum of what this entry and those below it observed, sorted by key.
 func (p *Pool) add(now time.Time, own []Report) []Report {
 	sums := map[stoatpaddle.UpstreamKey]Report{}
 	take := func(list []Report) {
@@ -139,7 +146,7 @@
 	return sorted(sums)
 }
 
-// outliers returns the reports that speak against their upstreams.
+// outliers returns the reports that count against their upstreams.
 func outliers(list []Report) []Report {
 	var out []Report
 	for i := range list {
@@ -150,9 +157,9 @@
 	return out[:min(len(out), maxReports)]
 }
 
-// due returns what to report: what speaks against an upstream, and what was seen of those that
-// others speak against. Left out, the answers of thirty entries that saw no failure would be
-// missing from the sum, and the failures of two would be all there is.
+// reportable returns the reports for the parent: those that count against an upstream, and those on
+// upstreams that are in the sum because of other entries. Without the latter, the sum would consist of the
+// failures that two entries saw and lack the answers of the thirty entries that saw no failure.
 func (p *Pool) due(below []Report) []Report {
 	var out []Report
 	for i := range below {
@@ -163,9 +170,10 @@
 	return out[:min(len(out), maxReports)]
 }
 
-// Turn returns what all entries here saw, as far as it is known, and what to report to whom;
-// an invalid address means nothing is due. While the last report is under way, busy holds the next
-// one back: a change counts as sent once it is returned here.
+// Aggregate returns the sum over all entries of this data centre, as far as it is known, and the update to
+// send and its recipient. An invalid address means that nothing is due. busy says that the previous report
+// is still being sent; the next one is held back then, because a change counts as sent once it is returned
+// here.
 func (p *Pool) Turn(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -193,5 +201,6 @@
 	return sum, u, p.parent
 }
 
-// SinceFirst is the first argument of Next for a sum, which says itself since when entries wait.
+// FirstWait is the function to pass to DeltaTracker.Next for a sum over the data centre, whose reports
+// contain the time of the first wait themselves.
 func SinceFirst(r *Report) time.Time { return r.First }
--- a/stoatoutlier/pool_test.go
+++ b/stoatoutlier/pool_test.go
@@ -20,8 +20,8 @@
 	return Report{Key: key, Counts: Counts{Answered: answered, Failed: failed}}
 }
 
-// An entry without a parent in its data centre adds up what it and those below it saw; what a
-// child saw counts once, and not any more when the child is gone.
+// An entry without a parent in its data centre adds up what it and the entries below it observed. A child's
+// later report replaces its earlier one, and expires once the child stops reporting.
 func TestPoolAddsUp(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
@@ -38,8 +38,8 @@
 	}
 }
 
-// An entry with a parent reports to it what changed soon, and what stays the same rarely; it
-// goes by the sum that it is told, until that is old or the parent is gone.
+// An entry with a parent reports changes soon and unchanged reports rarely. It relies on the sum that its
+// parent sent, until that sum is too old or the parent is gone.
 func TestPoolReports(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
@@ -59,19 +59,19 @@
 		}
 	}
 	if reports != 2 {
-		t.Error("the same was reported", reports, "times in 4 s")
+		t.Error("unchanged reports were sent", reports, "times in 4 s")
 	}
 	if _, _, to := p.Turn(now.Add(4600*time.Millisecond), append(own, saw(2, 0, 1)), false); !to.IsValid() {
-		t.Error("what is new waits")
+		t.Error("a new failure is not reported")
 	}
 	if _, report, to := p.Turn(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.onto([]Report{saw(1, 1, 1), saw(2, 0, 1)})) != 0 {
-		t.Error("the end is not reported:", to, report)
+		t.Error("the end of the failures is not reported:", to, report)
 	}
 	if _, _, to := p.Turn(now.Add(20*time.Second), nil, false); to.IsValid() {
-		t.Error("nothing is reported")
+		t.Error("an empty report is sent")
 	}
 	if sum, _, _ := p.Turn(now.Add(20*time.Second), own, false); !cmp.Equal(own, sum) {
-		t.Error("an old sum is gone by:", sum)
+		t.Error("an expired sum is used:", sum)
 	}
 	p.Follow(now.Add(21*time.Second), netip.AddrPort{}, Update{})
 	if sum, _, to := p.Turn(now.Add(21*time.Second), own, false); !cmp.Equal(own, sum) || to.IsValid() {
@@ -79,8 +79,8 @@
 	}
 }
 
-// A report that nobody can have made is cut, not believed. Times are sent as ages, since two
-// entries' clocks may differ by seconds.
+// Reports with impossible values are left out or cut. Times are sent as ages, since the clocks of two
+// entries may differ by seconds.
 func TestCodec(t *testing.T) {
 	now, there := time.Unix(1000, 0), time.Unix(2000, 0)
 	r := saw(4000000000, 5, 6)
@@ -104,15 +104,16 @@
 	}
 }
 
-// Thirty entries answer an upstream's requests, two saw five fail. What the thirty saw has to reach
-// the sum once the upstream is named there: by the failures alone it would fail most requests.
+// Thirty entries got answers from an upstream, and two saw five requests fail. Once the sum names the
+// upstream, the answers of the thirty must be reported as well: by the failures alone, the upstream would
+// seem to fail most requests.
 func TestPoolReportsWhatOthersName(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
 	own := []Report{saw(1, 20, 0)}
 	p.Follow(now, above, Update{})
 	if _, _, to := p.Turn(now, own, false); to.IsValid() {
-		t.Error("reported though nobody failed")
+		t.Error("reported although nothing failed")
 	}
 	p.Follow(now, above, Update{Whole: true, Reports: []Report{saw(1, 2, 5)}})
 	_, report, to := p.Turn(now.Add(time.Second), own, false)
@@ -121,8 +122,8 @@
 	}
 }
 
-// An entry waits for an upstream in vain and says so at once, also while it has just reported. Once
-// it hears from the upstream it says that at once too.
+// An entry that begins to wait for an upstream without an answer reports that at once, even if it has just
+// reported something else. It reports a sign of life from the upstream at once as well.
 func TestPoolReportsClaimsAtOnce(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
@@ -130,23 +131,24 @@
 	wait := Report{Key: 1, Silence: Silence{Entries: 1, First: now}}
 	p.Follow(now, above, Update{})
 	if _, _, to := p.Turn(at(30*time.Millisecond), []Report{wait}, false); to != above {
-		t.Error("a wait is not reported")
+		t.Error("a wait is not reported at once")
 	}
 	if _, _, to := p.Turn(at(60*time.Millisecond), []Report{wait}, false); to.IsValid() {
-		t.Error("the same is reported again")
+		t.Error("an unchanged wait is reported again")
 	}
 	second := Report{Key: 2, Silence: Silence{Entries: 1, First: at(70 * time.Millisecond)}}
 	if _, _, to := p.Turn(at(90*time.Millisecond), []Report{wait, second}, false); to != above {
-		t.Error("a second wait is held back")
+		t.Error("a second wait is not reported at once")
 	}
 	p.Follow(at(100*time.Millisecond), above, Update{Whole: true, Reports: []Report{wait, second}})
 	heard := Report{Key: 1, Silence: Silence{Heard: at(110 * time.Millisecond)}}
 	if _, report, to := p.Turn(at(120*time.Millisecond), []Report{heard, second}, false); to != above || len(report.Reports) != 1 || report.Whole {
-		t.Error("a sign of life is held back:", report)
+		t.Error("a sign of life is not reported at once:", report)
 	}
 }
 
-// What an entry saw counts once: when it has gone to another relay parent, the earlier one drops it.
+// The reports of an entry count once: when it has moved to another relay parent, the earlier parent drops
+// them.
 func TestPoolForgets(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
@@ -162,7 +164,7 @@
 	}
 }
 
-// Sums are made in any order along the tree, and come out the same.
+// Sums are formed in any order along the tree and give the same result.
 func TestSilenceAdds(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 	a, b, c := Silence{Entries: 1, First: at(30)}, Silence{Entries: 1, First: at(10)}, Silence{Entries: 1, First: at(20), Heard: at(5)}
@@ -179,7 +181,7 @@
 		t.Error(d)
 	}
 	if d := a.Together(at(500)); d != 0 {
-		t.Error("one entry alone:", d)
+		t.Error("shared wait of a single entry:", d)
 	}
 	ended := want.Add(Silence{Heard: at(10)})
 	if !ended.Ended() || ended.Together(at(500)) != 0 || ended.Alone(at(500)) != 0 {
@@ -187,28 +189,28 @@
 	}
 }
 
-// How long a sign of life takes is followed by what an entry says itself: from when its claim leaves
-// until the sum has it. A data centre with a deeper tree waits longer before it ejects.
+// The propagation delay is measured with an entry's own claims, from when a claim is sent until the sum
+// contains it. A data centre with a deeper tree waits longer before it ejects an upstream.
 func TestDelayFollowsTheTree(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
 	p.Follow(now, above, Update{})
 	if d := p.Delay(); d != delayFirst {
-		t.Error("at first", d)
+		t.Error("before any measurement:", d)
 	}
 	wait := []Report{{Key: 1, Silence: Silence{Entries: 1, First: now}}}
 	if _, _, to := p.Turn(now, wait, false); !to.IsValid() {
-		t.Fatal("not reported")
+		t.Fatal("the wait is not reported")
 	}
 	p.Follow(now.Add(40*time.Millisecond), above, Update{Whole: true, Reports: []Report{{Key: 2, Silence: Silence{Entries: 1, First: now}}}})
 	p.Follow(now.Add(180*time.Millisecond), above, Update{Reports: wait})
 	if d := p.Delay(); d != 360*time.Millisecond {
-		t.Error("after a claim that took 180 ms:", d)
+		t.Error("after a claim with a round trip of 180 ms:", d)
 	}
 }
 
-// A hundred upstreams are waited for. What changed goes through each link, not all of it each time,
-// and the other side has the same all the same.
+// Entries wait for a hundred upstreams. Each link carries only what changed, not the full list each time,
+// and the receiver still ends up with the full list.
 func TestStreamSendsWhatChanged(t *testing.T) {
 	var s Stream
 	now := time.Unix(1000, 0)
@@ -218,7 +220,7 @@
 		list = append(list, Report{Key: stoatpaddle.UpstreamKey(i + 1), Silence: Silence{Entries: 1, First: now}})
 		u, due := s.Next(now.Add(time.Duration(i)*10*time.Millisecond), list, SinceFirst)
 		if !due {
-			t.Fatal("a claim is held back")
+			t.Fatal("a claim is not sent at once")
 		}
 		sent += len(u.Reports)
 		there = u.onto(there)
@@ -231,18 +233,18 @@
 	}
 	u, due := s.Next(now.Add(1100*time.Millisecond), list[:50], SinceFirst)
 	if there = u.onto(there); !due || len(there) != 50 {
-		t.Error("what ended is left:", len(there))
+		t.Error("ended waits are still held by the receiver:", len(there))
 	}
 	if u, due := s.Next(now.Add(1110*time.Millisecond), list[:50], SinceFirst); due {
-		t.Errorf("nothing changed: %+v", u)
+		t.Errorf("sent although nothing changed: %+v", u)
 	}
 	if u, due := s.Next(now.Add(3*time.Second), list[:50], SinceFirst); !due || !u.Whole || len(u.Reports) != 50 {
-		t.Error("not sent whole after a while")
+		t.Error("the full list is not sent after fullInterval")
 	}
 }
 
-// A failure is passed on at once, some times in a row. Links that lose packets for minutes, so that
-// some entry waits for some upstream all the time, do not use up what control traffic may take.
+// A failure is passed on at once, several times in a row. When links lose packets for minutes, so that some
+// entry is always waiting for some upstream, the messages stay within the budget for control traffic.
 func TestPacer(t *testing.T) {
 	var p Pacer
 	start := time.Unix(1000, 0)
@@ -252,34 +254,35 @@
 		turns++
 	}
 	if turns < 45 {
-		t.Error(turns, "turns in the first second")
+		t.Error(turns, "rounds in the first second")
 	}
 	for turns = 0; now.Sub(start) < time.Minute; turns++ {
 		now = now.Add(p.Took(now))
 	}
 	if perSecond := float64(turns) / 59; perSecond > 1.25*turnRate {
-		t.Error(perSecond, "turns a second for a minute")
+		t.Error(perSecond, "rounds a second for a minute")
 	}
 	if wait := p.Took(now.Add(10 * time.Second)); wait != turnGap {
-		t.Error("after a calm the next change waits", wait)
+		t.Error("after a quiet period the next change waits", wait)
 	}
 }
 
-// An entry that has just found its place in the tree knows who is waited for, and not yet who answered.
+// An entry that has just found a parent knows which upstreams are being waited for, but not yet which of
+// them answered.
 func TestSteady(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
 	p.Follow(now, above, Update{})
 	if p.Steady(at(100*time.Millisecond)) || !p.Steady(at(time.Second)) {
-		t.Error("after a new parent")
+		t.Error("stable too early or too late after a new parent")
 	}
 	p.Follow(at(time.Second), above, Update{})
 	if !p.Steady(at(1100 * time.Millisecond)) {
-		t.Error("the parent is the same")
+		t.Error("not stable although the parent is the same")
 	}
 	p.Take(at(2*time.Second), belowA, Update{Whole: true})
 	if !p.Steady(at(2100 * time.Millisecond)) {
-		t.Error("a child that reports for the first time holds the others up")
+		t.Error("not stable after a new child's first report")
 	}
 }
--- a/stoatoutlier/silence.go
+++ b/stoatoutlier/silence.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// Silence is how entries wait for an upstream in vain: each has a packet outstanding there for
-// longer than an answer takes, and had no sign of it since.
+// Silence describes entries that wait for an upstream without an answer. Each of them has a packet
+// outstanding there for longer than an answer usually takes, and no sign of life from the upstream since.
 //
-// One entry alone may have lost a packet, or have a network of its own that fails. Two that wait
-// independently, while none of the data centre heard anything, are evidence against the upstream.
+// A single entry may have lost a packet, or its own network may be failing. Two entries that wait
+// independently of each other, while no entry of the data centre heard from the upstream, are evidence
+// against it.
 type Silence struct {
-	Entries int       // that wait
-	First   time.Time // since when the first of them waits; zero: none does
-	Second  time.Time // since when the second does; zero: there is one at most
-	Heard   time.Time // the last sign of life that any entry had; zero: none of late
+	Entries int       // number of entries that wait
+	First   time.Time // start of the earliest wait; zero: no entry waits
+	Second  time.Time // start of the second wait; zero: at most one entry waits
+	Heard   time.Time // last sign of life at any entry; zero: none recently
 }
 
-// Add returns what both saw together.
+// Add merges two observations of the same upstream by different entries.
 func (s Silence) Add(o Silence) Silence {
 	out := Silence{Entries: s.Entries + o.Entries, First: s.First, Second: s.Second, Heard: s.Heard}
 	for _, t := range []time.Time{o.First, o.Second} {
@@ -32,11 +33,11 @@
 	return out
 }
 
-// Ended tells whether the upstream gave a sign of life since an entry began to wait: packets
-// sent before it say nothing any more.
+// Ended reports whether the upstream gave a sign of life after the first entry began to wait. Packets that
+// were sent before that sign are no evidence any more.
 func (s Silence) Ended() bool { return !s.First.IsZero() && !s.Heard.Before(s.First) }
 
-// Alone is for how long an entry has waited; 0: none does.
+// LongestWait returns for how long an entry has been waiting; 0: none waits.
 func (s Silence) Alone(now time.Time) time.Duration {
 	if s.Entries == 0 || s.First.IsZero() || s.Ended() {
 		return 0
@@ -44,7 +45,7 @@
 	return now.Sub(s.First)
 }
 
-// Together is for how long two entries have waited; 0: no two do.
+// SharedWait returns for how long at least two entries have been waiting; 0: fewer than two wait.
 func (s Silence) Together(now time.Time) time.Duration {
 	if s.Entries < 2 || s.Second.IsZero() || s.Ended() {
 		return 0
--- a/stoatoutlier/stream.go
+++ b/stoatoutlier/stream.go
@@ -6,14 +6,14 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Update is what is sent of reports: those that changed, or all.
+// Update is a message with reports: all of them, or those that changed.
 type Update struct {
-	Whole   bool // Reports are all there are
+	Whole   bool // Reports replaces all earlier ones
 	Reports []Report
 }
 
-// onto returns the reports that the update makes of a list, ascending by key. A report that says
-// nothing any more ends the one before it.
+// applyTo returns the reports that result from applying the update to the list, sorted by key. An empty
+// report removes the earlier one.
 func (u Update) onto(list []Report) []Report {
 	byUpstream := map[stoatpaddle.UpstreamKey]Report{}
 	if !u.Whole {
@@ -31,27 +31,27 @@
 	return sorted(byUpstream)
 }
 
-// Stream remembers what the other side was sent, so that an update names only what changed.
+// DeltaTracker records what a receiver was sent, so that the next update contains only what changed.
 //
-// The load: a hundred upstreams fall silent. Sent whole at each change, the list of them would go
-// through each link of the tree fifty times a second, at two kilobytes each time.
+// When a hundred upstreams stop answering, the full list, sent at each change, would go through each link
+// of the tree fifty times a second with two kilobytes each time.
 type Stream struct {
 	sent   map[stoatpaddle.UpstreamKey]claim
-	whole  time.Time // when all was sent last; zero: never
-	counts time.Time // when counts were sent last
+	whole  time.Time // when everything was last sent; zero: never
+	counts time.Time // when counts were last sent
 }
 
-// claim is what others act upon within milliseconds, and the count that matters besides.
+// claim is the part of a report that other entries act upon within milliseconds, and the failure count.
 type claim struct {
 	named   bool // the upstream was sent
-	waiting int  // up to two: more change nothing
-	alive   bool // a sign came since the first of the data centre began to wait
+	waiting int  // waiting entries, at most two: more make no difference
+	alive   bool // a sign of life came after the first entry of the data centre began to wait
 	failed  int
 }
 
-// Next returns what to send of a list, and whether there is anything; first tells since when an
-// entry of the data centre waits for an upstream, as the other side knows it. What changes a claim
-// is due at once, counts of failures after reportSoon, and all after reportLater.
+// Next returns the update to send for a list, and whether there is anything to send. first returns since
+// when an entry of the data centre has been waiting for an upstream, as far as the receiver knows. A
+// changed claim is due at once, failure counts after countInterval, and everything after fullInterval.
 func (s *Stream) Next(now time.Time, list []Report, first func(*Report) time.Time) (Update, bool) {
 	if s.sent == nil {
 		s.sent = map[stoatpaddle.UpstreamKey]claim{}
@@ -93,11 +93,11 @@
 	}
 }
 
-// differs tells whether a claim has to be sent. The failures of an upstream that two entries wait
-// for change nothing any more.
+// differs reports whether the claim has to be sent. Once two entries wait for an upstream, its failure
+// count makes no difference any more.
 func (c claim) differs(old claim, counts bool) bool {
 	if c.named != old.named {
-		// Failures alone are gathered for a while.
+		// Failures without a wait are collected until counts are due.
 		return counts || c.waiting > 0 || c.alive
 	}
 	return c.waiting != old.waiting || c.alive != old.alive || counts && c.waiting < 2 && c.failed != old.failed
