--- a/stoatrelay/bench_test.go
+++ b/stoatrelay/bench_test.go
@@ -30,7 +30,7 @@
 	return b, d
 }
 
-// A message without news, as each child gets one with each proof.
+// A message without changes, which each child gets whenever its parent's knowledge is confirmed.
 func BenchmarkHead(b *testing.B) {
 	h := &Head{
 		Known: 1234567, AgeMS: 40, Path: []string{"10.1.0.10:8166", "10.1.0.77:8166", "10.1.0.78:8166"},
@@ -53,7 +53,7 @@
 	}
 }
 
-// toldOver writes a body, and reads it as a child does.
+// transfer encodes a body and decodes it as a child does.
 func toldOver(b *testing.B, w *Body) Message {
 	data, err := Encode(w)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return x
 }
 
-// Everything, as a new child gets it: written once, read and taken in by the child.
+// The full state for a new child: encoded once, decoded and applied by the child.
 func BenchmarkWhole(b *testing.B) {
 	for _, n := range []int{18, 150, 3000, 43000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -87,7 +87,7 @@
 	}
 }
 
-// One route of many changes, and is told.
+// One of many routes changes, and the change is sent to a child.
 func BenchmarkOneRouteChanges(b *testing.B) {
 	for _, n := range []int{14, 489, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -102,7 +102,7 @@
 				book.Declare(d, d.Version)
 				x := toldOver(b, EncodeBody(now, book.Table(), child))
 				if !x.Delta.Fits(held.Version) {
-					b.Fatal("does not fit")
+					b.Fatal("delta does not apply")
 				}
 				held = x.Delta.Onto(&held)
 			}
--- a/stoatrelay/codec_test.go
+++ b/stoatrelay/codec_test.go
@@ -17,7 +17,7 @@
 
 var listen = netip.MustParseAddrPort("198.18.0.1:443")
 
-// version is a configuration with one route, and the revision at which it was written.
+// declaredVersion is a declaration with one route, and the revision at which it was written.
 type version struct {
 	revision    stoatpaddle.Version
 	declaration *stoatpaddle.Declaration
@@ -29,7 +29,7 @@
 	}}
 }
 
-// entry is a registration, and the revision at which it was written.
+// registeredUpstream is a registration, and the revision at which it was written.
 type entry struct {
 	revision     stoatpaddle.Version
 	registration *stoatpaddle.Registration
@@ -41,7 +41,7 @@
 	}}
 }
 
-// What one entry tells, another takes in as the same; later it is told what changed alone.
+// A child decodes what its parent encoded, and later messages contain only what changed.
 func TestNewsCodec(t *testing.T) {
 	c, r := declared(4, 9), registered("i-2", 2, 7)
 	c.declaration.Caps = map[stoatpaddle.ServiceID]int{"app": 2000}
@@ -76,7 +76,7 @@
 		t.Errorf("%+v %v", got, err)
 	}
 	if w := EncodeBody(now, b.Table(), HoldsOf(b.Table())); w != nil {
-		t.Errorf("told again: %+v", w)
+		t.Errorf("sent again without a change: %+v", w)
 	}
 	for _, spoil := range []func(w *Body){
 		func(w *Body) { w.Upstreams[0].Addr = []byte{1} },
@@ -88,11 +88,11 @@
 		w := EncodeBody(now, first, Holds{})
 		spoil(w)
 		if _, err := Decode(&Head{}, w); err == nil {
-			t.Errorf("a faulty parent is believed: %+v", w)
+			t.Errorf("a faulty body is accepted: %+v", w)
 		}
 	}
 	if _, err := Decode(&Head{Path: []string{"x"}}, nil); err == nil {
-		t.Error("a faulty path is believed")
+		t.Error("a faulty path is accepted")
 	}
 }
 
@@ -111,8 +111,8 @@
 	return out
 }
 
-// A route moved to another service while flows are open at the one before. An entry that
-// starts afterwards, and is told by one that saw it, forwards their packets too.
+// A route moved to another service while flows are open at the earlier one. An entry that starts afterwards
+// learns of the earlier service from its parent, and must forward packets of those flows too.
 func TestEarlierServicesAreTold(t *testing.T) {
 	b := stoatroute.NewBook(stoatroute.Config{})
 	first, moved := declared(1, 5), declared(2, 9)
@@ -130,8 +130,8 @@
 	}
 }
 
-// A configuration of two thousand routes changes: one route is added, one changed, one
-// removed. What is told is those three, and makes the same of the version before.
+// A declaration of two thousand routes changes: one route is added, one changed, one removed. The message
+// contains only these three, and applying it to the earlier version yields the new one.
 func TestDifferenceOfDeclarations(t *testing.T) {
 	route := func(i int, priority int) stoatpaddle.Route {
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
@@ -163,11 +163,11 @@
 		t.Error(fits, diff)
 	}
 	if got.Delta.Fits(old.Version + 1) {
-		t.Error("fits a version between")
+		t.Error("the delta applies to a version in between")
 	}
 }
 
-// What a child lacks of evacuations is told to it, over the wire, and no more.
+// A child is sent the evacuations that it lacks, and no others.
 func TestEvacuationCodec(t *testing.T) {
 	b := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
 	b.Declare(*declared(1, 5).declaration, 5)
@@ -191,13 +191,13 @@
 			}
 		}
 		if got != want {
-			t.Errorf("%d states told to a child that holds %+v, expected %d", got, child, want)
+			t.Errorf("%d evacuations sent to a child with %+v, expected %d", got, child, want)
 		}
 	}
 }
 
-// A parent's message carries an upstream's incarnation: without it, a child would take a start
-// for a heartbeat.
+// A parent's message carries an upstream's incarnation: without it, a child would take a restart for a
+// heartbeat.
 func TestIncarnationIsTold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := stoatroute.NewBook(stoatroute.Config{})
@@ -218,9 +218,9 @@
 	}
 }
 
-// Entries are replaced in turn, so that some are of the release before, whose messages lack the last
-// fields, and some of the next one, whose messages have more. Both are read: what is missing is empty,
-// what is not known is passed over.
+// Entries are replaced one after the other, so that some run the previous release, whose messages lack the
+// last fields, and some the next one, whose messages have more. Both must be readable: missing fields are
+// empty, and unknown ones are skipped.
 func TestMessagesOfOtherReleases(t *testing.T) {
 	type earlier struct {
 		_msgpack  struct{} `msgpack:",as_array"`
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -10,13 +10,12 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// placeError reports a name that a body does not have.
+// indexError reports an index beyond the names of a body.
 type placeError struct{ place int }
 
-// Error says that there is none.
-func (e *placeError) Error() string { return "no name has the place that a parent's message names" }
+func (e *placeError) Error() string { return "name index is out of range in a parent's message" }
 
-// body reads a Body; the first fault stays in err.
+// bodyReader converts the fields of a Body; err keeps the first fault.
 type bodyReader struct {
 	names []string
 	err   error
@@ -44,20 +43,20 @@
 	return a
 }
 
-// Message is what a parent says at once.
+// Message is one decoded message from a parent.
 type Message struct {
-	Path  []netip.AddrPort // from a reader to the parent
-	Known stoatpaddle.Position
-	Era   stoatpaddle.Era // of all revisions in it; 0: not said
-	Age   time.Duration   // of what it believes; negative: it was never known to be up to date
-	Whole bool            // all upstreams there are; otherwise those that changed
-	Delta *Delta          // of the declaration; nil: it did not change
+	Path  []netip.AddrPort     // from an entry that reads the platform to the parent
+	Known stoatpaddle.Position // up to which the parent knows everything
+	Era   stoatpaddle.Era      // of all revisions in the message; 0: not known
+	Age   time.Duration        // of the parent's knowledge; negative: it was never known to be up to date
+	Whole bool                 // Upstreams are all there are; otherwise those that changed
+	Delta *Delta               // of the declaration; nil: it did not change
 
 	Upstreams   []stoatroute.RemoteUpstream
 	Evacuations []stoatpaddle.Evacuation
 }
 
-// Read reads one message; there is no Body if nothing changed.
+// Read reads one message. The Body is nil if nothing changed.
 func Read(dec *msgpack.Decoder) (*Head, *Body, error) {
 	h := &Head{}
 	if err := dec.Decode(h); err != nil || !h.Body {
@@ -67,7 +66,7 @@
 	return h, w, dec.Decode(w)
 }
 
-// Decode maps a parent's message, or returns *stoatpaddle.DecodeError.
+// Decode converts a parent's message, or returns *stoatpaddle.DecodeError.
 func Decode(h *Head, w *Body) (Message, error) {
 	x := Message{
 		Known: stoatpaddle.Position{Era: stoatpaddle.Era(h.KnownEra), Revision: stoatpaddle.Version(h.Known)},
@@ -146,7 +145,7 @@
 	return a
 }
 
-// ParseAddrs reads addresses of entries, or returns *stoatpaddle.DecodeError.
+// ParseAddrs parses addresses of entries, or returns *stoatpaddle.DecodeError.
 func ParseAddrs(list []string) ([]netip.AddrPort, error) {
 	out := make([]netip.AddrPort, 0, len(list))
 	for _, s := range list {
@@ -159,7 +158,7 @@
 	return out, nil
 }
 
-// AddrTexts returns addresses as text.
+// FormatAddrs returns the addresses as text, the reverse of ParseAddrs.
 func AddrTexts(list []netip.AddrPort) []string {
 	out := make([]string, 0, len(list))
 	for _, a := range list {
--- a/stoatrelay/delta.go
+++ b/stoatrelay/delta.go
@@ -6,21 +6,22 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Delta is a declaration as a parent sends it: whole, or how it differs from version Base.
+// Delta is a declaration as a parent sends it: in full, or as the difference from version Base.
 type Delta struct {
 	Declaration stoatpaddle.Declaration
 	Revision    stoatpaddle.Version
-	Base        stoatpaddle.Version // 0: whole
-	removed     []netip.AddrPort
+	Base        stoatpaddle.Version // 0: Declaration is complete
+	removed     []netip.AddrPort    // listen addresses of the routes that were removed since Base
 }
 
-// Fits tells whether the delta can be made of the version in force: a difference from
-// another one would leave out what changed in between. One that is not later changes nothing.
+// AppliesTo reports whether the delta can be applied to the declaration with version current. A difference
+// from another version would leave out what changed in between. A delta that is not later than current
+// changes nothing and always applies.
 func (a *Delta) Fits(current stoatpaddle.Version) bool {
 	return a == nil || a.Base == 0 || a.Base == current || a.Declaration.Version <= current
 }
 
-// Onto returns the declaration that the delta makes of one that it fits.
+// ApplyTo returns the declaration that results from applying the delta to d. AppliesTo must hold for d.
 func (a *Delta) Onto(d *stoatpaddle.Declaration) stoatpaddle.Declaration {
 	out := a.Declaration
 	if a.Base == 0 {
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -12,7 +12,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Encode returns a Head, a Body or a list of reports as it is sent.
+// Encode returns the wire form of a Head, a Body or a list of reports.
 func Encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -23,10 +23,10 @@
 	return buf.Bytes(), nil
 }
 
-// EncodeRefusal writes a Refusal.
+// EncodeRefusal writes the wire form of a Refusal to w.
 func EncodeRefusal(w io.Writer, r *Refusal) error { return msgpack.NewEncoder(w).Encode(r) }
 
-// names numbers the names that a body uses.
+// nameTable assigns an index to each name that a body refers to.
 type names struct {
 	list  []string
 	place map[string]int
@@ -42,18 +42,18 @@
 	return i
 }
 
-// Holds is what a child has of a table.
+// ChildState identifies what a child has been sent of a table.
 type Holds struct {
-	change  uint64              // the table's count; 0: nothing yet
+	change  uint64              // the table's change count; 0: nothing was sent yet
 	version stoatpaddle.Version // of the declaration
 }
 
-// HoldsOf returns what a child has that was sent all of the table.
+// ChildStateOf returns the state of a child that has been sent all of the table.
 func HoldsOf(t *stoatroute.Table) Holds {
 	return Holds{change: t.Change, version: t.Declaration.Version}
 }
 
-// EncodeBody returns what t has that a child does not, or nil if there is nothing.
+// EncodeBody returns what t has and the child has not been sent, or nil if there is nothing.
 func EncodeBody(now time.Time, t *stoatroute.Table, child Holds) *Body {
 	if child.change == t.Change {
 		return nil
@@ -79,7 +79,7 @@
 }
 
 func packAddr(a netip.AddrPort) []byte {
-	// It fails on no address.
+	// MarshalBinary returns no error for any address.
 	b, _ := a.MarshalBinary()
 	return b
 }
--- a/stoatrelay/fuzz_test.go
+++ b/stoatrelay/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Whatever comes on a connection to a parent, reading it ends, and what is taken in can be sent on: the
-// next entry reads the same from it.
+// Reading any bytes from a parent's connection ends, and whatever is accepted can be encoded again and
+// decoded by the next entry.
 func FuzzMessage(f *testing.F) {
 	at := time.Unix(1000, 0)
 	b := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Decode(&Head{}, &again); err != nil {
-			t.Fatal("what was taken in cannot be sent on:", err)
+			t.Fatal("accepted data cannot be relayed:", err)
 		}
 	})
 }
--- a/stoatrelay/shape.go
+++ b/stoatrelay/shape.go
@@ -2,12 +2,14 @@
 
 import "github.com/vmihailenco/msgpack/v5"
 
-// Entries are replaced in turn, so that some are of another release for minutes. The library refuses an
-// array that is longer or shorter than the fields it knows; a parent whose messages cannot be read is
-// left, and whoever finds no other one reads the platform by itself. So what has grown is read field by
-// field: what is missing stays empty, and what is not known is passed over.
+// Entries are replaced one after the other, so that some run another release for minutes. The msgpack
+// library rejects an array that is longer or shorter than the fields of the struct. A child leaves a parent
+// whose messages it can't decode, and an entry that finds no other parent reads the platform itself. The
+// types that have gained fields are therefore decoded field by field: missing fields stay empty, and
+// unknown ones are skipped.
 
-// decodeFields reads an array into the fields, as far as both go.
+// decodeFields decodes an array into the fields. Fields beyond the array stay unchanged, and elements
+// beyond the fields are skipped.
 func decodeFields(dec *msgpack.Decoder, fields ...any) error {
 	n, err := dec.DecodeArrayLen()
 	if err != nil {
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -2,29 +2,29 @@
 
 import "github.com/stoatpaddle/stoatpaddle/stoatoutlier"
 
-// Head begins each message. Messages are msgpack arrays: one comes every second or so to each child, and
-// names of fields would be half of it.
+// Head begins each message. Messages are msgpack arrays: each child gets one about every second, and field
+// names would be half of it.
 type Head struct {
-	_msgpack  struct{} `msgpack:",as_array"`
-	Known     uint64
-	AgeMS     int64 // -1: never known to be up to date
-	Path      []string
-	Relatives []string
-	Centre    string                    // of the parent
-	Seen      []stoatoutlier.WireReport // which upstreams fail, as all entries of the child's data centre saw it
-	Whole     bool                      // Seen has all, and not what changed
+	_msgpack  struct{}                  `msgpack:",as_array"`
+	Known     uint64                    // revision of the position up to which the parent knows everything
+	AgeMS     int64                     // age of the parent's knowledge; -1: it was never known to be up to date
+	Path      []string                  // addresses from an entry that reads the platform to the parent
+	Relatives []string                  // addresses of other children, to ask when the parent is gone
+	Centre    string                    // data centre of the parent
+	Seen      []stoatoutlier.WireReport // failing upstreams, as all entries of the child's data centre observed them
+	Whole     bool                      // Reports has all of them, not only what changed
 	Body      bool                      // a Body follows
-	Rank      int                       // of the child among the entries of its data centre
-	Entries   int                       // how many these are; 0: it is in another one, or that is not known
-	KnownEra  uint64                    // of Known
-	Era       uint64                    // of the revisions in the Body; 0: the parent knows of none
+	Rank      int                       // rank of the child among the entries of its data centre
+	Entries   int                       // number of those entries; 0: the child is in another data centre, or the number is not known
+	KnownEra  uint64                    // era of the position whose revision is PositionRevision
+	Era       uint64                    // era of the revisions in the Body; 0: the parent knows of none
 }
 
-// Body follows a Head where something changed.
+// Body follows a Head when something changed.
 type Body struct {
 	_msgpack  struct{} `msgpack:",as_array"`
-	Whole     bool     // all upstreams there are; otherwise those that changed
-	Names     []string // of services and data centres, which others name by their place here
+	Whole     bool     // Upstreams are all there are; otherwise those that changed
+	Names     []string // of services, data centres and regions; other fields refer to them by index
 	Declared  *wireConfig
 	Upstreams []wireHeld
 	Evacuated []wireEvacuation
@@ -37,27 +37,27 @@
 	Withdrawn bool
 }
 
-// wireConfig is a declaration, or how it differs from the one with version Base.
+// wireConfig is a declaration, or its difference from the declaration with version Base.
 type wireConfig struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Revision uint64
 	Version  uint64
-	Base     uint64 // 0: Routes are all there are
+	Base     uint64 // 0: Routes is complete
 	Routes   []wireRoute
-	Removed  [][]byte // addresses
+	Removed  [][]byte // listen addresses of removed routes
 	Caps     []wireCap
 	IdleMS   int64
 }
 
 type wireRoute struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Listen   []byte   // the address and port in binary: 6 bytes instead of 17 in text
+	Listen   []byte   // address and port in binary: 6 bytes instead of 17 in text
 	Backends []wireBackend
-	Earlier  []int // services
+	Earlier  []int // indexes of the services that it sent flows to before
 	Repeat   bool  // its requests may run twice
 	AimMS    int64 // objective
 	Priority int
-	Regions  []int // those that it allows
+	Regions  []int // indexes of the regions that its flows may go to
 }
 
 type wireBackend struct {
@@ -85,11 +85,11 @@
 	Revision uint64
 	Created  uint64
 	Standing uint8
-	ColdMS   int64  // how much longer it is slow
-	Life     uint64 // its incarnation
+	ColdMS   int64 // remaining time of its slow start
+	Life     uint64
 }
 
-// Refusal says why an entry tells nothing, and whom to ask instead.
+// Refusal says why an entry does not accept a child, and which entries to ask instead.
 type Refusal struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Reason   string
