--- a/stoattree/doc.go
+++ b/stoattree/doc.go
@@ -1,10 +1,11 @@
-// Package stoattree decides who tells whom what the platform says.
+// Package stoattree decides which entry is whose child in the relay tree, through which the state of the
+// platform reaches all entries.
 //
-// The load: a platform whose rates do not grow with the fleet, and entries that would each
-// list and watch everything there. Few entries read it, the seeds that the settings name;
-// each tells a bounded number of others, and those tell the next ones. Nobody keeps a list of
-// members: an entry asks one that it knows, which takes it as a child or names its own
-// children. What an entry does costs the same however many there are.
+// The load on the platform must not grow with the number of entries, as it would if each of them listed and
+// watched everything there. Only a few entries read the platform, the seeds that the settings name. Each of
+// them relays what it knows to a bounded number of children, and those to their own. No entry keeps a list
+// of members: an entry asks one that it knows, which accepts it as a child or names its own children to ask
+// instead. The cost for an entry is the same however many there are.
 //
 // The package performs no I/O and reads no clock.
 package stoattree
--- a/stoattree/place_test.go
+++ b/stoattree/place_test.go
@@ -6,10 +6,10 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// inCentre tells whether the member's parent is of its own data centre.
+// hasLocalParent reports whether the member's parent is in its own data centre.
 func (m *member) inCentre() bool { return m.parent != nil && m.parent.centre == m.centre }
 
-// count sends how many entries are below each member up the tree, until nothing changes.
+// propagateSizes reports the subtree sizes up the tree often enough to reach the roots.
 func (f *fleet) count() {
 	for range 20 {
 		for _, m := range f.all {
@@ -20,7 +20,7 @@
 	}
 }
 
-// rank is the member's place as it comes down the tree.
+// rank returns the member's rank as it is passed down the tree.
 func (m *member) rank() int {
 	if !m.inCentre() {
 		return 0
@@ -28,9 +28,9 @@
 	return m.parent.tree.RankOf(addr(m.i), m.parent.rank())
 }
 
-// Three hundred entries start. Those of one data centre that are gathered below one of them have
-// ranks from 0 on, each its own, and that one knows how many they are; a data centre falls into few
-// such parts. When a tenth of the entries are gone, the same holds of those that are left.
+// Three hundred entries start. The entries of one data centre that are below the same one of them have
+// distinct ranks from 0 on, and that one knows how many they are. A data centre is split into few such
+// parts. The same holds for the rest after a tenth of the entries have died.
 func TestPlaces(t *testing.T) {
 	f := newFleet(t, 300, same(0.2))
 	for round := range 2 {
@@ -57,17 +57,17 @@
 		for top, ranks := range of {
 			for r := range len(ranks) {
 				if !ranks[r] {
-					t.Errorf("round %d: nobody of %d has rank %d", round, len(ranks), r)
+					t.Errorf("round %d: none of %d entries has rank %d", round, len(ranks), r)
 				}
 			}
 			if top.tree.Size() != len(ranks) {
-				t.Errorf("round %d: %d are counted of %d", round, top.tree.Size(), len(ranks))
+				t.Errorf("round %d: subtree size is %d, expected %d", round, top.tree.Size(), len(ranks))
 			}
 		}
 		for centre, n := range parts {
 			t.Logf("round %d: %s has %d parts", round, centre, n)
 			if n > 3 {
-				t.Errorf("round %d: %s falls into %d parts", round, centre, n)
+				t.Errorf("round %d: %s is split into %d parts", round, centre, n)
 			}
 		}
 		for i := 5; i < 300; i += 10 {
--- a/stoattree/round.go
+++ b/stoattree/round.go
@@ -7,22 +7,24 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxAsked bounds a round: a parent is found within the depth of the tree, and whoever finds
-// none asks the platform meanwhile.
+// maxRequests limits the entries that one search asks. A parent is found within the depth of the tree, and
+// an entry that finds none reads the platform meanwhile.
 const maxAsked = 12
 
-// maxKnown bounds the relatives that are remembered.
+// maxSiblings limits the siblings that are remembered.
 const maxKnown = 6
 
-// round is one search for a parent.
+// search is the state of one search for a parent.
 type round struct {
 	next  []netip.AddrPort
 	asked []netip.AddrPort
-	// near is set in the first pass, in which other data centres only send on.
+	// localOnly is set in the first pass, in which entries of other data centres don't accept this one and
+	// only name others to ask.
 	near bool
 }
 
-// Learn remembers others of this data centre, named by a parent, in place of those before.
+// SetSiblings replaces the remembered siblings, which are other entries of this data centre that a parent
+// named. A list without any leaves them as they are.
 func (t *Tree) Learn(relatives []netip.AddrPort) {
 	list := make([]netip.AddrPort, 0, maxKnown)
 	for _, a := range relatives {
@@ -35,8 +37,8 @@
 	}
 }
 
-// Begin starts a search for a parent: relatives first, since they are near and were told
-// the same, then seeds. Each entry has an order of seeds of its own, so that they share the load.
+// StartSearch begins a search for a parent. Siblings are asked first, since they are near and were sent the
+// same, and seeds after them. Each entry has its own order of the seeds, so that they share the load.
 func (t *Tree) Begin() {
 	t.round = &round{next: t.candidates(), near: true}
 }
@@ -53,12 +55,12 @@
 	return slices.DeleteFunc(list, func(a netip.AddrPort) bool { return a == t.cfg.Self })
 }
 
-// rank orders seeds for this entry: rendezvous hashing.
+// seedOrder returns the sort key of a seed for this entry, by rendezvous hashing.
 func (t *Tree) rank(seed netip.AddrPort) uint64 {
 	return xxhash.Sum64String(t.cfg.Self.String() + " " + seed.String())
 }
 
-// Next returns whom to ask now, what to say, and whether there is anybody left.
+// NextCandidate returns the entry to ask next and the request for it, or false if no candidate is left.
 func (t *Tree) Next() (netip.AddrPort, Ask, bool) {
 	r := t.round
 	for r != nil && len(r.asked) < maxAsked {
@@ -81,7 +83,7 @@
 	return netip.AddrPort{}, Ask{}, false
 }
 
-// Refused takes in whom one that refused names instead: they are asked next.
+// AddCandidates adds the entries that a refusing one named instead. They are asked next.
 func (t *Tree) Refused(try []netip.AddrPort) {
 	if t.round == nil {
 		return
@@ -95,7 +97,8 @@
 	t.round.next = append(fresh, t.round.next...)
 }
 
-// Looped tells whether a path that a parent names shows that this entry is above it.
+// FormsLoop reports whether a parent with this path is below this entry, or its path is too long to be free
+// of loops.
 func (t *Tree) Looped(path []netip.AddrPort) bool {
 	return len(path) > MaxPath || slices.Contains(path, t.cfg.Self)
 }
--- a/stoattree/tree.go
+++ b/stoattree/tree.go
@@ -12,75 +12,77 @@
 )
 
 const (
-	// MaxChildren is how many others the ablest entry tells. With changes as often as the
-	// largest deployment has them, each child takes 0.32 kB a second and the parent as much:
-	// six of these are 1.9 of the 2 kB that control may take.
+	// MaxChildren is how many children the fastest entry accepts. With changes as often as the largest
+	// deployment has them, each child takes 0.32 kB a second and the parent as much: six of these are 1.9
+	// of the 2 kB that control traffic may take.
 	MaxChildren = 5
-	// minChildren is what every entry can bear: with one, the tree would be a chain.
+	// minChildren is what every entry can bear. With one child for each entry, the tree would be a chain.
 	minChildren = 2
-	// MaxPath bounds the way from a reader to an entry; eight levels of two reach further
-	// than any deployment, and a longer way is a loop that nobody noticed.
+	// MaxPathLength limits the path from an entry that reads the platform to any other. Eight levels with
+	// two children each reach further than any deployment, and a longer path is a loop that was not
+	// detected.
 	MaxPath = 16
-	// hints is how many other entries are named to one that is sent on.
+	// maxAlternatives limits the other entries that are named to one that asks.
 	hints = 3
 )
 
-// Ask is what an entry says when it asks to be told.
+// JoinRequest is what an entry sends when it asks to become a child.
 type Ask struct {
 	From   netip.AddrPort
 	Centre stoatpaddle.DataCentreID
-	// Known is the position up to which it knows everything; revision 0: it has nothing to serve
-	// by, and so no children that could be above the one it asks.
+	// Position is the position up to which the requester knows everything. Revision 0: it has nothing to
+	// serve by, and so no children that could be above the entry that it asks.
 	Known stoatpaddle.Position
-	// Near refuses another data centre's entry, since bytes between data centres are dear.
+	// LocalOnly makes an entry of another data centre refuse, since traffic between data centres is
+	// expensive.
 	Near bool
-	// Within is how old what is told may be; 0: it does not matter, since the platform does
-	// not answer the one that asks.
+	// MaxAge is how old the knowledge of the parent may be. 0: any age will do, since the platform does not
+	// answer the requester.
 	Within time.Duration
-	Skip   []netip.AddrPort // it asked these already
+	Skip   []netip.AddrPort // entries that were asked already
 }
 
-// Refusal says why an entry tells another one nothing.
+// Refusal says why an entry does not accept another one as its child.
 type Refusal string
 
-// The refusals.
+// The reasons to refuse. They are sent to the requester as text, which writes them to its log.
 const (
-	Accepted  Refusal = ""
-	NotReady  Refusal = "nothing to tell"
-	Behind    Refusal = "knows less"
-	Stale     Refusal = "knows only what is too old"
-	Loop      Refusal = "is told by the one that asks"
-	NoRoot    Refusal = "out of touch, and not the first of its kind"
-	OtherSide Refusal = "in another data centre"
-	Full      Refusal = "tells as many as it can"
+	Accepted  Refusal = ""                                            // no refusal
+	NotReady  Refusal = "nothing to tell"                             // this entry has no complete state to relay, or is stopping
+	Behind    Refusal = "knows less"                                  // the requester knows a later position
+	Stale     Refusal = "knows only what is too old"                  // this entry's knowledge is older than the requester's MaxAge
+	Loop      Refusal = "is told by the one that asks"                // the requester is above this entry in the tree
+	NoRoot    Refusal = "out of touch, and not the first of its kind" // this entry has no parent and may not be a root for the requester
+	OtherSide Refusal = "in another data centre"                      // this entry is in another data centre, where the requester should not or need not have its parent
+	Full      Refusal = "tells as many as it can"                     // this entry has as many children as it can serve
 )
 
-// Answer is what becomes of an Ask.
+// JoinResponse is the decision on a JoinRequest.
 type Answer struct {
 	Refusal Refusal
-	Try     []netip.AddrPort // ask these instead
-	Ticket  Ticket           // of one that is accepted
+	Try     []netip.AddrPort // entries to ask instead
+	Ticket  Ticket           // of a request that was accepted
 }
 
-// Ticket names one acceptance: a child that lost its connection asks again before the old
-// one is seen to be gone, whose end must not take the new one out.
+// AdmissionID identifies one admission of a child. A child that lost its connection asks again before the
+// end of the old connection is noticed, and that end must not remove the new admission.
 type Ticket uint64
 
 type child struct {
 	centre stoatpaddle.DataCentreID
 	ticket Ticket
-	size   int // entries of its data centre that it told of, itself included
+	size   int // entries of its data centre in its subtree as it reported, itself included
 }
 
-// State is what an entry is as others see it.
+// State is the state of an entry that decides on a request.
 type State struct {
 	Ready bool
 	Known stoatpaddle.Position
-	// Path leads from a reader to this entry's parent; empty: nobody tells it.
+	// Path leads from an entry that reads the platform to this entry's parent; empty: it has no parent.
 	Path []netip.AddrPort
-	// Reads tells that it asks the platform itself and is answered.
+	// ReadsPlatform means that this entry reads the platform itself and gets answers.
 	Reads bool
-	Age   time.Duration // of what it believes; negative: never known to be up to date
+	Age   time.Duration // of its knowledge; negative: it was never known to be up to date
 }
 
 // Config configures a Tree.
@@ -88,19 +90,20 @@
 	Self   netip.AddrPort
 	Centre stoatpaddle.DataCentreID
 	Seeds  []netip.AddrPort
-	// Share is the part of a core that this entry has; 0: not known.
+	// CPUShare is the part of a core that this entry has; 0: not known.
 	Share float64
-	// Link is the bandwidth of its link, Mbit/s; 0: not known.
+	// LinkMbps is the bandwidth of its link, Mbit/s; 0: not known.
 	Link float64
 	Rand *rand.Rand
 }
 
-// Tree is one entry's place: its children, and whom it may ask. One goroutine uses it at a time.
+// Tree is one entry's view of the relay tree: its children, and the entries that it may ask to become its
+// parent. It must not be used by several goroutines at once.
 type Tree struct {
 	cfg      Config
 	children map[netip.AddrPort]child
 	tickets  Ticket
-	known    []netip.AddrPort // others of this data centre that a parent named
+	known    []netip.AddrPort // other entries of this data centre that a parent named
 	round    *round
 }
 
@@ -109,29 +112,30 @@
 	return &Tree{cfg: cfg, children: map[netip.AddrPort]child{}}
 }
 
-// SetSeeds replaces the seeds for the rounds to come.
+// SetSeeds replaces the seeds for later searches.
 func (t *Tree) SetSeeds(seeds []netip.AddrPort) { t.cfg.Seeds = seeds }
 
-// IsSeed tells whether the settings name this entry.
+// IsSeed reports whether the settings name this entry as a seed.
 func (t *Tree) IsSeed() bool { return slices.Contains(t.cfg.Seeds, t.cfg.Self) }
 
-// Children returns how many are told.
+// ChildCount returns the number of children.
 func (t *Tree) Children() int { return len(t.children) }
 
-// sharePerChild is the part of a core that an entry has for each child: a message without
-// news costs 0.2 ms, so that a child takes a fiftieth of this at most.
+// cpuPerChild is the part of a core that an entry must have for each child. A message without changes costs
+// 0.2 ms, so that a child takes a fiftieth of this at most.
 const sharePerChild = 0.03
 
-// farChildren is the room kept for entries of other data centres.
+// remoteChildren is the additional number of children for entries of other data centres.
 const farChildren = 2
 
-// linkPerChild is the bandwidth that an entry has for each child, Mbit/s. Everything at once,
-// 2,000 routes and 150 upstreams, is 40 kB, 60 ms on 5 Mbit/s. A link of 10 that told eight
-// at once held callers' packets up for half a second, and their upstreams looked dead.
+// linkMbpsPerChild is the bandwidth that an entry must have for each child, Mbit/s. A full message with
+// 2,000 routes and 150 upstreams is 40 kB, which takes 60 ms at 5 Mbit/s. A link of 10 Mbit/s that sent it
+// to eight children at once delayed the packets of callers for half a second, and their upstreams looked
+// dead.
 const linkPerChild = 5
 
-// capacity is how many children this entry takes: a slow one tells few, so that nobody
-// waits for it, neither children nor callers.
+// capacity returns how many children this entry accepts. A slow entry accepts few, so that neither its
+// children nor its callers have to wait for it.
 func (t *Tree) capacity() int {
 	n := MaxChildren
 	if t.cfg.Share > 0 {
@@ -143,13 +147,13 @@
 	return max(minChildren, n)
 }
 
-// Admit decides about an entry that asks to be told. One that is accepted is a child until Part.
+// Admit decides on a request to become a child. An accepted entry is a child until RemoveChild.
 func (t *Tree) Admit(s State, a Ask) Answer {
 	if refusal := t.unfit(s, a); refusal != Accepted {
 		return Answer{Refusal: refusal}
 	}
 	if a.Centre != t.cfg.Centre {
-		// One link between two data centres is enough: the first entry there tells the others.
+		// One link between two data centres is enough: the first child there serves the others.
 		if there := t.childrenIn(a.Centre, a.Skip); len(there) > 0 {
 			return Answer{Refusal: OtherSide, Try: there}
 		}
@@ -165,8 +169,9 @@
 	return Answer{Ticket: t.tickets}
 }
 
-// room is how many children there may be when one of that data centre is taken. The first
-// ones of others find room beyond the usual: a data centre without a seed has no other way.
+// limit returns how many children there may be when an entry of data centre c is accepted. Entries of other
+// data centres are accepted beyond the usual capacity, since a data centre without a seed has no other
+// source.
 func (t *Tree) room(c stoatpaddle.DataCentreID) int {
 	if c == t.cfg.Centre {
 		return t.capacity()
@@ -174,7 +179,7 @@
 	return t.capacity() + farChildren
 }
 
-// unfit tells why this entry must not tell the one that asks, whatever room it has.
+// refusalReason returns why this entry must not accept the requester even if it has capacity, or Accepted.
 func (t *Tree) unfit(s State, a Ask) Refusal {
 	switch {
 	case !s.Ready:
@@ -188,8 +193,8 @@
 	case a.Known.Revision == 0 || len(s.Path) > 0 || s.Reads && t.IsSeed():
 		return Accepted
 	case order(t.cfg.Self) < order(a.From):
-		// Two that nobody tells would take each other as parents. One order over all
-		// decides, so that they gather below the first of them.
+		// Two entries without a parent would accept each other. A total order of all entries decides, so
+		// that they gather below the first of them.
 		return Accepted
 	}
 	return NoRoot
@@ -197,7 +202,8 @@
 
 func order(a netip.AddrPort) uint64 { return xxhash.Sum64String(a.String()) }
 
-// childrenIn returns a few children in the data centre, or, when all are elsewhere, any.
+// childrenIn returns a few children in data centre c. If there are none and c is the data centre of this
+// entry, it returns children in other data centres.
 func (t *Tree) childrenIn(c stoatpaddle.DataCentreID, skip []netip.AddrPort) []netip.AddrPort {
 	var near, far []netip.AddrPort
 	for a, x := range t.children {
@@ -215,14 +221,15 @@
 	return t.some(near)
 }
 
-// some returns a few of a list, at random, so that the tree grows evenly.
+// sample returns a few entries of the list at random, so that the tree grows evenly.
 func (t *Tree) some(list []netip.AddrPort) []netip.AddrPort {
 	slices.SortFunc(list, netip.AddrPort.Compare)
 	t.cfg.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	return list[:min(len(list), hints)]
 }
 
-// SetSize takes in how many entries of its data centre are below a child, itself included.
+// SetSubtreeSize records how many entries of its data centre are in the subtree of a child, itself
+// included.
 func (t *Tree) SetSize(from netip.AddrPort, n int) {
 	if c, known := t.children[from]; known {
 		c.size = max(1, n)
@@ -230,7 +237,7 @@
 	}
 }
 
-// Size returns how many entries of this data centre are below this one, itself included.
+// SubtreeSize returns how many entries of this data centre are in the subtree of this one, itself included.
 func (t *Tree) Size() int {
 	n := 1
 	for _, c := range t.children {
@@ -241,8 +248,8 @@
 	return n
 }
 
-// RankOf returns the rank of a child of this data centre, this entry having rank own: each is followed
-// by those below it, one child after the other.
+// ChildRank returns the rank of a child of this data centre, given the rank of this entry. Ranks number the
+// entries depth first: each entry is followed by those below it, one child after the other.
 func (t *Tree) RankOf(from netip.AddrPort, own int) int {
 	rank := own + 1
 	for a, c := range t.children {
@@ -253,15 +260,15 @@
 	return rank
 }
 
-// Part takes a child out, unless it has been accepted anew.
+// RemoveChild removes a child, unless it has been admitted again.
 func (t *Tree) Part(from netip.AddrPort, ticket Ticket) {
 	if t.children[from].ticket == ticket {
 		delete(t.children, from)
 	}
 }
 
-// Relatives returns a few entries for a child to ask when this one is gone: other children
-// in its data centre.
+// Siblings returns a few entries that a child may ask when this one is gone: other children in its data
+// centre.
 func (t *Tree) Relatives(of netip.AddrPort, c stoatpaddle.DataCentreID) []netip.AddrPort {
 	var list []netip.AddrPort
 	for a, x := range t.children {
--- a/stoattree/tree_test.go
+++ b/stoattree/tree_test.go
@@ -29,8 +29,8 @@
 	return stoattree.Ask{From: addr(i), Centre: centre, Known: at(9)}
 }
 
-// Whom an entry does not tell, and why. Each refusal keeps the one that asks from a parent
-// that would leave it worse off, or both in a loop.
+// An entry refuses a requester for each reason. A refusal protects the requester from a parent that knows
+// less than it does, or both from a loop.
 func TestRefusals(t *testing.T) {
 	path := []netip.AddrPort{addr(0), addr(7)}
 	low, high := 5, 6
@@ -43,21 +43,21 @@
 		ask   stoattree.Ask
 		want  stoattree.Refusal
 	}{
-		"a seed in touch":                         {0, inTouch, ask(5, "a"), stoattree.Accepted},
-		"told itself":                             {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(5, "a"), stoattree.Accepted},
-		"starting":                                {0, stoattree.State{}, ask(5, "a"), stoattree.NotReady},
-		"knows less":                              {0, stoattree.State{Ready: true, Known: at(8), Reads: true}, ask(5, "a"), stoattree.Behind},
-		"below the one that asks":                 {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(7, "a"), stoattree.Loop},
-		"knows an earlier era":                    {0, stoattree.State{Ready: true, Known: stoatpaddle.Position{Era: 1, Revision: 90}, Reads: true}, stoattree.Ask{From: addr(5), Centre: "a", Known: stoatpaddle.Position{Era: 2, Revision: 9}}, stoattree.Behind},
-		"knows a later era":                       {0, stoattree.State{Ready: true, Known: stoatpaddle.Position{Era: 2, Revision: 9}, Reads: true}, stoattree.Ask{From: addr(5), Centre: "a", Known: stoatpaddle.Position{Era: 1, Revision: 90}}, stoattree.Accepted},
-		"itself":                                  {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(9, "a"), stoattree.Loop},
-		"nobody tells it, and it is not first":    {high, stoattree.State{Ready: true, Known: at(10)}, ask(low, "a"), stoattree.NoRoot},
-		"nobody tells it, but it is first":        {low, stoattree.State{Ready: true, Known: at(10)}, ask(high, "a"), stoattree.Accepted},
-		"nobody tells it, for one without a view": {high, stoattree.State{Ready: true, Known: at(10)}, stoattree.Ask{From: addr(low), Centre: "a"}, stoattree.Accepted},
-		"its word is too old":                     {0, stoattree.State{Ready: true, Known: at(10), Reads: true, Age: 3e9}, stoattree.Ask{From: addr(5), Centre: "a", Known: at(9), Within: 2e9}, stoattree.Stale},
-		"its word has no age":                     {0, stoattree.State{Ready: true, Known: at(10), Reads: true, Age: -1}, stoattree.Ask{From: addr(5), Centre: "a", Known: at(9), Within: 2e9}, stoattree.Stale},
-		"another data centre, when near is asked": {0, inTouch, stoattree.Ask{From: addr(5), Centre: "b", Known: at(9), Near: true}, stoattree.OtherSide},
-		"another data centre":                     {0, inTouch, ask(5, "b"), stoattree.Accepted},
+		"seed that reads the platform":              {0, inTouch, ask(5, "a"), stoattree.Accepted},
+		"has a parent":                              {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(5, "a"), stoattree.Accepted},
+		"starting":                                  {0, stoattree.State{}, ask(5, "a"), stoattree.NotReady},
+		"knows less":                                {0, stoattree.State{Ready: true, Known: at(8), Reads: true}, ask(5, "a"), stoattree.Behind},
+		"below the requester":                       {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(7, "a"), stoattree.Loop},
+		"knows an earlier era":                      {0, stoattree.State{Ready: true, Known: stoatpaddle.Position{Era: 1, Revision: 90}, Reads: true}, stoattree.Ask{From: addr(5), Centre: "a", Known: stoatpaddle.Position{Era: 2, Revision: 9}}, stoattree.Behind},
+		"knows a later era":                         {0, stoattree.State{Ready: true, Known: stoatpaddle.Position{Era: 2, Revision: 9}, Reads: true}, stoattree.Ask{From: addr(5), Centre: "a", Known: stoatpaddle.Position{Era: 1, Revision: 90}}, stoattree.Accepted},
+		"request from itself":                       {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(9, "a"), stoattree.Loop},
+		"without a parent, and not the first":       {high, stoattree.State{Ready: true, Known: at(10)}, ask(low, "a"), stoattree.NoRoot},
+		"without a parent, but the first":           {low, stoattree.State{Ready: true, Known: at(10)}, ask(high, "a"), stoattree.Accepted},
+		"without a parent, requester without state": {high, stoattree.State{Ready: true, Known: at(10)}, stoattree.Ask{From: addr(low), Centre: "a"}, stoattree.Accepted},
+		"knowledge is too old":                      {0, stoattree.State{Ready: true, Known: at(10), Reads: true, Age: 3e9}, stoattree.Ask{From: addr(5), Centre: "a", Known: at(9), Within: 2e9}, stoattree.Stale},
+		"knowledge has no age":                      {0, stoattree.State{Ready: true, Known: at(10), Reads: true, Age: -1}, stoattree.Ask{From: addr(5), Centre: "a", Known: at(9), Within: 2e9}, stoattree.Stale},
+		"another data centre, local only":           {0, inTouch, stoattree.Ask{From: addr(5), Centre: "b", Known: at(9), Near: true}, stoattree.OtherSide},
+		"another data centre":                       {0, inTouch, ask(5, "b"), stoattree.Accepted},
 	} {
 		if got := newTree(try.self, "a", 0).Admit(try.state, try.ask).Refusal; got != try.want {
 			t.Errorf("%s: %q, expected %q", name, got, try.want)
@@ -65,8 +65,8 @@
 	}
 }
 
-// A slow entry tells few, so that its callers' packets do not wait behind the news; a full
-// one names its children instead.
+// A slow entry accepts few children, so that packets of its callers don't wait behind messages to children.
+// A full entry names its children instead.
 func TestCapacity(t *testing.T) {
 	for share, want := range map[float64]int{0: 5, 0.8: 5, 0.192: 5, 0.12: 4, 0.061: 2, 0.01: 2} {
 		tree := newTree(0, "a", share)
@@ -75,7 +75,7 @@
 			a := tree.Admit(inTouch, ask(10+n, "a"))
 			if a.Refusal == stoattree.Full {
 				if len(a.Try) == 0 {
-					t.Error("nobody is named instead")
+					t.Error("no alternative is named")
 				}
 				break
 			}
@@ -89,12 +89,12 @@
 		slow.Admit(inTouch, ask(10+i, "a"))
 	}
 	if a := slow.Admit(inTouch, ask(20, "a")); a.Refusal != stoattree.Full {
-		t.Error("a link of 10 Mbit/s tells three:", a)
+		t.Error("a link of 10 Mbit/s accepts three children:", a)
 	}
 }
 
-// The first entry of a data centre without a seed is told from elsewhere, the next ones by
-// it: bytes between data centres are dear. It finds room although the parent is full.
+// The first entry of a data centre without a seed has its parent in another one and serves the others
+// there, since traffic between data centres is expensive. It is accepted although the parent is full.
 func TestOneLinkBetweenDataCentres(t *testing.T) {
 	tree := newTree(0, "a", 0)
 	for i := range stoattree.MaxChildren {
@@ -110,12 +110,12 @@
 	again := ask(31, "b")
 	again.Skip = a.Try
 	if a := tree.Admit(inTouch, again); a.Refusal != stoattree.Accepted {
-		t.Error("the one there does not answer, and nobody else is found:", a)
+		t.Error("refused although the only alternative was tried:", a)
 	}
 }
 
-// A child lost its connection and asks again before the end of the old one is noticed. That
-// end must not take the new one out.
+// A child lost its connection and asks again before the end of the old connection is noticed. That end must
+// not remove the new admission.
 func TestLateEnd(t *testing.T) {
 	tree := newTree(0, "a", 0)
 	first := tree.Admit(inTouch, ask(5, "a"))
@@ -130,7 +130,7 @@
 	}
 }
 
-// member is one entry of a fleet in which searches take no time.
+// member is one entry of a simulated fleet in which searches take no time.
 type member struct {
 	i      int
 	centre stoatpaddle.DataCentreID
@@ -165,7 +165,7 @@
 
 func (m *member) isSeed() bool { return m.i < len(seeds) }
 
-// search has a member look for a parent.
+// search makes a member look for a parent.
 func (f *fleet) search(m *member) {
 	m.tree.Begin()
 	for {
@@ -196,6 +196,7 @@
 	}
 }
 
+// settle lets all members without a parent search, for several rounds.
 func (f *fleet) settle(rounds int) {
 	for range rounds {
 		for _, m := range f.all {
@@ -218,7 +219,8 @@
 	}
 }
 
-// check tells how many are told by nobody, and how deep and wide the tree is.
+// inspect returns how many members have no parent, the depth of the tree, the largest number of children
+// and the number of links between data centres. It fails the test on a loop.
 func (f *fleet) check() (alone, depth, widest, across int) {
 	f.t.Helper()
 	for _, m := range f.all {
@@ -243,21 +245,21 @@
 
 func same(share float64) func(int) float64 { return func(int) float64 { return share } }
 
-// Three hundred and two thousand entries start at once. Each finds a parent with a few
-// questions; nobody tells more than it can bear, the way from a seed is short, and few links
-// cross between data centres.
+// Fleets of three hundred and of two thousand entries start at once. Each entry finds a parent with a few
+// requests, none has more children than it can serve, the tree is shallow, and few links cross between data
+// centres.
 func TestFleetStarts(t *testing.T) {
 	for n, deepest := range map[int]int{300: 7, 2000: 10} {
 		f := newFleet(t, n, same(0.2))
 		f.settle(3)
 		alone, depth, widest, across := f.check()
 		if alone > 0 || depth > deepest || widest > 8 || across > 12 || f.asks > 12*n {
-			t.Errorf("%d entries: %d alone, depth %d, %d children, %d links across, %d questions", n, alone, depth, widest, across, f.asks)
+			t.Errorf("%d entries: %d without a parent, depth %d, %d children, %d links between data centres, %d requests", n, alone, depth, widest, across, f.asks)
 		}
 	}
 }
 
-// Most entries are slow and tell two. The tree is deeper, and everybody is still told.
+// Most entries are slow and accept two children. The tree is deeper, and every entry still has a parent.
 func TestFleetOfSlowEntries(t *testing.T) {
 	f := newFleet(t, 300, func(i int) float64 {
 		if i < 12 {
@@ -271,9 +273,9 @@
 	}
 }
 
-// A tenth of the entries die, then a whole data centre, then the seeds. Those that lost their
-// parent find another one; without seeds they gather below a few of themselves, which read
-// the platform, and nobody is in a loop.
+// A tenth of the entries die, then a whole data centre, then the seeds. Entries that lost their parent find
+// another one. Without seeds they gather below a few of themselves, which read the platform, and there is
+// no loop.
 func TestFleetLosesEntries(t *testing.T) {
 	f := newFleet(t, 400, same(0.2))
 	f.settle(3)
@@ -283,7 +285,7 @@
 	}
 	f.settle(3)
 	if alone, _, _, _ := f.check(); alone > 0 {
-		t.Error("after deaths:", alone, "alone")
+		t.Error("after single deaths:", alone, "without a parent")
 	}
 	for _, m := range f.all {
 		if m.centre == "b" && !m.dead {
@@ -292,7 +294,7 @@
 	}
 	f.settle(3)
 	if alone, _, _, _ := f.check(); alone > 0 {
-		t.Error("after a data centre's death:", alone, "alone")
+		t.Error("after a data centre's death:", alone, "without a parent")
 	}
 	for _, m := range f.all[:3] {
 		if !m.dead {
@@ -301,6 +303,6 @@
 	}
 	f.settle(10)
 	if alone, _, _, _ := f.check(); alone > 40 {
-		t.Error("without seeds:", alone, "alone of 260")
+		t.Error("without seeds:", alone, "of 260 without a parent")
 	}
 }
