--- a/stoattree/tree.go
+++ b/stoattree/tree.go
@@ -53,7 +53,7 @@
 	Stale     Refusal = "knows only what is too old"                  // this entry's knowledge is older than the requester's MaxAge
 	Loop      Refusal = "is told by the one that asks"                // the requester is above this entry in the tree
 	NoRoot    Refusal = "out of touch, and not the first of its kind" // this entry has no parent and may not be a root for the requester
-	OtherSide Refusal = "in another data centre"                      // this entry is in another data centre, where the requester should not or need not have its parent
+	OtherSide Refusal = "in another data centre"                      // the requester is in another data centre and has a nearer entry to ask
 	Full      Refusal = "tells as many as it can"                     // this entry has as many children as it can serve
 )
 
