--- a/stoatpeer/catalogue.go
+++ b/stoatpeer/catalogue.go
@@ -2,21 +2,21 @@
 
 import "github.com/stoatpaddle/stoatpaddle/stoatevent"
 
-// The numbered events of connections between entries.
+// The events of connections between entries.
 var (
 	EventFrame = stoatevent.Register(stoatevent.Entry{
 		Number: 1101, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "malformed frame",
-		Text:  "A peer's connection brought something that is no frame of this protocol, or one over the size cap. That connection is closed and dialled again; nothing else is touched. If it repeats, something other than an entry connects to the peer port.",
+		Text:  "A peer's connection carried something that is not a frame of this protocol, or a frame above the size limit. The entry closes that connection and dials again; other connections are not affected. If the event repeats, check what connects to the peer port, as it may not be an entry.",
 	})
 	EventStranger = stoatevent.Register(stoatevent.Entry{
 		Number: 1102, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "peer refused",
-		Text:  "The other side's hello names another cluster, or this entry itself. Check the cluster and the addresses in its settings.",
+		Text:  "The peer's hello names another cluster, or this entry itself. The entry closes the connection. Check the cluster and the addresses in the settings of both.",
 	})
 	EventSlow = stoatevent.Register(stoatevent.Entry{
 		Number: 1103, Severity: stoatevent.Warning, Since: "0.1",
-		Title: "peer does not read",
-		Text:  "A peer took too long to read what was sent. The connection is closed, so that it cannot hold memory here, and dialled again.",
+		Title: "peer reads too slowly",
+		Text:  "A peer reads messages more slowly than they are sent, and its queue is full. The entry closes the connection, which frees the memory of the queue, and dials again. If the event repeats, check the load of the peer and the network to it.",
 	})
 )
--- a/stoatpeer/codec.go
+++ b/stoatpeer/codec.go
@@ -11,7 +11,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// Kind is the second byte after a frame's length.
+// Kind is the type of a message, the second byte after a frame's length.
 type Kind byte
 
 const (
@@ -26,41 +26,37 @@
 
 const (
 	frameVersion = 1
-	frameHead    = 4 // length
-	// MaxFrame bounds a frame, so that a wrong length cannot take the entry's memory: it
-	// holds a few objects of the platform's greatest size, one megabyte.
+	frameHead    = 4 // length, bytes
+	// MaxFrame limits the bytes of a frame, so that a wrong length cannot exhaust the entry's memory. It
+	// leaves room for several objects of the platform's maximum size, one megabyte.
 	MaxFrame = 4 << 20
-	// maxList bounds the elements of a list before any is read.
+	// maxList limits the length of a list before any element is read.
 	maxList = 1 << 20
 )
 
-// FrameError reports a frame that does not follow the protocol; the connection is closed.
+// FrameError reports a frame that violates the protocol; the connection is closed.
 type FrameError struct {
 	Where string
 	Cause error
 }
 
-// Error names the place in the frame.
 func (e *FrameError) Error() string { return fmt.Sprintf("frame: %s: %v", e.Where, e.Cause) }
 
-// Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Cause }
 
-// RangeError reports a number in a frame that is out of its range.
+// RangeError reports a number in a frame that is out of range.
 type RangeError struct{ Got, Most int }
 
-// Error tells the number and its bound.
 func (e *RangeError) Error() string {
 	return fmt.Sprintf("%d is out of range (at most %d)", e.Got, e.Most)
 }
 
-// UnknownMessageError reports a message that the codec has no kind for.
+// UnknownMessageError reports a message kind that the codec does not support.
 type UnknownMessageError struct{ Kind Kind }
 
-// Error names the kind.
 func (e *UnknownMessageError) Error() string { return fmt.Sprintf("unknown kind %d", e.Kind) }
 
-// Encode returns the message's frame.
+// Encode returns the frame of a message, or *FrameError.
 func Encode(m stoatmessage.Message) ([]byte, error) {
 	var buf bytes.Buffer
 	buf.Write(make([]byte, frameHead))
@@ -120,7 +116,7 @@
 	return Decode(body)
 }
 
-// Decode reads a frame after its length, or returns *FrameError.
+// Decode decodes the part of a frame after its length, or returns *FrameError.
 func Decode(body []byte) (stoatmessage.Message, error) {
 	if len(body) < 2 || body[0] != frameVersion {
 		return nil, &FrameError{Where: "version", Cause: &RangeError{Got: len(body), Most: frameVersion}}
--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -11,7 +11,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// decoder keeps the first error; after it, every field reads as zero.
+// decoder reads the fields of a message. It keeps the first error, and every later read returns a zero
+// value.
 type decoder struct {
 	in  *msgpack.Decoder
 	err error
--- a/stoatpeer/encode.go
+++ b/stoatpeer/encode.go
@@ -11,7 +11,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// encoder keeps the first error, so that each message reads as a list of its fields.
+// encoder writes the fields of a message. It keeps the first error, so that each message is encoded as a
+// plain sequence of its fields.
 type encoder struct {
 	out *msgpack.Encoder
 	err error
@@ -62,7 +63,7 @@
 	e.uint(uint64(stateCode(m.State)))
 }
 
-// states gives the instance states their numbers on the wire.
+// states lists the instance states in the order of their numbers on the wire.
 var states = []stoatpaddle.State{stoatpaddle.StateJoining, stoatpaddle.StateLive, stoatpaddle.StateLeaving}
 
 func stateCode(s stoatpaddle.State) int { return max(0, slices.Index(states, s)) }
@@ -125,7 +126,7 @@
 
 const flowBytes = stoatpaddle.FlowHashBits / 8
 
-// appendFlow appends the flow's hash in as many bytes as it has.
+// appendFlow appends a flow's hash in big-endian order, without the leading bytes that it does not use.
 func appendFlow(b []byte, k stoatpaddle.FlowHash) []byte {
 	var full [8]byte
 	binary.BigEndian.PutUint64(full[:], uint64(k))
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -20,7 +20,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// TestMain fixes the seed of the random messages, so that the verdict is the same every time.
+// TestMain fixes the seed of the random messages, so that the result is the same every time.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -91,9 +91,9 @@
 		if d := cmp.Diff(m, got, cmpopts.EquateComparable(netip.AddrPort{}), cmpopts.EquateEmpty()); d != "" {
 			t.Fatal(d)
 		}
-		// The byte budget is kept by the engine's own estimate: it must not be too low.
+		// The engine keeps its byte budget by Batch.Size, an estimate that must not be too low.
 		if f, ok := m.(*stoatmessage.Flows); ok && f.Batch.Size() < len(frame) {
-			t.Fatalf("a batch of %d bytes was counted as %d", len(frame), f.Batch.Size())
+			t.Fatalf("a batch of %d bytes was estimated as %d", len(frame), f.Batch.Size())
 		}
 	})
 }
@@ -117,7 +117,7 @@
 	})
 }
 
-// recorder notes what happens on the connections.
+// recorder records events of the connections.
 type recorder struct {
 	mu   sync.Mutex
 	cond *sync.Cond
@@ -137,7 +137,7 @@
 	r.cond.Broadcast()
 }
 
-// wait returns once what was noted; a test that never sees it ends by go test's own limit.
+// wait returns once an event has been recorded. If it never is, go test's own timeout ends the test.
 func (r *recorder) wait(what string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,9 +174,9 @@
 	return tr, r, tr.ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Two entries talk. Then a stranger connects and sends, in turn, no frame, a frame of two
-// gigabytes and a hello of another cluster: each closes its own connection with a numbered
-// event, and the entries go on talking.
+// Two entries are connected. Other connections then send data that is not a frame, a frame of two gigabytes
+// and a hello of another cluster. Each must be closed with a numbered event, while the two entries continue
+// to exchange messages.
 func TestMalformedFrameHarmsNothingElse(t *testing.T) {
 	a, _, addrA := start(t, "a")
 	b, rb, _ := start(t, "b")
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -22,13 +22,13 @@
 const (
 	dialTimeout  = time.Second
 	helloTimeout = 2 * time.Second
-	// silence is how long a connection may bring nothing: heartbeats come every half
-	// second, so one that went silent is dropped although TCP still believes in it.
+	// idleTimeout is how long a connection may be without a message. Heartbeats come every half second, so
+	// that a connection without any is closed although TCP still considers it open.
 	silence   = 3 * time.Second
-	queueSize = 512
+	queueSize = 512 // frames that wait for one peer
 )
 
-// Handler takes what happens on the connections. Its methods must not block for long.
+// Handler is told of connections and messages. Its methods must not block for long.
 type Handler interface {
 	Connected(h stoatmessage.Hello)
 	Disconnected(id stoatpaddle.InstanceID)
@@ -41,11 +41,12 @@
 	Addr    netip.AddrPort
 	Handler Handler
 	Log     stoatevent.Sink
-	// Severed tells that the network between this entry and the address is cut; tests set it.
+	// Partitioned reports whether the network between this entry and the instance counts as cut; tests set
+	// it.
 	Severed func(id stoatpaddle.InstanceID) bool
 }
 
-// Transport holds the connections of one entry with its peers.
+// Transport manages the connections of one entry with its peers.
 type Transport struct {
 	cfg   Config
 	ln    net.Listener
@@ -60,7 +61,7 @@
 	received atomic.Int64
 }
 
-// link is one connection after both hellos.
+// peerConn is one connection after both hellos.
 type link struct {
 	id   stoatpaddle.InstanceID
 	conn net.Conn
@@ -76,7 +77,7 @@
 	})
 }
 
-// New listens for peers.
+// New starts to listen for peers.
 func New(ctx context.Context, cfg Config) (*Transport, error) {
 	ln, err := net.Listen("tcp", cfg.Addr.String())
 	if err != nil {
@@ -89,7 +90,7 @@
 	return t, nil
 }
 
-// SetInstance changes what later hellos say of this entry.
+// SetInstance replaces the instance that later hellos carry.
 func (t *Transport) SetInstance(i stoatpaddle.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,14 +103,14 @@
 	return t.cfg.Hello
 }
 
-// Connected tells whether there is a connection with the peer.
+// Connected reports whether there is a connection with the peer.
 func (t *Transport) Connected(id stoatpaddle.InstanceID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.links[id] != nil
 }
 
-// Close ends every connection and waits for the goroutines.
+// Close closes every connection and waits for the goroutines.
 func (t *Transport) Close() {
 	t.stop()
 	_ = t.ln.Close()
@@ -152,7 +153,7 @@
 	})
 }
 
-// Hangup closes the connection with a peer.
+// Disconnect closes the connection with a peer.
 func (t *Transport) Hangup(id stoatpaddle.InstanceID) {
 	t.mu.Lock()
 	l := t.links[id]
@@ -162,7 +163,8 @@
 	}
 }
 
-// Send queues a message; without a connection it is dropped.
+// Send queues a message for a peer. The message is dropped if there is no connection, and the connection is
+// closed if its queue is full.
 func (t *Transport) Send(to stoatpaddle.InstanceID, m stoatmessage.Message) {
 	t.mu.Lock()
 	l := t.links[to]
@@ -210,7 +212,7 @@
 	}
 }
 
-// greet exchanges hellos.
+// handshake exchanges hellos and checks the one of the peer.
 func (t *Transport) greet(conn net.Conn) (*stoatmessage.Hello, *bufio.Reader, bool) {
 	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
 	own := t.hello()
@@ -240,7 +242,7 @@
 }
 
 func (t *Transport) malformed(conn net.Conn, err error) {
-	// The end of a connection is no breach of the protocol.
+	// The end of a connection is not a violation of the protocol.
 	var netErr net.Error
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netErr) {
 		return
@@ -248,7 +250,8 @@
 	t.cfg.Log.Emit(EventFrame, stoatevent.F("address", conn.RemoteAddr().String()), stoatevent.F("cause", err.Error()))
 }
 
-// add makes l the connection with its peer in place of an earlier one.
+// add registers l as the connection with its peer, in place of an earlier one. It returns false if the
+// transport is closed.
 func (t *Transport) add(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -262,6 +265,7 @@
 	return true
 }
 
+// remove unregisters l, or returns false if a later connection has replaced it.
 func (t *Transport) remove(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
