--- a/stoattunnel/build.go
+++ b/stoattunnel/build.go
@@ -21,7 +21,7 @@
 
 const defaultTTL = 64
 
-// Build returns the segment as an IP packet with checksums.
+// BuildSegment returns the segment as an IP packet with checksums.
 func Build(s Segment) ([]byte, error) {
 	tcp := &layers.TCP{
 		SrcPort: layers.TCPPort(s.Src.Port()),
@@ -61,8 +61,8 @@
 	return ip, ip
 }
 
-// ResetFor returns the reset that tells the caller of p that its flow is refused or
-// lost; its numbers follow RFC 9293 section 3.5.2, so that the caller accepts it.
+// ResetToCaller returns the reset that tells the caller of p that its flow is refused or lost. Its sequence
+// and acknowledgment numbers follow RFC 9293 section 3.5.2, so that the caller accepts it.
 func ResetFor(p *stoatpacket.Packet) ([]byte, error) {
 	s := Segment{Src: p.Tuple.Dst, Dst: p.Tuple.Src, RST: true}
 	if p.Opens {
@@ -74,11 +74,11 @@
 	return Build(s)
 }
 
-// quoteSize is what an ICMP error quotes of the packet at most (RFC 1812, 4.3.2.3).
+// maxQuoteSize is how many bytes of the packet an ICMP error quotes at most (RFC 1812, 4.3.2.3).
 const quoteSize = 548
 
-// Unreachable returns the ICMP error that tells the caller of the packet in data, which
-// was parsed as p, that nothing takes its UDP flow (RFC 792, RFC 4443: port unreachable).
+// PortUnreachable returns the ICMP error that tells a caller that nothing accepts its UDP flow (RFC 792,
+// RFC 4443: port unreachable). data is the packet of the caller, and p is what was parsed from it.
 func Unreachable(p *stoatpacket.Packet, data []byte) ([]byte, error) {
 	quoted := gopacket.Payload(data[:min(len(data), quoteSize)])
 	src, dst := p.Tuple.Dst.Addr(), p.Tuple.Src.Addr()
@@ -101,8 +101,8 @@
 	return buf.Bytes(), eris.Wrap(err, "serialize unreachable")
 }
 
-// ResetTo returns the reset that ends the flow of p at its upstream, which would
-// otherwise hold the connection for a caller that has given it up.
+// ResetToUpstream returns the reset that ends the flow of p at its upstream, which would otherwise keep the
+// connection for a caller that has given it up.
 func ResetTo(p *stoatpacket.Packet) ([]byte, error) {
 	return Build(Segment{Src: p.Tuple.Src, Dst: p.Tuple.Dst, RST: true, Seq: p.Seq})
 }
--- a/stoattunnel/parse.go
+++ b/stoattunnel/parse.go
@@ -11,7 +11,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// Parser reads packets without allocating; one goroutine uses it at a time.
+// Parser parses packets without allocating. It must not be used by several goroutines at once.
 type Parser struct {
 	ip4   layers.IPv4
 	ip6   layers.IPv6
@@ -28,13 +28,15 @@
 const (
 	version4 = 4
 	version6 = 6
-	// icmp6Unused is the length of the field between an ICMPv6 header and the packet it quotes (RFC 4443).
+	// icmp6Unused is the length of the unused field between an ICMPv6 header and the packet that it quotes
+	// (RFC 4443).
 	icmp6Unused = 4
-	// quotedPorts is what an ICMP error quotes of the transport header at least (RFC 792): the two ports.
+	// quotedPorts is how many bytes of the transport header an ICMP error quotes at least (RFC 792): the
+	// two ports.
 	quotedPorts = 4
 )
 
-// Parse fills p from data and returns why the packet must be dropped, if it must.
+// Parse fills p from data and returns the reason to drop the packet, or DropNone.
 func (r *Parser) Parse(data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
 	*p = stoatpacket.Packet{}
 	if len(data) == 0 {
@@ -54,8 +56,8 @@
 	if err := r.ip4.DecodeFromBytes(data, r.none); err != nil {
 		return stoatpacket.DropShort
 	}
-	// A fragment after the first has no ports, so it cannot be told whose it is;
-	// the first would reach an upstream that never gets the rest.
+	// A later fragment has no ports, so that its flow is not known. The first one would reach an upstream
+	// that never gets the rest.
 	if r.ip4.FragOffset != 0 || r.ip4.Flags&layers.IPv4MoreFragments != 0 {
 		return stoatpacket.DropFragment
 	}
@@ -118,8 +120,8 @@
 	}
 }
 
-// parseICMP4 takes the flow from the packet that the error quotes: that packet went
-// from the upstream to the caller, so its source is the service (RFC 792, RFC 1191).
+// parseICMP4 takes the flow from the packet that the error quotes. That packet went from the upstream to
+// the caller, so its source is the service (RFC 792, RFC 1191).
 func (r *Parser) parseICMP4(p *stoatpacket.Packet) stoatpacket.DropReason {
 	if err := r.icmp4.DecodeFromBytes(r.ip4.Payload, r.none); err != nil {
 		return stoatpacket.DropShort
@@ -161,6 +163,8 @@
 	return quote(quoted[6], src, dst, quoted[header:], p)
 }
 
+// setQuotedFlow fills p with the flow of a packet that an ICMP error quotes, its source and destination
+// exchanged.
 func quote(proto uint8, src, dst netip.Addr, ports []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
 	p.Tuple.Protocol = stoatpaddle.Protocol(proto)
 	if p.Tuple.Protocol != stoatpaddle.ProtocolTCP && p.Tuple.Protocol != stoatpaddle.ProtocolUDP {
--- a/stoattunnel/parse_test.go
+++ b/stoattunnel/parse_test.go
@@ -32,7 +32,8 @@
 	return out
 }
 
-// tooBig quotes a packet from the service to the caller, as a router on the way would.
+// tooBig returns an ICMP error that quotes a packet from the service to the caller, as a router on the path
+// sends it.
 func tooBig(t testing.TB) []byte {
 	quoted := segment(t, Segment{Src: service4, Dst: caller4, ACK: true})[:28]
 	head := segment(t, Segment{Src: netip.MustParseAddrPort("192.0.2.1:1"), Dst: service4})[:20]
@@ -72,7 +73,7 @@
 }
 
 func TestParsedFields(t *testing.T) {
-	convey.Convey("A packet and an ICMP error about its answer belong to one flow", t, func() {
+	convey.Convey("A packet and an ICMP error about its response belong to the same flow", t, func() {
 		var p, e stoatpacket.Packet
 		r := NewParser()
 		convey.So(r.Parse(segment(t, Segment{Src: caller4, Dst: service4, SYN: true, Seq: 9}), &p), convey.ShouldEqual, stoatpacket.DropNone)
