--- a/stoatmessage/doc.go
+++ b/stoatmessage/doc.go
@@ -1,2 +1,2 @@
-// Package stoatmessage defines what entries tell each other.
+// Package stoatmessage defines the messages that entries exchange over peer connections.
 package stoatmessage
--- a/stoatmessage/message.go
+++ b/stoatmessage/message.go
@@ -5,43 +5,43 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatflow"
 )
 
-// Message is one of the types below.
+// Message is any of the message types of this package.
 type Message interface{ isMessage() }
 
-// Hello opens a connection, from both sides.
+// Hello is the first message on a connection, sent by both sides.
 type Hello struct {
 	Cluster  stoatpaddle.ClusterID
 	Instance stoatpaddle.Instance
 }
 
-// Digest sums up the versions that an entry holds.
+// Digest summarizes the object versions that an entry holds. Entries with different digests hold different versions.
 type Digest struct {
-	Newest stoatpaddle.Version
-	Sum    uint32
+	Newest stoatpaddle.Version // highest version
+	Sum    uint32              // XOR of the hashes of all objects with their versions
 }
 
-// Heartbeat tells that the sender lives and what it holds.
+// Heartbeat says that the sender is alive, and which objects it holds.
 type Heartbeat struct {
 	Digest Digest
 	State  stoatpaddle.State // of the sender
 }
 
-// Held is the version of one object.
+// ObjectVersion is a reference to one version of an object.
 type Held struct {
 	Ref     stoatpaddle.Ref
 	Version stoatpaddle.Version
 }
 
-// Have offers objects; the receiver asks for those it lacks.
+// Have offers objects; the receiver requests those that it lacks with Want.
 type Have struct{ Objects []Held }
 
-// Want asks for objects.
+// Want requests objects.
 type Want struct{ Refs []stoatpaddle.Ref }
 
-// Objects carries objects that were asked for.
+// Objects carries objects that were requested.
 type Objects struct{ Objects []stoatpaddle.Object }
 
-// Members tells which entries the sender knows, and their states.
+// Members lists the instances that the sender knows, with their states.
 type Members struct{ Instances []stoatpaddle.Instance }
 
 // Flows carries flow records and load reports.
