--- a/stoatoutlier/delay.go
+++ b/stoatoutlier/delay.go
@@ -9,57 +9,57 @@
 // delayEstimator measures how long a claim of this entry takes to the root of the relay tree and back in
 // the sum.
 //
-// A fixed delay is not enough: a data centre of three hundred entries has a deeper tree than one of thirty.
+// A fixed delayEstimator is not enough: a data centre of three hundred entries has a deeper tree than one of thirty.
 // Two entries lost a packet to the same upstream there, and the report that a third entry had heard from it
 // was still on its way when the others ejected the upstream.
-type delay struct {
+type delayEstimator struct {
 	key  stoatpaddle.UpstreamKey // upstream of the claim that is being timed
-	sent time.Time               // when that claim was sent; zero: no claim is being timed
-	took time.Duration           // time to the root and back; 0: not measured yet
+	sentAt time.Time               // when that claim was sent; zero: no claim is being timed
+	roundTrip time.Duration           // time to the root and back; 0: not measured yet
 }
 
 const (
 	// initialDelay is used until a claim has been timed: three levels, up and down, twice.
-	delayFirst = 150 * time.Millisecond
-	delayLeast = 100 * time.Millisecond
+	initialDelay = 150 * time.Millisecond
+	minDelay = 100 * time.Millisecond
 	// maxDelay limits the effect of a single report that was lost and sent again.
-	delayMost = 500 * time.Millisecond
+	maxDelay = 500 * time.Millisecond
 	// decreaseWeight is the weight of a sample that is shorter than the estimate. A longer sample replaces
 	// the estimate.
-	delayWeight = 0.125
+	decreaseWeight = 0.125
 )
 
 // reportSent starts to time a claim of this entry's own that the update carries, unless one is being timed.
-func (d *delay) reported(now time.Time, own []Report, u Update) {
-	if !d.sent.IsZero() && now.Sub(d.sent) < delayMost {
+func (d *delayEstimator) reportSent(now time.Time, own []Report, u Update) {
+	if !d.sentAt.IsZero() && now.Sub(d.sentAt) < maxDelay {
 		return
 	}
-	d.sent = time.Time{}
+	d.sentAt = time.Time{}
 	for i := range u.Reports {
 		k := u.Reports[i].Key
 		if r := find(own, k); r != nil && r.Entries > 0 {
-			d.key, d.sent = k, now
+			d.key, d.sentAt = k, now
 			return
 		}
 	}
 }
 
 // sumReceived ends the measurement if the sum contains the claim that is being timed.
-func (d *delay) followed(now time.Time, sum []Report) {
-	if d.sent.IsZero() {
+func (d *delayEstimator) sumReceived(now time.Time, sum []Report) {
+	if d.sentAt.IsZero() {
 		return
 	}
 	r := find(sum, d.key)
 	if r == nil || r.Entries == 0 {
 		return
 	}
-	took := now.Sub(d.sent)
-	d.sent = time.Time{}
-	if took > d.took {
-		d.took = took
+	sample := now.Sub(d.sentAt)
+	d.sentAt = time.Time{}
+	if sample > d.roundTrip {
+		d.roundTrip = sample
 		return
 	}
-	d.took -= time.Duration(delayWeight * float64(d.took-took))
+	d.roundTrip -= time.Duration(decreaseWeight * float64(d.roundTrip-sample))
 }
 
 // PropagationDelay returns how long a sign of life may take from the entry that observed it to this one.
@@ -68,8 +68,8 @@
 func (p *Pool) Delay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.delay.took == 0 {
-		return delayFirst
+	if p.delay.roundTrip == 0 {
+		return initialDelay
 	}
-	return min(delayMost, max(delayLeast, 2*p.delay.took))
+	return min(maxDelay, max(minDelay, 2*p.delay.roundTrip))
 }
--- a/stoatoutlier/pacer.go
+++ b/stoatoutlier/pacer.go
@@ -5,28 +5,28 @@
 const (
 	// roundGap is the minimum time between two rounds of an entry. Changes in between go into one message.
 	// Up and down four levels of the tree, the gaps add up to a fifth of a second at most.
-	turnGap = 20 * time.Millisecond
+	roundGap = 20 * time.Millisecond
 	// roundBurst and roundRate (rounds a second) limit the rounds, and with them the messages that an entry
 	// sends. A failure is known everywhere within the first few rounds. Links that lose packets for minutes
 	// cause roundRate messages of 160 bytes a second on each link, which is 1 KB.
-	turnBurst = 60
-	turnRate  = 6.0
+	roundBurst = 60
+	roundRate  = 6.0
 )
 
 // Pacer limits how often an entry runs a round. Its zero value is ready to use.
 type Pacer struct {
 	spent float64   // rounds taken out of the burst
-	at    time.Time // time of the last round
+	last    time.Time // time of the last round
 }
 
 // RecordRound records a round, and returns how long to wait for the next one.
 func (p *Pacer) Took(now time.Time) time.Duration {
-	if !p.at.IsZero() {
-		p.spent = max(0, p.spent-turnRate*now.Sub(p.at).Seconds())
+	if !p.last.IsZero() {
+		p.spent = max(0, p.spent-roundRate*now.Sub(p.last).Seconds())
 	}
-	p.spent, p.at = p.spent+1, now
-	if p.spent <= turnBurst {
-		return turnGap
+	p.spent, p.last = p.spent+1, now
+	if p.spent <= roundBurst {
+		return roundGap
 	}
-	return time.Duration((p.spent - turnBurst) / turnRate * float64(time.Second))
+	return time.Duration((p.spent - roundBurst) / roundRate * float64(time.Second))
 }
--- a/stoatoutlier/pool.go
+++ b/stoatoutlier/pool.go
@@ -11,11 +11,11 @@
 const (
 	// countInterval and fullInterval are the intervals between two reports: the first for failure counts
 	// that changed, the second for everything that is known, changed or not.
-	reportSoon  = 500 * time.Millisecond
-	reportLater = 2 * time.Second
+	countInterval  = 500 * time.Millisecond
+	fullInterval = 2 * time.Second
 	// reportTTL is how long a received report counts. It survives the loss of one report, but not of two in
 	// a row.
-	reportKept = 3 * reportLater
+	reportTTL = 3 * fullInterval
 	// maxReports limits the reports in one message. More upstreams than that do not fail while others
 	// serve.
 	maxReports = 256
@@ -25,21 +25,21 @@
 // that its parent sends. Its methods may be called by several goroutines.
 type Pool struct {
 	mu       sync.Mutex
-	children map[netip.AddrPort]timed
+	children map[netip.AddrPort]receivedReports
 	parent   netip.AddrPort // relay parent in this data centre; invalid: none
-	sum      timed          // over the data centre, as the parent sent it
-	up       Stream         // what the parent was sent
-	delay    delay
-	changed  time.Time // when the parent last changed
+	sum      receivedReports          // over the data centre, as the parent sent it
+	toParent       Stream         // what the parent was sent
+	delay    delayEstimator
+	parentSince  time.Time // when the parent last changed
 }
 
 // receivedReports is a list of reports, sorted by key, and the time at which it was received.
-type timed struct {
-	at   time.Time
-	list []Report
+type receivedReports struct {
+	receivedAt   time.Time
+	reports []Report
 }
 
-func (r *timed) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < reportKept }
+func (r *receivedReports) fresh(now time.Time) bool { return !r.receivedAt.IsZero() && now.Sub(r.receivedAt) < reportTTL }
 
 // HandleChildUpdate applies an update from a child, which covers the child and the entries below it. It
 // returns false if the update only names changes to reports that are not known here; the child then has to
@@ -48,7 +48,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.children == nil {
-		p.children = map[netip.AddrPort]timed{}
+		p.children = map[netip.AddrPort]receivedReports{}
 	}
 	for a, r := range p.children {
 		if !r.fresh(now) {
@@ -59,7 +59,7 @@
 	if !known && !u.Whole {
 		return false
 	}
-	p.children[from] = timed{at: now, list: u.onto(before.list)}
+	p.children[from] = receivedReports{receivedAt: now, reports: u.applyTo(before.reports)}
 	return true
 }
 
@@ -77,31 +77,31 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if parent != p.parent {
-		p.parent, p.sum, p.up, p.changed = parent, timed{}, Stream{}, now
+		p.parent, p.sum, p.toParent, p.parentSince = parent, receivedReports{}, Stream{}, now
 	}
 	if parent.IsValid() {
-		p.sum = timed{at: now, list: u.onto(p.sum.list)}
-		p.delay.followed(now, p.sum.list)
+		p.sum = receivedReports{receivedAt: now, reports: u.applyTo(p.sum.reports)}
+		p.delay.sumReceived(now, p.sum.reports)
 	}
 }
 
 // stableAfter is how long an entry must have had its parent before the sum covers what all entries heard.
 // An entry that has just joined knows which upstreams are being waited for, but not yet which of them
 // answered.
-const steadyAfter = 500 * time.Millisecond
+const stableAfter = 500 * time.Millisecond
 
 // Stable reports whether this entry has had its parent for long enough to rely on the sum.
 func (p *Pool) Steady(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return now.Sub(p.changed) >= steadyAfter
+	return now.Sub(p.parentSince) >= stableAfter
 }
 
 // ResetParentStream makes the next report contain everything, after the parent did not accept one.
 func (p *Pool) Lost() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.up = Stream{}
+	p.toParent = Stream{}
 }
 
 // Suspects returns the upstreams that any entry saw failing, as far as this entry knows.
@@ -110,26 +110,26 @@
 	defer p.mu.Unlock()
 	keys := map[stoatpaddle.UpstreamKey]bool{}
 	if p.sum.fresh(now) {
-		name(keys, p.sum.list)
+		addKeys(keys, p.sum.reports)
 	}
 	for _, r := range p.children {
 		if r.fresh(now) {
-			name(keys, r.list)
+			addKeys(keys, r.reports)
 		}
 	}
 	return keys
 }
 
-func name(keys map[stoatpaddle.UpstreamKey]bool, list []Report) {
+func addKeys(keys map[stoatpaddle.UpstreamKey]bool, list []Report) {
 	for i := range list {
 		keys[list[i].Key] = true
 	}
 }
 
 // subtreeSum returns the sum of what this entry and those below it observed, sorted by key.
-func (p *Pool) add(now time.Time, own []Report) []Report {
+func (p *Pool) subtreeSum(now time.Time, own []Report) []Report {
 	sums := map[stoatpaddle.UpstreamKey]Report{}
-	take := func(list []Report) {
+	addAll := func(list []Report) {
 		for i := range list {
 			r := &list[i]
 			sum := sums[r.Key]
@@ -137,13 +137,13 @@
 			sums[r.Key] = sum.add(r)
 		}
 	}
-	take(own)
+	addAll(own)
 	for _, r := range p.children {
 		if r.fresh(now) {
-			take(r.list)
+			addAll(r.reports)
 		}
 	}
-	return sorted(sums)
+	return sortedByKey(sums)
 }
 
 // outliers returns the reports that count against their upstreams.
@@ -160,10 +160,10 @@
 // reportable returns the reports for the parent: those that count against an upstream, and those on
 // upstreams that are in the sum because of other entries. Without the latter, the sum would consist of the
 // failures that two entries saw and lack the answers of the thirty entries that saw no failure.
-func (p *Pool) due(below []Report) []Report {
+func (p *Pool) reportable(below []Report) []Report {
 	var out []Report
 	for i := range below {
-		if below[i].outlier() || find(p.sum.list, below[i].Key) != nil {
+		if below[i].outlier() || find(p.sum.reports, below[i].Key) != nil {
 			out = append(out, below[i])
 		}
 	}
@@ -177,19 +177,19 @@
 func (p *Pool) Turn(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	below := p.add(now, own)
+	below := p.subtreeSum(now, own)
 	if !p.parent.IsValid() {
 		return outliers(below), Update{}, netip.AddrPort{}
 	}
-	sum = p.sum.list
+	sum = p.sum.reports
 	if !p.sum.fresh(now) {
 		sum = outliers(below)
 	}
 	if busy {
 		return sum, Update{}, netip.AddrPort{}
 	}
-	u, due := p.up.Next(now, p.due(below), func(r *Report) time.Time {
-		if known := find(p.sum.list, r.Key); known != nil {
+	u, due := p.toParent.Next(now, p.reportable(below), func(r *Report) time.Time {
+		if known := find(p.sum.reports, r.Key); known != nil {
 			return known.First
 		}
 		return time.Time{}
@@ -197,7 +197,7 @@
 	if !due {
 		return sum, Update{}, netip.AddrPort{}
 	}
-	p.delay.reported(now, own, u)
+	p.delay.reportSent(now, own, u)
 	return sum, u, p.parent
 }
 
--- a/stoatoutlier/pool_test.go
+++ b/stoatoutlier/pool_test.go
@@ -11,42 +11,42 @@
 )
 
 var (
-	above  = netip.MustParseAddrPort("10.0.0.1:8166")
-	belowA = netip.MustParseAddrPort("10.0.0.2:8166")
-	belowB = netip.MustParseAddrPort("10.0.0.3:8166")
+	parentAddr  = netip.MustParseAddrPort("10.0.0.1:8166")
+	childA = netip.MustParseAddrPort("10.0.0.2:8166")
+	childB = netip.MustParseAddrPort("10.0.0.3:8166")
 )
 
-func saw(key stoatpaddle.UpstreamKey, answered, failed int) Report {
+func counted(key stoatpaddle.UpstreamKey, answered, failed int) Report {
 	return Report{Key: key, Counts: Counts{Answered: answered, Failed: failed}}
 }
 
 // An entry without a parent in its data centre adds up what it and the entries below it observed. A child's
 // later report replaces its earlier one, and expires once the child stops reporting.
-func TestPoolAddsUp(t *testing.T) {
+func TestAggregatorAddsUp(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
-	p.Take(now, belowA, Update{Whole: true, Reports: []Report{saw(1, 2, 1), saw(2, 5, 0)}})
-	p.Take(now, belowA, Update{Whole: true, Reports: []Report{saw(1, 3, 2), saw(2, 5, 0)}})
-	p.Take(now.Add(5*time.Second), belowB, Update{Whole: true, Reports: []Report{saw(1, 4, 0)}})
-	sum, _, to := p.Turn(now.Add(5*time.Second), []Report{saw(1, 1, 1)}, false)
-	if diff := cmp.Diff([]Report{saw(1, 8, 3)}, sum); diff != "" || to.IsValid() {
+	p.Take(now, childA, Update{Whole: true, Reports: []Report{counted(1, 2, 1), counted(2, 5, 0)}})
+	p.Take(now, childA, Update{Whole: true, Reports: []Report{counted(1, 3, 2), counted(2, 5, 0)}})
+	p.Take(now.Add(5*time.Second), childB, Update{Whole: true, Reports: []Report{counted(1, 4, 0)}})
+	sum, _, to := p.Turn(now.Add(5*time.Second), []Report{counted(1, 1, 1)}, false)
+	if diff := cmp.Diff([]Report{counted(1, 8, 3)}, sum); diff != "" || to.IsValid() {
 		t.Error(diff, to)
 	}
-	sum, _, _ = p.Turn(now.Add(7*time.Second), []Report{saw(1, 1, 1)}, false)
-	if diff := cmp.Diff([]Report{saw(1, 5, 1)}, sum); diff != "" {
+	sum, _, _ = p.Turn(now.Add(7*time.Second), []Report{counted(1, 1, 1)}, false)
+	if diff := cmp.Diff([]Report{counted(1, 5, 1)}, sum); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // An entry with a parent reports changes soon and unchanged reports rarely. It relies on the sum that its
 // parent sent, until that sum is too old or the parent is gone.
-func TestPoolReports(t *testing.T) {
+func TestAggregatorReports(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
-	own := []Report{saw(1, 1, 1)}
-	p.Follow(now, above, Update{Whole: true, Reports: []Report{saw(1, 40, 20)}})
+	own := []Report{counted(1, 1, 1)}
+	p.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{counted(1, 40, 20)}})
 	sum, report, to := p.Turn(now, own, false)
-	if diff := cmp.Diff([]Report{saw(1, 40, 20)}, sum); diff != "" || to != above {
+	if diff := cmp.Diff([]Report{counted(1, 40, 20)}, sum); diff != "" || to != parentAddr {
 		t.Error(diff, to)
 	}
 	if diff := cmp.Diff(own, report.Reports); diff != "" {
@@ -61,10 +61,10 @@
 	if reports != 2 {
 		t.Error("unchanged reports were sent", reports, "times in 4 s")
 	}
-	if _, _, to := p.Turn(now.Add(4600*time.Millisecond), append(own, saw(2, 0, 1)), false); !to.IsValid() {
+	if _, _, to := p.Turn(now.Add(4600*time.Millisecond), append(own, counted(2, 0, 1)), false); !to.IsValid() {
 		t.Error("a new failure is not reported")
 	}
-	if _, report, to := p.Turn(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.onto([]Report{saw(1, 1, 1), saw(2, 0, 1)})) != 0 {
+	if _, report, to := p.Turn(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.applyTo([]Report{counted(1, 1, 1), counted(2, 0, 1)})) != 0 {
 		t.Error("the end of the failures is not reported:", to, report)
 	}
 	if _, _, to := p.Turn(now.Add(20*time.Second), nil, false); to.IsValid() {
@@ -82,13 +82,13 @@
 // Reports with impossible values are left out or cut. Times are sent as ages, since the clocks of two
 // entries may differ by seconds.
 func TestCodec(t *testing.T) {
-	now, there := time.Unix(1000, 0), time.Unix(2000, 0)
-	r := saw(4000000000, 5, 6)
+	now, receiverNow := time.Unix(1000, 0), time.Unix(2000, 0)
+	r := counted(4000000000, 5, 6)
 	r.Silence = Silence{Entries: 2, First: now.Add(-300 * time.Millisecond), Second: now.Add(-100 * time.Millisecond), Heard: now.Add(-time.Second)}
 	want := r
-	want.First, want.Second, want.Heard = there.Add(-300*time.Millisecond), there.Add(-100*time.Millisecond), there.Add(-time.Second)
-	got := Decode(there, Encode(now, []Report{saw(1, 2, 3), r}))
-	if diff := cmp.Diff([]Report{saw(1, 2, 3), want}, got); diff != "" {
+	want.First, want.Second, want.Heard = receiverNow.Add(-300*time.Millisecond), receiverNow.Add(-100*time.Millisecond), receiverNow.Add(-time.Second)
+	got := Decode(receiverNow, Encode(now, []Report{counted(1, 2, 3), r}))
+	if diff := cmp.Diff([]Report{counted(1, 2, 3), want}, got); diff != "" {
 		t.Error(diff)
 	}
 	for _, w := range []WireReport{{Answered: -1, Failed: 5}, {Answered: 1, Failed: -5}, {Waiting: -1}} {
@@ -107,58 +107,58 @@
 // Thirty entries got answers from an upstream, and two saw five requests fail. Once the sum names the
 // upstream, the answers of the thirty must be reported as well: by the failures alone, the upstream would
 // seem to fail most requests.
-func TestPoolReportsWhatOthersName(t *testing.T) {
+func TestAggregatorReportsUpstreamsInSum(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
-	own := []Report{saw(1, 20, 0)}
-	p.Follow(now, above, Update{})
+	own := []Report{counted(1, 20, 0)}
+	p.Follow(now, parentAddr, Update{})
 	if _, _, to := p.Turn(now, own, false); to.IsValid() {
 		t.Error("reported although nothing failed")
 	}
-	p.Follow(now, above, Update{Whole: true, Reports: []Report{saw(1, 2, 5)}})
+	p.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{counted(1, 2, 5)}})
 	_, report, to := p.Turn(now.Add(time.Second), own, false)
-	if diff := cmp.Diff(own, report.Reports); diff != "" || to != above {
+	if diff := cmp.Diff(own, report.Reports); diff != "" || to != parentAddr {
 		t.Error(diff, to)
 	}
 }
 
 // An entry that begins to wait for an upstream without an answer reports that at once, even if it has just
 // reported something else. It reports a sign of life from the upstream at once as well.
-func TestPoolReportsClaimsAtOnce(t *testing.T) {
+func TestAggregatorReportsClaimsAtOnce(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
 	wait := Report{Key: 1, Silence: Silence{Entries: 1, First: now}}
-	p.Follow(now, above, Update{})
-	if _, _, to := p.Turn(at(30*time.Millisecond), []Report{wait}, false); to != above {
+	p.Follow(now, parentAddr, Update{})
+	if _, _, to := p.Turn(at(30*time.Millisecond), []Report{wait}, false); to != parentAddr {
 		t.Error("a wait is not reported at once")
 	}
 	if _, _, to := p.Turn(at(60*time.Millisecond), []Report{wait}, false); to.IsValid() {
 		t.Error("an unchanged wait is reported again")
 	}
 	second := Report{Key: 2, Silence: Silence{Entries: 1, First: at(70 * time.Millisecond)}}
-	if _, _, to := p.Turn(at(90*time.Millisecond), []Report{wait, second}, false); to != above {
+	if _, _, to := p.Turn(at(90*time.Millisecond), []Report{wait, second}, false); to != parentAddr {
 		t.Error("a second wait is not reported at once")
 	}
-	p.Follow(at(100*time.Millisecond), above, Update{Whole: true, Reports: []Report{wait, second}})
+	p.Follow(at(100*time.Millisecond), parentAddr, Update{Whole: true, Reports: []Report{wait, second}})
 	heard := Report{Key: 1, Silence: Silence{Heard: at(110 * time.Millisecond)}}
-	if _, report, to := p.Turn(at(120*time.Millisecond), []Report{heard, second}, false); to != above || len(report.Reports) != 1 || report.Whole {
+	if _, report, to := p.Turn(at(120*time.Millisecond), []Report{heard, second}, false); to != parentAddr || len(report.Reports) != 1 || report.Whole {
 		t.Error("a sign of life is not reported at once:", report)
 	}
 }
 
 // The reports of an entry count once: when it has moved to another relay parent, the earlier parent drops
 // them.
-func TestPoolForgets(t *testing.T) {
+func TestAggregatorRemovesChild(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
 	wait := Report{Key: 1, Silence: Silence{Entries: 1, First: now}}
-	p.Take(now, belowA, Update{Whole: true, Reports: []Report{wait}})
-	p.Take(now, belowB, Update{Whole: true, Reports: []Report{wait}})
+	p.Take(now, childA, Update{Whole: true, Reports: []Report{wait}})
+	p.Take(now, childB, Update{Whole: true, Reports: []Report{wait}})
 	if sum, _, _ := p.Turn(now, nil, false); sum[0].Entries != 2 {
 		t.Error(sum)
 	}
-	p.Forget(belowA)
+	p.Forget(childA)
 	if sum, _, _ := p.Turn(now, nil, false); sum[0].Entries != 1 {
 		t.Error(sum)
 	}
@@ -191,19 +191,19 @@
 
 // The propagation delay is measured with an entry's own claims, from when a claim is sent until the sum
 // contains it. A data centre with a deeper tree waits longer before it ejects an upstream.
-func TestDelayFollowsTheTree(t *testing.T) {
+func TestDelayGrowsWithTree(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
-	p.Follow(now, above, Update{})
-	if d := p.Delay(); d != delayFirst {
+	p.Follow(now, parentAddr, Update{})
+	if d := p.Delay(); d != initialDelay {
 		t.Error("before any measurement:", d)
 	}
 	wait := []Report{{Key: 1, Silence: Silence{Entries: 1, First: now}}}
 	if _, _, to := p.Turn(now, wait, false); !to.IsValid() {
 		t.Fatal("the wait is not reported")
 	}
-	p.Follow(now.Add(40*time.Millisecond), above, Update{Whole: true, Reports: []Report{{Key: 2, Silence: Silence{Entries: 1, First: now}}}})
-	p.Follow(now.Add(180*time.Millisecond), above, Update{Reports: wait})
+	p.Follow(now.Add(40*time.Millisecond), parentAddr, Update{Whole: true, Reports: []Report{{Key: 2, Silence: Silence{Entries: 1, First: now}}}})
+	p.Follow(now.Add(180*time.Millisecond), parentAddr, Update{Reports: wait})
 	if d := p.Delay(); d != 360*time.Millisecond {
 		t.Error("after a claim with a round trip of 180 ms:", d)
 	}
@@ -211,10 +211,10 @@
 
 // Entries wait for a hundred upstreams. Each link carries only what changed, not the full list each time,
 // and the receiver still ends up with the full list.
-func TestStreamSendsWhatChanged(t *testing.T) {
+func TestDeltaTrackerSendsChanges(t *testing.T) {
 	var s Stream
 	now := time.Unix(1000, 0)
-	var list, there []Report
+	var list, received []Report
 	sent := 0
 	for i := range 100 {
 		list = append(list, Report{Key: stoatpaddle.UpstreamKey(i + 1), Silence: Silence{Entries: 1, First: now}})
@@ -223,17 +223,17 @@
 			t.Fatal("a claim is not sent at once")
 		}
 		sent += len(u.Reports)
-		there = u.onto(there)
+		received = u.applyTo(received)
 	}
-	if diff := cmp.Diff(list, there); diff != "" {
+	if diff := cmp.Diff(list, received); diff != "" {
 		t.Error(diff)
 	}
 	if sent != 100 {
 		t.Error(sent, "reports for 100 claims")
 	}
 	u, due := s.Next(now.Add(1100*time.Millisecond), list[:50], SinceFirst)
-	if there = u.onto(there); !due || len(there) != 50 {
-		t.Error("ended waits are still held by the receiver:", len(there))
+	if received = u.applyTo(received); !due || len(received) != 50 {
+		t.Error("ended waits are still held by the receiver:", len(received))
 	}
 	if u, due := s.Next(now.Add(1110*time.Millisecond), list[:50], SinceFirst); due {
 		t.Errorf("sent although nothing changed: %+v", u)
@@ -248,40 +248,40 @@
 func TestPacer(t *testing.T) {
 	var p Pacer
 	start := time.Unix(1000, 0)
-	now, turns := start, 0
+	now, rounds := start, 0
 	for now.Sub(start) < time.Second {
 		now = now.Add(p.Took(now))
-		turns++
+		rounds++
 	}
-	if turns < 45 {
-		t.Error(turns, "rounds in the first second")
+	if rounds < 45 {
+		t.Error(rounds, "rounds in the first second")
 	}
-	for turns = 0; now.Sub(start) < time.Minute; turns++ {
+	for rounds = 0; now.Sub(start) < time.Minute; rounds++ {
 		now = now.Add(p.Took(now))
 	}
-	if perSecond := float64(turns) / 59; perSecond > 1.25*turnRate {
+	if perSecond := float64(rounds) / 59; perSecond > 1.25*roundRate {
 		t.Error(perSecond, "rounds a second for a minute")
 	}
-	if wait := p.Took(now.Add(10 * time.Second)); wait != turnGap {
+	if wait := p.Took(now.Add(10 * time.Second)); wait != roundGap {
 		t.Error("after a quiet period the next change waits", wait)
 	}
 }
 
 // An entry that has just found a parent knows which upstreams are being waited for, but not yet which of
 // them answered.
-func TestSteady(t *testing.T) {
+func TestStable(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
-	p.Follow(now, above, Update{})
+	p.Follow(now, parentAddr, Update{})
 	if p.Steady(at(100*time.Millisecond)) || !p.Steady(at(time.Second)) {
 		t.Error("stable too early or too late after a new parent")
 	}
-	p.Follow(at(time.Second), above, Update{})
+	p.Follow(at(time.Second), parentAddr, Update{})
 	if !p.Steady(at(1100 * time.Millisecond)) {
 		t.Error("not stable although the parent is the same")
 	}
-	p.Take(at(2*time.Second), belowA, Update{Whole: true})
+	p.Take(at(2*time.Second), childA, Update{Whole: true})
 	if !p.Steady(at(2100 * time.Millisecond)) {
 		t.Error("not stable after a new child's first report")
 	}
--- a/stoatoutlier/report.go
+++ b/stoatoutlier/report.go
@@ -44,7 +44,7 @@
 }
 
 // sortedByKey returns the reports in ascending order of their keys.
-func sorted(byUpstream map[stoatpaddle.UpstreamKey]Report) []Report {
+func sortedByKey(byUpstream map[stoatpaddle.UpstreamKey]Report) []Report {
 	return slices.SortedFunc(maps.Values(byUpstream), func(a, b Report) int { return cmp.Compare(a.Key, b.Key) })
 }
 
--- a/stoatoutlier/stream.go
+++ b/stoatoutlier/stream.go
@@ -14,7 +14,7 @@
 
 // applyTo returns the reports that result from applying the update to the list, sorted by key. An empty
 // report removes the earlier one.
-func (u Update) onto(list []Report) []Report {
+func (u Update) applyTo(list []Report) []Report {
 	byUpstream := map[stoatpaddle.UpstreamKey]Report{}
 	if !u.Whole {
 		for _, r := range list {
@@ -28,7 +28,7 @@
 		}
 		byUpstream[r.Key] = r
 	}
-	return sorted(byUpstream)
+	return sortedByKey(byUpstream)
 }
 
 // DeltaTracker records what a receiver was sent, so that the next update contains only what changed.
@@ -37,13 +37,13 @@
 // of the tree fifty times a second with two kilobytes each time.
 type Stream struct {
 	sent   map[stoatpaddle.UpstreamKey]claim
-	whole  time.Time // when everything was last sent; zero: never
-	counts time.Time // when counts were last sent
+	fullAt  time.Time // when everything was last sent; zero: never
+	countsAt time.Time // when counts were last sent
 }
 
 // claim is the part of a report that other entries act upon within milliseconds, and the failure count.
 type claim struct {
-	named   bool // the upstream was sent
+	reported   bool // the upstream was sent
 	waiting int  // waiting entries, at most two: more make no difference
 	alive   bool // a sign of life came after the first entry of the data centre began to wait
 	failed  int
@@ -52,53 +52,53 @@
 // Next returns the update to send for a list, and whether there is anything to send. first returns since
 // when an entry of the data centre has been waiting for an upstream, as far as the receiver knows. A
 // changed claim is due at once, failure counts after countInterval, and everything after fullInterval.
-func (s *Stream) Next(now time.Time, list []Report, first func(*Report) time.Time) (Update, bool) {
+func (s *Stream) Next(now time.Time, reports []Report, first func(*Report) time.Time) (Update, bool) {
 	if s.sent == nil {
 		s.sent = map[stoatpaddle.UpstreamKey]claim{}
 	}
-	counts := now.Sub(s.counts) >= reportSoon
-	u := Update{Whole: len(list) > 0 && now.Sub(s.whole) >= reportLater}
-	listed := make(map[stoatpaddle.UpstreamKey]bool, len(list))
-	for i := range list {
-		r := &list[i]
+	countsDue := now.Sub(s.countsAt) >= countInterval
+	u := Update{Whole: len(reports) > 0 && now.Sub(s.fullAt) >= fullInterval}
+	listed := make(map[stoatpaddle.UpstreamKey]bool, len(reports))
+	for i := range reports {
+		r := &reports[i]
 		listed[r.Key] = true
 		c, old := claimOf(r, first(r)), s.sent[r.Key]
-		if u.Whole || c.differs(old, counts) {
+		if u.Whole || c.differs(old, countsDue) {
 			u.Reports = append(u.Reports, *r)
 			s.sent[r.Key] = c
 		}
 	}
-	for k := range s.sent {
-		if listed[k] {
+	for key := range s.sent {
+		if listed[key] {
 			continue
 		}
-		delete(s.sent, k)
+		delete(s.sent, key)
 		if !u.Whole {
-			u.Reports = append(u.Reports, Report{Key: k})
+			u.Reports = append(u.Reports, Report{Key: key})
 		}
 	}
 	if u.Whole {
-		s.whole = now
+		s.fullAt = now
 	}
-	if counts {
-		s.counts = now
+	if countsDue {
+		s.countsAt = now
 	}
 	return u, len(u.Reports) > 0
 }
 
 func claimOf(r *Report, first time.Time) claim {
 	return claim{
-		named: true, waiting: min(2, r.Entries), failed: r.Failed,
+		reported: true, waiting: min(2, r.Entries), failed: r.Failed,
 		alive: !first.IsZero() && r.Heard.After(first),
 	}
 }
 
 // differs reports whether the claim has to be sent. Once two entries wait for an upstream, its failure
 // count makes no difference any more.
-func (c claim) differs(old claim, counts bool) bool {
-	if c.named != old.named {
+func (c claim) differs(old claim, countsDue bool) bool {
+	if c.reported != old.reported {
 		// Failures without a wait are collected until counts are due.
-		return counts || c.waiting > 0 || c.alive
+		return countsDue || c.waiting > 0 || c.alive
 	}
-	return c.waiting != old.waiting || c.alive != old.alive || counts && c.waiting < 2 && c.failed != old.failed
+	return c.waiting != old.waiting || c.alive != old.alive || countsDue && c.waiting < 2 && c.failed != old.failed
 }
