--- a/stoatrelay/bench_test.go
+++ b/stoatrelay/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-func bigBook(routes, upstreams int) (*stoatroute.Book, stoatpaddle.Declaration) {
+func largeBook(routes, upstreams int) (*stoatroute.Book, stoatpaddle.Declaration) {
 	d := stoatpaddle.Declaration{Version: 1, Caps: map[stoatpaddle.ServiceID]int{"app": 2000}}
 	for i := range routes {
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
@@ -54,7 +54,7 @@
 }
 
 // transfer encodes a body and decodes it as a child does.
-func toldOver(b *testing.B, w *Body) Message {
+func transfer(b *testing.B, w *Body) Message {
 	data, err := Encode(w)
 	if err != nil {
 		b.Fatal(err)
@@ -75,12 +75,12 @@
 func BenchmarkWhole(b *testing.B) {
 	for _, n := range []int{18, 150, 3000, 43000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			book, _ := bigBook(14, n)
+			book, _ := largeBook(14, n)
 			t := book.Table()
 			now := time.Unix(1000, 0)
 			b.ReportAllocs()
 			for range b.N {
-				x := toldOver(b, EncodeBody(now, t, Holds{}))
+				x := transfer(b, EncodeBody(now, t, Holds{}))
 				stoatroute.NewBook(stoatroute.Config{}).Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.Upstreams, Whole: true, Later: true})
 			}
 		})
@@ -91,8 +91,8 @@
 func BenchmarkOneRouteChanges(b *testing.B) {
 	for _, n := range []int{14, 489, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			book, d := bigBook(n, 0)
-			_, held := bigBook(n, 0)
+			book, d := largeBook(n, 0)
+			_, childDeclaration := largeBook(n, 0)
 			now := time.Unix(1000, 0)
 			b.ReportAllocs()
 			for i := range b.N {
@@ -100,11 +100,11 @@
 				d.Version++
 				d.Routes[0].Priority = i
 				book.Declare(d, d.Version)
-				x := toldOver(b, EncodeBody(now, book.Table(), child))
-				if !x.Delta.Fits(held.Version) {
+				x := transfer(b, EncodeBody(now, book.Table(), child))
+				if !x.Delta.Fits(childDeclaration.Version) {
 					b.Fatal("delta does not apply")
 				}
-				held = x.Delta.Onto(&held)
+				childDeclaration = x.Delta.Onto(&childDeclaration)
 			}
 		})
 	}
--- a/stoatrelay/codec_test.go
+++ b/stoatrelay/codec_test.go
@@ -18,31 +18,31 @@
 var listen = netip.MustParseAddrPort("198.18.0.1:443")
 
 // declaredVersion is a declaration with one route, and the revision at which it was written.
-type version struct {
+type declaredVersion struct {
 	revision    stoatpaddle.Version
 	declaration *stoatpaddle.Declaration
 }
 
-func declared(number, revision stoatpaddle.Version) version {
-	return version{revision: revision, declaration: &stoatpaddle.Declaration{
+func declared(number, revision stoatpaddle.Version) declaredVersion {
+	return declaredVersion{revision: revision, declaration: &stoatpaddle.Declaration{
 		Version: number, Routes: []stoatpaddle.Route{{Listen: listen, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}},
 	}}
 }
 
 // registeredUpstream is a registration, and the revision at which it was written.
-type entry struct {
+type registeredUpstream struct {
 	revision     stoatpaddle.Version
 	registration *stoatpaddle.Registration
 }
 
-func registered(id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) entry {
-	return entry{revision: revision, registration: &stoatpaddle.Registration{
+func registered(id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) registeredUpstream {
+	return registeredUpstream{revision: revision, registration: &stoatpaddle.Registration{
 		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, Created: revision,
 	}}
 }
 
 // A child decodes what its parent encoded, and later messages contain only what changed.
-func TestNewsCodec(t *testing.T) {
+func TestMessageCodec(t *testing.T) {
 	c, r := declared(4, 9), registered("i-2", 2, 7)
 	c.declaration.Caps = map[stoatpaddle.ServiceID]int{"app": 2000}
 	c.declaration.ColdRates = map[stoatpaddle.ServiceID]float64{"app": 2.5}
@@ -57,7 +57,7 @@
 	b.Declare(*c.declaration, c.revision)
 	b.Register(now, *r.registration, r.revision)
 	first := b.Table()
-	got, err := Decode(&Head{Known: 12}, overTheWire(t, EncodeBody(now.Add(time.Second), first, Holds{})))
+	got, err := Decode(&Head{Known: 12}, roundTrip(t, EncodeBody(now.Add(time.Second), first, Holds{})))
 	if err != nil || got.Delta == nil || len(got.Upstreams) != 1 || !got.Whole || got.Known.Revision != 12 {
 		t.Fatalf("%+v %v", got, err)
 	}
@@ -71,14 +71,14 @@
 		t.Errorf("%+v", u)
 	}
 	b.Remove(now, "i-2", 12)
-	got, err = Decode(&Head{}, overTheWire(t, EncodeBody(now, b.Table(), HoldsOf(first))))
+	got, err = Decode(&Head{}, roundTrip(t, EncodeBody(now, b.Table(), HoldsOf(first))))
 	if err != nil || got.Delta != nil || len(got.Upstreams) != 1 || got.Upstreams[0].Standing != stoatroute.Gone || got.Upstreams[0].Revision != 12 {
 		t.Errorf("%+v %v", got, err)
 	}
 	if w := EncodeBody(now, b.Table(), HoldsOf(b.Table())); w != nil {
 		t.Errorf("sent again without a change: %+v", w)
 	}
-	for _, spoil := range []func(w *Body){
+	for _, corrupt := range []func(w *Body){
 		func(w *Body) { w.Upstreams[0].Addr = []byte{1} },
 		func(w *Body) { w.Upstreams[0].Standing = 9 },
 		func(w *Body) { w.Upstreams[0].Service = 99 },
@@ -86,7 +86,7 @@
 		func(w *Body) { w.Declared.Routes[0].Listen = nil },
 	} {
 		w := EncodeBody(now, first, Holds{})
-		spoil(w)
+		corrupt(w)
 		if _, err := Decode(&Head{}, w); err == nil {
 			t.Errorf("a faulty body is accepted: %+v", w)
 		}
@@ -98,7 +98,7 @@
 
 func sameAddr(a, b netip.AddrPort) bool { return a == b }
 
-func overTheWire(t *testing.T, w *Body) *Body {
+func roundTrip(t *testing.T, w *Body) *Body {
 	t.Helper()
 	data, err := Encode(w)
 	if err != nil {
@@ -113,13 +113,13 @@
 
 // A route moved to another service while flows are open at the earlier one. An entry that starts afterwards
 // learns of the earlier service from its parent, and must forward packets of those flows too.
-func TestEarlierServicesAreTold(t *testing.T) {
+func TestEarlierServicesAreSent(t *testing.T) {
 	b := stoatroute.NewBook(stoatroute.Config{})
 	first, moved := declared(1, 5), declared(2, 9)
 	moved.declaration.Routes[0].Backends[0].Service = "other"
 	b.Declare(*first.declaration, first.revision)
 	b.Declare(*moved.declaration, moved.revision)
-	got, err := Decode(&Head{}, overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), Holds{})))
+	got, err := Decode(&Head{}, roundTrip(t, EncodeBody(time.Unix(1000, 0), b.Table(), Holds{})))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -132,7 +132,7 @@
 
 // A declaration of two thousand routes changes: one route is added, one changed, one removed. The message
 // contains only these three, and applying it to the earlier version yields the new one.
-func TestDifferenceOfDeclarations(t *testing.T) {
+func TestDeclarationDelta(t *testing.T) {
 	route := func(i int, priority int) stoatpaddle.Route {
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
 		return stoatpaddle.Route{Listen: netip.AddrPortFrom(addr, 443), Priority: priority, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}
@@ -149,7 +149,7 @@
 	next.Routes = append([]stoatpaddle.Route{route(0, 5)}, old.Routes[2:]...)
 	next.Routes = append(next.Routes, route(5000, 1))
 	b.Declare(next, 20)
-	w := overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), HoldsOf(before)))
+	w := roundTrip(t, EncodeBody(time.Unix(1000, 0), b.Table(), HoldsOf(before)))
 	if len(w.Declared.Routes) != 2 || len(w.Declared.Removed) != 1 || w.Declared.Base != 3 {
 		t.Fatal(len(w.Declared.Routes), len(w.Declared.Removed), w.Declared.Base)
 	}
@@ -179,7 +179,7 @@
 	for child, want := range map[Holds]int{{}: 2, HoldsOf(first): 2, HoldsOf(b.Table()): 0} {
 		got := 0
 		if w := EncodeBody(time.Unix(1000, 0), b.Table(), child); w != nil {
-			x, err := Decode(&Head{}, overTheWire(t, w))
+			x, err := Decode(&Head{}, roundTrip(t, w))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -198,7 +198,7 @@
 
 // A parent's message carries an upstream's incarnation: without it, a child would take a restart for a
 // heartbeat.
-func TestIncarnationIsTold(t *testing.T) {
+func TestIncarnationIsSent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := stoatroute.NewBook(stoatroute.Config{})
 	r := registered("i-1", 1, 5).registration
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -11,9 +11,9 @@
 )
 
 // indexError reports an index beyond the names of a body.
-type placeError struct{ place int }
+type indexError struct{ index int }
 
-func (e *placeError) Error() string { return "name index is out of range in a parent's message" }
+func (e *indexError) Error() string { return "name index is out of range in a parent's message" }
 
 // bodyReader converts the fields of a Body; err keeps the first fault.
 type bodyReader struct {
@@ -27,12 +27,12 @@
 	}
 }
 
-func (r *bodyReader) name(place int) string {
-	if place < 0 || place >= len(r.names) {
-		r.fail("name", &placeError{place: place})
+func (r *bodyReader) name(index int) string {
+	if index < 0 || index >= len(r.names) {
+		r.fail("name", &indexError{index: index})
 		return ""
 	}
-	return r.names[place]
+	return r.names[index]
 }
 
 func (r *bodyReader) addr(b []byte) netip.AddrPort {
@@ -82,7 +82,7 @@
 		x.Delta = r.declaration(w.Declared)
 	}
 	for i := range w.Upstreams {
-		x.Upstreams = append(x.Upstreams, r.held(&w.Upstreams[i]))
+		x.Upstreams = append(x.Upstreams, r.upstream(&w.Upstreams[i]))
 	}
 	for _, ev := range w.Evacuated {
 		x.Evacuations = append(x.Evacuations, stoatpaddle.Evacuation{
@@ -95,7 +95,7 @@
 	return x, nil
 }
 
-func (r *bodyReader) held(u *wireHeld) stoatroute.RemoteUpstream {
+func (r *bodyReader) upstream(u *wireHeld) stoatroute.RemoteUpstream {
 	if u.Standing > uint8(stoatroute.Gone) {
 		r.fail("standing of "+u.ID, nil)
 	}
@@ -105,13 +105,13 @@
 			ID: stoatpaddle.UpstreamID(u.ID), Target: stoatpaddle.Target(u.Target), Service: stoatpaddle.ServiceID(r.name(u.Service)),
 			DataCentre: stoatpaddle.DataCentreID(r.name(u.Centre)), Addr: r.addr(u.Addr), Slots: u.Slots, Leaving: u.Leaving,
 			Created: stoatpaddle.Version(u.Created), Cold: time.Duration(u.ColdMS) * time.Millisecond,
-			Incarnation: stoatpaddle.Incarnation(u.Life),
+			Incarnation: stoatpaddle.Incarnation(u.Incarnation),
 		},
 	}
 }
 
 func (r *bodyReader) declaration(w *wireConfig) *Delta {
-	a := &Delta{
+	delta := &Delta{
 		Revision: stoatpaddle.Version(w.Revision), Base: stoatpaddle.Version(w.Base),
 		Declaration: stoatpaddle.Declaration{
 			Version: stoatpaddle.Version(w.Version), Caps: make(map[stoatpaddle.ServiceID]int, len(w.Caps)),
@@ -120,29 +120,29 @@
 	}
 	for _, c := range w.Caps {
 		service := stoatpaddle.ServiceID(r.name(c.Service))
-		a.Declaration.Caps[service] = c.Flows
-		a.Declaration.SetColdRate(service, c.Cold)
+		delta.Declaration.Caps[service] = c.MaxFlows
+		delta.Declaration.SetColdRate(service, c.ColdRate)
 	}
 	for _, b := range w.Removed {
-		a.removed = append(a.removed, r.addr(b))
+		delta.removed = append(delta.removed, r.addr(b))
 	}
 	for i := range w.Routes {
 		x := &w.Routes[i]
 		route := stoatpaddle.Route{
-			Listen: r.addr(x.Listen), Idempotent: x.Repeat, Priority: x.Priority, Objective: time.Duration(x.AimMS) * time.Millisecond,
+			Listen: r.addr(x.Listen), Idempotent: x.Idempotent, Priority: x.Priority, Objective: time.Duration(x.ObjectiveMS) * time.Millisecond,
 		}
-		for _, place := range x.Regions {
-			route.Regions = append(route.Regions, stoatpaddle.RegionID(r.name(place)))
+		for _, index := range x.Regions {
+			route.Regions = append(route.Regions, stoatpaddle.RegionID(r.name(index)))
 		}
 		for _, b := range x.Backends {
 			route.Backends = append(route.Backends, stoatpaddle.Backend{Service: stoatpaddle.ServiceID(r.name(b.Service)), Weight: stoatpaddle.Weight(b.Weight)})
 		}
-		for _, place := range x.Earlier {
-			route.Earlier = append(route.Earlier, stoatpaddle.ServiceID(r.name(place)))
+		for _, index := range x.Earlier {
+			route.Earlier = append(route.Earlier, stoatpaddle.ServiceID(r.name(index)))
 		}
-		a.Declaration.Routes = append(a.Declaration.Routes, route)
+		delta.Declaration.Routes = append(delta.Declaration.Routes, route)
 	}
-	return a
+	return delta
 }
 
 // ParseAddrs parses addresses of entries, or returns *stoatpaddle.DecodeError.
--- a/stoatrelay/delta.go
+++ b/stoatrelay/delta.go
@@ -17,29 +17,29 @@
 // AppliesTo reports whether the delta can be applied to the declaration with version current. A difference
 // from another version would leave out what changed in between. A delta that is not later than current
 // changes nothing and always applies.
-func (a *Delta) Fits(current stoatpaddle.Version) bool {
-	return a == nil || a.Base == 0 || a.Base == current || a.Declaration.Version <= current
+func (delta *Delta) Fits(current stoatpaddle.Version) bool {
+	return delta == nil || delta.Base == 0 || delta.Base == current || delta.Declaration.Version <= current
 }
 
 // ApplyTo returns the declaration that results from applying the delta to d. AppliesTo must hold for d.
-func (a *Delta) Onto(d *stoatpaddle.Declaration) stoatpaddle.Declaration {
-	out := a.Declaration
-	if a.Base == 0 {
+func (delta *Delta) Onto(d *stoatpaddle.Declaration) stoatpaddle.Declaration {
+	out := delta.Declaration
+	if delta.Base == 0 {
 		return out
 	}
-	replaced := make(map[netip.AddrPort]bool, len(a.Declaration.Routes)+len(a.removed))
-	for i := range a.Declaration.Routes {
-		replaced[a.Declaration.Routes[i].Listen] = true
+	replaced := make(map[netip.AddrPort]bool, len(delta.Declaration.Routes)+len(delta.removed))
+	for i := range delta.Declaration.Routes {
+		replaced[delta.Declaration.Routes[i].Listen] = true
 	}
-	for _, listen := range a.removed {
+	for _, listen := range delta.removed {
 		replaced[listen] = true
 	}
-	out.Routes = make([]stoatpaddle.Route, 0, len(d.Routes)+len(a.Declaration.Routes))
+	out.Routes = make([]stoatpaddle.Route, 0, len(d.Routes)+len(delta.Declaration.Routes))
 	for i := range d.Routes {
 		if !replaced[d.Routes[i].Listen] {
 			out.Routes = append(out.Routes, d.Routes[i])
 		}
 	}
-	out.Routes = append(out.Routes, a.Declaration.Routes...)
+	out.Routes = append(out.Routes, delta.Declaration.Routes...)
 	return out
 }
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -27,17 +27,17 @@
 func EncodeRefusal(w io.Writer, r *Refusal) error { return msgpack.NewEncoder(w).Encode(r) }
 
 // nameTable assigns an index to each name that a body refers to.
-type names struct {
+type nameTable struct {
 	list  []string
-	place map[string]int
+	index map[string]int
 }
 
-func (n *names) of(s string) int {
-	i, known := n.place[s]
+func (n *nameTable) indexOf(s string) int {
+	i, known := n.index[s]
 	if !known {
 		i = len(n.list)
 		n.list = append(n.list, s)
-		n.place[s] = i
+		n.index[s] = i
 	}
 	return i
 }
@@ -58,21 +58,21 @@
 	if child.change == t.Change {
 		return nil
 	}
-	n := &names{place: map[string]int{}}
+	n := &nameTable{index: map[string]int{}}
 	w := &Body{Whole: child.change == 0}
 	if t.Altered > child.change {
-		w.Declared = encodeConfig(n, t, child)
+		w.Declared = encodeDeclaration(n, t, child)
 	}
 	for _, u := range t.Since(child.change) {
 		r := &u.Registration
 		w.Upstreams = append(w.Upstreams, wireHeld{
-			ID: string(r.ID), Target: uint64(r.Target), Service: n.of(string(r.Service)), Centre: n.of(string(r.DataCentre)),
+			ID: string(r.ID), Target: uint64(r.Target), Service: n.indexOf(string(r.Service)), Centre: n.indexOf(string(r.DataCentre)),
 			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.Created),
-			Standing: uint8(u.Standing), ColdMS: max(0, u.Warm.Sub(now).Milliseconds()), Life: uint64(r.Incarnation),
+			Standing: uint8(u.Standing), ColdMS: max(0, u.Warm.Sub(now).Milliseconds()), Incarnation: uint64(r.Incarnation),
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
-		w.Evacuated = append(w.Evacuated, wireEvacuation{Centre: n.of(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
+		w.Evacuated = append(w.Evacuated, wireEvacuation{Centre: n.indexOf(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
 	}
 	w.Names = n.list
 	return w
@@ -84,7 +84,7 @@
 	return b
 }
 
-func encodeConfig(n *names, t *stoatroute.Table, child Holds) *wireConfig {
+func encodeDeclaration(n *nameTable, t *stoatroute.Table, child Holds) *wireConfig {
 	d := &t.Declaration
 	w := &wireConfig{
 		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.Idle.Milliseconds(),
@@ -94,7 +94,7 @@
 		w.Base, routes, removed = 0, d.Routes, nil
 	}
 	for s, flows := range d.Caps {
-		w.Caps = append(w.Caps, wireCap{Service: n.of(string(s)), Flows: flows, Cold: d.ColdRates[s]})
+		w.Caps = append(w.Caps, wireCap{Service: n.indexOf(string(s)), MaxFlows: flows, ColdRate: d.ColdRates[s]})
 	}
 	for _, listen := range removed {
 		w.Removed = append(w.Removed, packAddr(listen))
@@ -102,16 +102,16 @@
 	w.Routes = make([]wireRoute, 0, len(routes))
 	for i := range routes {
 		r := &routes[i]
-		out := wireRoute{Listen: packAddr(r.Listen), Repeat: r.Idempotent, AimMS: r.Objective.Milliseconds(), Priority: r.Priority}
+		out := wireRoute{Listen: packAddr(r.Listen), Idempotent: r.Idempotent, ObjectiveMS: r.Objective.Milliseconds(), Priority: r.Priority}
 		for _, region := range r.Regions {
-			out.Regions = append(out.Regions, n.of(string(region)))
+			out.Regions = append(out.Regions, n.indexOf(string(region)))
 		}
 		for _, b := range r.Backends {
-			out.Backends = append(out.Backends, wireBackend{Service: n.of(string(b.Service)), Weight: uint32(b.Weight)})
+			out.Backends = append(out.Backends, wireBackend{Service: n.indexOf(string(b.Service)), Weight: uint32(b.Weight)})
 		}
-		if held := t.Route(r.Listen); held != nil {
-			for _, s := range held.Earlier() {
-				out.Earlier = append(out.Earlier, n.of(string(s)))
+		if current := t.Route(r.Listen); current != nil {
+			for _, s := range current.Earlier() {
+				out.Earlier = append(out.Earlier, n.indexOf(string(s)))
 			}
 		}
 		w.Routes = append(w.Routes, out)
--- a/stoatrelay/shape.go
+++ b/stoatrelay/shape.go
@@ -40,10 +40,10 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *wireRoute) DecodeMsgpack(dec *msgpack.Decoder) error {
-	return decodeFields(dec, &r.Listen, &r.Backends, &r.Earlier, &r.Repeat, &r.AimMS, &r.Priority, &r.Regions)
+	return decodeFields(dec, &r.Listen, &r.Backends, &r.Earlier, &r.Idempotent, &r.ObjectiveMS, &r.Priority, &r.Regions)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (c *wireCap) DecodeMsgpack(dec *msgpack.Decoder) error {
-	return decodeFields(dec, &c.Service, &c.Flows, &c.Cold)
+	return decodeFields(dec, &c.Service, &c.MaxFlows, &c.ColdRate)
 }
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -54,8 +54,8 @@
 	Listen   []byte   // address and port in binary: 6 bytes instead of 17 in text
 	Backends []wireBackend
 	Earlier  []int // indexes of the services that it sent flows to before
-	Repeat   bool  // its requests may run twice
-	AimMS    int64 // objective
+	Idempotent   bool  // its requests may run twice
+	ObjectiveMS    int64 // objective
 	Priority int
 	Regions  []int // indexes of the regions that its flows may go to
 }
@@ -69,8 +69,8 @@
 type wireCap struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  int
-	Flows    int
-	Cold     float64 // requests a second while cold; 0: no limit
+	MaxFlows    int
+	ColdRate     float64 // requests a second while cold; 0: no limit
 }
 
 type wireHeld struct {
@@ -86,7 +86,7 @@
 	Created  uint64
 	Standing uint8
 	ColdMS   int64 // remaining time of its slow start
-	Life     uint64
+	Incarnation     uint64
 }
 
 // Refusal says why an entry does not accept a child, and which entries to ask instead.
