--- a/stoatpeer/codec.go
+++ b/stoatpeer/codec.go
@@ -26,7 +26,7 @@
 
 const (
 	frameVersion = 1
-	frameHead    = 4 // length, bytes
+	lengthSize    = 4 // length, bytes
 	// MaxFrame limits the bytes of a frame, so that a wrong length cannot exhaust the entry's memory. It
 	// leaves room for several objects of the platform's maximum size, one megabyte.
 	MaxFrame = 4 << 20
@@ -59,7 +59,7 @@
 // Encode returns the frame of a message, or *FrameError.
 func Encode(m stoatmessage.Message) ([]byte, error) {
 	var buf bytes.Buffer
-	buf.Write(make([]byte, frameHead))
+	buf.Write(make([]byte, lengthSize))
 	buf.WriteByte(frameVersion)
 	e := &encoder{out: msgpack.NewEncoder(&buf)}
 	e.out.UseCompactInts(true)
@@ -91,17 +91,17 @@
 	if e.err != nil {
 		return nil, &FrameError{Where: "body", Cause: e.err}
 	}
-	if buf.Len()-frameHead > MaxFrame {
-		return nil, &FrameError{Where: "length", Cause: &RangeError{Got: buf.Len() - frameHead, Most: MaxFrame}}
+	if buf.Len()-lengthSize > MaxFrame {
+		return nil, &FrameError{Where: "length", Cause: &RangeError{Got: buf.Len() - lengthSize, Most: MaxFrame}}
 	}
 	frame := buf.Bytes()
-	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameHead))
+	binary.BigEndian.PutUint32(frame, uint32(len(frame)-lengthSize))
 	return frame, nil
 }
 
 // Read reads one frame, or returns *FrameError.
 func Read(r io.Reader) (stoatmessage.Message, error) {
-	var head [frameHead]byte
+	var head [lengthSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, &FrameError{Where: "length", Cause: err}
 	}
--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -18,7 +18,7 @@
 	err error
 }
 
-func take[T any](d *decoder, read func() (T, error)) T {
+func readField[T any](d *decoder, read func() (T, error)) T {
 	var zero T
 	if d.err != nil {
 		return zero
@@ -31,13 +31,13 @@
 	return v
 }
 
-func (d *decoder) text() string  { return take(d, d.in.DecodeString) }
-func (d *decoder) uint() uint64  { return take(d, d.in.DecodeUint64) }
-func (d *decoder) bool() bool    { return take(d, d.in.DecodeBool) }
-func (d *decoder) bytes() []byte { return take(d, d.in.DecodeBytes) }
+func (d *decoder) text() string  { return readField(d, d.in.DecodeString) }
+func (d *decoder) uint() uint64  { return readField(d, d.in.DecodeUint64) }
+func (d *decoder) bool() bool    { return readField(d, d.in.DecodeBool) }
+func (d *decoder) bytes() []byte { return readField(d, d.in.DecodeBytes) }
 
 func (d *decoder) list() int {
-	n := take(d, d.in.DecodeArrayLen)
+	n := readField(d, d.in.DecodeArrayLen)
 	if n < 0 || n > maxList {
 		d.err = &RangeError{Got: n, Most: maxList}
 		return 0
@@ -46,7 +46,7 @@
 }
 
 func (d *decoder) addr() netip.AddrPort {
-	return take(d, func() (netip.AddrPort, error) { return netip.ParseAddrPort(d.text()) })
+	return readField(d, func() (netip.AddrPort, error) { return netip.ParseAddrPort(d.text()) })
 }
 
 func (d *decoder) ref() stoatpaddle.Ref {
@@ -123,7 +123,7 @@
 	m.Batch.Moves = d.records()
 	m.Batch.Copies = d.records()
 	for b := d.bytes(); len(b) >= stoatflow.DropSize; b = b[stoatflow.DropSize:] {
-		m.Batch.Drops = append(m.Batch.Drops, readFlow(b))
+		m.Batch.Drops = append(m.Batch.Drops, decodeFlow(b))
 	}
 	for n := d.list(); n > 0 && d.err == nil; n-- {
 		m.Batch.Loads = append(m.Batch.Loads, d.load())
@@ -135,8 +135,8 @@
 	var out []stoatflow.Record
 	for b := d.bytes(); len(b) >= stoatflow.RecordSize; b = b[stoatflow.RecordSize:] {
 		out = append(out, stoatflow.Record{
-			Key:      readFlow(b),
-			Upstream: stoatpaddle.UpstreamKey(binary.BigEndian.Uint32(b[flowBytes:])),
+			Key:      decodeFlow(b),
+			Upstream: stoatpaddle.UpstreamKey(binary.BigEndian.Uint32(b[flowHashSize:])),
 		})
 	}
 	return out
--- a/stoatpeer/encode.go
+++ b/stoatpeer/encode.go
@@ -124,18 +124,18 @@
 	}
 }
 
-const flowBytes = stoatpaddle.FlowHashBits / 8
+const flowHashSize = stoatpaddle.FlowHashBits / 8
 
 // appendFlow appends a flow's hash in big-endian order, without the leading bytes that it does not use.
 func appendFlow(b []byte, k stoatpaddle.FlowHash) []byte {
 	var full [8]byte
 	binary.BigEndian.PutUint64(full[:], uint64(k))
-	return append(b, full[8-flowBytes:]...)
+	return append(b, full[8-flowHashSize:]...)
 }
 
-func readFlow(b []byte) stoatpaddle.FlowHash {
+func decodeFlow(b []byte) stoatpaddle.FlowHash {
 	var full [8]byte
-	copy(full[8-flowBytes:], b[:flowBytes])
+	copy(full[8-flowHashSize:], b[:flowHashSize])
 	return stoatpaddle.FlowHash(binary.BigEndian.Uint64(full[:]))
 }
 
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -84,7 +84,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := Decode(frame[frameHead:])
+		got, err := Decode(frame[lengthSize:])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +107,7 @@
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(frame[frameHead:])
+		f.Add(frame[lengthSize:])
 	}
 	f.Add([]byte{1, byte(kindHave), 0xdd, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -121,7 +121,7 @@
 type recorder struct {
 	mu   sync.Mutex
 	cond *sync.Cond
-	log  []string
+	events  []string
 }
 
 func newRecorder() *recorder {
@@ -130,10 +130,10 @@
 	return r
 }
 
-func (r *recorder) note(s string) {
+func (r *recorder) record(s string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.log = append(r.log, s)
+	r.events = append(r.events, s)
 	r.cond.Broadcast()
 }
 
@@ -142,7 +142,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for {
-		for _, s := range r.log {
+		for _, s := range r.events {
 			if s == what {
 				return
 			}
@@ -151,17 +151,17 @@
 	}
 }
 
-func (r *recorder) Connected(h stoatmessage.Hello) { r.note("connected " + string(h.Instance.ID)) }
+func (r *recorder) Connected(h stoatmessage.Hello) { r.record("connected " + string(h.Instance.ID)) }
 
-func (r *recorder) Disconnected(id stoatpaddle.InstanceID)          { r.note("disconnected " + string(id)) }
-func (r *recorder) Emit(e *stoatevent.Entry, _ ...stoatevent.Field) { r.note(e.Number.String()) }
+func (r *recorder) Disconnected(id stoatpaddle.InstanceID)          { r.record("disconnected " + string(id)) }
+func (r *recorder) Emit(e *stoatevent.Entry, _ ...stoatevent.Field) { r.record(e.Number.String()) }
 func (r *recorder) Received(from stoatpaddle.InstanceID, m stoatmessage.Message) {
 	if w, ok := m.(*stoatmessage.Want); ok {
-		r.note("want " + string(from) + " " + w.Refs[0].Name)
+		r.record("want " + string(from) + " " + w.Refs[0].Name)
 	}
 }
 
-func start(t *testing.T, id string) (*Transport, *recorder, netip.AddrPort) {
+func startTransport(t *testing.T, id string) (*Transport, *recorder, netip.AddrPort) {
 	r := newRecorder()
 	tr, err := New(context.Background(), Config{
 		Hello: stoatmessage.Hello{Cluster: "c", Instance: instance(id, someAddr)},
@@ -171,15 +171,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(tr.Close)
-	return tr, r, tr.ln.Addr().(*net.TCPAddr).AddrPort()
+	return tr, r, tr.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
 // Two entries are connected. Other connections then send data that is not a frame, a frame of two gigabytes
 // and a hello of another cluster. Each must be closed with a numbered event, while the two entries continue
 // to exchange messages.
-func TestMalformedFrameHarmsNothingElse(t *testing.T) {
-	a, _, addrA := start(t, "a")
-	b, rb, _ := start(t, "b")
+func TestMalformedFrameClosesOnlyItsConnection(t *testing.T) {
+	a, _, addrA := startTransport(t, "a")
+	b, rb, _ := startTransport(t, "b")
 	b.Dial(addrA)
 	rb.wait("connected a")
 	ra, _ := a.cfg.Handler.(*recorder)
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -24,7 +24,7 @@
 	helloTimeout = 2 * time.Second
 	// idleTimeout is how long a connection may be without a message. Heartbeats come every half second, so
 	// that a connection without any is closed although TCP still considers it open.
-	silence   = 3 * time.Second
+	idleTimeout   = 3 * time.Second
 	queueSize = 512 // frames that wait for one peer
 )
 
@@ -49,30 +49,30 @@
 // Transport manages the connections of one entry with its peers.
 type Transport struct {
 	cfg   Config
-	ln    net.Listener
+	listener    net.Listener
 	group *errgroup.Group
 	ctx   context.Context
 	stop  context.CancelFunc
 
 	mu    sync.Mutex
-	links map[stoatpaddle.InstanceID]*link
+	conns map[stoatpaddle.InstanceID]*peerConn
 
 	sent     atomic.Int64
 	received atomic.Int64
 }
 
 // peerConn is one connection after both hellos.
-type link struct {
+type peerConn struct {
 	id   stoatpaddle.InstanceID
 	conn net.Conn
-	out  chan []byte
+	queue  chan []byte
 	once sync.Once
-	gone chan struct{}
+	closed chan struct{}
 }
 
-func (l *link) close() {
+func (l *peerConn) close() {
 	l.once.Do(func() {
-		close(l.gone)
+		close(l.closed)
 		_ = l.conn.Close()
 	})
 }
@@ -85,7 +85,7 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	t := &Transport{cfg: cfg, ln: ln, group: group, ctx: ctx, stop: stop, links: map[stoatpaddle.InstanceID]*link{}}
+	t := &Transport{cfg: cfg, listener: ln, group: group, ctx: ctx, stop: stop, conns: map[stoatpaddle.InstanceID]*peerConn{}}
 	group.Go(t.accept)
 	return t, nil
 }
@@ -107,15 +107,15 @@
 func (t *Transport) Connected(id stoatpaddle.InstanceID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.links[id] != nil
+	return t.conns[id] != nil
 }
 
 // Close closes every connection and waits for the goroutines.
 func (t *Transport) Close() {
 	t.stop()
-	_ = t.ln.Close()
+	_ = t.listener.Close()
 	t.mu.Lock()
-	for _, l := range t.links {
+	for _, l := range t.conns {
 		l.close()
 	}
 	t.mu.Unlock()
@@ -127,7 +127,7 @@
 
 func (t *Transport) accept() error {
 	for {
-		conn, err := t.ln.Accept()
+		conn, err := t.listener.Accept()
 		if err != nil {
 			if t.ctx.Err() != nil {
 				return nil
@@ -156,7 +156,7 @@
 // Disconnect closes the connection with a peer.
 func (t *Transport) Hangup(id stoatpaddle.InstanceID) {
 	t.mu.Lock()
-	l := t.links[id]
+	l := t.conns[id]
 	t.mu.Unlock()
 	if l != nil {
 		l.close()
@@ -167,9 +167,9 @@
 // closed if its queue is full.
 func (t *Transport) Send(to stoatpaddle.InstanceID, m stoatmessage.Message) {
 	t.mu.Lock()
-	l := t.links[to]
+	l := t.conns[to]
 	t.mu.Unlock()
-	if l == nil || t.severed(to) {
+	if l == nil || t.partitioned(to) {
 		return
 	}
 	frame, err := Encode(m)
@@ -178,25 +178,25 @@
 		return
 	}
 	select {
-	case l.out <- frame:
+	case l.queue <- frame:
 	default:
 		t.cfg.Log.Emit(EventSlow, stoatevent.F("peer", string(to)))
 		l.close()
 	}
 }
 
-func (t *Transport) severed(id stoatpaddle.InstanceID) bool {
+func (t *Transport) partitioned(id stoatpaddle.InstanceID) bool {
 	return t.cfg.Severed != nil && t.cfg.Severed(id)
 }
 
 // serve runs one connection to its end.
 func (t *Transport) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	hello, r, ok := t.greet(conn)
+	hello, r, ok := t.handshake(conn)
 	if !ok {
 		return
 	}
-	l := &link{id: hello.Instance.ID, conn: conn, out: make(chan []byte, queueSize), gone: make(chan struct{})}
+	l := &peerConn{id: hello.Instance.ID, conn: conn, queue: make(chan []byte, queueSize), closed: make(chan struct{})}
 	if !t.add(l) {
 		return
 	}
@@ -213,7 +213,7 @@
 }
 
 // handshake exchanges hellos and checks the one of the peer.
-func (t *Transport) greet(conn net.Conn) (*stoatmessage.Hello, *bufio.Reader, bool) {
+func (t *Transport) handshake(conn net.Conn) (*stoatmessage.Hello, *bufio.Reader, bool) {
 	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
 	own := t.hello()
 	frame, err := Encode(&own)
@@ -226,7 +226,7 @@
 	r := bufio.NewReader(conn)
 	m, err := Read(r)
 	if err != nil {
-		t.malformed(conn, err)
+		t.reportMalformed(conn, err)
 		return nil, nil, false
 	}
 	hello, ok := m.(*stoatmessage.Hello)
@@ -234,14 +234,14 @@
 		t.cfg.Log.Emit(EventStranger, stoatevent.F("address", conn.RemoteAddr().String()))
 		return nil, nil, false
 	}
-	if t.severed(hello.Instance.ID) {
+	if t.partitioned(hello.Instance.ID) {
 		return nil, nil, false
 	}
 	_ = conn.SetDeadline(time.Time{})
 	return hello, r, true
 }
 
-func (t *Transport) malformed(conn net.Conn, err error) {
+func (t *Transport) reportMalformed(conn net.Conn, err error) {
 	// The end of a connection is not a violation of the protocol.
 	var netErr net.Error
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netErr) {
@@ -252,37 +252,37 @@
 
 // add registers l as the connection with its peer, in place of an earlier one. It returns false if the
 // transport is closed.
-func (t *Transport) add(l *link) bool {
+func (t *Transport) add(l *peerConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ctx.Err() != nil {
 		return false
 	}
-	if old := t.links[l.id]; old != nil {
+	if old := t.conns[l.id]; old != nil {
 		old.close()
 	}
-	t.links[l.id] = l
+	t.conns[l.id] = l
 	return true
 }
 
 // remove unregisters l, or returns false if a later connection has replaced it.
-func (t *Transport) remove(l *link) bool {
+func (t *Transport) remove(l *peerConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.links[l.id] != l {
+	if t.conns[l.id] != l {
 		return false
 	}
-	delete(t.links, l.id)
+	delete(t.conns, l.id)
 	return true
 }
 
-func (t *Transport) write(l *link) {
+func (t *Transport) write(l *peerConn) {
 	for {
 		select {
-		case <-l.gone:
+		case <-l.closed:
 			return
-		case frame := <-l.out:
-			_ = l.conn.SetWriteDeadline(time.Now().Add(silence))
+		case frame := <-l.queue:
+			_ = l.conn.SetWriteDeadline(time.Now().Add(idleTimeout))
 			n, err := l.conn.Write(frame)
 			t.sent.Add(int64(n))
 			if err != nil {
@@ -293,16 +293,16 @@
 	}
 }
 
-func (t *Transport) read(l *link, r *bufio.Reader) {
-	counted := &stoatcount.Reader{R: r, N: &t.received}
+func (t *Transport) read(l *peerConn, r *bufio.Reader) {
+	counter := &stoatcount.Reader{R: r, N: &t.received}
 	for {
-		_ = l.conn.SetReadDeadline(time.Now().Add(silence))
-		m, err := Read(counted)
+		_ = l.conn.SetReadDeadline(time.Now().Add(idleTimeout))
+		m, err := Read(counter)
 		if err != nil {
-			t.malformed(l.conn, err)
+			t.reportMalformed(l.conn, err)
 			return
 		}
-		if t.severed(l.id) {
+		if t.partitioned(l.id) {
 			return
 		}
 		t.cfg.Handler.Received(l.id, m)
