--- a/stoattunnel/build.go
+++ b/stoattunnel/build.go
@@ -75,12 +75,12 @@
 }
 
 // maxQuoteSize is how many bytes of the packet an ICMP error quotes at most (RFC 1812, 4.3.2.3).
-const quoteSize = 548
+const maxQuoteSize = 548
 
 // PortUnreachable returns the ICMP error that tells a caller that nothing accepts its UDP flow (RFC 792,
 // RFC 4443: port unreachable). data is the packet of the caller, and p is what was parsed from it.
 func Unreachable(p *stoatpacket.Packet, data []byte) ([]byte, error) {
-	quoted := gopacket.Payload(data[:min(len(data), quoteSize)])
+	quoted := gopacket.Payload(data[:min(len(data), maxQuoteSize)])
 	src, dst := p.Tuple.Dst.Addr(), p.Tuple.Src.Addr()
 	buf := gopacket.NewSerializeBuffer()
 	opts := gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
--- a/stoattunnel/parse.go
+++ b/stoattunnel/parse.go
@@ -19,11 +19,11 @@
 	udp   layers.UDP
 	icmp4 layers.ICMPv4
 	icmp6 layers.ICMPv6
-	none  gopacket.DecodeFeedback
+	feedback  gopacket.DecodeFeedback
 }
 
 // NewParser returns a Parser.
-func NewParser() *Parser { return &Parser{none: gopacket.NilDecodeFeedback} }
+func NewParser() *Parser { return &Parser{feedback: gopacket.NilDecodeFeedback} }
 
 const (
 	version4 = 4
@@ -53,7 +53,7 @@
 }
 
 func (r *Parser) parse4(data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
-	if err := r.ip4.DecodeFromBytes(data, r.none); err != nil {
+	if err := r.ip4.DecodeFromBytes(data, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
 	// A later fragment has no ports, so that its flow is not known. The first one would reach an upstream
@@ -69,11 +69,11 @@
 	if r.ip4.Protocol == layers.IPProtocolICMPv4 {
 		return r.parseICMP4(p)
 	}
-	return r.transport(uint8(r.ip4.Protocol), src.Unmap(), dst.Unmap(), r.ip4.Payload, p)
+	return r.parseTransport(uint8(r.ip4.Protocol), src.Unmap(), dst.Unmap(), r.ip4.Payload, p)
 }
 
 func (r *Parser) parse6(data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
-	if err := r.ip6.DecodeFromBytes(data, r.none); err != nil {
+	if err := r.ip6.DecodeFromBytes(data, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
 	if r.ip6.NextHeader == layers.IPProtocolIPv6Fragment {
@@ -87,14 +87,14 @@
 	if r.ip6.NextHeader == layers.IPProtocolICMPv6 {
 		return r.parseICMP6(p)
 	}
-	return r.transport(uint8(r.ip6.NextHeader), src, dst, r.ip6.Payload, p)
+	return r.parseTransport(uint8(r.ip6.NextHeader), src, dst, r.ip6.Payload, p)
 }
 
-func (r *Parser) transport(proto uint8, src, dst netip.Addr, data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
+func (r *Parser) parseTransport(proto uint8, src, dst netip.Addr, data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
 	p.Tuple.Protocol = stoatpaddle.Protocol(proto)
 	switch p.Tuple.Protocol {
 	case stoatpaddle.ProtocolTCP:
-		if err := r.tcp.DecodeFromBytes(data, r.none); err != nil {
+		if err := r.tcp.DecodeFromBytes(data, r.feedback); err != nil {
 			return stoatpacket.DropShort
 		}
 		p.Tuple.Src = netip.AddrPortFrom(src, uint16(r.tcp.SrcPort))
@@ -107,7 +107,7 @@
 		p.Size = len(r.tcp.Payload)
 		return stoatpacket.DropNone
 	case stoatpaddle.ProtocolUDP:
-		if err := r.udp.DecodeFromBytes(data, r.none); err != nil {
+		if err := r.udp.DecodeFromBytes(data, r.feedback); err != nil {
 			return stoatpacket.DropShort
 		}
 		p.Tuple.Src = netip.AddrPortFrom(src, uint16(r.udp.SrcPort))
@@ -123,7 +123,7 @@
 // parseICMP4 takes the flow from the packet that the error quotes. That packet went from the upstream to
 // the caller, so its source is the service (RFC 792, RFC 1191).
 func (r *Parser) parseICMP4(p *stoatpacket.Packet) stoatpacket.DropReason {
-	if err := r.icmp4.DecodeFromBytes(r.ip4.Payload, r.none); err != nil {
+	if err := r.icmp4.DecodeFromBytes(r.ip4.Payload, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
 	if r.icmp4.TypeCode.Type() != layers.ICMPv4TypeDestinationUnreachable {
@@ -139,11 +139,11 @@
 	}
 	src, _ := netip.AddrFromSlice(quoted[12:16])
 	dst, _ := netip.AddrFromSlice(quoted[16:20])
-	return quote(quoted[9], src, dst, quoted[header:], p)
+	return setQuotedFlow(quoted[9], src, dst, quoted[header:], p)
 }
 
 func (r *Parser) parseICMP6(p *stoatpacket.Packet) stoatpacket.DropReason {
-	if err := r.icmp6.DecodeFromBytes(r.ip6.Payload, r.none); err != nil {
+	if err := r.icmp6.DecodeFromBytes(r.ip6.Payload, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
 	t := r.icmp6.TypeCode.Type()
@@ -160,12 +160,12 @@
 	}
 	src, _ := netip.AddrFromSlice(quoted[8:24])
 	dst, _ := netip.AddrFromSlice(quoted[24:40])
-	return quote(quoted[6], src, dst, quoted[header:], p)
+	return setQuotedFlow(quoted[6], src, dst, quoted[header:], p)
 }
 
 // setQuotedFlow fills p with the flow of a packet that an ICMP error quotes, its source and destination
 // exchanged.
-func quote(proto uint8, src, dst netip.Addr, ports []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
+func setQuotedFlow(proto uint8, src, dst netip.Addr, ports []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
 	p.Tuple.Protocol = stoatpaddle.Protocol(proto)
 	if p.Tuple.Protocol != stoatpaddle.ProtocolTCP && p.Tuple.Protocol != stoatpaddle.ProtocolUDP {
 		return stoatpacket.DropProtocol
--- a/stoattunnel/parse_test.go
+++ b/stoattunnel/parse_test.go
@@ -18,7 +18,7 @@
 	service6 = netip.MustParseAddrPort("[2001:db8:1::10]:443")
 )
 
-func segment(t testing.TB, s Segment) []byte {
+func mustBuild(t testing.TB, s Segment) []byte {
 	data, err := Build(s)
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 	return data
 }
 
-func with(data []byte, at int, b byte) []byte {
+func withByte(data []byte, at int, b byte) []byte {
 	out := append([]byte(nil), data...)
 	out[at] = b
 	return out
@@ -35,15 +35,15 @@
 // tooBig returns an ICMP error that quotes a packet from the service to the caller, as a router on the path
 // sends it.
 func tooBig(t testing.TB) []byte {
-	quoted := segment(t, Segment{Src: service4, Dst: caller4, ACK: true})[:28]
-	head := segment(t, Segment{Src: netip.MustParseAddrPort("192.0.2.1:1"), Dst: service4})[:20]
+	quoted := mustBuild(t, Segment{Src: service4, Dst: caller4, ACK: true})[:28]
+	head := mustBuild(t, Segment{Src: netip.MustParseAddrPort("192.0.2.1:1"), Dst: service4})[:20]
 	head[9], head[3] = 1, byte(28+len(quoted))
 	return append(append(head, 3, 4, 0, 0, 0, 0, 5, 0), quoted...)
 }
 
 func TestParse(t *testing.T) {
-	syn4 := segment(t, Segment{Src: caller4, Dst: service4, SYN: true, Seq: 9})
-	syn6 := segment(t, Segment{Src: caller6, Dst: service6, SYN: true, Seq: 9})
+	syn4 := mustBuild(t, Segment{Src: caller4, Dst: service4, SYN: true, Seq: 9})
+	syn6 := mustBuild(t, Segment{Src: caller6, Dst: service6, SYN: true, Seq: 9})
 	for _, c := range []struct {
 		name string
 		data []byte
@@ -54,14 +54,14 @@
 		{"packet too big", tooBig(t), stoatpacket.DropNone},
 		{"empty", nil, stoatpacket.DropShort},
 		{"cut in the IP header", syn4[:12], stoatpacket.DropShort},
-		{"cut in the TCP header", with(syn4, 3, 30)[:30], stoatpacket.DropShort},
-		{"not IP", with(syn4, 0, 0x15), stoatpacket.DropNotIP},
-		{"first fragment", with(syn4, 6, 0x20), stoatpacket.DropFragment},
-		{"later fragment", with(syn4, 7, 0x10), stoatpacket.DropFragment},
-		{"IPv6 fragment", with(syn6, 6, 44), stoatpacket.DropFragment},
-		{"other protocol", with(syn4, 9, 47), stoatpacket.DropProtocol},
-		{"echo request", with(tooBig(t), 20, 8), stoatpacket.DropProtocol},
-		{"error quoting too little", with(tooBig(t), 3, 40)[:40], stoatpacket.DropShort},
+		{"cut in the TCP header", withByte(syn4, 3, 30)[:30], stoatpacket.DropShort},
+		{"not IP", withByte(syn4, 0, 0x15), stoatpacket.DropNotIP},
+		{"first fragment", withByte(syn4, 6, 0x20), stoatpacket.DropFragment},
+		{"later fragment", withByte(syn4, 7, 0x10), stoatpacket.DropFragment},
+		{"IPv6 fragment", withByte(syn6, 6, 44), stoatpacket.DropFragment},
+		{"other protocol", withByte(syn4, 9, 47), stoatpacket.DropProtocol},
+		{"echo request", withByte(tooBig(t), 20, 8), stoatpacket.DropProtocol},
+		{"error quoting too little", withByte(tooBig(t), 3, 40)[:40], stoatpacket.DropShort},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var p stoatpacket.Packet
@@ -76,7 +76,7 @@
 	convey.Convey("A packet and an ICMP error about its response belong to the same flow", t, func() {
 		var p, e stoatpacket.Packet
 		r := NewParser()
-		convey.So(r.Parse(segment(t, Segment{Src: caller4, Dst: service4, SYN: true, Seq: 9}), &p), convey.ShouldEqual, stoatpacket.DropNone)
+		convey.So(r.Parse(mustBuild(t, Segment{Src: caller4, Dst: service4, SYN: true, Seq: 9}), &p), convey.ShouldEqual, stoatpacket.DropNone)
 		convey.So(r.Parse(tooBig(t), &e), convey.ShouldEqual, stoatpacket.DropNone)
 		convey.So(p.Opens, convey.ShouldBeTrue)
 		convey.So(e.ICMP, convey.ShouldBeTrue)
@@ -87,7 +87,7 @@
 	convey.Convey("A reset is one that the caller accepts (RFC 9293, 3.5.2)", t, func() {
 		var p, rst stoatpacket.Packet
 		r := NewParser()
-		convey.So(r.Parse(segment(t, Segment{Src: caller6, Dst: service6, ACK: true, Seq: 9, Ack: 77}), &p), convey.ShouldEqual, stoatpacket.DropNone)
+		convey.So(r.Parse(mustBuild(t, Segment{Src: caller6, Dst: service6, ACK: true, Seq: 9, Ack: 77}), &p), convey.ShouldEqual, stoatpacket.DropNone)
 		data, err := ResetFor(&p)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(r.Parse(data, &rst), convey.ShouldEqual, stoatpacket.DropNone)
@@ -103,7 +103,7 @@
 		head     int
 		icmp     []byte
 	}{{caller4, service4, 20, []byte{3, 3}}, {caller6, service6, 40, []byte{1, 4}}} {
-		packet := segment(t, Segment{Src: c.src, Dst: c.dst, SYN: true})
+		packet := mustBuild(t, Segment{Src: c.src, Dst: c.dst, SYN: true})
 		var p stoatpacket.Packet
 		if reason := NewParser().Parse(packet, &p); reason != stoatpacket.DropNone {
 			t.Fatal(reason)
@@ -119,8 +119,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	syn := segment(f, Segment{Src: caller4, Dst: service4, SYN: true})
-	for _, seed := range [][]byte{nil, {0x45}, {0x60}, syn, syn[:21], with(syn, 0, 0x4f), with(syn, 2, 0xff), tooBig(f), with(tooBig(f), 28, 0x4f), segment(f, Segment{Src: caller6, Dst: service6})} {
+	syn := mustBuild(f, Segment{Src: caller4, Dst: service4, SYN: true})
+	for _, seed := range [][]byte{nil, {0x45}, {0x60}, syn, syn[:21], withByte(syn, 0, 0x4f), withByte(syn, 2, 0xff), tooBig(f), withByte(tooBig(f), 28, 0x4f), mustBuild(f, Segment{Src: caller6, Dst: service6})} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -132,7 +132,7 @@
 }
 
 func BenchmarkParse(b *testing.B) {
-	data := segment(b, Segment{Src: caller4, Dst: service4, ACK: true, Payload: make([]byte, 100)})
+	data := mustBuild(b, Segment{Src: caller4, Dst: service4, ACK: true, Payload: make([]byte, 100)})
 	r := NewParser()
 	var p stoatpacket.Packet
 	b.ReportAllocs()
