--- a/stoattree/place_test.go
+++ b/stoattree/place_test.go
@@ -7,13 +7,13 @@
 )
 
 // hasLocalParent reports whether the member's parent is in its own data centre.
-func (m *member) inCentre() bool { return m.parent != nil && m.parent.centre == m.centre }
+func (m *member) hasLocalParent() bool { return m.parent != nil && m.parent.centre == m.centre }
 
 // propagateSizes reports the subtree sizes up the tree often enough to reach the roots.
-func (f *fleet) count() {
+func (f *fleet) propagateSizes() {
 	for range 20 {
 		for _, m := range f.all {
-			if !m.dead && m.inCentre() {
+			if !m.dead && m.hasLocalParent() {
 				m.parent.tree.SetSize(addr(m.i), m.tree.Size())
 			}
 		}
@@ -22,39 +22,39 @@
 
 // rank returns the member's rank as it is passed down the tree.
 func (m *member) rank() int {
-	if !m.inCentre() {
+	if !m.hasLocalParent() {
 		return 0
 	}
 	return m.parent.tree.RankOf(addr(m.i), m.parent.rank())
 }
 
-// Three hundred entries start. The entries of one data centre that are below the same one of them have
-// distinct ranks from 0 on, and that one knows how many they are. A data centre is split into few such
-// parts. The same holds for the rest after a tenth of the entries have died.
-func TestPlaces(t *testing.T) {
-	f := newFleet(t, 300, same(0.2))
+// Three hundred entries start. The entries of a data centre form few groups, each below one of its entries.
+// Within a group, the ranks are distinct and count from 0, and the topmost entry knows the size of the
+// group. The same holds for the remaining entries after a tenth of them have died.
+func TestRanks(t *testing.T) {
+	f := newFleet(t, 300, uniformShare(0.2))
 	for round := range 2 {
 		f.settle(4)
-		f.count()
-		parts, of := map[stoatpaddle.DataCentreID]int{}, map[*member]map[int]bool{}
+		f.propagateSizes()
+		parts, ranksBelow := map[stoatpaddle.DataCentreID]int{}, map[*member]map[int]bool{}
 		for _, m := range f.all {
 			if m.dead {
 				continue
 			}
 			top := m
-			for top.inCentre() {
+			for top.hasLocalParent() {
 				top = top.parent
 			}
-			if of[top] == nil {
-				of[top] = map[int]bool{}
+			if ranksBelow[top] == nil {
+				ranksBelow[top] = map[int]bool{}
 				parts[m.centre]++
 			}
-			if of[top][m.rank()] {
+			if ranksBelow[top][m.rank()] {
 				t.Errorf("round %d: two entries have rank %d", round, m.rank())
 			}
-			of[top][m.rank()] = true
+			ranksBelow[top][m.rank()] = true
 		}
-		for top, ranks := range of {
+		for top, ranks := range ranksBelow {
 			for r := range len(ranks) {
 				if !ranks[r] {
 					t.Errorf("round %d: none of %d entries has rank %d", round, len(ranks), r)
--- a/stoattree/tree.go
+++ b/stoattree/tree.go
@@ -16,14 +16,15 @@
 	// deployment has them, each child takes 0.32 kB a second and the parent as much: six of these are 1.9
 	// of the 2 kB that control traffic may take.
 	MaxChildren = 5
-	// minChildren is what every entry can bear. With one child for each entry, the tree would be a chain.
+	// minChildren is how many children every entry can serve. With one child for each entry, the tree would
+	// be a chain.
 	minChildren = 2
 	// MaxPathLength limits the path from an entry that reads the platform to any other. Eight levels with
 	// two children each reach further than any deployment, and a longer path is a loop that was not
 	// detected.
 	MaxPath = 16
-	// maxAlternatives limits the other entries that are named to one that asks.
-	hints = 3
+	// maxAlternatives limits the entries that are named to one that looks for a parent.
+	maxAlternatives = 3
 )
 
 // JoinRequest is what an entry sends when it asks to become a child.
@@ -45,7 +46,7 @@
 // Refusal says why an entry does not accept another one as its child.
 type Refusal string
 
-// The reasons to refuse. They are sent to the requester as text, which writes them to its log.
+// The reasons to refuse a request. The refusing entry sends the text to the requester, which logs it.
 const (
 	Accepted  Refusal = ""                                            // no refusal
 	NotReady  Refusal = "nothing to tell"                             // this entry has no complete state to relay, or is stopping
@@ -69,9 +70,9 @@
 type Ticket uint64
 
 type child struct {
-	centre stoatpaddle.DataCentreID
-	ticket Ticket
-	size   int // entries of its data centre in its subtree as it reported, itself included
+	centre    stoatpaddle.DataCentreID
+	admission Ticket
+	size      int // entries of its data centre in its subtree as it reported, itself included
 }
 
 // State is the state of an entry that decides on a request.
@@ -100,11 +101,11 @@
 // Tree is one entry's view of the relay tree: its children, and the entries that it may ask to become its
 // parent. It must not be used by several goroutines at once.
 type Tree struct {
-	cfg      Config
-	children map[netip.AddrPort]child
-	tickets  Ticket
-	known    []netip.AddrPort // other entries of this data centre that a parent named
-	round    *round
+	cfg           Config
+	children      map[netip.AddrPort]child
+	lastAdmission Ticket
+	siblings      []netip.AddrPort // other entries of this data centre that a parent named
+	search        *search
 }
 
 // New returns a Tree without children.
@@ -123,33 +124,33 @@
 
 // cpuPerChild is the part of a core that an entry must have for each child. A message without changes costs
 // 0.2 ms, so that a child takes a fiftieth of this at most.
-const sharePerChild = 0.03
+const cpuPerChild = 0.03
 
 // remoteChildren is the additional number of children for entries of other data centres.
-const farChildren = 2
+const remoteChildren = 2
 
 // linkMbpsPerChild is the bandwidth that an entry must have for each child, Mbit/s. A full message with
 // 2,000 routes and 150 upstreams is 40 kB, which takes 60 ms at 5 Mbit/s. A link of 10 Mbit/s that sent it
 // to eight children at once delayed the packets of callers for half a second, and their upstreams looked
 // dead.
-const linkPerChild = 5
+const linkMbpsPerChild = 5
 
 // capacity returns how many children this entry accepts. A slow entry accepts few, so that neither its
 // children nor its callers have to wait for it.
 func (t *Tree) capacity() int {
 	n := MaxChildren
 	if t.cfg.Share > 0 {
-		n = min(n, int(t.cfg.Share/sharePerChild))
+		n = min(n, int(t.cfg.Share/cpuPerChild))
 	}
 	if t.cfg.Link > 0 {
-		n = min(n, int(t.cfg.Link/linkPerChild))
+		n = min(n, int(t.cfg.Link/linkMbpsPerChild))
 	}
 	return max(minChildren, n)
 }
 
 // Admit decides on a request to become a child. An accepted entry is a child until RemoveChild.
 func (t *Tree) Admit(s State, a Ask) Answer {
-	if refusal := t.unfit(s, a); refusal != Accepted {
+	if refusal := t.refusalReason(s, a); refusal != Accepted {
 		return Answer{Refusal: refusal}
 	}
 	if a.Centre != t.cfg.Centre {
@@ -161,26 +162,26 @@
 			return Answer{Refusal: OtherSide}
 		}
 	}
-	if _, again := t.children[a.From]; !again && len(t.children) >= t.room(a.Centre) {
+	if _, again := t.children[a.From]; !again && len(t.children) >= t.limit(a.Centre) {
 		return Answer{Refusal: Full, Try: t.childrenIn(a.Centre, a.Skip)}
 	}
-	t.tickets++
-	t.children[a.From] = child{centre: a.Centre, ticket: t.tickets, size: max(1, t.children[a.From].size)}
-	return Answer{Ticket: t.tickets}
+	t.lastAdmission++
+	t.children[a.From] = child{centre: a.Centre, admission: t.lastAdmission, size: max(1, t.children[a.From].size)}
+	return Answer{Ticket: t.lastAdmission}
 }
 
-// limit returns how many children there may be when an entry of data centre c is accepted. Entries of other
-// data centres are accepted beyond the usual capacity, since a data centre without a seed has no other
-// source.
-func (t *Tree) room(c stoatpaddle.DataCentreID) int {
-	if c == t.cfg.Centre {
+// limit returns how many children there may be when an entry of that data centre is accepted. Entries of
+// other data centres are accepted beyond the usual capacity, since a data centre without a seed has no
+// other source.
+func (t *Tree) limit(centre stoatpaddle.DataCentreID) int {
+	if centre == t.cfg.Centre {
 		return t.capacity()
 	}
-	return t.capacity() + farChildren
+	return t.capacity() + remoteChildren
 }
 
 // refusalReason returns why this entry must not accept the requester even if it has capacity, or Accepted.
-func (t *Tree) unfit(s State, a Ask) Refusal {
+func (t *Tree) refusalReason(s State, a Ask) Refusal {
 	switch {
 	case !s.Ready:
 		return NotReady
@@ -192,7 +193,7 @@
 		return Loop
 	case a.Known.Revision == 0 || len(s.Path) > 0 || s.Reads && t.IsSeed():
 		return Accepted
-	case order(t.cfg.Self) < order(a.From):
+	case entryOrder(t.cfg.Self) < entryOrder(a.From):
 		// Two entries without a parent would accept each other. A total order of all entries decides, so
 		// that they gather below the first of them.
 		return Accepted
@@ -200,32 +201,32 @@
 	return NoRoot
 }
 
-func order(a netip.AddrPort) uint64 { return xxhash.Sum64String(a.String()) }
+func entryOrder(a netip.AddrPort) uint64 { return xxhash.Sum64String(a.String()) }
 
-// childrenIn returns a few children in data centre c. If there are none and c is the data centre of this
-// entry, it returns children in other data centres.
-func (t *Tree) childrenIn(c stoatpaddle.DataCentreID, skip []netip.AddrPort) []netip.AddrPort {
-	var near, far []netip.AddrPort
+// childrenIn returns a few children in a data centre. If there are none and it is the data centre of this
+// entry, childrenIn returns children in other data centres. Entries that were tried are left out.
+func (t *Tree) childrenIn(centre stoatpaddle.DataCentreID, skip []netip.AddrPort) []netip.AddrPort {
+	var local, remote []netip.AddrPort
 	for a, x := range t.children {
 		switch {
 		case slices.Contains(skip, a):
-		case x.centre == c:
-			near = append(near, a)
-		case c == t.cfg.Centre:
-			far = append(far, a)
+		case x.centre == centre:
+			local = append(local, a)
+		case centre == t.cfg.Centre:
+			remote = append(remote, a)
 		}
 	}
-	if len(near) == 0 {
-		near = far
+	if len(local) == 0 {
+		local = remote
 	}
-	return t.some(near)
+	return t.sample(local)
 }
 
 // sample returns a few entries of the list at random, so that the tree grows evenly.
-func (t *Tree) some(list []netip.AddrPort) []netip.AddrPort {
+func (t *Tree) sample(list []netip.AddrPort) []netip.AddrPort {
 	slices.SortFunc(list, netip.AddrPort.Compare)
 	t.cfg.Rand.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-	return list[:min(len(list), hints)]
+	return list[:min(len(list), maxAlternatives)]
 }
 
 // SetSubtreeSize records how many entries of its data centre are in the subtree of a child, itself
@@ -262,19 +263,19 @@
 
 // RemoveChild removes a child, unless it has been admitted again.
 func (t *Tree) Part(from netip.AddrPort, ticket Ticket) {
-	if t.children[from].ticket == ticket {
+	if t.children[from].admission == ticket {
 		delete(t.children, from)
 	}
 }
 
 // Siblings returns a few entries that a child may ask when this one is gone: other children in its data
 // centre.
-func (t *Tree) Relatives(of netip.AddrPort, c stoatpaddle.DataCentreID) []netip.AddrPort {
+func (t *Tree) Relatives(child netip.AddrPort, centre stoatpaddle.DataCentreID) []netip.AddrPort {
 	var list []netip.AddrPort
 	for a, x := range t.children {
-		if a != of && x.centre == c {
+		if a != child && x.centre == centre {
 			list = append(list, a)
 		}
 	}
-	return t.some(list)
+	return t.sample(list)
 }
--- a/stoattree/tree_test.go
+++ b/stoattree/tree_test.go
@@ -23,9 +23,9 @@
 
 func at(rev stoatpaddle.Version) stoatpaddle.Position { return stoatpaddle.Position{Revision: rev} }
 
-var inTouch = stoattree.State{Ready: true, Known: at(10), Reads: true}
+var upToDate = stoattree.State{Ready: true, Known: at(10), Reads: true}
 
-func ask(i int, centre stoatpaddle.DataCentreID) stoattree.Ask {
+func request(i int, centre stoatpaddle.DataCentreID) stoattree.Ask {
 	return stoattree.Ask{From: addr(i), Centre: centre, Known: at(9)}
 }
 
@@ -34,33 +34,33 @@
 func TestRefusals(t *testing.T) {
 	path := []netip.AddrPort{addr(0), addr(7)}
 	low, high := 5, 6
-	if newTree(low, "a", 0).Admit(stoattree.State{Ready: true, Known: at(10)}, ask(high, "a")).Refusal != stoattree.Accepted {
+	if newTree(low, "a", 0).Admit(stoattree.State{Ready: true, Known: at(10)}, request(high, "a")).Refusal != stoattree.Accepted {
 		low, high = high, low
 	}
-	for name, try := range map[string]struct {
+	for name, tc := range map[string]struct {
 		self  int
 		state stoattree.State
 		ask   stoattree.Ask
 		want  stoattree.Refusal
 	}{
-		"seed that reads the platform":              {0, inTouch, ask(5, "a"), stoattree.Accepted},
-		"has a parent":                              {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(5, "a"), stoattree.Accepted},
-		"starting":                                  {0, stoattree.State{}, ask(5, "a"), stoattree.NotReady},
-		"knows less":                                {0, stoattree.State{Ready: true, Known: at(8), Reads: true}, ask(5, "a"), stoattree.Behind},
-		"below the requester":                       {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(7, "a"), stoattree.Loop},
+		"seed that reads the platform":              {0, upToDate, request(5, "a"), stoattree.Accepted},
+		"has a parent":                              {9, stoattree.State{Ready: true, Known: at(10), Path: path}, request(5, "a"), stoattree.Accepted},
+		"starting":                                  {0, stoattree.State{}, request(5, "a"), stoattree.NotReady},
+		"knows less":                                {0, stoattree.State{Ready: true, Known: at(8), Reads: true}, request(5, "a"), stoattree.Behind},
+		"below the requester":                       {9, stoattree.State{Ready: true, Known: at(10), Path: path}, request(7, "a"), stoattree.Loop},
 		"knows an earlier era":                      {0, stoattree.State{Ready: true, Known: stoatpaddle.Position{Era: 1, Revision: 90}, Reads: true}, stoattree.Ask{From: addr(5), Centre: "a", Known: stoatpaddle.Position{Era: 2, Revision: 9}}, stoattree.Behind},
 		"knows a later era":                         {0, stoattree.State{Ready: true, Known: stoatpaddle.Position{Era: 2, Revision: 9}, Reads: true}, stoattree.Ask{From: addr(5), Centre: "a", Known: stoatpaddle.Position{Era: 1, Revision: 90}}, stoattree.Accepted},
-		"request from itself":                       {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(9, "a"), stoattree.Loop},
-		"without a parent, and not the first":       {high, stoattree.State{Ready: true, Known: at(10)}, ask(low, "a"), stoattree.NoRoot},
-		"without a parent, but the first":           {low, stoattree.State{Ready: true, Known: at(10)}, ask(high, "a"), stoattree.Accepted},
+		"request from itself":                       {9, stoattree.State{Ready: true, Known: at(10), Path: path}, request(9, "a"), stoattree.Loop},
+		"without a parent, and not the first":       {high, stoattree.State{Ready: true, Known: at(10)}, request(low, "a"), stoattree.NoRoot},
+		"without a parent, but the first":           {low, stoattree.State{Ready: true, Known: at(10)}, request(high, "a"), stoattree.Accepted},
 		"without a parent, requester without state": {high, stoattree.State{Ready: true, Known: at(10)}, stoattree.Ask{From: addr(low), Centre: "a"}, stoattree.Accepted},
 		"knowledge is too old":                      {0, stoattree.State{Ready: true, Known: at(10), Reads: true, Age: 3e9}, stoattree.Ask{From: addr(5), Centre: "a", Known: at(9), Within: 2e9}, stoattree.Stale},
 		"knowledge has no age":                      {0, stoattree.State{Ready: true, Known: at(10), Reads: true, Age: -1}, stoattree.Ask{From: addr(5), Centre: "a", Known: at(9), Within: 2e9}, stoattree.Stale},
-		"another data centre, local only":           {0, inTouch, stoattree.Ask{From: addr(5), Centre: "b", Known: at(9), Near: true}, stoattree.OtherSide},
-		"another data centre":                       {0, inTouch, ask(5, "b"), stoattree.Accepted},
+		"another data centre, local only":           {0, upToDate, stoattree.Ask{From: addr(5), Centre: "b", Known: at(9), Near: true}, stoattree.OtherSide},
+		"another data centre":                       {0, upToDate, request(5, "b"), stoattree.Accepted},
 	} {
-		if got := newTree(try.self, "a", 0).Admit(try.state, try.ask).Refusal; got != try.want {
-			t.Errorf("%s: %q, expected %q", name, got, try.want)
+		if got := newTree(tc.self, "a", 0).Admit(tc.state, tc.ask).Refusal; got != tc.want {
+			t.Errorf("%s: %q, expected %q", name, got, tc.want)
 		}
 	}
 }
@@ -72,7 +72,7 @@
 		tree := newTree(0, "a", share)
 		n := 0
 		for ; n < 20; n++ {
-			a := tree.Admit(inTouch, ask(10+n, "a"))
+			a := tree.Admit(upToDate, request(10+n, "a"))
 			if a.Refusal == stoattree.Full {
 				if len(a.Try) == 0 {
 					t.Error("no alternative is named")
@@ -86,9 +86,9 @@
 	}
 	slow := stoattree.New(stoattree.Config{Self: addr(0), Centre: "a", Seeds: seeds, Share: 0.8, Link: 10, Rand: rand.New(rand.NewPCG(1, 1))})
 	for i := range 2 {
-		slow.Admit(inTouch, ask(10+i, "a"))
+		slow.Admit(upToDate, request(10+i, "a"))
 	}
-	if a := slow.Admit(inTouch, ask(20, "a")); a.Refusal != stoattree.Full {
+	if a := slow.Admit(upToDate, request(20, "a")); a.Refusal != stoattree.Full {
 		t.Error("a link of 10 Mbit/s accepts three children:", a)
 	}
 }
@@ -98,28 +98,28 @@
 func TestOneLinkBetweenDataCentres(t *testing.T) {
 	tree := newTree(0, "a", 0)
 	for i := range stoattree.MaxChildren {
-		tree.Admit(inTouch, ask(10+i, "a"))
+		tree.Admit(upToDate, request(10+i, "a"))
 	}
-	if a := tree.Admit(inTouch, ask(30, "b")); a.Refusal != stoattree.Accepted {
+	if a := tree.Admit(upToDate, request(30, "b")); a.Refusal != stoattree.Accepted {
 		t.Fatal(a)
 	}
-	a := tree.Admit(inTouch, ask(31, "b"))
+	a := tree.Admit(upToDate, request(31, "b"))
 	if a.Refusal != stoattree.OtherSide || len(a.Try) != 1 || a.Try[0] != addr(30) {
 		t.Error(a)
 	}
-	again := ask(31, "b")
+	again := request(31, "b")
 	again.Skip = a.Try
-	if a := tree.Admit(inTouch, again); a.Refusal != stoattree.Accepted {
+	if a := tree.Admit(upToDate, again); a.Refusal != stoattree.Accepted {
 		t.Error("refused although the only alternative was tried:", a)
 	}
 }
 
 // A child lost its connection and asks again before the end of the old connection is noticed. That end must
 // not remove the new admission.
-func TestLateEnd(t *testing.T) {
+func TestLateDisconnect(t *testing.T) {
 	tree := newTree(0, "a", 0)
-	first := tree.Admit(inTouch, ask(5, "a"))
-	second := tree.Admit(inTouch, ask(5, "a"))
+	first := tree.Admit(upToDate, request(5, "a"))
+	second := tree.Admit(upToDate, request(5, "a"))
 	tree.Part(addr(5), first.Ticket)
 	if tree.Children() != 1 {
 		t.Error(tree.Children())
@@ -132,18 +132,18 @@
 
 // member is one entry of a simulated fleet in which searches take no time.
 type member struct {
-	i      int
-	centre stoatpaddle.DataCentreID
-	tree   *stoattree.Tree
-	parent *member
-	ticket stoattree.Ticket
-	dead   bool
+	i         int
+	centre    stoatpaddle.DataCentreID
+	tree      *stoattree.Tree
+	parent    *member
+	admission stoattree.Ticket
+	dead      bool
 }
 
 type fleet struct {
-	t    *testing.T
-	all  []*member
-	asks int
+	t        *testing.T
+	all      []*member
+	requests int
 }
 
 func newFleet(t *testing.T, n int, share func(i int) float64) *fleet {
@@ -173,7 +173,7 @@
 		if !ok {
 			return
 		}
-		f.asks++
+		f.requests++
 		var p *member
 		for _, x := range f.all {
 			if addr(x.i) == to && !x.dead {
@@ -190,7 +190,7 @@
 			m.tree.Refused(answer.Try)
 			continue
 		}
-		m.parent, m.ticket = p, answer.Ticket
+		m.parent, m.admission = p, answer.Ticket
 		m.tree.Learn(p.tree.Relatives(addr(m.i), m.centre))
 		return
 	}
@@ -210,7 +210,7 @@
 func (f *fleet) kill(m *member) {
 	m.dead = true
 	if m.parent != nil {
-		m.parent.tree.Part(addr(m.i), m.ticket)
+		m.parent.tree.Part(addr(m.i), m.admission)
 	}
 	for _, x := range f.all {
 		if x.parent == m {
@@ -221,7 +221,7 @@
 
 // inspect returns how many members have no parent, the depth of the tree, the largest number of children
 // and the number of links between data centres. It fails the test on a loop.
-func (f *fleet) check() (alone, depth, widest, across int) {
+func (f *fleet) inspect() (orphans, depth, widest, crossLinks int) {
 	f.t.Helper()
 	for _, m := range f.all {
 		if m.dead || m.isSeed() {
@@ -231,30 +231,30 @@
 		case len(up) >= stoattree.MaxPath:
 			f.t.Fatal(m.i, "is in a loop, or too deep:", up)
 		case m.parent == nil:
-			alone++
+			orphans++
 		default:
 			depth = max(depth, len(up))
 		}
 		if m.parent != nil && m.parent.centre != m.centre {
-			across++
+			crossLinks++
 		}
 		widest = max(widest, m.tree.Children())
 	}
-	return alone, depth, widest, across
+	return orphans, depth, widest, crossLinks
 }
 
-func same(share float64) func(int) float64 { return func(int) float64 { return share } }
+func uniformShare(share float64) func(int) float64 { return func(int) float64 { return share } }
 
 // Fleets of three hundred and of two thousand entries start at once. Each entry finds a parent with a few
 // requests, none has more children than it can serve, the tree is shallow, and few links cross between data
 // centres.
 func TestFleetStarts(t *testing.T) {
 	for n, deepest := range map[int]int{300: 7, 2000: 10} {
-		f := newFleet(t, n, same(0.2))
+		f := newFleet(t, n, uniformShare(0.2))
 		f.settle(3)
-		alone, depth, widest, across := f.check()
-		if alone > 0 || depth > deepest || widest > 8 || across > 12 || f.asks > 12*n {
-			t.Errorf("%d entries: %d without a parent, depth %d, %d children, %d links between data centres, %d requests", n, alone, depth, widest, across, f.asks)
+		orphans, depth, widest, crossLinks := f.inspect()
+		if orphans > 0 || depth > deepest || widest > 8 || crossLinks > 12 || f.requests > 12*n {
+			t.Errorf("%d entries: %d without a parent, depth %d, %d children, %d links between data centres, %d requests", n, orphans, depth, widest, crossLinks, f.requests)
 		}
 	}
 }
@@ -268,7 +268,7 @@
 		return 0.05
 	})
 	f.settle(4)
-	if alone, depth, widest, _ := f.check(); alone > 0 || depth > 12 || widest > 10 {
+	if alone, depth, widest, _ := f.inspect(); alone > 0 || depth > 12 || widest > 10 {
 		t.Error(alone, depth, widest)
 	}
 }
@@ -277,14 +277,14 @@
 // another one. Without seeds they gather below a few of themselves, which read the platform, and there is
 // no loop.
 func TestFleetLosesEntries(t *testing.T) {
-	f := newFleet(t, 400, same(0.2))
+	f := newFleet(t, 400, uniformShare(0.2))
 	f.settle(3)
 	rnd := rand.New(rand.NewPCG(7, 7))
 	for range 40 {
 		f.kill(f.all[3+rnd.IntN(397)])
 	}
 	f.settle(3)
-	if alone, _, _, _ := f.check(); alone > 0 {
+	if alone, _, _, _ := f.inspect(); alone > 0 {
 		t.Error("after single deaths:", alone, "without a parent")
 	}
 	for _, m := range f.all {
@@ -293,7 +293,7 @@
 		}
 	}
 	f.settle(3)
-	if alone, _, _, _ := f.check(); alone > 0 {
+	if alone, _, _, _ := f.inspect(); alone > 0 {
 		t.Error("after a data centre's death:", alone, "without a parent")
 	}
 	for _, m := range f.all[:3] {
@@ -302,7 +302,7 @@
 		}
 	}
 	f.settle(10)
-	if alone, _, _, _ := f.check(); alone > 40 {
+	if alone, _, _, _ := f.inspect(); alone > 40 {
 		t.Error("without seeds:", alone, "of 260 without a parent")
 	}
 }
