--- a/stoatoutlier/delay.go
+++ b/stoatoutlier/delay.go
@@ -6,22 +6,22 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// delayEstimator measures how long a claim of this entry takes to the root of the relay tree and back in
-// the sum.
+// delayEstimator measures how long a report of this entry, that it waits for an upstream, takes to the root
+// of the relay tree and back in the sum.
 //
-// A fixed delayEstimator is not enough: a data centre of three hundred entries has a deeper tree than one of thirty.
+// A fixed delay is not enough: a data centre of three hundred entries has a deeper tree than one of thirty.
 // Two entries lost a packet to the same upstream there, and the report that a third entry had heard from it
 // was still on its way when the others ejected the upstream.
 type delayEstimator struct {
-	key  stoatpaddle.UpstreamKey // upstream of the claim that is being timed
-	sentAt time.Time               // when that claim was sent; zero: no claim is being timed
+	key       stoatpaddle.UpstreamKey // upstream of the report that is being timed
+	sentAt    time.Time               // when that report was sent; zero: none is being timed
 	roundTrip time.Duration           // time to the root and back; 0: not measured yet
 }
 
 const (
-	// initialDelay is used until a claim has been timed: three levels, up and down, twice.
+	// initialDelay is used until a report has been timed: three levels, up and down, twice.
 	initialDelay = 150 * time.Millisecond
-	minDelay = 100 * time.Millisecond
+	minDelay     = 100 * time.Millisecond
 	// maxDelay limits the effect of a single report that was lost and sent again.
 	maxDelay = 500 * time.Millisecond
 	// decreaseWeight is the weight of a sample that is shorter than the estimate. A longer sample replaces
@@ -29,7 +29,8 @@
 	decreaseWeight = 0.125
 )
 
-// reportSent starts to time a claim of this entry's own that the update carries, unless one is being timed.
+// reportSent starts to time a wait of this entry's own that the update reports, unless one is being timed
+// already. A report that has not come back within maxDelay is no longer timed.
 func (d *delayEstimator) reportSent(now time.Time, own []Report, u Update) {
 	if !d.sentAt.IsZero() && now.Sub(d.sentAt) < maxDelay {
 		return
@@ -44,7 +45,7 @@
 	}
 }
 
-// sumReceived ends the measurement if the sum contains the claim that is being timed.
+// sumReceived ends the measurement if the sum contains the wait that is being timed.
 func (d *delayEstimator) sumReceived(now time.Time, sum []Report) {
 	if d.sentAt.IsZero() {
 		return
--- a/stoatoutlier/pacer.go
+++ b/stoatoutlier/pacer.go
@@ -16,7 +16,7 @@
 // Pacer limits how often an entry runs a round. Its zero value is ready to use.
 type Pacer struct {
 	spent float64   // rounds taken out of the burst
-	last    time.Time // time of the last round
+	last  time.Time // time of the last round
 }
 
 // RecordRound records a round, and returns how long to wait for the next one.
--- a/stoatoutlier/pool.go
+++ b/stoatoutlier/pool.go
@@ -11,8 +11,8 @@
 const (
 	// countInterval and fullInterval are the intervals between two reports: the first for failure counts
 	// that changed, the second for everything that is known, changed or not.
-	countInterval  = 500 * time.Millisecond
-	fullInterval = 2 * time.Second
+	countInterval = 500 * time.Millisecond
+	fullInterval  = 2 * time.Second
 	// reportTTL is how long a received report counts. It survives the loss of one report, but not of two in
 	// a row.
 	reportTTL = 3 * fullInterval
@@ -24,22 +24,24 @@
 // Aggregator adds up the reports of this entry and its children, and keeps the sum over the data centre
 // that its parent sends. Its methods may be called by several goroutines.
 type Pool struct {
-	mu       sync.Mutex
-	children map[netip.AddrPort]receivedReports
-	parent   netip.AddrPort // relay parent in this data centre; invalid: none
-	sum      receivedReports          // over the data centre, as the parent sent it
-	toParent       Stream         // what the parent was sent
-	delay    delayEstimator
-	parentSince  time.Time // when the parent last changed
+	mu          sync.Mutex
+	children    map[netip.AddrPort]receivedReports
+	parent      netip.AddrPort  // relay parent in this data centre; invalid: none
+	sum         receivedReports // over the data centre, as the parent sent it
+	toParent    Stream          // what the parent was sent
+	delay       delayEstimator
+	parentSince time.Time // when the parent last changed
 }
 
 // receivedReports is a list of reports, sorted by key, and the time at which it was received.
 type receivedReports struct {
-	receivedAt   time.Time
-	reports []Report
+	receivedAt time.Time
+	reports    []Report
 }
 
-func (r *receivedReports) fresh(now time.Time) bool { return !r.receivedAt.IsZero() && now.Sub(r.receivedAt) < reportTTL }
+func (r *receivedReports) fresh(now time.Time) bool {
+	return !r.receivedAt.IsZero() && now.Sub(r.receivedAt) < reportTTL
+}
 
 // HandleChildUpdate applies an update from a child, which covers the child and the entries below it. It
 // returns false if the update only names changes to reports that are not known here; the child then has to
@@ -160,11 +162,11 @@
 // reportable returns the reports for the parent: those that count against an upstream, and those on
 // upstreams that are in the sum because of other entries. Without the latter, the sum would consist of the
 // failures that two entries saw and lack the answers of the thirty entries that saw no failure.
-func (p *Pool) reportable(below []Report) []Report {
+func (p *Pool) reportable(subtree []Report) []Report {
 	var out []Report
-	for i := range below {
-		if below[i].outlier() || find(p.sum.reports, below[i].Key) != nil {
-			out = append(out, below[i])
+	for i := range subtree {
+		if subtree[i].outlier() || find(p.sum.reports, subtree[i].Key) != nil {
+			out = append(out, subtree[i])
 		}
 	}
 	return out[:min(len(out), maxReports)]
@@ -177,18 +179,18 @@
 func (p *Pool) Turn(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	below := p.subtreeSum(now, own)
+	subtree := p.subtreeSum(now, own)
 	if !p.parent.IsValid() {
-		return outliers(below), Update{}, netip.AddrPort{}
+		return outliers(subtree), Update{}, netip.AddrPort{}
 	}
 	sum = p.sum.reports
 	if !p.sum.fresh(now) {
-		sum = outliers(below)
+		sum = outliers(subtree)
 	}
 	if busy {
 		return sum, Update{}, netip.AddrPort{}
 	}
-	u, due := p.toParent.Next(now, p.reportable(below), func(r *Report) time.Time {
+	u, due := p.toParent.Next(now, p.reportable(subtree), func(r *Report) time.Time {
 		if known := find(p.sum.reports, r.Key); known != nil {
 			return known.First
 		}
--- a/stoatoutlier/pool_test.go
+++ b/stoatoutlier/pool_test.go
@@ -11,12 +11,12 @@
 )
 
 var (
-	parentAddr  = netip.MustParseAddrPort("10.0.0.1:8166")
-	childA = netip.MustParseAddrPort("10.0.0.2:8166")
-	childB = netip.MustParseAddrPort("10.0.0.3:8166")
+	parentAddr = netip.MustParseAddrPort("10.0.0.1:8166")
+	childA     = netip.MustParseAddrPort("10.0.0.2:8166")
+	childB     = netip.MustParseAddrPort("10.0.0.3:8166")
 )
 
-func counted(key stoatpaddle.UpstreamKey, answered, failed int) Report {
+func countReport(key stoatpaddle.UpstreamKey, answered, failed int) Report {
 	return Report{Key: key, Counts: Counts{Answered: answered, Failed: failed}}
 }
 
@@ -25,15 +25,15 @@
 func TestAggregatorAddsUp(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
-	p.Take(now, childA, Update{Whole: true, Reports: []Report{counted(1, 2, 1), counted(2, 5, 0)}})
-	p.Take(now, childA, Update{Whole: true, Reports: []Report{counted(1, 3, 2), counted(2, 5, 0)}})
-	p.Take(now.Add(5*time.Second), childB, Update{Whole: true, Reports: []Report{counted(1, 4, 0)}})
-	sum, _, to := p.Turn(now.Add(5*time.Second), []Report{counted(1, 1, 1)}, false)
-	if diff := cmp.Diff([]Report{counted(1, 8, 3)}, sum); diff != "" || to.IsValid() {
+	p.Take(now, childA, Update{Whole: true, Reports: []Report{countReport(1, 2, 1), countReport(2, 5, 0)}})
+	p.Take(now, childA, Update{Whole: true, Reports: []Report{countReport(1, 3, 2), countReport(2, 5, 0)}})
+	p.Take(now.Add(5*time.Second), childB, Update{Whole: true, Reports: []Report{countReport(1, 4, 0)}})
+	sum, _, to := p.Turn(now.Add(5*time.Second), []Report{countReport(1, 1, 1)}, false)
+	if diff := cmp.Diff([]Report{countReport(1, 8, 3)}, sum); diff != "" || to.IsValid() {
 		t.Error(diff, to)
 	}
-	sum, _, _ = p.Turn(now.Add(7*time.Second), []Report{counted(1, 1, 1)}, false)
-	if diff := cmp.Diff([]Report{counted(1, 5, 1)}, sum); diff != "" {
+	sum, _, _ = p.Turn(now.Add(7*time.Second), []Report{countReport(1, 1, 1)}, false)
+	if diff := cmp.Diff([]Report{countReport(1, 5, 1)}, sum); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -43,10 +43,10 @@
 func TestAggregatorReports(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
-	own := []Report{counted(1, 1, 1)}
-	p.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{counted(1, 40, 20)}})
+	own := []Report{countReport(1, 1, 1)}
+	p.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{countReport(1, 40, 20)}})
 	sum, report, to := p.Turn(now, own, false)
-	if diff := cmp.Diff([]Report{counted(1, 40, 20)}, sum); diff != "" || to != parentAddr {
+	if diff := cmp.Diff([]Report{countReport(1, 40, 20)}, sum); diff != "" || to != parentAddr {
 		t.Error(diff, to)
 	}
 	if diff := cmp.Diff(own, report.Reports); diff != "" {
@@ -61,10 +61,10 @@
 	if reports != 2 {
 		t.Error("unchanged reports were sent", reports, "times in 4 s")
 	}
-	if _, _, to := p.Turn(now.Add(4600*time.Millisecond), append(own, counted(2, 0, 1)), false); !to.IsValid() {
+	if _, _, to := p.Turn(now.Add(4600*time.Millisecond), append(own, countReport(2, 0, 1)), false); !to.IsValid() {
 		t.Error("a new failure is not reported")
 	}
-	if _, report, to := p.Turn(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.applyTo([]Report{counted(1, 1, 1), counted(2, 0, 1)})) != 0 {
+	if _, report, to := p.Turn(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.applyTo([]Report{countReport(1, 1, 1), countReport(2, 0, 1)})) != 0 {
 		t.Error("the end of the failures is not reported:", to, report)
 	}
 	if _, _, to := p.Turn(now.Add(20*time.Second), nil, false); to.IsValid() {
@@ -83,12 +83,12 @@
 // entries may differ by seconds.
 func TestCodec(t *testing.T) {
 	now, receiverNow := time.Unix(1000, 0), time.Unix(2000, 0)
-	r := counted(4000000000, 5, 6)
+	r := countReport(4000000000, 5, 6)
 	r.Silence = Silence{Entries: 2, First: now.Add(-300 * time.Millisecond), Second: now.Add(-100 * time.Millisecond), Heard: now.Add(-time.Second)}
 	want := r
 	want.First, want.Second, want.Heard = receiverNow.Add(-300*time.Millisecond), receiverNow.Add(-100*time.Millisecond), receiverNow.Add(-time.Second)
-	got := Decode(receiverNow, Encode(now, []Report{counted(1, 2, 3), r}))
-	if diff := cmp.Diff([]Report{counted(1, 2, 3), want}, got); diff != "" {
+	got := Decode(receiverNow, Encode(now, []Report{countReport(1, 2, 3), r}))
+	if diff := cmp.Diff([]Report{countReport(1, 2, 3), want}, got); diff != "" {
 		t.Error(diff)
 	}
 	for _, w := range []WireReport{{Answered: -1, Failed: 5}, {Answered: 1, Failed: -5}, {Waiting: -1}} {
@@ -110,12 +110,12 @@
 func TestAggregatorReportsUpstreamsInSum(t *testing.T) {
 	var p Pool
 	now := time.Unix(1000, 0)
-	own := []Report{counted(1, 20, 0)}
+	own := []Report{countReport(1, 20, 0)}
 	p.Follow(now, parentAddr, Update{})
 	if _, _, to := p.Turn(now, own, false); to.IsValid() {
 		t.Error("reported although nothing failed")
 	}
-	p.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{counted(1, 2, 5)}})
+	p.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{countReport(1, 2, 5)}})
 	_, report, to := p.Turn(now.Add(time.Second), own, false)
 	if diff := cmp.Diff(own, report.Reports); diff != "" || to != parentAddr {
 		t.Error(diff, to)
--- a/stoatoutlier/stream.go
+++ b/stoatoutlier/stream.go
@@ -36,17 +36,17 @@
 // When a hundred upstreams stop answering, the full list, sent at each change, would go through each link
 // of the tree fifty times a second with two kilobytes each time.
 type Stream struct {
-	sent   map[stoatpaddle.UpstreamKey]claim
-	fullAt  time.Time // when everything was last sent; zero: never
+	sent     map[stoatpaddle.UpstreamKey]claim
+	fullAt   time.Time // when everything was last sent; zero: never
 	countsAt time.Time // when counts were last sent
 }
 
 // claim is the part of a report that other entries act upon within milliseconds, and the failure count.
 type claim struct {
-	reported   bool // the upstream was sent
-	waiting int  // waiting entries, at most two: more make no difference
-	alive   bool // a sign of life came after the first entry of the data centre began to wait
-	failed  int
+	reported bool // the upstream was sent
+	waiting  int  // waiting entries, at most two: more make no difference
+	alive    bool // a sign of life came after the first entry of the data centre began to wait
+	failed   int
 }
 
 // Next returns the update to send for a list, and whether there is anything to send. first returns since
