--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -58,41 +58,41 @@
 
 // Read reads one message. The Body is nil if nothing changed.
 func Read(dec *msgpack.Decoder) (*Head, *Body, error) {
-	h := &Head{}
-	if err := dec.Decode(h); err != nil || !h.Body {
-		return h, nil, err
+	head := &Head{}
+	if err := dec.Decode(head); err != nil || !head.Body {
+		return head, nil, err
 	}
-	w := &Body{}
-	return h, w, dec.Decode(w)
+	body := &Body{}
+	return head, body, dec.Decode(body)
 }
 
 // Decode converts a parent's message, or returns *stoatpaddle.DecodeError.
-func Decode(h *Head, w *Body) (Message, error) {
-	x := Message{
-		Known: stoatpaddle.Position{Era: stoatpaddle.Era(h.KnownEra), Revision: stoatpaddle.Version(h.Known)},
-		Era:   stoatpaddle.Era(h.Era), Age: time.Duration(h.AgeMS) * time.Millisecond,
+func Decode(head *Head, body *Body) (Message, error) {
+	m := Message{
+		Known: stoatpaddle.Position{Era: stoatpaddle.Era(head.KnownEra), Revision: stoatpaddle.Version(head.Known)},
+		Era:   stoatpaddle.Era(head.Era), Age: time.Duration(head.AgeMS) * time.Millisecond,
 	}
 	var err error
-	if x.Path, err = ParseAddrs(h.Path); err != nil || w == nil {
-		return x, err
+	if m.Path, err = ParseAddrs(head.Path); err != nil || body == nil {
+		return m, err
 	}
-	x.Whole = w.Whole
-	r := &bodyReader{names: w.Names}
-	if w.Declared != nil {
-		x.Delta = r.declaration(w.Declared)
+	m.Whole = body.Whole
+	r := &bodyReader{names: body.Names}
+	if body.Declared != nil {
+		m.Delta = r.declaration(body.Declared)
 	}
-	for i := range w.Upstreams {
-		x.Upstreams = append(x.Upstreams, r.upstream(&w.Upstreams[i]))
+	for i := range body.Upstreams {
+		m.Upstreams = append(m.Upstreams, r.upstream(&body.Upstreams[i]))
 	}
-	for _, ev := range w.Evacuated {
-		x.Evacuations = append(x.Evacuations, stoatpaddle.Evacuation{
+	for _, ev := range body.Evacuated {
+		m.Evacuations = append(m.Evacuations, stoatpaddle.Evacuation{
 			DataCentre: stoatpaddle.DataCentreID(r.name(ev.Centre)), Revision: stoatpaddle.Version(ev.Revision), Withdrawn: ev.Withdrawn,
 		})
 	}
 	if r.err != nil {
 		return Message{}, r.err
 	}
-	return x, nil
+	return m, nil
 }
 
 func (r *bodyReader) upstream(u *wireHeld) stoatroute.RemoteUpstream {
@@ -127,17 +127,17 @@
 		delta.removed = append(delta.removed, r.addr(b))
 	}
 	for i := range w.Routes {
-		x := &w.Routes[i]
+		wire := &w.Routes[i]
 		route := stoatpaddle.Route{
-			Listen: r.addr(x.Listen), Idempotent: x.Idempotent, Priority: x.Priority, Objective: time.Duration(x.ObjectiveMS) * time.Millisecond,
+			Listen: r.addr(wire.Listen), Idempotent: wire.Idempotent, Priority: wire.Priority, Objective: time.Duration(wire.ObjectiveMS) * time.Millisecond,
 		}
-		for _, index := range x.Regions {
+		for _, index := range wire.Regions {
 			route.Regions = append(route.Regions, stoatpaddle.RegionID(r.name(index)))
 		}
-		for _, b := range x.Backends {
+		for _, b := range wire.Backends {
 			route.Backends = append(route.Backends, stoatpaddle.Backend{Service: stoatpaddle.ServiceID(r.name(b.Service)), Weight: stoatpaddle.Weight(b.Weight)})
 		}
-		for _, index := range x.Earlier {
+		for _, index := range wire.Earlier {
 			route.Earlier = append(route.Earlier, stoatpaddle.ServiceID(r.name(index)))
 		}
 		delta.Declaration.Routes = append(delta.Declaration.Routes, route)
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -58,24 +58,24 @@
 	if child.change == t.Change {
 		return nil
 	}
-	n := &nameTable{index: map[string]int{}}
-	w := &Body{Whole: child.change == 0}
+	names := &nameTable{index: map[string]int{}}
+	body := &Body{Whole: child.change == 0}
 	if t.Altered > child.change {
-		w.Declared = encodeDeclaration(n, t, child)
+		body.Declared = encodeDeclaration(names, t, child)
 	}
 	for _, u := range t.Since(child.change) {
 		r := &u.Registration
-		w.Upstreams = append(w.Upstreams, wireHeld{
-			ID: string(r.ID), Target: uint64(r.Target), Service: n.indexOf(string(r.Service)), Centre: n.indexOf(string(r.DataCentre)),
+		body.Upstreams = append(body.Upstreams, wireHeld{
+			ID: string(r.ID), Target: uint64(r.Target), Service: names.indexOf(string(r.Service)), Centre: names.indexOf(string(r.DataCentre)),
 			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.Created),
 			Standing: uint8(u.Standing), ColdMS: max(0, u.Warm.Sub(now).Milliseconds()), Incarnation: uint64(r.Incarnation),
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
-		w.Evacuated = append(w.Evacuated, wireEvacuation{Centre: n.indexOf(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
+		body.Evacuated = append(body.Evacuated, wireEvacuation{Centre: names.indexOf(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
 	}
-	w.Names = n.list
-	return w
+	body.Names = names.list
+	return body
 }
 
 func packAddr(a netip.AddrPort) []byte {
@@ -84,7 +84,7 @@
 	return b
 }
 
-func encodeDeclaration(n *nameTable, t *stoatroute.Table, child Holds) *wireConfig {
+func encodeDeclaration(names *nameTable, t *stoatroute.Table, child Holds) *wireConfig {
 	d := &t.Declaration
 	w := &wireConfig{
 		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.Idle.Milliseconds(),
@@ -94,7 +94,7 @@
 		w.Base, routes, removed = 0, d.Routes, nil
 	}
 	for s, flows := range d.Caps {
-		w.Caps = append(w.Caps, wireCap{Service: n.indexOf(string(s)), MaxFlows: flows, ColdRate: d.ColdRates[s]})
+		w.Caps = append(w.Caps, wireCap{Service: names.indexOf(string(s)), MaxFlows: flows, ColdRate: d.ColdRates[s]})
 	}
 	for _, listen := range removed {
 		w.Removed = append(w.Removed, packAddr(listen))
@@ -104,14 +104,14 @@
 		r := &routes[i]
 		out := wireRoute{Listen: packAddr(r.Listen), Idempotent: r.Idempotent, ObjectiveMS: r.Objective.Milliseconds(), Priority: r.Priority}
 		for _, region := range r.Regions {
-			out.Regions = append(out.Regions, n.indexOf(string(region)))
+			out.Regions = append(out.Regions, names.indexOf(string(region)))
 		}
 		for _, b := range r.Backends {
-			out.Backends = append(out.Backends, wireBackend{Service: n.indexOf(string(b.Service)), Weight: uint32(b.Weight)})
+			out.Backends = append(out.Backends, wireBackend{Service: names.indexOf(string(b.Service)), Weight: uint32(b.Weight)})
 		}
 		if current := t.Route(r.Listen); current != nil {
 			for _, s := range current.Earlier() {
-				out.Earlier = append(out.Earlier, n.indexOf(string(s)))
+				out.Earlier = append(out.Earlier, names.indexOf(string(s)))
 			}
 		}
 		w.Routes = append(w.Routes, out)
--- a/stoatrelay/fuzz_test.go
+++ b/stoatrelay/fuzz_test.go
@@ -50,12 +50,12 @@
 		if next == nil {
 			return
 		}
-		text, err := Encode(next)
+		encoded, err := Encode(next)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var again Body
-		if err := msgpack.Unmarshal(text, &again); err != nil {
+		if err := msgpack.Unmarshal(encoded, &again); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Decode(&Head{}, &again); err != nil {
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -30,6 +30,7 @@
 	Evacuated []wireEvacuation
 }
 
+// wireEvacuation says that a data centre is evacuated, or is no longer.
 type wireEvacuation struct {
 	_msgpack  struct{} `msgpack:",as_array"`
 	Centre    int
@@ -49,44 +50,48 @@
 	IdleMS   int64
 }
 
+// wireRoute is one route of a declaration.
 type wireRoute struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Listen   []byte   // address and port in binary: 6 bytes instead of 17 in text
-	Backends []wireBackend
-	Earlier  []int // indexes of the services that it sent flows to before
-	Idempotent   bool  // its requests may run twice
-	ObjectiveMS    int64 // objective
-	Priority int
-	Regions  []int // indexes of the regions that its flows may go to
+	_msgpack    struct{} `msgpack:",as_array"`
+	Listen      []byte   // address and port in binary: 6 bytes instead of 17 in text
+	Backends    []wireBackend
+	Earlier     []int // indexes of the names of services that it sent flows to before
+	Idempotent  bool  // its requests may run twice
+	ObjectiveMS int64 // an answer later than this is late
+	Priority    int
+	Regions     []int // indexes of the names of the regions that its flows may go to
 }
 
+// wireBackend is a service that a route sends flows to, with its weight.
 type wireBackend struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  int
 	Weight   uint32
 }
 
+// wireCap is the limits of the upstreams of one service.
 type wireCap struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  int
-	MaxFlows    int
-	ColdRate     float64 // requests a second while cold; 0: no limit
+	MaxFlows int
+	ColdRate float64 // requests a second while cold; 0: no limit
 }
 
+// wireHeld is an upstream as the parent knows it.
 type wireHeld struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	ID       string
-	Target   uint64
-	Service  int
-	Centre   int
-	Addr     []byte
-	Slots    int
-	Leaving  bool
-	Revision uint64
-	Created  uint64
-	Standing uint8
-	ColdMS   int64 // remaining time of its slow start
-	Incarnation     uint64
+	_msgpack    struct{} `msgpack:",as_array"`
+	ID          string
+	Target      uint64
+	Service     int
+	Centre      int
+	Addr        []byte
+	Slots       int
+	Leaving     bool
+	Revision    uint64
+	Created     uint64
+	Standing    uint8
+	ColdMS      int64 // remaining time of its slow start
+	Incarnation uint64
 }
 
 // Refusal says why an entry does not accept a child, and which entries to ask instead.
