--- a/stoattree/place_test.go
+++ b/stoattree/place_test.go
@@ -36,7 +36,7 @@
 	for round := range 2 {
 		f.settle(4)
 		f.propagateSizes()
-		parts, ranksBelow := map[stoatpaddle.DataCentreID]int{}, map[*member]map[int]bool{}
+		groups, ranksOf := map[stoatpaddle.DataCentreID]int{}, map[*member]map[int]bool{}
 		for _, m := range f.all {
 			if m.dead {
 				continue
@@ -45,16 +45,16 @@
 			for top.hasLocalParent() {
 				top = top.parent
 			}
-			if ranksBelow[top] == nil {
-				ranksBelow[top] = map[int]bool{}
-				parts[m.centre]++
+			if ranksOf[top] == nil {
+				ranksOf[top] = map[int]bool{}
+				groups[m.centre]++
 			}
-			if ranksBelow[top][m.rank()] {
+			if ranksOf[top][m.rank()] {
 				t.Errorf("round %d: two entries have rank %d", round, m.rank())
 			}
-			ranksBelow[top][m.rank()] = true
+			ranksOf[top][m.rank()] = true
 		}
-		for top, ranks := range ranksBelow {
+		for top, ranks := range ranksOf {
 			for r := range len(ranks) {
 				if !ranks[r] {
 					t.Errorf("round %d: none of %d entries has rank %d", round, len(ranks), r)
@@ -64,10 +64,10 @@
 				t.Errorf("round %d: subtree size is %d, expected %d", round, top.tree.Size(), len(ranks))
 			}
 		}
-		for centre, n := range parts {
-			t.Logf("round %d: %s has %d parts", round, centre, n)
+		for centre, n := range groups {
+			t.Logf("round %d: %s has %d groups", round, centre, n)
 			if n > 3 {
-				t.Errorf("round %d: %s is split into %d parts", round, centre, n)
+				t.Errorf("round %d: %s is split into %d groups", round, centre, n)
 			}
 		}
 		for i := 5; i < 300; i += 10 {
--- a/stoattree/round.go
+++ b/stoattree/round.go
@@ -25,9 +25,9 @@
 
 // SetSiblings replaces the remembered siblings, which are other entries of this data centre that a parent
 // named. A list without a usable address leaves them unchanged.
-func (t *Tree) Learn(relatives []netip.AddrPort) {
+func (t *Tree) Learn(siblings []netip.AddrPort) {
 	list := make([]netip.AddrPort, 0, maxSiblings)
-	for _, a := range relatives {
+	for _, a := range siblings {
 		if a != t.cfg.Self && a.IsValid() && len(list) < maxSiblings {
 			list = append(list, a)
 		}
@@ -88,13 +88,13 @@
 	if t.search == nil {
 		return
 	}
-	var fresh []netip.AddrPort
+	var valid []netip.AddrPort
 	for _, a := range alternatives {
-		if a != t.cfg.Self && a.IsValid() && len(fresh) < maxAlternatives {
-			fresh = append(fresh, a)
+		if a != t.cfg.Self && a.IsValid() && len(valid) < maxAlternatives {
+			valid = append(valid, a)
 		}
 	}
-	t.search.pending = append(fresh, t.search.pending...)
+	t.search.pending = append(valid, t.search.pending...)
 }
 
 // FormsLoop reports whether a parent with this path is below this entry. A path longer than MaxPathLength
--- a/stoattree/tree.go
+++ b/stoattree/tree.go
@@ -149,24 +149,24 @@
 }
 
 // Admit decides on a request to become a child. An accepted entry is a child until RemoveChild.
-func (t *Tree) Admit(s State, a Ask) Answer {
-	if refusal := t.refusalReason(s, a); refusal != Accepted {
+func (t *Tree) Admit(s State, req Ask) Answer {
+	if refusal := t.refusalReason(s, req); refusal != Accepted {
 		return Answer{Refusal: refusal}
 	}
-	if a.Centre != t.cfg.Centre {
-		// One link between two data centres is enough: the first child there serves the others.
-		if there := t.childrenIn(a.Centre, a.Skip); len(there) > 0 {
-			return Answer{Refusal: OtherSide, Try: there}
+	if req.Centre != t.cfg.Centre {
+		// One link between two data centres is enough: the first child alternatives serves the others.
+		if alternatives := t.childrenIn(req.Centre, req.Skip); len(alternatives) > 0 {
+			return Answer{Refusal: OtherSide, Try: alternatives}
 		}
-		if a.Near {
+		if req.Near {
 			return Answer{Refusal: OtherSide}
 		}
 	}
-	if _, again := t.children[a.From]; !again && len(t.children) >= t.limit(a.Centre) {
-		return Answer{Refusal: Full, Try: t.childrenIn(a.Centre, a.Skip)}
+	if _, admitted := t.children[req.From]; !admitted && len(t.children) >= t.limit(req.Centre) {
+		return Answer{Refusal: Full, Try: t.childrenIn(req.Centre, req.Skip)}
 	}
 	t.lastAdmission++
-	t.children[a.From] = child{centre: a.Centre, admission: t.lastAdmission, size: max(1, t.children[a.From].size)}
+	t.children[req.From] = child{centre: req.Centre, admission: t.lastAdmission, size: max(1, t.children[req.From].size)}
 	return Answer{Ticket: t.lastAdmission}
 }
 
@@ -181,19 +181,19 @@
 }
 
 // refusalReason returns why this entry must not accept the requester even if it has capacity, or Accepted.
-func (t *Tree) refusalReason(s State, a Ask) Refusal {
+func (t *Tree) refusalReason(s State, req Ask) Refusal {
 	switch {
 	case !s.Ready:
 		return NotReady
-	case s.Known.Before(a.Known):
+	case s.Known.Before(req.Known):
 		return Behind
-	case a.Within > 0 && (s.Age < 0 || s.Age > a.Within):
+	case req.Within > 0 && (s.Age < 0 || s.Age > req.Within):
 		return Stale
-	case a.From == t.cfg.Self || slices.Contains(s.Path, a.From):
+	case req.From == t.cfg.Self || slices.Contains(s.Path, req.From):
 		return Loop
-	case a.Known.Revision == 0 || len(s.Path) > 0 || s.Reads && t.IsSeed():
+	case req.Known.Revision == 0 || len(s.Path) > 0 || s.Reads && t.IsSeed():
 		return Accepted
-	case entryOrder(t.cfg.Self) < entryOrder(a.From):
+	case entryOrder(t.cfg.Self) < entryOrder(req.From):
 		// Two entries without a parent would accept each other. A total order of all entries decides, so
 		// that they gather below the first of them.
 		return Accepted
@@ -205,11 +205,11 @@
 
 // childrenIn returns a few children in a data centre. If there are none and it is the data centre of this
 // entry, childrenIn returns children in other data centres. Entries that were tried are left out.
-func (t *Tree) childrenIn(centre stoatpaddle.DataCentreID, skip []netip.AddrPort) []netip.AddrPort {
+func (t *Tree) childrenIn(centre stoatpaddle.DataCentreID, tried []netip.AddrPort) []netip.AddrPort {
 	var local, remote []netip.AddrPort
 	for a, x := range t.children {
 		switch {
-		case slices.Contains(skip, a):
+		case slices.Contains(tried, a):
 		case x.centre == centre:
 			local = append(local, a)
 		case centre == t.cfg.Centre:
@@ -262,8 +262,8 @@
 }
 
 // RemoveChild removes a child, unless it has been admitted again.
-func (t *Tree) Part(from netip.AddrPort, ticket Ticket) {
-	if t.children[from].admission == ticket {
+func (t *Tree) Part(from netip.AddrPort, admission Ticket) {
+	if t.children[from].admission == admission {
 		delete(t.children, from)
 	}
 }
--- a/stoattree/tree_test.go
+++ b/stoattree/tree_test.go
@@ -268,8 +268,8 @@
 		return 0.05
 	})
 	f.settle(4)
-	if alone, depth, widest, _ := f.inspect(); alone > 0 || depth > 12 || widest > 10 {
-		t.Error(alone, depth, widest)
+	if orphans, depth, widest, _ := f.inspect(); orphans > 0 || depth > 12 || widest > 10 {
+		t.Error(orphans, depth, widest)
 	}
 }
 
@@ -284,8 +284,8 @@
 		f.kill(f.all[3+rnd.IntN(397)])
 	}
 	f.settle(3)
-	if alone, _, _, _ := f.inspect(); alone > 0 {
-		t.Error("after single deaths:", alone, "without a parent")
+	if orphans, _, _, _ := f.inspect(); orphans > 0 {
+		t.Error("after single deaths:", orphans, "without a parent")
 	}
 	for _, m := range f.all {
 		if m.centre == "b" && !m.dead {
@@ -293,8 +293,8 @@
 		}
 	}
 	f.settle(3)
-	if alone, _, _, _ := f.inspect(); alone > 0 {
-		t.Error("after a data centre's death:", alone, "without a parent")
+	if orphans, _, _, _ := f.inspect(); orphans > 0 {
+		t.Error("after a data centre's death:", orphans, "without a parent")
 	}
 	for _, m := range f.all[:3] {
 		if !m.dead {
@@ -302,7 +302,7 @@
 		}
 	}
 	f.settle(10)
-	if alone, _, _, _ := f.inspect(); alone > 40 {
-		t.Error("without seeds:", alone, "of 260 without a parent")
+	if orphans, _, _, _ := f.inspect(); orphans > 40 {
+		t.Error("without seeds:", orphans, "of 260 without a parent")
 	}
 }
