--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -126,7 +126,7 @@
 		m.Batch.Drops = append(m.Batch.Drops, decodeFlow(b))
 	}
 	for n := d.list(); n > 0 && d.err == nil; n-- {
-		m.Batch.Loads = append(m.Batch.Loads, d.load())
+		m.Batch.Loads = append(m.Batch.Loads, d.loadReport())
 	}
 	return m
 }
@@ -142,7 +142,7 @@
 	return out
 }
 
-func (d *decoder) load() stoatflow.LoadReport {
+func (d *decoder) loadReport() stoatflow.LoadReport {
 	l := stoatflow.LoadReport{Set: stoatflow.SetDigest(d.uint())}
 	for b := d.bytes(); len(b) > 0; {
 		n, size := binary.Uvarint(b)
--- a/stoatpeer/encode.go
+++ b/stoatpeer/encode.go
@@ -133,9 +133,9 @@
 	return append(b, full[8-flowHashSize:]...)
 }
 
-func decodeFlow(b []byte) stoatpaddle.FlowHash {
+func decodeFlow(data []byte) stoatpaddle.FlowHash {
 	var full [8]byte
-	copy(full[8-flowHashSize:], b[:flowHashSize])
+	copy(full[8-flowHashSize:], data[:flowHashSize])
 	return stoatpaddle.FlowHash(binary.BigEndian.Uint64(full[:]))
 }
 
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -119,9 +119,9 @@
 
 // recorder records events of the connections.
 type recorder struct {
-	mu   sync.Mutex
-	cond *sync.Cond
-	events  []string
+	mu     sync.Mutex
+	cond   *sync.Cond
+	events []string
 }
 
 func newRecorder() *recorder {
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -24,8 +24,8 @@
 	helloTimeout = 2 * time.Second
 	// idleTimeout is how long a connection may be without a message. Heartbeats come every half second, so
 	// that a connection without any is closed although TCP still considers it open.
-	idleTimeout   = 3 * time.Second
-	queueSize = 512 // frames that wait for one peer
+	idleTimeout = 3 * time.Second
+	queueSize   = 512 // frames that wait for one peer
 )
 
 // Handler is told of connections and messages. Its methods must not block for long.
@@ -41,18 +41,18 @@
 	Addr    netip.AddrPort
 	Handler Handler
 	Log     stoatevent.Sink
-	// Partitioned reports whether the network between this entry and the instance counts as cut; tests set
-	// it.
+	// Partitioned reports whether the network between this entry and the instance counts as cut. It is for
+	// tests.
 	Severed func(id stoatpaddle.InstanceID) bool
 }
 
 // Transport manages the connections of one entry with its peers.
 type Transport struct {
-	cfg   Config
-	listener    net.Listener
-	group *errgroup.Group
-	ctx   context.Context
-	stop  context.CancelFunc
+	cfg      Config
+	listener net.Listener
+	group    *errgroup.Group
+	ctx      context.Context
+	stop     context.CancelFunc
 
 	mu    sync.Mutex
 	conns map[stoatpaddle.InstanceID]*peerConn
@@ -63,17 +63,17 @@
 
 // peerConn is one connection after both hellos.
 type peerConn struct {
-	id   stoatpaddle.InstanceID
-	conn net.Conn
+	id     stoatpaddle.InstanceID
+	conn   net.Conn
 	queue  chan []byte
-	once sync.Once
+	once   sync.Once
 	closed chan struct{}
 }
 
-func (l *peerConn) close() {
-	l.once.Do(func() {
-		close(l.closed)
-		_ = l.conn.Close()
+func (c *peerConn) close() {
+	c.once.Do(func() {
+		close(c.closed)
+		_ = c.conn.Close()
 	})
 }
 
@@ -115,8 +115,8 @@
 	t.stop()
 	_ = t.listener.Close()
 	t.mu.Lock()
-	for _, l := range t.conns {
-		l.close()
+	for _, c := range t.conns {
+		c.close()
 	}
 	t.mu.Unlock()
 	_ = t.group.Wait()
@@ -156,20 +156,20 @@
 // Disconnect closes the connection with a peer.
 func (t *Transport) Hangup(id stoatpaddle.InstanceID) {
 	t.mu.Lock()
-	l := t.conns[id]
+	c := t.conns[id]
 	t.mu.Unlock()
-	if l != nil {
-		l.close()
+	if c != nil {
+		c.close()
 	}
 }
 
-// Send queues a message for a peer. The message is dropped if there is no connection, and the connection is
-// closed if its queue is full.
+// Send queues a message for a peer. Without a connection, the message is dropped. If the queue is full, the
+// connection is closed.
 func (t *Transport) Send(to stoatpaddle.InstanceID, m stoatmessage.Message) {
 	t.mu.Lock()
-	l := t.conns[to]
+	c := t.conns[to]
 	t.mu.Unlock()
-	if l == nil || t.partitioned(to) {
+	if c == nil || t.partitioned(to) {
 		return
 	}
 	frame, err := Encode(m)
@@ -178,10 +178,10 @@
 		return
 	}
 	select {
-	case l.queue <- frame:
+	case c.queue <- frame:
 	default:
 		t.cfg.Log.Emit(EventSlow, stoatevent.F("peer", string(to)))
-		l.close()
+		c.close()
 	}
 }
 
@@ -196,19 +196,19 @@
 	if !ok {
 		return
 	}
-	l := &peerConn{id: hello.Instance.ID, conn: conn, queue: make(chan []byte, queueSize), closed: make(chan struct{})}
-	if !t.add(l) {
+	c := &peerConn{id: hello.Instance.ID, conn: conn, queue: make(chan []byte, queueSize), closed: make(chan struct{})}
+	if !t.add(c) {
 		return
 	}
 	t.cfg.Handler.Connected(*hello)
 	t.group.Go(func() error {
-		t.write(l)
+		t.write(c)
 		return nil
 	})
-	t.read(l, r)
-	l.close()
-	if t.remove(l) {
-		t.cfg.Handler.Disconnected(l.id)
+	t.read(c, r)
+	c.close()
+	if t.remove(c) {
+		t.cfg.Handler.Disconnected(c.id)
 	}
 }
 
@@ -252,59 +252,59 @@
 
 // add registers l as the connection with its peer, in place of an earlier one. It returns false if the
 // transport is closed.
-func (t *Transport) add(l *peerConn) bool {
+func (t *Transport) add(c *peerConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ctx.Err() != nil {
 		return false
 	}
-	if old := t.conns[l.id]; old != nil {
+	if old := t.conns[c.id]; old != nil {
 		old.close()
 	}
-	t.conns[l.id] = l
+	t.conns[c.id] = c
 	return true
 }
 
 // remove unregisters l, or returns false if a later connection has replaced it.
-func (t *Transport) remove(l *peerConn) bool {
+func (t *Transport) remove(c *peerConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.conns[l.id] != l {
+	if t.conns[c.id] != c {
 		return false
 	}
-	delete(t.conns, l.id)
+	delete(t.conns, c.id)
 	return true
 }
 
-func (t *Transport) write(l *peerConn) {
+func (t *Transport) write(c *peerConn) {
 	for {
 		select {
-		case <-l.closed:
+		case <-c.closed:
 			return
-		case frame := <-l.queue:
-			_ = l.conn.SetWriteDeadline(time.Now().Add(idleTimeout))
-			n, err := l.conn.Write(frame)
+		case frame := <-c.queue:
+			_ = c.conn.SetWriteDeadline(time.Now().Add(idleTimeout))
+			n, err := c.conn.Write(frame)
 			t.sent.Add(int64(n))
 			if err != nil {
-				l.close()
+				c.close()
 				return
 			}
 		}
 	}
 }
 
-func (t *Transport) read(l *peerConn, r *bufio.Reader) {
+func (t *Transport) read(c *peerConn, r *bufio.Reader) {
 	counter := &stoatcount.Reader{R: r, N: &t.received}
 	for {
-		_ = l.conn.SetReadDeadline(time.Now().Add(idleTimeout))
+		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		m, err := Read(counter)
 		if err != nil {
-			t.reportMalformed(l.conn, err)
+			t.reportMalformed(c.conn, err)
 			return
 		}
-		if t.partitioned(l.id) {
+		if t.partitioned(c.id) {
 			return
 		}
-		t.cfg.Handler.Received(l.id, m)
+		t.cfg.Handler.Received(c.id, m)
 	}
 }
