--- a/stoattunnel/parse.go
+++ b/stoattunnel/parse.go
@@ -13,13 +13,13 @@
 
 // Parser parses packets without allocating. It must not be used by several goroutines at once.
 type Parser struct {
-	ip4   layers.IPv4
-	ip6   layers.IPv6
-	tcp   layers.TCP
-	udp   layers.UDP
-	icmp4 layers.ICMPv4
-	icmp6 layers.ICMPv6
-	feedback  gopacket.DecodeFeedback
+	ip4      layers.IPv4
+	ip6      layers.IPv6
+	tcp      layers.TCP
+	udp      layers.UDP
+	icmp4    layers.ICMPv4
+	icmp6    layers.ICMPv6
+	feedback gopacket.DecodeFeedback
 }
 
 // NewParser returns a Parser.
