--- a/stoatpeer/codec.go
+++ b/stoatpeer/codec.go
@@ -26,7 +26,7 @@
 
 const (
 	frameVersion = 1
-	lengthSize   = 4 // length, bytes
+	lengthSize   = 4 // bytes
 	// MaxFrame limits the bytes of a frame, so that a wrong length cannot exhaust the entry's memory. It
 	// leaves room for several objects of the platform's maximum size, one megabyte.
 	MaxFrame = 4 << 20
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -250,7 +250,7 @@
 	t.cfg.Log.Emit(EventFrame, stoatevent.F("address", conn.RemoteAddr().String()), stoatevent.F("cause", err.Error()))
 }
 
-// add registers l as the connection with its peer, in place of an earlier one. It returns false if the
+// add registers c as the connection with its peer, in place of an earlier one. It returns false if the
 // transport is closed.
 func (t *Transport) add(c *peerConn) bool {
 	t.mu.Lock()
@@ -265,7 +265,7 @@
 	return true
 }
 
-// remove unregisters l, or returns false if a later connection has replaced it.
+// remove unregisters c, or returns false if a later connection has replaced it.
 func (t *Transport) remove(c *peerConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
