--- a/stoatoutlier/aggregator.go
+++ b/stoatoutlier/aggregator.go
@@ -46,44 +46,44 @@
 // HandleChildUpdate applies an update from a child, which covers the child and the entries below it. It
 // returns false if the update only names changes to reports that are not known here; the child then has to
 // send everything.
-func (p *Pool) Take(now time.Time, from netip.AddrPort, u Update) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.children == nil {
-		p.children = map[netip.AddrPort]receivedReports{}
+func (agg *Pool) Take(now time.Time, from netip.AddrPort, u Update) bool {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	if agg.children == nil {
+		agg.children = map[netip.AddrPort]receivedReports{}
 	}
-	for a, r := range p.children {
+	for a, r := range agg.children {
 		if !r.fresh(now) {
-			delete(p.children, a)
+			delete(agg.children, a)
 		}
 	}
-	before, known := p.children[from]
+	before, known := agg.children[from]
 	if !known && !u.Whole {
 		return false
 	}
-	p.children[from] = receivedReports{receivedAt: now, reports: u.applyTo(before.reports)}
+	agg.children[from] = receivedReports{receivedAt: now, reports: u.applyTo(before.reports)}
 	return true
 }
 
 // RemoveChild drops the reports of a child that now reports to another parent, so that they don't count
 // twice.
-func (p *Pool) Forget(child netip.AddrPort) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	delete(p.children, child)
+func (agg *Pool) Forget(child netip.AddrPort) {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	delete(agg.children, child)
 }
 
 // HandleParentUpdate records the relay parent in this data centre, invalid for none, and applies its update
 // of the sum.
-func (p *Pool) Follow(now time.Time, parent netip.AddrPort, u Update) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if parent != p.parent {
-		p.parent, p.sum, p.toParent, p.parentSince = parent, receivedReports{}, Stream{}, now
+func (agg *Pool) Follow(now time.Time, parent netip.AddrPort, u Update) {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	if parent != agg.parent {
+		agg.parent, agg.sum, agg.toParent, agg.parentSince = parent, receivedReports{}, Stream{}, now
 	}
 	if parent.IsValid() {
-		p.sum = receivedReports{receivedAt: now, reports: u.applyTo(p.sum.reports)}
-		p.delay.sumReceived(now, p.sum.reports)
+		agg.sum = receivedReports{receivedAt: now, reports: u.applyTo(agg.sum.reports)}
+		agg.delay.sumReceived(now, agg.sum.reports)
 	}
 }
 
@@ -93,28 +93,28 @@
 const stableAfter = 500 * time.Millisecond
 
 // Stable reports whether this entry has had its parent for long enough to rely on the sum.
-func (p *Pool) Steady(now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return now.Sub(p.parentSince) >= stableAfter
+func (agg *Pool) Steady(now time.Time) bool {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	return now.Sub(agg.parentSince) >= stableAfter
 }
 
 // ResetParentStream makes the next report contain everything, after the parent did not accept one.
-func (p *Pool) Lost() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.toParent = Stream{}
+func (agg *Pool) Lost() {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	agg.toParent = Stream{}
 }
 
 // Suspects returns the upstreams that any entry saw failing, as far as this entry knows.
-func (p *Pool) Suspects(now time.Time) map[stoatpaddle.UpstreamKey]bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (agg *Pool) Suspects(now time.Time) map[stoatpaddle.UpstreamKey]bool {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
 	keys := map[stoatpaddle.UpstreamKey]bool{}
-	if p.sum.fresh(now) {
-		addKeys(keys, p.sum.reports)
+	if agg.sum.fresh(now) {
+		addKeys(keys, agg.sum.reports)
 	}
-	for _, r := range p.children {
+	for _, r := range agg.children {
 		if r.fresh(now) {
 			addKeys(keys, r.reports)
 		}
@@ -129,7 +129,7 @@
 }
 
 // subtreeSum returns the sum of what this entry and those below it observed, sorted by key.
-func (p *Pool) subtreeSum(now time.Time, own []Report) []Report {
+func (agg *Pool) subtreeSum(now time.Time, own []Report) []Report {
 	sums := map[stoatpaddle.UpstreamKey]Report{}
 	addAll := func(list []Report) {
 		for i := range list {
@@ -140,7 +140,7 @@
 		}
 	}
 	addAll(own)
-	for _, r := range p.children {
+	for _, r := range agg.children {
 		if r.fresh(now) {
 			addAll(r.reports)
 		}
@@ -162,10 +162,10 @@
 // reportable returns the reports for the parent: those that count against an upstream, and those on
 // upstreams that are in the sum because of other entries. Without the latter, the sum would consist of the
 // failures that two entries saw and lack the answers of the thirty entries that saw no failure.
-func (p *Pool) reportable(subtree []Report) []Report {
+func (agg *Pool) reportable(subtree []Report) []Report {
 	var out []Report
 	for i := range subtree {
-		if subtree[i].outlier() || find(p.sum.reports, subtree[i].Key) != nil {
+		if subtree[i].outlier() || find(agg.sum.reports, subtree[i].Key) != nil {
 			out = append(out, subtree[i])
 		}
 	}
@@ -176,22 +176,22 @@
 // send and its recipient. An invalid address means that nothing is due. busy says that the previous report
 // is still being sent; the next one is held back then, because a change counts as sent once it is returned
 // here.
-func (p *Pool) Turn(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	subtree := p.subtreeSum(now, own)
-	if !p.parent.IsValid() {
+func (agg *Pool) Turn(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	subtree := agg.subtreeSum(now, own)
+	if !agg.parent.IsValid() {
 		return outliers(subtree), Update{}, netip.AddrPort{}
 	}
-	sum = p.sum.reports
-	if !p.sum.fresh(now) {
+	sum = agg.sum.reports
+	if !agg.sum.fresh(now) {
 		sum = outliers(subtree)
 	}
 	if busy {
 		return sum, Update{}, netip.AddrPort{}
 	}
-	u, due := p.toParent.Next(now, p.reportable(subtree), func(r *Report) time.Time {
-		if known := find(p.sum.reports, r.Key); known != nil {
+	u, due := agg.toParent.Next(now, agg.reportable(subtree), func(r *Report) time.Time {
+		if known := find(agg.sum.reports, r.Key); known != nil {
 			return known.First
 		}
 		return time.Time{}
@@ -199,8 +199,8 @@
 	if !due {
 		return sum, Update{}, netip.AddrPort{}
 	}
-	p.delay.reportSent(now, own, u)
-	return sum, u, p.parent
+	agg.delay.reportSent(now, own, u)
+	return sum, u, agg.parent
 }
 
 // FirstWait is the function to pass to DeltaTracker.Next for a sum over the data centre, whose reports
--- a/stoatoutlier/aggregator_test.go
+++ b/stoatoutlier/aggregator_test.go
@@ -23,16 +23,16 @@
 // An entry without a parent in its data centre adds up what it and the entries below it observed. A child's
 // later report replaces its earlier one, and expires once the child stops reporting.
 func TestAggregatorAddsUp(t *testing.T) {
-	var p Pool
+	var agg Pool
 	now := time.Unix(1000, 0)
-	p.Take(now, childA, Update{Whole: true, Reports: []Report{countReport(1, 2, 1), countReport(2, 5, 0)}})
-	p.Take(now, childA, Update{Whole: true, Reports: []Report{countReport(1, 3, 2), countReport(2, 5, 0)}})
-	p.Take(now.Add(5*time.Second), childB, Update{Whole: true, Reports: []Report{countReport(1, 4, 0)}})
-	sum, _, to := p.Turn(now.Add(5*time.Second), []Report{countReport(1, 1, 1)}, false)
+	agg.Take(now, childA, Update{Whole: true, Reports: []Report{countReport(1, 2, 1), countReport(2, 5, 0)}})
+	agg.Take(now, childA, Update{Whole: true, Reports: []Report{countReport(1, 3, 2), countReport(2, 5, 0)}})
+	agg.Take(now.Add(5*time.Second), childB, Update{Whole: true, Reports: []Report{countReport(1, 4, 0)}})
+	sum, _, to := agg.Turn(now.Add(5*time.Second), []Report{countReport(1, 1, 1)}, false)
 	if diff := cmp.Diff([]Report{countReport(1, 8, 3)}, sum); diff != "" || to.IsValid() {
 		t.Error(diff, to)
 	}
-	sum, _, _ = p.Turn(now.Add(7*time.Second), []Report{countReport(1, 1, 1)}, false)
+	sum, _, _ = agg.Turn(now.Add(7*time.Second), []Report{countReport(1, 1, 1)}, false)
 	if diff := cmp.Diff([]Report{countReport(1, 5, 1)}, sum); diff != "" {
 		t.Error(diff)
 	}
@@ -41,11 +41,11 @@
 // An entry with a parent reports changes soon and unchanged reports rarely. It relies on the sum that its
 // parent sent, until that sum is too old or the parent is gone.
 func TestAggregatorReports(t *testing.T) {
-	var p Pool
+	var agg Pool
 	now := time.Unix(1000, 0)
 	own := []Report{countReport(1, 1, 1)}
-	p.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{countReport(1, 40, 20)}})
-	sum, report, to := p.Turn(now, own, false)
+	agg.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{countReport(1, 40, 20)}})
+	sum, report, to := agg.Turn(now, own, false)
 	if diff := cmp.Diff([]Report{countReport(1, 40, 20)}, sum); diff != "" || to != parentAddr {
 		t.Error(diff, to)
 	}
@@ -54,27 +54,27 @@
 	}
 	reports := 0
 	for at := 100 * time.Millisecond; at <= 4*time.Second; at += 100 * time.Millisecond {
-		if _, _, to := p.Turn(now.Add(at), own, false); to.IsValid() {
+		if _, _, to := agg.Turn(now.Add(at), own, false); to.IsValid() {
 			reports++
 		}
 	}
 	if reports != 2 {
 		t.Error("unchanged reports were sent", reports, "times in 4 s")
 	}
-	if _, _, to := p.Turn(now.Add(4600*time.Millisecond), append(own, countReport(2, 0, 1)), false); !to.IsValid() {
+	if _, _, to := agg.Turn(now.Add(4600*time.Millisecond), append(own, countReport(2, 0, 1)), false); !to.IsValid() {
 		t.Error("a new failure is not reported")
 	}
-	if _, report, to := p.Turn(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.applyTo([]Report{countReport(1, 1, 1), countReport(2, 0, 1)})) != 0 {
+	if _, report, to := agg.Turn(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.applyTo([]Report{countReport(1, 1, 1), countReport(2, 0, 1)})) != 0 {
 		t.Error("the end of the failures is not reported:", to, report)
 	}
-	if _, _, to := p.Turn(now.Add(20*time.Second), nil, false); to.IsValid() {
+	if _, _, to := agg.Turn(now.Add(20*time.Second), nil, false); to.IsValid() {
 		t.Error("an empty report is sent")
 	}
-	if sum, _, _ := p.Turn(now.Add(20*time.Second), own, false); !cmp.Equal(own, sum) {
+	if sum, _, _ := agg.Turn(now.Add(20*time.Second), own, false); !cmp.Equal(own, sum) {
 		t.Error("an expired sum is used:", sum)
 	}
-	p.Follow(now.Add(21*time.Second), netip.AddrPort{}, Update{})
-	if sum, _, to := p.Turn(now.Add(21*time.Second), own, false); !cmp.Equal(own, sum) || to.IsValid() {
+	agg.Follow(now.Add(21*time.Second), netip.AddrPort{}, Update{})
+	if sum, _, to := agg.Turn(now.Add(21*time.Second), own, false); !cmp.Equal(own, sum) || to.IsValid() {
 		t.Error(sum, to)
 	}
 }
@@ -108,15 +108,15 @@
 // upstream, the answers of the thirty must be reported as well: by the failures alone, the upstream would
 // seem to fail most requests.
 func TestAggregatorReportsUpstreamsInSum(t *testing.T) {
-	var p Pool
+	var agg Pool
 	now := time.Unix(1000, 0)
 	own := []Report{countReport(1, 20, 0)}
-	p.Follow(now, parentAddr, Update{})
-	if _, _, to := p.Turn(now, own, false); to.IsValid() {
+	agg.Follow(now, parentAddr, Update{})
+	if _, _, to := agg.Turn(now, own, false); to.IsValid() {
 		t.Error("reported although nothing failed")
 	}
-	p.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{countReport(1, 2, 5)}})
-	_, report, to := p.Turn(now.Add(time.Second), own, false)
+	agg.Follow(now, parentAddr, Update{Whole: true, Reports: []Report{countReport(1, 2, 5)}})
+	_, report, to := agg.Turn(now.Add(time.Second), own, false)
 	if diff := cmp.Diff(own, report.Reports); diff != "" || to != parentAddr {
 		t.Error(diff, to)
 	}
@@ -124,25 +124,25 @@
 
 // An entry that begins to wait for an upstream without an answer reports that at once, even if it has just
 // reported something else. It reports a sign of life from the upstream at once as well.
-func TestAggregatorReportsClaimsAtOnce(t *testing.T) {
-	var p Pool
+func TestAggregatorReportsWaitsAtOnce(t *testing.T) {
+	var agg Pool
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
 	wait := Report{Key: 1, Silence: Silence{Entries: 1, First: now}}
-	p.Follow(now, parentAddr, Update{})
-	if _, _, to := p.Turn(at(30*time.Millisecond), []Report{wait}, false); to != parentAddr {
+	agg.Follow(now, parentAddr, Update{})
+	if _, _, to := agg.Turn(at(30*time.Millisecond), []Report{wait}, false); to != parentAddr {
 		t.Error("a wait is not reported at once")
 	}
-	if _, _, to := p.Turn(at(60*time.Millisecond), []Report{wait}, false); to.IsValid() {
+	if _, _, to := agg.Turn(at(60*time.Millisecond), []Report{wait}, false); to.IsValid() {
 		t.Error("an unchanged wait is reported again")
 	}
 	second := Report{Key: 2, Silence: Silence{Entries: 1, First: at(70 * time.Millisecond)}}
-	if _, _, to := p.Turn(at(90*time.Millisecond), []Report{wait, second}, false); to != parentAddr {
+	if _, _, to := agg.Turn(at(90*time.Millisecond), []Report{wait, second}, false); to != parentAddr {
 		t.Error("a second wait is not reported at once")
 	}
-	p.Follow(at(100*time.Millisecond), parentAddr, Update{Whole: true, Reports: []Report{wait, second}})
+	agg.Follow(at(100*time.Millisecond), parentAddr, Update{Whole: true, Reports: []Report{wait, second}})
 	heard := Report{Key: 1, Silence: Silence{Heard: at(110 * time.Millisecond)}}
-	if _, report, to := p.Turn(at(120*time.Millisecond), []Report{heard, second}, false); to != parentAddr || len(report.Reports) != 1 || report.Whole {
+	if _, report, to := agg.Turn(at(120*time.Millisecond), []Report{heard, second}, false); to != parentAddr || len(report.Reports) != 1 || report.Whole {
 		t.Error("a sign of life is not reported at once:", report)
 	}
 }
@@ -150,16 +150,16 @@
 // The reports of an entry count once: when it has moved to another relay parent, the earlier parent drops
 // them.
 func TestAggregatorRemovesChild(t *testing.T) {
-	var p Pool
+	var agg Pool
 	now := time.Unix(1000, 0)
 	wait := Report{Key: 1, Silence: Silence{Entries: 1, First: now}}
-	p.Take(now, childA, Update{Whole: true, Reports: []Report{wait}})
-	p.Take(now, childB, Update{Whole: true, Reports: []Report{wait}})
-	if sum, _, _ := p.Turn(now, nil, false); sum[0].Entries != 2 {
+	agg.Take(now, childA, Update{Whole: true, Reports: []Report{wait}})
+	agg.Take(now, childB, Update{Whole: true, Reports: []Report{wait}})
+	if sum, _, _ := agg.Turn(now, nil, false); sum[0].Entries != 2 {
 		t.Error(sum)
 	}
-	p.Forget(childA)
-	if sum, _, _ := p.Turn(now, nil, false); sum[0].Entries != 1 {
+	agg.Forget(childA)
+	if sum, _, _ := agg.Turn(now, nil, false); sum[0].Entries != 1 {
 		t.Error(sum)
 	}
 }
@@ -189,38 +189,38 @@
 	}
 }
 
-// The propagation delay is measured with an entry's own claims, from when a claim is sent until the sum
-// contains it. A data centre with a deeper tree waits longer before it ejects an upstream.
+// The propagation delay is measured with the waits that an entry reports, from when a report is sent until
+// the sum contains it. A data centre with a deeper tree waits longer before it ejects an upstream.
 func TestDelayGrowsWithTree(t *testing.T) {
-	var p Pool
+	var agg Pool
 	now := time.Unix(1000, 0)
-	p.Follow(now, parentAddr, Update{})
-	if d := p.Delay(); d != initialDelay {
+	agg.Follow(now, parentAddr, Update{})
+	if d := agg.Delay(); d != initialDelay {
 		t.Error("before any measurement:", d)
 	}
 	wait := []Report{{Key: 1, Silence: Silence{Entries: 1, First: now}}}
-	if _, _, to := p.Turn(now, wait, false); !to.IsValid() {
+	if _, _, to := agg.Turn(now, wait, false); !to.IsValid() {
 		t.Fatal("the wait is not reported")
 	}
-	p.Follow(now.Add(40*time.Millisecond), parentAddr, Update{Whole: true, Reports: []Report{{Key: 2, Silence: Silence{Entries: 1, First: now}}}})
-	p.Follow(now.Add(180*time.Millisecond), parentAddr, Update{Reports: wait})
-	if d := p.Delay(); d != 360*time.Millisecond {
-		t.Error("after a claim with a round trip of 180 ms:", d)
+	agg.Follow(now.Add(40*time.Millisecond), parentAddr, Update{Whole: true, Reports: []Report{{Key: 2, Silence: Silence{Entries: 1, First: now}}}})
+	agg.Follow(now.Add(180*time.Millisecond), parentAddr, Update{Reports: wait})
+	if d := agg.Delay(); d != 360*time.Millisecond {
+		t.Error("after a report with a round trip of 180 ms:", d)
 	}
 }
 
 // Entries wait for a hundred upstreams. Each link carries only what changed, not the full list each time,
 // and the receiver still ends up with the full list.
 func TestDeltaTrackerSendsChanges(t *testing.T) {
-	var s Stream
+	var tracker Stream
 	now := time.Unix(1000, 0)
 	var list, received []Report
 	sent := 0
 	for i := range 100 {
 		list = append(list, Report{Key: stoatpaddle.UpstreamKey(i + 1), Silence: Silence{Entries: 1, First: now}})
-		u, due := s.Next(now.Add(time.Duration(i)*10*time.Millisecond), list, SinceFirst)
+		u, due := tracker.Next(now.Add(time.Duration(i)*10*time.Millisecond), list, SinceFirst)
 		if !due {
-			t.Fatal("a claim is not sent at once")
+			t.Fatal("a wait is not sent at once")
 		}
 		sent += len(u.Reports)
 		received = u.applyTo(received)
@@ -229,16 +229,16 @@
 		t.Error(diff)
 	}
 	if sent != 100 {
-		t.Error(sent, "reports for 100 claims")
+		t.Error(sent, "reports for 100 waits")
 	}
-	u, due := s.Next(now.Add(1100*time.Millisecond), list[:50], SinceFirst)
+	u, due := tracker.Next(now.Add(1100*time.Millisecond), list[:50], SinceFirst)
 	if received = u.applyTo(received); !due || len(received) != 50 {
 		t.Error("ended waits are still held by the receiver:", len(received))
 	}
-	if u, due := s.Next(now.Add(1110*time.Millisecond), list[:50], SinceFirst); due {
+	if u, due := tracker.Next(now.Add(1110*time.Millisecond), list[:50], SinceFirst); due {
 		t.Errorf("sent although nothing changed: %+v", u)
 	}
-	if u, due := s.Next(now.Add(3*time.Second), list[:50], SinceFirst); !due || !u.Whole || len(u.Reports) != 50 {
+	if u, due := tracker.Next(now.Add(3*time.Second), list[:50], SinceFirst); !due || !u.Whole || len(u.Reports) != 50 {
 		t.Error("the full list is not sent after fullInterval")
 	}
 }
@@ -270,19 +270,19 @@
 // An entry that has just found a parent knows which upstreams are being waited for, but not yet which of
 // them answered.
 func TestStable(t *testing.T) {
-	var p Pool
+	var agg Pool
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
-	p.Follow(now, parentAddr, Update{})
-	if p.Steady(at(100*time.Millisecond)) || !p.Steady(at(time.Second)) {
+	agg.Follow(now, parentAddr, Update{})
+	if agg.Steady(at(100*time.Millisecond)) || !agg.Steady(at(time.Second)) {
 		t.Error("stable too early or too late after a new parent")
 	}
-	p.Follow(at(time.Second), parentAddr, Update{})
-	if !p.Steady(at(1100 * time.Millisecond)) {
+	agg.Follow(at(time.Second), parentAddr, Update{})
+	if !agg.Steady(at(1100 * time.Millisecond)) {
 		t.Error("not stable although the parent is the same")
 	}
-	p.Take(at(2*time.Second), childA, Update{Whole: true})
-	if !p.Steady(at(2100 * time.Millisecond)) {
+	agg.Take(at(2*time.Second), childA, Update{Whole: true})
+	if !agg.Steady(at(2100 * time.Millisecond)) {
 		t.Error("not stable after a new child's first report")
 	}
 }
--- a/stoatoutlier/delay.go
+++ b/stoatoutlier/delay.go
@@ -66,11 +66,11 @@
 // PropagationDelay returns how long a sign of life may take from the entry that observed it to this one.
 // That is two round trips: the other entries have to learn first that this entry waits for the upstream,
 // and then this entry has to learn of their answer.
-func (p *Pool) Delay() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.delay.roundTrip == 0 {
+func (agg *Pool) Delay() time.Duration {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	if agg.delay.roundTrip == 0 {
 		return initialDelay
 	}
-	return min(maxDelay, max(minDelay, 2*p.delay.roundTrip))
+	return min(maxDelay, max(minDelay, 2*agg.delay.roundTrip))
 }
--- a/stoatoutlier/delta.go
+++ b/stoatoutlier/delta.go
@@ -52,36 +52,36 @@
 // Next returns the update to send for a list, and whether there is anything to send. first returns since
 // when an entry of the data centre has been waiting for an upstream, as far as the receiver knows. A
 // changed claim is due at once, failure counts after countInterval, and everything after fullInterval.
-func (s *Stream) Next(now time.Time, reports []Report, first func(*Report) time.Time) (Update, bool) {
-	if s.sent == nil {
-		s.sent = map[stoatpaddle.UpstreamKey]claim{}
+func (t *Stream) Next(now time.Time, reports []Report, first func(*Report) time.Time) (Update, bool) {
+	if t.sent == nil {
+		t.sent = map[stoatpaddle.UpstreamKey]claim{}
 	}
-	countsDue := now.Sub(s.countsAt) >= countInterval
-	u := Update{Whole: len(reports) > 0 && now.Sub(s.fullAt) >= fullInterval}
+	countsDue := now.Sub(t.countsAt) >= countInterval
+	u := Update{Whole: len(reports) > 0 && now.Sub(t.fullAt) >= fullInterval}
 	listed := make(map[stoatpaddle.UpstreamKey]bool, len(reports))
 	for i := range reports {
 		r := &reports[i]
 		listed[r.Key] = true
-		c, old := claimOf(r, first(r)), s.sent[r.Key]
+		c, old := claimOf(r, first(r)), t.sent[r.Key]
 		if u.Whole || c.differs(old, countsDue) {
 			u.Reports = append(u.Reports, *r)
-			s.sent[r.Key] = c
+			t.sent[r.Key] = c
 		}
 	}
-	for key := range s.sent {
+	for key := range t.sent {
 		if listed[key] {
 			continue
 		}
-		delete(s.sent, key)
+		delete(t.sent, key)
 		if !u.Whole {
 			u.Reports = append(u.Reports, Report{Key: key})
 		}
 	}
 	if u.Whole {
-		s.fullAt = now
+		t.fullAt = now
 	}
 	if countsDue {
-		s.countsAt = now
+		t.countsAt = now
 	}
 	return u, len(u.Reports) > 0
 }
