--- a/stoatedge/apply.go
+++ b/stoatedge/apply.go
@@ -21,11 +21,11 @@
 				// The request is the name: what else is in it says nothing.
 				k.evacuate(stoatpaddle.Evacuation{DataCentre: stoatpaddle.DataCentreID(c.name), Revision: c.revision}, source)
 			}
-			if t == upstreams && k.book.Spoil(now, stoatpaddle.UpstreamID(c.name), c.target, c.revision) {
+			if t == upstreams && k.book.MarkInvalid(now, stoatpaddle.UpstreamID(c.name), c.target, c.revision) {
 				k.standing(stoatpaddle.UpstreamID(c.name), "its entry cannot be read")
 			}
 		case c.declaration != nil:
-			if k.book.Declare(*c.declaration, c.revision) {
+			if k.book.ApplyDeclaration(*c.declaration, c.revision) {
 				k.log(EventDeclared, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
 					stoatevent.F("routes", countOf(len(c.declaration.Routes))), stoatevent.F("source", source))
 				k.keepFormer(now)
@@ -40,7 +40,7 @@
 			// Its lease, of before the outage, may have ended before the upstream could renew it.
 			k.lapse(now, c, "registration ended after a restore")
 		case c.gone && t == upstreams:
-			if k.book.Remove(now, stoatpaddle.UpstreamID(c.name), c.revision) {
+			if k.book.MarkGone(now, stoatpaddle.UpstreamID(c.name), c.revision) {
 				k.standing(stoatpaddle.UpstreamID(c.name), "registration ended")
 			}
 		case c.registration != nil:
@@ -52,8 +52,8 @@
 // keepFormer takes in what was kept of the routes of a configuration that is new, and has those that lost a
 // service kept. Seeds keep it, since they read the platform in any case.
 func (k *keeper) keepFormer(now time.Time) {
-	k.book.RecallFormer(now, k.former)
-	former, news := k.book.Former(now)
+	k.book.RestoreFormerServices(now, k.former)
+	former, news := k.book.FormerServices(now)
 	if news && !k.follow.allowed {
 		k.do(remember{version: k.book.Declaration().Version, former: former})
 	}
@@ -61,7 +61,7 @@
 
 // lapse takes in that a registration ended which may come back.
 func (k *keeper) lapse(now time.Time, c *change, why string) {
-	if k.book.Lapse(now, stoatpaddle.UpstreamID(c.name), c.revision) {
+	if k.book.MarkMissing(now, stoatpaddle.UpstreamID(c.name), c.revision) {
 		k.standing(stoatpaddle.UpstreamID(c.name), why)
 	}
 }
@@ -79,7 +79,7 @@
 
 // evacuate takes in what operators want of a data centre.
 func (k *keeper) evacuate(e stoatpaddle.Evacuation, source string) {
-	if k.book.Evacuate(e) {
+	if k.book.ApplyEvacuation(e) {
 		k.logEvacuation(e, source)
 	}
 }
@@ -94,7 +94,7 @@
 
 // register takes in what an upstream says about itself.
 func (k *keeper) register(now time.Time, c *change, source string) {
-	before, _ := k.book.Registered(c.registration.ID)
+	before, _ := k.book.Lookup(c.registration.ID)
 	switch outcome := k.book.Register(now, *c.registration, c.revision); outcome {
 	case stoatroute.Unchanged:
 	case stoatroute.Changed:
@@ -131,14 +131,14 @@
 // standingChange is what an upstream's standing came to be, and why.
 type standingChange struct {
 	id       stoatpaddle.UpstreamID
-	standing stoatroute.Standing
+	standing stoatroute.State
 	why      string
 }
 
 // standing notes that an upstream's standing changed, for the log.
 func (k *keeper) standing(id stoatpaddle.UpstreamID, why string) {
-	u, _ := k.book.Registered(id)
-	k.changes = append(k.changes, standingChange{id: id, standing: u.Standing, why: why})
+	u, _ := k.book.Lookup(id)
+	k.changes = append(k.changes, standingChange{id: id, standing: u.State, why: why})
 }
 
 // logStandings writes what changed in this step: a line for each of a few, and one for each standing
@@ -153,7 +153,7 @@
 		return
 	}
 	type kind struct {
-		standing stoatroute.Standing
+		standing stoatroute.State
 		why      string
 	}
 	var kinds []kind
@@ -172,7 +172,7 @@
 }
 
 func (k *keeper) logStanding(c *standingChange) {
-	u, _ := k.book.Registered(c.id)
+	u, _ := k.book.Lookup(c.id)
 	k.log(EventUpstream, stoatevent.F("upstream", string(c.id)), stoatevent.F("service", string(u.Service)),
 		stoatevent.F("centre", string(u.DataCentre)), stoatevent.F("addr", u.Addr.String()),
 		stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why))
@@ -180,7 +180,7 @@
 
 // clash reports an upstream that cannot get flows because another has its cookie.
 func (k *keeper) clash(id stoatpaddle.UpstreamID) {
-	if other, ok := k.book.Clash(id); ok {
+	if other, ok := k.book.KeyConflict(id); ok {
 		k.log(EventClash, stoatevent.F("upstream", string(id)), stoatevent.F("holder", string(other)))
 	}
 }
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -38,7 +38,7 @@
 	store     *platform.Store
 	engine    *stoatecho.Engine
 	engineMu  sync.Mutex // of engine and hold
-	hold      stoatecho.Hold
+	hold      stoatecho.HoldQueue
 	table     atomic.Pointer[stoatroute.Table]
 	events    *mailbox
 	cancels   [topicCount]callCancel
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -78,7 +78,7 @@
 	// doubted tells that traffic met a cookie which is not known here.
 	doubted struct{}
 	// recalled carries which services routes had, as the platform keeps it.
-	recalled struct{ former []stoatroute.Former }
+	recalled struct{ former []stoatroute.FormerService }
 	// rebound carries changed bounds.
 	rebound struct {
 		apply, back, life time.Duration
@@ -121,7 +121,7 @@
 	// remember keeps at the platform which services routes had, as of a version of the configuration.
 	remember struct {
 		version stoatpaddle.Version
-		former  []stoatroute.Former
+		former  []stoatroute.FormerService
 	}
 	// touched tells whether the platform answers.
 	touched struct{ answers bool }
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -64,7 +64,7 @@
 func (k *keeper) rebind(now time.Time, n naming) {
 	k.follow.others, k.follow.allowed = n.others, n.follows()
 	for _, t := range k.topics {
-		k.feeds[t].SetStart(n.follows(), n.self)
+		k.feeds[t].SetStartOptions(n.follows(), n.self)
 	}
 	if !n.follows() && !k.reading {
 		k.read(now, "the settings changed")
@@ -108,7 +108,7 @@
 	x := seek{serial: f.serial, known: k.known}
 	if k.ready && k.failing().IsZero() {
 		// The platform answers here, so that an old word is worth nothing.
-		x.within = stoatfeed.Share(k.bound, relyShare)
+		x.within = stoatfeed.Fraction(k.bound, relyShare)
 	}
 	k.do(x)
 }
@@ -130,7 +130,7 @@
 	}
 	if f.parent == "" {
 		f.parent = x.from
-		k.book.Follow(now, true)
+		k.book.SetMirroring(now, true)
 		k.log(EventFollows, stoatevent.F("parent", x.from), stoatevent.F("depth", countOf(len(x.path))),
 			stoatevent.F("revision", x.known.String()), stoatevent.F("age", ageText(x.age)))
 	}
@@ -157,7 +157,7 @@
 		if enough {
 			k.feeds[t].Adopt(x.known)
 		} else {
-			k.feeds[t].Heard(x.known)
+			k.feeds[t].Advance(x.known)
 		}
 	}
 	if enough && k.reading {
@@ -193,7 +193,7 @@
 	for _, ev := range x.evacuations {
 		k.evacuate(ev, x.from)
 	}
-	for _, id := range k.book.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Whole: x.whole, Later: later}) {
+	for _, id := range k.book.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Complete: x.whole, UpToDate: later}) {
 		k.newcomer(id, x.from)
 	}
 }
@@ -202,7 +202,7 @@
 func (k *keeper) applyDelta(now time.Time, x update) {
 	current := k.book.Declaration()
 	if x.delta.Declaration.Version <= current.Version {
-		k.book.Recall(x.delta.Declaration.Routes)
+		k.book.AddFormerServices(x.delta.Declaration.Routes)
 		return
 	}
 	d := x.delta.Onto(&current)
@@ -219,7 +219,7 @@
 // relies tells whether the parent's word is young enough to go by, also when it has ended:
 // until it is old, there is time to find another parent.
 func (k *keeper) relies(now time.Time) bool {
-	return now.Sub(k.follow.fresh) <= stoatfeed.Share(k.bound, relyShare)
+	return now.Sub(k.follow.fresh) <= stoatfeed.Fraction(k.bound, relyShare)
 }
 
 // rely ends reading the platform. The calls under way are given up; what they bring is older
@@ -240,7 +240,7 @@
 		k.parked[t] = t != declarations
 		// A replica's word on evacuations has to reach what the exact answer about the configuration says.
 		if t != evacuations {
-			k.feeds[t].Doubt()
+			k.feeds[t].RequestExact()
 		}
 	}
 	if !k.pending[declarations] {
@@ -285,7 +285,7 @@
 		k.log(EventSought, stoatevent.F("cause", x.cause.Error()))
 	}
 	f.seeking, f.parent, f.path = false, "", nil
-	k.book.Follow(now, false)
+	k.book.SetMirroring(now, false)
 }
 
 // resumed follows a pause of this process, which the steady clock may not have counted: what
@@ -303,7 +303,7 @@
 
 // asOf is when what is believed was last known to be up to date; zero: never.
 func (k *keeper) asOf() time.Time {
-	if own := k.book.Proven(); own.After(k.follow.fresh) {
+	if own := k.book.CurrentAsOf(); own.After(k.follow.fresh) {
 		return own
 	}
 	return k.follow.fresh
--- a/stoatedge/keeper.go
+++ b/stoatedge/keeper.go
@@ -33,7 +33,7 @@
 
 // keeper decides what is believed about routes and upstreams. One goroutine uses it.
 type keeper struct {
-	book   *stoatroute.Book
+	book   *stoatroute.Builder
 	topics []topic // that are followed
 	// evacuations says that they are among these.
 	evacuations bool
@@ -64,11 +64,11 @@
 	table           *stoatroute.Table
 	announced       announcement // as last said to others
 	rung            rung
-	listPages       [topicCount]int     // of the list under way, read so far
-	pagesAfter      time.Time           // until when further pages wait for a parent
-	former          []stoatroute.Former // as the platform kept it when this entry started
-	changes         []standingChange    // of the present step, to be logged
-	out             []any               // effects of the present step
+	listPages       [topicCount]int            // of the list under way, read so far
+	pagesAfter      time.Time                  // until when further pages wait for a parent
+	former          []stoatroute.FormerService // as the platform kept it when this entry started
+	changes         []standingChange           // of the present step, to be logged
+	out             []any                      // effects of the present step
 }
 
 type keeperConfig struct {
@@ -86,15 +86,15 @@
 	k := &keeper{
 		bound: cfg.Apply, rnd: rnd, reading: true, topics: []topic{declarations, upstreams},
 		back:        cfg.Return,
-		book:        stoatroute.NewBook(stoatroute.Config{Return: cfg.Return, Keep: cfg.Life, Evacuations: cfg.Evacuations}),
+		book:        stoatroute.NewBuilder(stoatroute.Config{GracePeriod: cfg.Return, Retention: cfg.Life, RequireEvacuations: cfg.Evacuations}),
 		evacuations: cfg.Evacuations,
 	}
 	if cfg.Evacuations {
 		k.topics = append(k.topics, evacuations)
 	}
-	k.feeds[declarations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd})
-	k.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
-	k.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
+	k.feeds[declarations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd})
+	k.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd, AllowStale: true})
+	k.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd, AllowStale: true})
 	k.rebind(time.Time{}, cfg.Seeds)
 	return k
 }
@@ -115,7 +115,7 @@
 		}
 	case recalled:
 		k.former = x.former
-		k.book.RecallFormer(now, k.former)
+		k.book.RestoreFormerServices(now, k.former)
 	case ticked:
 		k.tick(now)
 	case ended:
@@ -131,9 +131,9 @@
 	case rebound:
 		k.bound, k.back = x.apply, x.back
 		k.rebind(now, x.seeds)
-		k.book.SetBounds(stoatroute.Config{Return: x.back, Keep: x.life, Evacuations: k.evacuations})
+		k.book.SetConfig(stoatroute.Config{GracePeriod: x.back, Retention: x.life, RequireEvacuations: k.evacuations})
 		for _, t := range k.topics {
-			k.feeds[t].SetBound(x.apply)
+			k.feeds[t].SetMaxDelay(x.apply)
 		}
 	}
 	k.logStandings()
@@ -150,7 +150,7 @@
 }
 
 func (k *keeper) ask(now time.Time, t topic) {
-	k.feeds[t].SetRelayed(k.follow.allowed && k.follow.parent != "")
+	k.feeds[t].SetRecoveryRelayed(k.follow.allowed && k.follow.parent != "")
 	c := k.feeds[t].Next()
 	if !c.List && c.Wait > time.Millisecond && k.follow.allowed && k.follow.parent == "" {
 		c.Pause = max(c.Pause, k.begun.Add(parentWait).Sub(now))
@@ -169,7 +169,7 @@
 
 // doubt has a topic asked at once, exactly.
 func (k *keeper) doubt(now time.Time, t topic) {
-	k.feeds[t].Doubt()
+	k.feeds[t].RequestExact()
 	if !k.reading && !k.pending[t] {
 		k.ask(now, t)
 		return
@@ -196,8 +196,8 @@
 // failing tells since when one of the feeds got no answer.
 func (k *keeper) failing() time.Time {
 	for _, t := range k.topics {
-		if f := k.feeds[t]; !f.Failing().IsZero() {
-			return f.Failing()
+		if f := k.feeds[t]; !f.FailingSince().IsZero() {
+			return f.FailingSince()
 		}
 	}
 	return time.Time{}
@@ -215,24 +215,24 @@
 		k.countPage(&x)
 	}
 	f := k.feeds[x.topic]
-	failing := f.Failing()
+	failing := f.FailingSince()
 	v := f.Done(now, x.sent, x.call, x.result)
 	if era := f.Era(); era > k.book.Era() {
 		k.restored(now, era, "platform")
 	}
 	k.noteBehind(x, v)
-	if v.Lost {
+	if v.OutageBegan {
 		cause := "refused by rate"
 		if x.cause != nil {
 			cause = x.cause.Error()
 		}
 		k.log(EventPlatformLost, stoatevent.F("topic", x.topic.String()), stoatevent.F("cause", cause))
 	}
-	if v.Back {
+	if v.OutageEnded {
 		k.log(EventPlatformBack, stoatevent.F("topic", x.topic.String()), stoatevent.F("away", now.Sub(failing).String()))
 	}
 	if x.result.Outcome == stoatfeed.Failed && x.topic == upstreams {
-		k.book.Hold(now)
+		k.book.RestartGracePeriod(now)
 	}
 	if v.Apply {
 		k.apply(now, x.topic, x.changes, "platform")
@@ -241,7 +241,7 @@
 			k.unwatched = false
 		}
 		k.prove(now, x, v)
-		if v.Proof {
+		if v.Current {
 			k.compareParent(now)
 		}
 	}
@@ -249,15 +249,15 @@
 }
 
 // noteBehind says once that answers are older than what is known.
-func (k *keeper) noteBehind(x ended, v stoatfeed.Verdict) {
-	if x.result.Outcome != stoatfeed.Answered || v.Behind == k.behind[x.topic] || x.result.More {
+func (k *keeper) noteBehind(x ended, v stoatfeed.Decision) {
+	if x.result.Outcome != stoatfeed.Answered || v.Outdated == k.behind[x.topic] || x.result.More {
 		return
 	}
-	k.behind[x.topic] = v.Behind
-	if v.Behind {
+	k.behind[x.topic] = v.Outdated
+	if v.Outdated {
 		k.log(EventBehind, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", k.feeds[x.topic].Position().String()),
 			stoatevent.F("answered", x.result.AsOf.String()),
-			stoatevent.F("list", strconv.FormatBool(x.call.List)), stoatevent.F("exact", strconv.FormatBool(!x.call.Stale)))
+			stoatevent.F("list", strconv.FormatBool(x.call.List)), stoatevent.F("exact", strconv.FormatBool(!x.call.AllowStale)))
 	}
 }
 
@@ -272,7 +272,7 @@
 		return
 	}
 	k.ask(now, t)
-	if !k.feeds[declarations].Failing().IsZero() {
+	if !k.feeds[declarations].FailingSince().IsZero() {
 		return
 	}
 	for _, t := range k.topics {
@@ -286,22 +286,22 @@
 	}
 }
 
-func (k *keeper) lost(t topic) bool { return k.feeds[t].Lost() }
+func (k *keeper) lost(t topic) bool { return k.feeds[t].Unreachable() }
 
 // prove notes until when the view is proven up to date: by an exact answer about the
 // upstreams, or by replicas' answers that are as new as an exact one.
-func (k *keeper) prove(now time.Time, x ended, v stoatfeed.Verdict) {
+func (k *keeper) prove(now time.Time, x ended, v stoatfeed.Decision) {
 	asOf := x.call.AsOf(x.sent, now, x.result)
 	switch {
-	case x.topic == upstreams && v.Proof:
-		k.book.Prove(asOf)
-	case x.topic == declarations && v.Proof:
+	case x.topic == upstreams && v.Current:
+		k.book.MarkCurrent(asOf)
+	case x.topic == declarations && v.Current:
 		k.challenge(proof{asOf: asOf, pos: x.result.AsOf, at: now})
 	}
 	k.match()
 	if k.open != nil && k.open.hurried && k.feeds[x.topic].Position().Before(k.open.pos) {
 		// The replica is behind what the platform has said already.
-		k.feeds[x.topic].Doubt()
+		k.feeds[x.topic].RequestExact()
 	}
 }
 
--- a/stoatedge/keeper_test.go
+++ b/stoatedge/keeper_test.go
@@ -147,7 +147,7 @@
 	s := newSession(t)
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6), registered("i-2", 2, 7))
-	if !s.table.Ready() || len(s.table.Service("app")) != 2 {
+	if !s.table.Ready() || len(s.table.Candidates("app")) != 2 {
 		t.Fatal("not ready")
 	}
 	return s
@@ -164,7 +164,7 @@
 	if !s.table.Ready() || s.events[EventReady.Number] != 1 {
 		t.Error(s.table.Ready(), s.events)
 	}
-	if s.calls[declarations].Stale || !s.calls[upstreams].Stale {
+	if s.calls[declarations].AllowStale || !s.calls[upstreams].AllowStale {
 		t.Error("the exact feed asks a replica, or the other does not")
 	}
 }
@@ -180,7 +180,7 @@
 	c.declaration.Routes[0].Earlier = []stoatpaddle.ServiceID{"before"}
 	s.tell(update{from: "10.0.0.2:1", whole: true, known: at(10)}, c, registered("i-1", 1, 6))
 	r := s.table.Route(listen)
-	if !r.Had("before") || !r.Had("app") || r.Had("other") {
+	if !r.EverUsed("before") || !r.EverUsed("app") || r.EverUsed("other") {
 		t.Error("the services that the route had are not known")
 	}
 	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declared == nil || len(body.Declared.Routes) != 1 || len(body.Declared.Routes[0].Earlier) != 1 {
@@ -252,24 +252,24 @@
 	}
 	s.answer(declarations, 30)
 	s.answer(upstreams, 30, ended1("i-1", 20), ended1("i-2", 21))
-	if len(s.table.Service("app")) != 2 {
+	if len(s.table.Candidates("app")) != 2 {
 		t.Fatal("a lapse was taken for an end")
 	}
 	if !s.calls[upstreams].List {
 		t.Fatal("no list after an outage")
 	}
 	s.answer(upstreams, 30)
-	if len(s.table.Service("app")) != 2 {
+	if len(s.table.Candidates("app")) != 2 {
 		t.Fatal("a lapse was taken for an end, in the list")
 	}
 	s.pass(time.Second)
 	s.answer(upstreams, 32, registered("i-1", 1, 32))
 	s.pass(1500 * ms)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-1" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-1" {
 		t.Error(len(list))
 	}
-	if u := s.table.Upstream(stoatroute.KeyOf(2)); u.Standing != stoatroute.Gone {
-		t.Error(u.Standing)
+	if u := s.table.Upstream(stoatroute.KeyOf(2)); u.State != stoatroute.Gone {
+		t.Error(u.State)
 	}
 }
 
@@ -282,20 +282,20 @@
 	s.answer(declarations, 15) // i-1 was marked as leaving at 12
 	s.pass(200 * ms)
 	c := s.calls[upstreams]
-	if c == nil || !c.Stale || c.Wait > ms {
+	if c == nil || !c.AllowStale || c.Wait > ms {
 		t.Fatalf("the replica is not hurried: %+v", c)
 	}
 	s.answer(upstreams, 10)
-	if c = s.calls[upstreams]; c == nil || c.Stale || c.Wait > ms {
+	if c = s.calls[upstreams]; c == nil || c.AllowStale || c.Wait > ms {
 		t.Fatalf("the platform itself is not asked: %+v", c)
 	}
 	leaving := registered("i-1", 1, 12)
 	leaving.registration.Leaving = true
 	s.answer(upstreams, 15, leaving)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-2" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-2" {
 		t.Error("the leaving one still takes flows")
 	}
-	if c = s.calls[upstreams]; !c.Stale || c.Wait < time.Second {
+	if c = s.calls[upstreams]; !c.AllowStale || c.Wait < time.Second {
 		t.Errorf("%+v", c)
 	}
 }
@@ -313,7 +313,7 @@
 			t.Fatalf("%+v %+v", s.calls[upstreams], s.calls[declarations])
 		}
 	}
-	if age := s.now.Sub(s.table.Proven); age > 4*time.Second {
+	if age := s.now.Sub(s.table.CompleteAsOf); age > 4*time.Second {
 		t.Error("the upstreams were proven", age, "ago")
 	}
 }
@@ -324,14 +324,14 @@
 	s := running(t)
 	s.pass(time.Second)
 	s.step(doubted{})
-	if c := s.calls[upstreams]; c.Stale || c.Wait > ms {
+	if c := s.calls[upstreams]; c.AllowStale || c.Wait > ms {
 		t.Fatalf("%+v", c)
 	}
 	at := s.now
 	s.now = s.now.Add(10 * ms)
 	s.answer(upstreams, 11)
-	if !s.table.Proven.Equal(at) {
-		t.Error(s.table.Proven.Sub(at))
+	if !s.table.CompleteAsOf.Equal(at) {
+		t.Error(s.table.CompleteAsOf.Sub(at))
 	}
 }
 
@@ -346,8 +346,8 @@
 	s.step(parentLost{serial: 1, cause: &stoatpaddle.UnavailableError{Op: "x"}})
 	s.pass(400 * ms)
 	s.tell(update{from: "10.0.0.2:1", age: -1, whole: true, known: at(6)}, declared(3, 5), registered("i-1", 1, 6))
-	if !s.table.Ready() || s.table.Declaration.Version != 3 || !s.table.Proven.IsZero() {
-		t.Error(s.table.Ready(), s.table.Declaration.Version, s.table.Proven)
+	if !s.table.Ready() || s.table.Declaration.Version != 3 || !s.table.CompleteAsOf.IsZero() {
+		t.Error(s.table.Ready(), s.table.Declaration.Version, s.table.CompleteAsOf)
 	}
 	asked := len(s.sought)
 	s.fail(declarations)
@@ -401,9 +401,9 @@
 	s.answer(upstreams, 10, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	gone := registered("i-2", 2, 7)
 	s.tell(update{from: "10.0.0.2:1", whole: true, known: at(9)}, declared(0, 1), registered("i-1", 1, 1), gone)
-	s.step(update{serial: s.k.follow.serial, known: at(9), upstreams: []stoatroute.RemoteUpstream{{Registration: *gone.registration, Revision: 7, Standing: stoatroute.Gone}}})
-	if s.table.Declaration.Version != 1 || len(s.table.Service("app")) != 2 {
-		t.Error(s.table.Declaration.Version, len(s.table.Service("app")))
+	s.step(update{serial: s.k.follow.serial, known: at(9), upstreams: []stoatroute.RemoteUpstream{{Registration: *gone.registration, Revision: 7, State: stoatroute.Gone}}})
+	if s.table.Declaration.Version != 1 || len(s.table.Candidates("app")) != 2 {
+		t.Error(s.table.Declaration.Version, len(s.table.Candidates("app")))
 	}
 }
 
@@ -444,17 +444,17 @@
 	} {
 		s := running(t)
 		s.answer(upstreams, 14, changes...)
-		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.Standing != stoatroute.Leaving || got.Addr != (netip.AddrPort{}) {
+		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.State != stoatroute.Leaving || got.Addr != (netip.AddrPort{}) {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if got := len(s.table.Service("app")); got != len(changes) {
+		if got := len(s.table.Candidates("app")); got != len(changes) {
 			t.Error(name, got, "take new flows")
 		}
 		if s.events[EventInvalid.Number] != 1 {
 			t.Error(name, s.events)
 		}
 		s.answer(upstreams, 15, registered("i-1", 1, 15))
-		if got := s.table.Upstream(stoatroute.KeyOf(1)); got.Standing != stoatroute.Serving {
+		if got := s.table.Upstream(stoatroute.KeyOf(1)); got.State != stoatroute.Serving {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -465,7 +465,7 @@
 func TestBadEntryInAList(t *testing.T) {
 	for name, c := range map[string]struct {
 		object change
-		want   stoatroute.Standing
+		want   stoatroute.State
 	}{
 		"named":    {bad("i-1", 11), stoatroute.Leaving},
 		"nameless": {bad("", 0), stoatroute.Missing},
@@ -474,10 +474,10 @@
 		s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
 		s.end(upstreams, stoatfeed.Result{AsOf: at(12), More: true, Last: "i-1", Changes: 1}, c.object)
 		s.answer(upstreams, 12, registered("i-2", 2, 7))
-		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.Standing != c.want {
+		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.State != c.want {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if got := s.table.Upstream(stoatroute.KeyOf(2)); got == nil || got.Standing != stoatroute.Serving {
+		if got := s.table.Upstream(stoatroute.KeyOf(2)); got == nil || got.State != stoatroute.Serving {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -519,8 +519,8 @@
 // without it, a store that went back looks like one that answers well. Each is said once.
 func TestOldAnswersAreSaid(t *testing.T) {
 	s := running(t)
-	s.k.book.Declare(stoatpaddle.Declaration{Version: 6}, 40)
-	s.k.feeds[declarations].Heard(at(40))
+	s.k.book.ApplyDeclaration(stoatpaddle.Declaration{Version: 6}, 40)
+	s.k.feeds[declarations].Advance(at(40))
 	for range 3 {
 		s.answer(declarations, 30, declared(7, 25))
 	}
@@ -547,16 +547,16 @@
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6), bad("i-2", 7))
 	u := s.table.Upstream(stoatroute.KeyOf(2))
-	if u == nil || u.Standing == stoatroute.Gone || u.Opens() || s.table.Route(listen).Had(u.Service) {
+	if u == nil || u.State == stoatroute.Gone || u.AcceptsFlows() || s.table.Route(listen).EverUsed(u.Service) {
 		t.Fatalf("what stands in the list counts as absent, or as an upstream of a service: %+v", u)
 	}
 	s.answer(upstreams, 12, registered("i-2", 2, 12))
-	if list := s.table.Service("app"); len(list) != 2 {
+	if list := s.table.Candidates("app"); len(list) != 2 {
 		t.Error("it wrote again, and gets no flows:", len(list))
 	}
 	s.answer(upstreams, 14, bad("i-3", 13))
 	s.answer(upstreams, 15, ended1("i-3", 15))
-	if u := s.table.Upstream(stoatroute.KeyOf(3)); u == nil || u.Standing != stoatroute.Gone {
+	if u := s.table.Upstream(stoatroute.KeyOf(3)); u == nil || u.State != stoatroute.Gone {
 		t.Errorf("an unreadable entry that was taken out: %+v", u)
 	}
 }
--- a/stoatedge/lists.go
+++ b/stoatedge/lists.go
@@ -37,7 +37,7 @@
 }
 
 // complete compares a finished list with what was known.
-func (k *keeper) complete(now time.Time, x ended, v stoatfeed.Verdict) {
+func (k *keeper) complete(now time.Time, x ended, v stoatfeed.Decision) {
 	if !x.call.List {
 		return
 	}
@@ -55,11 +55,11 @@
 	}
 }
 
-func (k *keeper) listedUpstreams(now time.Time, v stoatfeed.Verdict) {
+func (k *keeper) listedUpstreams(now time.Time, v stoatfeed.Decision) {
 	p := k.upstreamPages
 	k.upstreamPages = pages[stoatpaddle.UpstreamID]{}
 	// What the list lacks may be the object without a name: it is given time to come back.
-	for _, id := range k.book.Listed(now, p.names, v.Away || k.unwatched || p.nameless) {
+	for _, id := range k.book.ApplyList(now, p.names, v.AfterOutage || k.unwatched || p.nameless) {
 		k.standing(id, "not in the list")
 	}
 }
@@ -75,13 +75,13 @@
 	}
 	// The list is as of the revision of its first page, which the feed knows now.
 	asOf := k.feeds[evacuations].Position().Revision
-	k.lifted(k.book.EvacuationsListed(now, p.names, asOf), asOf, "not in the list")
+	k.lifted(k.book.ApplyEvacuationList(now, p.names, asOf), asOf, "not in the list")
 }
 
 // expireEvacuations ends those that were not written again after a restore.
 func (k *keeper) expireEvacuations(now time.Time) {
 	if !k.failing().IsZero() {
-		k.book.HoldEvacuations(now)
+		k.book.RestartEvacuationGracePeriod(now)
 		return
 	}
 	asOf := k.feeds[evacuations].Position().Revision
--- a/stoatedge/parts_test.go
+++ b/stoatedge/parts_test.go
@@ -120,7 +120,7 @@
 		p := stoatpacket.Packet{Opens: true, Seq: uint32(i)}
 		e.handle(clock(), m, 31, &p)
 	}
-	if held, dropped := len(e.hold.Take()), e.counts.malformed[stoatpacket.DropYoung].Load(); int64(held)+dropped != packets || dropped == 0 {
+	if held, dropped := len(e.hold.Take()), e.counts.malformed[stoatpacket.DropUnconfigured].Load(); int64(held)+dropped != packets || dropped == 0 {
 		t.Error(held, dropped)
 	}
 }
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -38,7 +38,7 @@
 			return
 		}
 	}
-	k.book.Prove(k.open.asOf)
+	k.book.MarkCurrent(k.open.asOf)
 	k.open = nil
 }
 
@@ -50,7 +50,7 @@
 	k.open.hurried = true
 	for _, t := range k.topics {
 		if f := k.feeds[t]; f.Position().Before(k.open.pos) {
-			f.Hurry()
+			f.RequestNow()
 			k.nudge(t)
 		}
 	}
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -51,7 +51,7 @@
 	if s.events[EventFollows.Number] != 1 || s.events[EventReads.Number] != 0 {
 		t.Error(s.events)
 	}
-	if !s.table.Proven.IsZero() {
+	if !s.table.CompleteAsOf.IsZero() {
 		t.Error("the parent's word counts as a proof that cookies not known here are of upstreams that are gone")
 	}
 }
@@ -70,7 +70,7 @@
 		t.Error("asked after", after)
 	}
 	for _, topic := range []topic{declarations, upstreams} {
-		if c := s.calls[topic]; c == nil || c.Stale || c.List || c.Wait > ms || c.From != 10 {
+		if c := s.calls[topic]; c == nil || c.AllowStale || c.List || c.Wait > ms || c.From != 10 {
 			t.Fatalf("%s: %+v", topic, c)
 		}
 		if topic == declarations {
@@ -80,7 +80,7 @@
 	leaving := registered("i-1", 1, 12)
 	leaving.registration.Leaving = true
 	s.answer(upstreams, 12, leaving)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-2" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-2" {
 		t.Error("the leaving one still takes flows")
 	}
 	if s.left == 0 {
@@ -120,7 +120,7 @@
 	}
 	s.answer(declarations, 10)
 	s.answer(upstreams, 10)
-	if c := s.calls[declarations]; c.Stale || c.Wait < time.Second {
+	if c := s.calls[declarations]; c.AllowStale || c.Wait < time.Second {
 		t.Errorf("%+v", c)
 	}
 	if len(s.sought) < 3 {
@@ -150,7 +150,7 @@
 	s.answer(declarations, 20, declared(1, 5))
 	s.answer(upstreams, 20, registered("i-1", 1, 6))
 	s.tell(update{from: "parent", known: at(19), whole: true}, registered("i-1", 1, 6), registered("i-2", 2, 25))
-	if len(s.table.Service("app")) != 2 {
+	if len(s.table.Candidates("app")) != 2 {
 		t.Error("lost")
 	}
 	if s.calls[upstreams] == nil {
@@ -208,8 +208,8 @@
 	}
 	s.tell(update{from: "seed", age: 6 * time.Second, known: at(30)}, registered("i-2", 2, 7))
 	s.answer(upstreams, 30, registered("i-2", 2, 7))
-	if u, _ := s.k.book.Registered("i-1"); u.Standing != stoatroute.Missing {
-		t.Error(u.Standing)
+	if u, _ := s.k.book.Lookup("i-1"); u.State != stoatroute.Missing {
+		t.Error(u.State)
 	}
 }
 
@@ -221,17 +221,17 @@
 	s.pass(2500 * ms)
 	s.answer(declarations, 30)
 	s.answer(upstreams, 30, ended1("i-1", 20), ended1("i-2", 21))
-	if list := s.table.Service("app"); len(list) != 2 {
+	if list := s.table.Candidates("app"); len(list) != 2 {
 		t.Fatal("a lapse was taken for an end")
 	}
 	s.pass(time.Second)
 	s.answer(upstreams, 32, registered("i-1", 1, 32))
 	s.pass(1500 * ms)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-1" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-1" {
 		t.Error(len(list))
 	}
 	s.answer(upstreams, 40, ended1("i-1", 40))
-	if list := s.table.Service("app"); len(list) != 0 {
+	if list := s.table.Candidates("app"); len(list) != 0 {
 		t.Error("an end is taken for a lapse")
 	}
 }
@@ -244,8 +244,8 @@
 	s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
 	s.end(upstreams, stoatfeed.Result{AsOf: at(30), More: true, Last: "i-1"})
 	s.answer(upstreams, 30, registered("i-2", 2, 7))
-	if u, _ := s.k.book.Registered("i-1"); u.Standing != stoatroute.Missing {
-		t.Error(u.Standing)
+	if u, _ := s.k.book.Lookup("i-1"); u.State != stoatroute.Missing {
+		t.Error(u.State)
 	}
 }
 
@@ -333,7 +333,7 @@
 func TestSeedsTakenAway(t *testing.T) {
 	s := following(t)
 	s.step(rebound{apply: 3 * time.Second, back: 2 * time.Second, life: time.Minute})
-	if c := s.calls[declarations]; c == nil || c.Stale {
+	if c := s.calls[declarations]; c == nil || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 	s.tell(update{from: "parent", known: at(10)})
@@ -348,7 +348,7 @@
 	s := following(t)
 	s.step(resumed{gap: 4 * time.Second})
 	s.pass(100 * ms)
-	if c := s.calls[declarations]; c == nil || c.Stale || c.Wait > ms {
+	if c := s.calls[declarations]; c == nil || c.AllowStale || c.Wait > ms {
 		t.Errorf("%+v", c)
 	}
 }
@@ -359,11 +359,11 @@
 	s := following(t)
 	s.step(doubted{})
 	c := s.calls[upstreams]
-	if c == nil || c.Stale || c.Wait > ms || s.calls[declarations] != nil {
+	if c == nil || c.AllowStale || c.Wait > ms || s.calls[declarations] != nil {
 		t.Fatalf("%+v", c)
 	}
 	s.answer(upstreams, 11)
-	if s.table.Proven.IsZero() {
+	if s.table.CompleteAsOf.IsZero() {
 		t.Error("nothing is proven")
 	}
 	s.quiet("after the answer")
@@ -378,7 +378,7 @@
 	s.tell(update{from: "parent", whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
 	s.step(ended{topic: upstreams, call: list, sent: sent, result: stoatfeed.Result{AsOf: at(8)}})
 	s.quiet("after a late answer")
-	if len(s.table.Service("app")) != 1 {
+	if len(s.table.Candidates("app")) != 1 {
 		t.Error("the late list took the upstream out")
 	}
 }
--- a/stoatedge/restored.go
+++ b/stoatedge/restored.go
@@ -11,9 +11,9 @@
 // said. Every topic is listed anew; calls under way were asked by revisions of before.
 func (k *keeper) restored(now time.Time, era stoatpaddle.Era, source string) {
 	before := k.book.Era()
-	k.book.Restore(now, era)
+	k.book.BeginEra(now, era)
 	for _, t := range k.topics {
-		if k.feeds[t].Restored(era) {
+		if k.feeds[t].BeginEra(era) {
 			k.drop(t)
 		}
 	}
--- a/stoatedge/restored_test.go
+++ b/stoatedge/restored_test.go
@@ -35,8 +35,8 @@
 	}
 	s.answer(declarations, 24, declared(19, 22))
 	s.answer(upstreams, 24, registered("i-1", 1, 6))
-	if s.table.Declaration.Version != 21 || len(s.table.Service("app")) != 2 {
-		t.Fatal("the copy reverted what is in force:", s.table.Declaration.Version, len(s.table.Service("app")))
+	if s.table.Declaration.Version != 21 || len(s.table.Candidates("app")) != 2 {
+		t.Fatal("the copy reverted what is in force:", s.table.Declaration.Version, len(s.table.Candidates("app")))
 	}
 	s.answer(declarations, 25, declared(24, 25))
 	s.answer(upstreams, 26, registered("i-2", 2, 26))
@@ -44,7 +44,7 @@
 		t.Error("what was confirmed after the restore is not in force:", s.table.Declaration.Version)
 	}
 	s.pass(3 * time.Second)
-	if len(s.table.Service("app")) != 2 || s.events[EventRestored.Number] != 1 {
+	if len(s.table.Candidates("app")) != 2 || s.events[EventRestored.Number] != 1 {
 		t.Error("an upstream that registered again is gone, or a restore is said twice:", s.events)
 	}
 }
@@ -54,20 +54,20 @@
 // does not say that it has ended: its flows would be reset.
 func TestUnknownUpstreamAfterARestore(t *testing.T) {
 	s := runningIn(t)
-	before := s.table.Proven
+	before := s.table.CompleteAsOf
 	s.era = 2
 	for range 3 {
 		s.step(doubted{})
 		s.answer(upstreams, 24, registered("i-1", 1, 6), registered("i-2", 2, 7))
 		s.pass(300 * ms)
 	}
-	if !s.table.Proven.Equal(before) {
-		t.Error("a restored platform's answer counts as complete after", s.table.Proven.Sub(before))
+	if !s.table.CompleteAsOf.Equal(before) {
+		t.Error("a restored platform's answer counts as complete after", s.table.CompleteAsOf.Sub(before))
 	}
 	s.pass(2 * time.Second)
 	s.step(doubted{})
 	s.answer(upstreams, 24)
-	if s.table.Proven.Equal(before) {
+	if s.table.CompleteAsOf.Equal(before) {
 		t.Error("nothing that is missing can ever be told from what has ended")
 	}
 }
@@ -82,18 +82,18 @@
 	s.answer(upstreams, 24, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	s.answer(upstreams, 26, ended1("i-1", 25), ended1("i-2", 26))
 	for _, target := range []stoatpaddle.Target{1, 2} {
-		if u := s.table.Upstream(stoatroute.KeyOf(target)); u.Standing != stoatroute.Missing {
-			t.Error(target, u.Standing)
+		if u := s.table.Upstream(stoatroute.KeyOf(target)); u.State != stoatroute.Missing {
+			t.Error(target, u.State)
 		}
 	}
 	s.answer(upstreams, 27, registered("i-1", 1, 27))
 	s.pass(2 * time.Second)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-1" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-1" {
 		t.Error(len(list))
 	}
 	s.answer(upstreams, 28, ended1("i-1", 28))
-	if u := s.table.Upstream(stoatroute.KeyOf(1)); u.Standing != stoatroute.Gone {
-		t.Error("an end long after the restore is none:", u.Standing)
+	if u := s.table.Upstream(stoatroute.KeyOf(1)); u.State != stoatroute.Gone {
+		t.Error("an end long after the restore is none:", u.State)
 	}
 }
 
@@ -108,7 +108,7 @@
 	s.tell(update{from: "parent", age: 100 * ms, whole: true, known: in(1, 30), era: 1}, declared(21, 26), registered("i-1", 1, 6), registered("i-2", 2, 28))
 	s.tell(update{from: "parent", age: 300 * ms, known: in(1, 30), era: 2})
 	s.quiet("the parent lists for others")
-	if s.events[EventRestored.Number] != 1 || s.left != 0 || s.knows != in(1, 30) || len(s.table.Service("app")) != 2 {
+	if s.events[EventRestored.Number] != 1 || s.left != 0 || s.knows != in(1, 30) || len(s.table.Candidates("app")) != 2 {
 		t.Fatal(s.events, s.left, s.knows)
 	}
 	d := declared(24, 25)
@@ -116,10 +116,10 @@
 	if s.table.Declaration.Version != 24 || s.knows != in(2, 25) || s.left != 0 {
 		t.Error(s.table.Declaration.Version, s.knows, s.left)
 	}
-	gone := stoatroute.RemoteUpstream{Registration: *registered("i-2", 2, 28).registration, Revision: 40, Standing: stoatroute.Gone}
+	gone := stoatroute.RemoteUpstream{Registration: *registered("i-2", 2, 28).registration, Revision: 40, State: stoatroute.Gone}
 	s.tell(update{from: "parent", age: 100 * ms, known: in(1, 41), era: 1, upstreams: []stoatroute.RemoteUpstream{gone}})
-	if s.left != 1 || len(s.table.Service("app")) != 2 {
-		t.Error("a parent of an earlier era is believed:", s.left, len(s.table.Service("app")))
+	if s.left != 1 || len(s.table.Candidates("app")) != 2 {
+		t.Error("a parent of an earlier era is believed:", s.left, len(s.table.Candidates("app")))
 	}
 }
 
@@ -129,7 +129,7 @@
 	s := startSession(t, true, true)
 	s.tell(update{from: "parent", age: 100 * ms, whole: true, known: at(30)}, declared(21, 26), registered("i-1", 1, 6))
 	s.tell(update{from: "parent", age: 100 * ms, known: at(31)}, registered("i-2", 2, 31))
-	if s.left != 0 || s.events[EventRestored.Number] != 0 || len(s.table.Service("app")) != 2 || s.knows != at(31) {
+	if s.left != 0 || s.events[EventRestored.Number] != 0 || len(s.table.Candidates("app")) != 2 || s.knows != at(31) {
 		t.Error(s.left, s.events, s.knows)
 	}
 }
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -98,7 +98,7 @@
 	}
 	ctx, cancel := context.WithTimeout(given, x.call.Timeout)
 	defer cancel()
-	q := platform.Query{Kind: kindOf(x.topic), Stale: x.call.Stale}
+	q := platform.Query{Kind: kindOf(x.topic), Stale: x.call.AllowStale}
 	if x.call.List {
 		q.After = x.call.After
 	} else {
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -110,7 +110,7 @@
 		return
 	}
 	e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
-	e.givePlace(netip.AddrPort{}, stoatfilter.Place{})
+	e.givePlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	if left := context.Cause(ctx); left != nil {
 		cause = left
 	}
@@ -141,7 +141,7 @@
 			}
 			return accepted, &goneError{addr: addr, cause: err}
 		}
-		silence := stoatfeed.Share(e.settings().Bound(), silenceShare)
+		silence := stoatfeed.Fraction(e.settings().Bound(), silenceShare)
 		watchdog.Stop()
 		watchdog = time.AfterFunc(silence, func() { cancel(&silentError{after: silence}) })
 		accepted = true
@@ -204,11 +204,11 @@
 	if stoatpaddle.DataCentreID(h.Centre) == e.settings().DataCentre {
 		now := clock()
 		e.pool.Follow(now, addr, stoatoutlier.Update{Whole: h.Whole, Reports: stoatoutlier.Decode(now, h.Seen)})
-		e.givePlace(addr, stoatfilter.Place{Rank: h.Rank, Entries: h.Entries})
+		e.givePlace(addr, stoatfilter.EntryRank{Rank: h.Rank, Entries: h.Entries})
 		e.notice()
 	} else {
 		e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
-		e.givePlace(netip.AddrPort{}, stoatfilter.Place{})
+		e.givePlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	}
 	e.post(x)
 	return nil
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			return remember{}, &stoatpaddle.DecodeError{What: formerRef.String(), Cause: err}
 		}
-		x.former = append(x.former, stoatroute.Former{Listen: listen, Service: stoatpaddle.ServiceID(r.Service), Until: time.UnixMilli(r.UntilMS)})
+		x.former = append(x.former, stoatroute.FormerService{Listen: listen, Service: stoatpaddle.ServiceID(r.Service), Until: time.UnixMilli(r.UntilMS)})
 	}
 	return x, nil
 }
--- a/stoatedge/run_place.go
+++ b/stoatedge/run_place.go
@@ -12,25 +12,25 @@
 // givenPlace is what the parent says of this entry's place.
 type givenPlace struct {
 	parent netip.AddrPort
-	place  stoatfilter.Place
+	place  stoatfilter.EntryRank
 }
 
 // ownPlace is this entry's place as the tree has it now; the caller holds place.mu. The first entry of
 // a data centre is one that another data centre's entry tells, or a seed. Any other one that nobody
 // tells knows of nobody, and has none.
-func (e *Edge) ownPlace() stoatfilter.Place {
+func (e *Edge) ownPlace() stoatfilter.EntryRank {
 	if g := e.place.given.Load(); g != nil {
 		return g.place
 	}
 	if len(e.place.announced.Load().path) == 0 && !e.place.tree.IsSeed() {
-		return stoatfilter.Place{}
+		return stoatfilter.EntryRank{}
 	}
-	return stoatfilter.Place{Entries: e.place.tree.Size()}
+	return stoatfilter.EntryRank{Entries: e.place.tree.Size()}
 }
 
 // findPlace returns this entry's place, and what its parent has to be told of how many are below it; an
 // invalid address means nothing.
-func (e *Edge) findPlace() (own stoatfilter.Place, size int, to netip.AddrPort) {
+func (e *Edge) findPlace() (own stoatfilter.EntryRank, size int, to netip.AddrPort) {
 	e.place.mu.Lock()
 	defer e.place.mu.Unlock()
 	own, size = e.ownPlace(), e.place.tree.Size()
@@ -42,7 +42,7 @@
 
 // givePlace takes in what a parent says of this entry's place; an invalid address means that there is
 // no parent in this data centre.
-func (e *Edge) givePlace(parent netip.AddrPort, p stoatfilter.Place) {
+func (e *Edge) givePlace(parent netip.AddrPort, p stoatfilter.EntryRank) {
 	if !parent.IsValid() {
 		e.place.given.Store(nil)
 		return
--- a/stoatedge/run_seen.go
+++ b/stoatedge/run_seen.go
@@ -62,7 +62,7 @@
 
 // share adds up what entries saw of upstreams, and judges by it: at each change, and now and then.
 func (e *Edge) share() error {
-	t := time.NewTicker(stoatecho.JudgeEvery)
+	t := time.NewTicker(stoatecho.CheckInterval)
 	defer t.Stop()
 	pause := time.NewTimer(0)
 	defer pause.Stop()
@@ -99,23 +99,23 @@
 	t := e.table.Load()
 	suspects := e.pool.Suspects(now)
 	e.engineMu.Lock()
-	own := e.engine.Observed(now, suspects)
+	own := e.engine.Reports(now, suspects)
 	e.engineMu.Unlock()
 	sum, report, to := e.pool.Turn(now, own, e.reporting.Load())
 	delay, steady := e.pool.Delay(), e.pool.Steady(now)
 	place, size, parent := e.findPlace()
 	e.engineMu.Lock()
 	e.engine.SetPlace(now, place)
-	e.engine.TakeSum(now, sum)
-	marked := e.engine.Judge(now, t)
-	var silent []stoatecho.Silent
+	e.engine.SetSums(now, sum)
+	marked := e.engine.EjectFailing(now, t)
+	var silent []stoatecho.SilentUpstream
 	if steady {
-		silent = e.engine.JudgeSilence(now, t, delay)
+		silent = e.engine.EjectSilent(now, t, delay)
 	}
 	e.engineMu.Unlock()
 	for _, m := range marked {
 		e.log.emit(now, EventFailing, stoatevent.F("upstream", string(m.Upstream.ID)), stoatevent.F("service", string(m.Upstream.Service)),
-			stoatevent.F("answered", strconv.Itoa(m.Answered)), stoatevent.F("failed", strconv.Itoa(m.Failed)), stoatevent.F("hold", m.Hold.String()))
+			stoatevent.F("answered", strconv.Itoa(m.Answered)), stoatevent.F("failed", strconv.Itoa(m.Failed)), stoatevent.F("hold", m.Backoff.String()))
 	}
 	e.logSilent(now, silent)
 	e.place.seen.Store(&sum)
@@ -134,7 +134,7 @@
 
 // logSilent says which upstreams get no flows since they answer nobody: in one line where a data centre
 // is lost, which is as many at each entry.
-func (e *Edge) logSilent(now time.Time, silent []stoatecho.Silent) {
+func (e *Edge) logSilent(now time.Time, silent []stoatecho.SilentUpstream) {
 	if len(silent) > maxLinesAtOnce {
 		var names []string
 		for _, s := range silent {
@@ -145,8 +145,8 @@
 	}
 	for _, s := range silent {
 		e.log.emit(now, EventSilent, stoatevent.F("upstream", string(s.Upstream.ID)), stoatevent.F("service", string(s.Upstream.Service)),
-			stoatevent.F("entries", strconv.Itoa(s.Entries)), stoatevent.F("silence", s.Silence.Round(time.Millisecond).String()),
-			stoatevent.F("waiting", strconv.Itoa(s.Waiting)))
+			stoatevent.F("entries", strconv.Itoa(s.WaitingEntries)), stoatevent.F("silence", s.Silence.Round(time.Millisecond).String()),
+			stoatevent.F("waiting", strconv.Itoa(s.PendingRequests)))
 	}
 }
 
--- a/stoatedge/run_tell.go
+++ b/stoatedge/run_tell.go
@@ -150,7 +150,7 @@
 			return err.Error()
 		}
 		// A child that stands still must not hold this goroutine.
-		_ = rc.SetWriteDeadline(now.Add(stoatfeed.Share(bound, silenceShare)))
+		_ = rc.SetWriteDeadline(now.Add(stoatfeed.Fraction(bound, silenceShare)))
 		if _, err := out.Write(text); err != nil {
 			return err.Error()
 		}
@@ -158,7 +158,7 @@
 			return err.Error()
 		}
 		child = told
-		if cause := e.waitForNews(r, next, stoatfeed.Share(bound, keepaliveShare)); cause != "" {
+		if cause := e.waitForNews(r, next, stoatfeed.Fraction(bound, keepaliveShare)); cause != "" {
 			return cause
 		}
 	}
--- a/stoatedge/share_test.go
+++ b/stoatedge/share_test.go
@@ -31,7 +31,7 @@
 	r.wait("the second is told", func() bool { return told(b) == 1 })
 	c, setC, logC := r.start("127.0.0.23", setB.Admin)
 	r.wait("the third is told through the second", func() bool { return told(c) == 2 })
-	r.wait("all upstreams are known", func() bool { return len(c.Table().Service("app")) == 3 })
+	r.wait("all upstreams are known", func() bool { return len(c.Table().Candidates("app")) == 3 })
 
 	now := time.Now()
 	body, err := msgpack.Marshal(stoatoutlier.Encode(now, []stoatoutlier.Report{{
--- a/stoatedge/wake.go
+++ b/stoatedge/wake.go
@@ -20,13 +20,13 @@
 // An evacuation does not wait.
 func (k *keeper) ring(now time.Time) {
 	t := k.table
-	if t == nil || !k.ready || t.Change == k.rung.change {
+	if t == nil || !k.ready || t.ChangeSeq == k.rung.change {
 		return
 	}
-	if t.EvacuationChange() == k.rung.evacuation && now.Sub(k.rung.at) < ringEvery {
+	if t.EvacuationSeq() == k.rung.evacuation && now.Sub(k.rung.at) < ringEvery {
 		return // the next tick is near
 	}
-	k.rung = rung{at: now, change: t.Change, evacuation: t.EvacuationChange()}
+	k.rung = rung{at: now, change: t.ChangeSeq, evacuation: t.EvacuationSeq()}
 	k.do(changed{})
 }
 
@@ -51,7 +51,7 @@
 		k.do(now)
 		if k.table != nil {
 			// This wakes children too, and the table is published by then.
-			k.rung.change, k.rung.evacuation = k.table.Change, k.table.EvacuationChange()
+			k.rung.change, k.rung.evacuation = k.table.ChangeSeq, k.table.EvacuationSeq()
 		}
 	}
 }
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -160,7 +160,7 @@
 		t.Fatal(err)
 	}
 	forged := append(make([]byte, stoatflow.HeaderSize), segment...)
-	stoatflow.Header{Kind: stoatflow.Relayed}.Put(forged, stoatpacket.Seed{}, 0)
+	stoatflow.Header{Kind: stoatflow.KindRelay}.Encode(forged, stoatpacket.Seed{}, 0)
 	for _, c := range []struct {
 		to     netip.AddrPort
 		data   []byte
@@ -169,7 +169,7 @@
 		{set.Tunnel, []byte{0x45, 0}, stoatpacket.DropShort},
 		{set.Tunnel, []byte{0x15}, stoatpacket.DropNotIP},
 		{set.Tunnel, segment, stoatpacket.DropUnknownService},
-		{set.Relay, segment, stoatpacket.DropForeignRelay},
+		{set.Relay, segment, stoatpacket.DropUnauthenticated},
 	} {
 		before := e.Dropped(c.reason)
 		until(func() bool {
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	treeWidth   = 4                      // children of an entry in the relay tree
-	treeHop     = 3 * time.Millisecond   // from one entry to the next, with the time to read and write
-	treeRefresh = 2 * time.Second        // a parent sends something at least so often
-	treeHead    = 160                    // bytes of a message beside what it says of upstreams
-	judgeEvery  = stoatecho.JudgeEvery   // as an entry does
-	treePhase   = 250 * time.Millisecond // entries begin their turns at random within
+	treeWidth   = 4                       // children of an entry in the relay tree
+	treeHop     = 3 * time.Millisecond    // from one entry to the next, with the time to read and write
+	treeRefresh = 2 * time.Second         // a parent sends something at least so often
+	treeHead    = 160                     // bytes of a message beside what it says of upstreams
+	judgeEvery  = stoatecho.CheckInterval // as an entry does
+	treePhase   = 250 * time.Millisecond  // entries begin their turns at random within
 )
 
 // silentEntry is an entry: its engine, and its place in the relay tree.
@@ -60,7 +60,7 @@
 	if a.Ejected != nil {
 		e.m.ejected(a.Ejected)
 	}
-	if e.engine.TakeObserved() {
+	if e.engine.TakeReportChange() {
 		e.notice()
 	}
 	return a
@@ -97,13 +97,13 @@
 func (e *silentEntry) turn() {
 	now := e.m.now()
 	e.due, e.next = false, e.m.q.now+e.pacer.Took(now)
-	own := e.engine.Observed(now, e.pool.Suspects(now))
+	own := e.engine.Reports(now, e.pool.Suspects(now))
 	sum, report, to := e.pool.Turn(now, own, e.reports)
-	e.engine.TakeSum(now, sum)
+	e.engine.SetSums(now, sum)
 	table := e.m.book.Table()
-	e.engine.Judge(now, table)
+	e.engine.EjectFailing(now, table)
 	if e.pool.Steady(now) {
-		for _, s := range e.engine.JudgeSilence(now, table, e.pool.Delay()) {
+		for _, s := range e.engine.EjectSilent(now, table, e.pool.Delay()) {
 			e.m.ejected(s.Upstream)
 		}
 	}
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -190,7 +190,7 @@
 	switch e := e.(type) {
 	case Publish:
 		text := "publish entries"
-		for _, m := range e.View.Ring.Members {
+		for _, m := range e.View.Entries.Members {
 			text += " " + string(m.ID)
 		}
 		for _, s := range e.View.Services {
--- a/stoatrelay/bench_test.go
+++ b/stoatrelay/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-func largeBook(routes, upstreams int) (*stoatroute.Book, stoatpaddle.Declaration) {
+func largeBook(routes, upstreams int) (*stoatroute.Builder, stoatpaddle.Declaration) {
 	d := stoatpaddle.Declaration{Version: 1, Caps: map[stoatpaddle.ServiceID]int{"app": 2000}}
 	for i := range routes {
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
@@ -20,8 +20,8 @@
 			Listen: netip.AddrPortFrom(addr, 443), Objective: 200 * ms, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
 		})
 	}
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(d, 1)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(d, 1)
 	for i := range upstreams {
 		c := registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%010x", i+1)), stoatpaddle.Target(i+1), stoatpaddle.Version(i+2))
 		c.registration.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8080)
@@ -81,7 +81,7 @@
 			b.ReportAllocs()
 			for range b.N {
 				x := transfer(b, EncodeBody(now, t, Holds{}))
-				stoatroute.NewBook(stoatroute.Config{}).Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.Upstreams, Whole: true, Later: true})
+				stoatroute.NewBuilder(stoatroute.Config{}).Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.Upstreams, Complete: true, UpToDate: true})
 			}
 		})
 	}
@@ -99,7 +99,7 @@
 				child := HoldsOf(book.Table())
 				d.Version++
 				d.Routes[0].Priority = i
-				book.Declare(d, d.Version)
+				book.ApplyDeclaration(d, d.Version)
 				x := transfer(b, EncodeBody(now, book.Table(), child))
 				if !x.Delta.Fits(childDeclaration.Version) {
 					b.Fatal("delta does not apply")
--- a/stoatrelay/codec_test.go
+++ b/stoatrelay/codec_test.go
@@ -53,8 +53,8 @@
 	r.registration.Addr = listen
 	r.registration.Cold = 3 * time.Second
 	now := time.Unix(1000, 0)
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(*c.declaration, c.revision)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(*c.declaration, c.revision)
 	b.Register(now, *r.registration, r.revision)
 	first := b.Table()
 	got, err := Decode(&Head{Known: 12}, roundTrip(t, EncodeBody(now.Add(time.Second), first, Holds{})))
@@ -67,12 +67,12 @@
 	}
 	want := *r.registration
 	want.Cold = 2 * time.Second
-	if u := got.Upstreams[0]; u.Registration != want || u.Revision != 7 || u.Standing != stoatroute.Leaving {
+	if u := got.Upstreams[0]; u.Registration != want || u.Revision != 7 || u.State != stoatroute.Leaving {
 		t.Errorf("%+v", u)
 	}
-	b.Remove(now, "i-2", 12)
+	b.MarkGone(now, "i-2", 12)
 	got, err = Decode(&Head{}, roundTrip(t, EncodeBody(now, b.Table(), HoldsOf(first))))
-	if err != nil || got.Delta != nil || len(got.Upstreams) != 1 || got.Upstreams[0].Standing != stoatroute.Gone || got.Upstreams[0].Revision != 12 {
+	if err != nil || got.Delta != nil || len(got.Upstreams) != 1 || got.Upstreams[0].State != stoatroute.Gone || got.Upstreams[0].Revision != 12 {
 		t.Errorf("%+v %v", got, err)
 	}
 	if w := EncodeBody(now, b.Table(), HoldsOf(b.Table())); w != nil {
@@ -114,19 +114,19 @@
 // A route moved to another service while flows are open at the earlier one. An entry that starts afterwards
 // learns of the earlier service from its parent, and must forward packets of those flows too.
 func TestEarlierServicesAreSent(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
 	first, moved := declared(1, 5), declared(2, 9)
 	moved.declaration.Routes[0].Backends[0].Service = "other"
-	b.Declare(*first.declaration, first.revision)
-	b.Declare(*moved.declaration, moved.revision)
+	b.ApplyDeclaration(*first.declaration, first.revision)
+	b.ApplyDeclaration(*moved.declaration, moved.revision)
 	got, err := Decode(&Head{}, roundTrip(t, EncodeBody(time.Unix(1000, 0), b.Table(), Holds{})))
 	if err != nil {
 		t.Fatal(err)
 	}
-	later := stoatroute.NewBook(stoatroute.Config{})
-	later.Declare(got.Delta.Declaration, got.Delta.Revision)
-	if r := later.Table().Route(listen); !r.Had("app") || !r.Had("other") || r.Had("third") {
-		t.Error(r.Earlier())
+	later := stoatroute.NewBuilder(stoatroute.Config{})
+	later.ApplyDeclaration(got.Delta.Declaration, got.Delta.Revision)
+	if r := later.Table().Route(listen); !r.EverUsed("app") || !r.EverUsed("other") || r.EverUsed("third") {
+		t.Error(r.FormerServices())
 	}
 }
 
@@ -141,14 +141,14 @@
 	for i := range 2000 {
 		old.Routes = append(old.Routes, route(i, 1))
 	}
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(old, 10)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(old, 10)
 	before := b.Table()
 	next := old
 	next.Version = 8
 	next.Routes = append([]stoatpaddle.Route{route(0, 5)}, old.Routes[2:]...)
 	next.Routes = append(next.Routes, route(5000, 1))
-	b.Declare(next, 20)
+	b.ApplyDeclaration(next, 20)
 	w := roundTrip(t, EncodeBody(time.Unix(1000, 0), b.Table(), HoldsOf(before)))
 	if len(w.Declared.Routes) != 2 || len(w.Declared.Removed) != 1 || w.Declared.Base != 3 {
 		t.Fatal(len(w.Declared.Routes), len(w.Declared.Removed), w.Declared.Base)
@@ -169,13 +169,13 @@
 
 // A child is sent the evacuations that it lacks, and no others.
 func TestEvacuationCodec(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
-	b.Declare(*declared(1, 5).declaration, 5)
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
-	b.EvacuationsListed(time.Unix(1000, 0), map[stoatpaddle.DataCentreID]bool{"here": true}, 8)
+	b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
+	b.ApplyDeclaration(*declared(1, 5).declaration, 5)
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
+	b.ApplyEvacuationList(time.Unix(1000, 0), map[stoatpaddle.DataCentreID]bool{"here": true}, 8)
 	first := b.Table()
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "there", Revision: 9})
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "here", Revision: 10, Withdrawn: true})
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "there", Revision: 9})
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 10, Withdrawn: true})
 	for child, want := range map[Holds]int{{}: 2, HoldsOf(first): 2, HoldsOf(b.Table()): 0} {
 		got := 0
 		if w := EncodeBody(time.Unix(1000, 0), b.Table(), child); w != nil {
@@ -200,7 +200,7 @@
 // heartbeat.
 func TestIncarnationIsSent(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := stoatroute.NewBook(stoatroute.Config{})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
 	r := registered("i-1", 1, 5).registration
 	r.Incarnation, r.Cold, r.Addr = 1_790_000_000_000, 3*time.Second, netip.MustParseAddrPort("10.0.0.1:80")
 	b.Register(now, *r, 5)
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -100,7 +100,7 @@
 		r.fail("standing of "+u.ID, nil)
 	}
 	return stoatroute.RemoteUpstream{
-		Revision: stoatpaddle.Version(u.Revision), Standing: stoatroute.Standing(u.Standing),
+		Revision: stoatpaddle.Version(u.Revision), State: stoatroute.State(u.Standing),
 		Registration: stoatpaddle.Registration{
 			ID: stoatpaddle.UpstreamID(u.ID), Target: stoatpaddle.Target(u.Target), Service: stoatpaddle.ServiceID(r.name(u.Service)),
 			DataCentre: stoatpaddle.DataCentreID(r.name(u.Centre)), Addr: r.addr(u.Addr), Slots: u.Slots, Leaving: u.Leaving,
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -50,25 +50,25 @@
 
 // ChildStateOf returns the state of a child that has been sent all of the table.
 func HoldsOf(t *stoatroute.Table) Holds {
-	return Holds{change: t.Change, version: t.Declaration.Version}
+	return Holds{change: t.ChangeSeq, version: t.Declaration.Version}
 }
 
 // EncodeBody returns what t has and the child has not been sent, or nil if there is nothing.
 func EncodeBody(now time.Time, t *stoatroute.Table, child Holds) *Body {
-	if child.change == t.Change {
+	if child.change == t.ChangeSeq {
 		return nil
 	}
 	names := &nameTable{index: map[string]int{}}
 	body := &Body{Whole: child.change == 0}
-	if t.Altered > child.change {
+	if t.DeclarationSeq > child.change {
 		body.Declared = encodeDeclaration(names, t, child)
 	}
-	for _, u := range t.Since(child.change) {
+	for _, u := range t.UpstreamsSince(child.change) {
 		r := &u.Registration
 		body.Upstreams = append(body.Upstreams, wireHeld{
 			ID: string(r.ID), Target: uint64(r.Target), Service: names.indexOf(string(r.Service)), Centre: names.indexOf(string(r.DataCentre)),
 			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.Created),
-			Standing: uint8(u.Standing), ColdMS: max(0, u.Warm.Sub(now).Milliseconds()), Incarnation: uint64(r.Incarnation),
+			Standing: uint8(u.State), ColdMS: max(0, u.WarmAt.Sub(now).Milliseconds()), Incarnation: uint64(r.Incarnation),
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
@@ -110,7 +110,7 @@
 			out.Backends = append(out.Backends, wireBackend{Service: names.indexOf(string(b.Service)), Weight: uint32(b.Weight)})
 		}
 		if current := t.Route(r.Listen); current != nil {
-			for _, s := range current.Earlier() {
+			for _, s := range current.FormerServices() {
 				out.Earlier = append(out.Earlier, names.indexOf(string(s)))
 			}
 		}
--- a/stoatrelay/fuzz_test.go
+++ b/stoatrelay/fuzz_test.go
@@ -15,11 +15,11 @@
 // decoded by the next entry.
 func FuzzMessage(f *testing.F) {
 	at := time.Unix(1000, 0)
-	b := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
-	b.Restore(at, 3)
-	b.Declare(*declared(2, 5).declaration, 5)
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
-	b.Spoil(at, "i-9", 9, 8)
+	b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
+	b.BeginEra(at, 3)
+	b.ApplyDeclaration(*declared(2, 5).declaration, 5)
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
+	b.MarkInvalid(at, "i-9", 9, 8)
 	head, err := Encode(&Head{Known: 7, KnownEra: 2, Era: 3, Path: []string{"10.0.0.1:1"}, Body: true})
 	if err != nil {
 		f.Fatal(err)
@@ -40,12 +40,12 @@
 		if err != nil {
 			return
 		}
-		child := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
-		child.Restore(at, m.Era)
+		child := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
+		child.BeginEra(at, m.Era)
 		if m.Delta != nil {
-			child.Declare(m.Delta.Declaration, m.Delta.Revision)
+			child.ApplyDeclaration(m.Delta.Declaration, m.Delta.Revision)
 		}
-		child.Mirror(at, stoatroute.RemoteUpdate{Upstreams: m.Upstreams, Whole: m.Whole, Later: true})
+		child.Mirror(at, stoatroute.RemoteUpdate{Upstreams: m.Upstreams, Complete: m.Whole, UpToDate: true})
 		next := EncodeBody(at, child.Table(), Holds{})
 		if next == nil {
 			return
