--- a/stoatoutlier/delay.go
+++ b/stoatoutlier/delay.go
@@ -6,67 +6,71 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// delay follows how long what one entry says takes to all others.
+// delayEstimator measures how long a report of this entry, that it waits for an upstream, takes to the root
+// of the relay tree and back in the sum.
 //
-// The failure without it: a data centre of three hundred entries has a deeper tree than one of
-// thirty. Two entries lost a packet to the same upstream, and the news that a third one heard from
-// it was still under way when the others ejected it.
-type delay struct {
-	key  stoatpaddle.UpstreamKey // of a claim that is under way
-	sent time.Time               // zero: none is
-	took time.Duration           // up to the root and back; 0: not known
+// A fixed delay is not enough: a data centre of three hundred entries has a deeper tree than one of thirty.
+// Two entries lost a packet to the same upstream there, and the report that a third entry had heard from it
+// was still on its way when the others ejected the upstream.
+type delayEstimator struct {
+	key       stoatpaddle.UpstreamKey // upstream of the report that is being timed
+	sentAt    time.Time               // when that report was sent; zero: none is being timed
+	roundTrip time.Duration           // time to the root and back; 0: not measured yet
 }
 
 const (
-	// delayFirst is assumed until there was a claim to follow: three levels, up and down, twice.
-	delayFirst = 150 * time.Millisecond
-	delayLeast = 100 * time.Millisecond
-	// delayMost bounds what one report that was lost and sent again makes of it.
-	delayMost = 500 * time.Millisecond
-	// delayWeight is the share of a sample that is shorter than the mean; a longer one counts in full.
-	delayWeight = 0.125
+	// initialDelay is used until a report has been timed: three levels, up and down, twice.
+	initialDelay = 150 * time.Millisecond
+	minDelay     = 100 * time.Millisecond
+	// maxDelay limits the effect of a single report that was lost and sent again.
+	maxDelay = 500 * time.Millisecond
+	// decreaseWeight is the weight of a sample that is shorter than the estimate. A longer sample replaces
+	// the estimate.
+	decreaseWeight = 0.125
 )
 
-// reported notes that a claim of this entry's own leaves.
-func (d *delay) reported(now time.Time, own []Report, u Update) {
-	if !d.sent.IsZero() && now.Sub(d.sent) < delayMost {
+// reportSent starts to time a wait of this entry's own that the update reports, unless one is being timed
+// already. A report that has not come back within maxDelay is no longer timed.
+func (d *delayEstimator) reportSent(now time.Time, own []Report, u Update) {
+	if !d.sentAt.IsZero() && now.Sub(d.sentAt) < maxDelay {
 		return
 	}
-	d.sent = time.Time{}
+	d.sentAt = time.Time{}
 	for i := range u.Reports {
 		k := u.Reports[i].Key
 		if r := find(own, k); r != nil && r.Entries > 0 {
-			d.key, d.sent = k, now
+			d.key, d.sentAt = k, now
 			return
 		}
 	}
 }
 
-// followed notes a sum that came back.
-func (d *delay) followed(now time.Time, sum []Report) {
-	if d.sent.IsZero() {
+// sumReceived ends the measurement if the sum contains the wait that is being timed.
+func (d *delayEstimator) sumReceived(now time.Time, sum []Report) {
+	if d.sentAt.IsZero() {
 		return
 	}
 	r := find(sum, d.key)
 	if r == nil || r.Entries == 0 {
 		return
 	}
-	took := now.Sub(d.sent)
-	d.sent = time.Time{}
-	if took > d.took {
-		d.took = took
+	sample := now.Sub(d.sentAt)
+	d.sentAt = time.Time{}
+	if sample > d.roundTrip {
+		d.roundTrip = sample
 		return
 	}
-	d.took -= time.Duration(delayWeight * float64(d.took-took))
+	d.roundTrip -= time.Duration(decreaseWeight * float64(d.roundTrip-sample))
 }
 
-// Delay is how long a sign of life may take from the entry that had it to this one: the others have
-// to hear first that it is waited for, and then this one of their answer.
-func (p *Pool) Delay() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.delay.took == 0 {
-		return delayFirst
+// PropagationDelay returns how long a sign of life may take from the entry that observed it to this one.
+// That is two round trips: the other entries have to learn first that this entry waits for the upstream,
+// and then this entry has to learn of their answer.
+func (agg *Pool) Delay() time.Duration {
+	agg.mu.Lock()
+	defer agg.mu.Unlock()
+	if agg.delay.roundTrip == 0 {
+		return initialDelay
 	}
-	return min(delayMost, max(delayLeast, 2*p.delay.took))
+	return min(maxDelay, max(minDelay, 2*agg.delay.roundTrip))
 }
--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -11,13 +11,14 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// decoder keeps the first error; after it, every field reads as zero.
+// decoder reads the fields of a message. It keeps the first error, and every later read returns a zero
+// value.
 type decoder struct {
 	in  *msgpack.Decoder
 	err error
 }
 
-func take[T any](d *decoder, read func() (T, error)) T {
+func readField[T any](d *decoder, read func() (T, error)) T {
 	var zero T
 	if d.err != nil {
 		return zero
@@ -30,13 +31,13 @@
 	return v
 }
 
-func (d *decoder) text() string  { return take(d, d.in.DecodeString) }
-func (d *decoder) uint() uint64  { return take(d, d.in.DecodeUint64) }
-func (d *decoder) bool() bool    { return take(d, d.in.DecodeBool) }
-func (d *decoder) bytes() []byte { return take(d, d.in.DecodeBytes) }
+func (d *decoder) text() string  { return readField(d, d.in.DecodeString) }
+func (d *decoder) uint() uint64  { return readField(d, d.in.DecodeUint64) }
+func (d *decoder) bool() bool    { return readField(d, d.in.DecodeBool) }
+func (d *decoder) bytes() []byte { return readField(d, d.in.DecodeBytes) }
 
 func (d *decoder) list() int {
-	n := take(d, d.in.DecodeArrayLen)
+	n := readField(d, d.in.DecodeArrayLen)
 	if n < 0 || n > maxList {
 		d.err = &RangeError{Got: n, Most: maxList}
 		return 0
@@ -45,7 +46,7 @@
 }
 
 func (d *decoder) addr() netip.AddrPort {
-	return take(d, func() (netip.AddrPort, error) { return netip.ParseAddrPort(d.text()) })
+	return readField(d, func() (netip.AddrPort, error) { return netip.ParseAddrPort(d.text()) })
 }
 
 func (d *decoder) ref() stoatpaddle.Ref {
@@ -122,10 +123,10 @@
 	m.Batch.Moves = d.records()
 	m.Batch.Copies = d.records()
 	for b := d.bytes(); len(b) >= stoatflow.DropSize; b = b[stoatflow.DropSize:] {
-		m.Batch.Drops = append(m.Batch.Drops, readFlow(b))
+		m.Batch.Drops = append(m.Batch.Drops, decodeFlow(b))
 	}
 	for n := d.list(); n > 0 && d.err == nil; n-- {
-		m.Batch.Loads = append(m.Batch.Loads, d.load())
+		m.Batch.Loads = append(m.Batch.Loads, d.loadReport())
 	}
 	return m
 }
@@ -134,14 +135,14 @@
 	var out []stoatflow.Record
 	for b := d.bytes(); len(b) >= stoatflow.RecordSize; b = b[stoatflow.RecordSize:] {
 		out = append(out, stoatflow.Record{
-			Key:      readFlow(b),
-			Upstream: stoatpaddle.UpstreamKey(binary.BigEndian.Uint32(b[flowBytes:])),
+			Key:      decodeFlow(b),
+			Upstream: stoatpaddle.UpstreamKey(binary.BigEndian.Uint32(b[flowHashSize:])),
 		})
 	}
 	return out
 }
 
-func (d *decoder) load() stoatflow.LoadReport {
+func (d *decoder) loadReport() stoatflow.LoadReport {
 	l := stoatflow.LoadReport{Set: stoatflow.SetDigest(d.uint())}
 	for b := d.bytes(); len(b) > 0; {
 		n, size := binary.Uvarint(b)
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -22,13 +22,13 @@
 const (
 	dialTimeout  = time.Second
 	helloTimeout = 2 * time.Second
-	// silence is how long a connection may bring nothing: heartbeats come every half
-	// second, so one that went silent is dropped although TCP still believes in it.
-	silence   = 3 * time.Second
-	queueSize = 512
+	// idleTimeout is how long a connection may be without a message. Heartbeats come every half second, so
+	// that a connection without any is closed although TCP still considers it open.
+	idleTimeout = 3 * time.Second
+	queueSize   = 512 // frames that wait for one peer
 )
 
-// Handler takes what happens on the connections. Its methods must not block for long.
+// Handler is told of connections and messages. Its methods must not block for long.
 type Handler interface {
 	Connected(h stoatmessage.Hello)
 	Disconnected(id stoatpaddle.InstanceID)
@@ -41,42 +41,43 @@
 	Addr    netip.AddrPort
 	Handler Handler
 	Log     stoatevent.Sink
-	// Severed tells that the network between this entry and the address is cut; tests set it.
+	// Partitioned reports whether the network between this entry and the instance counts as cut. It is for
+	// tests.
 	Severed func(id stoatpaddle.InstanceID) bool
 }
 
-// Transport holds the connections of one entry with its peers.
+// Transport manages the connections of one entry with its peers.
 type Transport struct {
-	cfg   Config
-	ln    net.Listener
-	group *errgroup.Group
-	ctx   context.Context
-	stop  context.CancelFunc
+	cfg      Config
+	listener net.Listener
+	group    *errgroup.Group
+	ctx      context.Context
+	stop     context.CancelFunc
 
 	mu    sync.Mutex
-	links map[stoatpaddle.InstanceID]*link
+	conns map[stoatpaddle.InstanceID]*peerConn
 
 	sent     atomic.Int64
 	received atomic.Int64
 }
 
-// link is one connection after both hellos.
-type link struct {
-	id   stoatpaddle.InstanceID
-	conn net.Conn
-	out  chan []byte
-	once sync.Once
-	gone chan struct{}
+// peerConn is one connection after both hellos.
+type peerConn struct {
+	id     stoatpaddle.InstanceID
+	conn   net.Conn
+	queue  chan []byte
+	once   sync.Once
+	closed chan struct{}
 }
 
-func (l *link) close() {
-	l.once.Do(func() {
-		close(l.gone)
-		_ = l.conn.Close()
+func (c *peerConn) close() {
+	c.once.Do(func() {
+		close(c.closed)
+		_ = c.conn.Close()
 	})
 }
 
-// New listens for peers.
+// New starts to listen for peers.
 func New(ctx context.Context, cfg Config) (*Transport, error) {
 	ln, err := net.Listen("tcp", cfg.Addr.String())
 	if err != nil {
@@ -84,12 +85,12 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	t := &Transport{cfg: cfg, ln: ln, group: group, ctx: ctx, stop: stop, links: map[stoatpaddle.InstanceID]*link{}}
+	t := &Transport{cfg: cfg, listener: ln, group: group, ctx: ctx, stop: stop, conns: map[stoatpaddle.InstanceID]*peerConn{}}
 	group.Go(t.accept)
 	return t, nil
 }
 
-// SetInstance changes what later hellos say of this entry.
+// SetInstance replaces the instance that later hellos carry.
 func (t *Transport) SetInstance(i stoatpaddle.Instance) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,20 +103,20 @@
 	return t.cfg.Hello
 }
 
-// Connected tells whether there is a connection with the peer.
+// Connected reports whether there is a connection with the peer.
 func (t *Transport) Connected(id stoatpaddle.InstanceID) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.links[id] != nil
+	return t.conns[id] != nil
 }
 
-// Close ends every connection and waits for the goroutines.
+// Close closes every connection and waits for the goroutines.
 func (t *Transport) Close() {
 	t.stop()
-	_ = t.ln.Close()
+	_ = t.listener.Close()
 	t.mu.Lock()
-	for _, l := range t.links {
-		l.close()
+	for _, c := range t.conns {
+		c.close()
 	}
 	t.mu.Unlock()
 	_ = t.group.Wait()
@@ -126,7 +127,7 @@
 
 func (t *Transport) accept() error {
 	for {
-		conn, err := t.ln.Accept()
+		conn, err := t.listener.Accept()
 		if err != nil {
 			if t.ctx.Err() != nil {
 				return nil
@@ -152,22 +153,23 @@
 	})
 }
 
-// Hangup closes the connection with a peer.
+// Disconnect closes the connection with a peer.
 func (t *Transport) Hangup(id stoatpaddle.InstanceID) {
 	t.mu.Lock()
-	l := t.links[id]
+	c := t.conns[id]
 	t.mu.Unlock()
-	if l != nil {
-		l.close()
+	if c != nil {
+		c.close()
 	}
 }
 
-// Send queues a message; without a connection it is dropped.
+// Send queues a message for a peer. Without a connection, the message is dropped. If the queue is full, the
+// connection is closed.
 func (t *Transport) Send(to stoatpaddle.InstanceID, m stoatmessage.Message) {
 	t.mu.Lock()
-	l := t.links[to]
+	c := t.conns[to]
 	t.mu.Unlock()
-	if l == nil || t.severed(to) {
+	if c == nil || t.partitioned(to) {
 		return
 	}
 	frame, err := Encode(m)
@@ -176,42 +178,42 @@
 		return
 	}
 	select {
-	case l.out <- frame:
+	case c.queue <- frame:
 	default:
 		t.cfg.Log.Emit(EventSlow, stoatevent.F("peer", string(to)))
-		l.close()
+		c.close()
 	}
 }
 
-func (t *Transport) severed(id stoatpaddle.InstanceID) bool {
+func (t *Transport) partitioned(id stoatpaddle.InstanceID) bool {
 	return t.cfg.Severed != nil && t.cfg.Severed(id)
 }
 
 // serve runs one connection to its end.
 func (t *Transport) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	hello, r, ok := t.greet(conn)
+	hello, r, ok := t.handshake(conn)
 	if !ok {
 		return
 	}
-	l := &link{id: hello.Instance.ID, conn: conn, out: make(chan []byte, queueSize), gone: make(chan struct{})}
-	if !t.add(l) {
+	c := &peerConn{id: hello.Instance.ID, conn: conn, queue: make(chan []byte, queueSize), closed: make(chan struct{})}
+	if !t.add(c) {
 		return
 	}
 	t.cfg.Handler.Connected(*hello)
 	t.group.Go(func() error {
-		t.write(l)
+		t.write(c)
 		return nil
 	})
-	t.read(l, r)
-	l.close()
-	if t.remove(l) {
-		t.cfg.Handler.Disconnected(l.id)
+	t.read(c, r)
+	c.close()
+	if t.remove(c) {
+		t.cfg.Handler.Disconnected(c.id)
 	}
 }
 
-// greet exchanges hellos.
-func (t *Transport) greet(conn net.Conn) (*stoatmessage.Hello, *bufio.Reader, bool) {
+// handshake exchanges hellos and checks the one of the peer.
+func (t *Transport) handshake(conn net.Conn) (*stoatmessage.Hello, *bufio.Reader, bool) {
 	_ = conn.SetDeadline(time.Now().Add(helloTimeout))
 	own := t.hello()
 	frame, err := Encode(&own)
@@ -224,7 +226,7 @@
 	r := bufio.NewReader(conn)
 	m, err := Read(r)
 	if err != nil {
-		t.malformed(conn, err)
+		t.reportMalformed(conn, err)
 		return nil, nil, false
 	}
 	hello, ok := m.(*stoatmessage.Hello)
@@ -232,15 +234,15 @@
 		t.cfg.Log.Emit(EventStranger, stoatevent.F("address", conn.RemoteAddr().String()))
 		return nil, nil, false
 	}
-	if t.severed(hello.Instance.ID) {
+	if t.partitioned(hello.Instance.ID) {
 		return nil, nil, false
 	}
 	_ = conn.SetDeadline(time.Time{})
 	return hello, r, true
 }
 
-func (t *Transport) malformed(conn net.Conn, err error) {
-	// The end of a connection is no breach of the protocol.
+func (t *Transport) reportMalformed(conn net.Conn, err error) {
+	// The end of a connection is not a violation of the protocol.
 	var netErr net.Error
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netErr) {
 		return
@@ -248,59 +250,61 @@
 	t.cfg.Log.Emit(EventFrame, stoatevent.F("address", conn.RemoteAddr().String()), stoatevent.F("cause", err.Error()))
 }
 
-// add makes l the connection with its peer in place of an earlier one.
-func (t *Transport) add(l *link) bool {
+// add registers c as the connection with its peer, in place of an earlier one. It returns false if the
+// transport is closed.
+func (t *Transport) add(c *peerConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.ctx.Err() != nil {
 		return false
 	}
-	if old := t.links[l.id]; old != nil {
+	if old := t.conns[c.id]; old != nil {
 		old.close()
 	}
-	t.links[l.id] = l
+	t.conns[c.id] = c
 	return true
 }
 
-func (t *Transport) remove(l *link) bool {
+// remove unregisters c, or returns false if a later connection has replaced it.
+func (t *Transport) remove(c *peerConn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.links[l.id] != l {
+	if t.conns[c.id] != c {
 		return false
 	}
-	delete(t.links, l.id)
+	delete(t.conns, c.id)
 	return true
 }
 
-func (t *Transport) write(l *link) {
+func (t *Transport) write(c *peerConn) {
 	for {
 		select {
-		case <-l.gone:
+		case <-c.closed:
 			return
-		case frame := <-l.out:
-			_ = l.conn.SetWriteDeadline(time.Now().Add(silence))
-			n, err := l.conn.Write(frame)
+		case frame := <-c.queue:
+			_ = c.conn.SetWriteDeadline(time.Now().Add(idleTimeout))
+			n, err := c.conn.Write(frame)
 			t.sent.Add(int64(n))
 			if err != nil {
-				l.close()
+				c.close()
 				return
 			}
 		}
 	}
 }
 
-func (t *Transport) read(l *link, r *bufio.Reader) {
-	counted := &stoatcount.Reader{R: r, N: &t.received}
+func (t *Transport) read(c *peerConn, r *bufio.Reader) {
+	counter := &stoatcount.Reader{R: r, N: &t.received}
 	for {
-		_ = l.conn.SetReadDeadline(time.Now().Add(silence))
-		m, err := Read(counted)
+		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout))
+		m, err := Read(counter)
 		if err != nil {
-			t.malformed(l.conn, err)
+			t.reportMalformed(c.conn, err)
 			return
 		}
-		if t.severed(l.id) {
+		if t.partitioned(c.id) {
 			return
 		}
-		t.cfg.Handler.Received(l.id, m)
+		t.cfg.Handler.Received(c.id, m)
 	}
 }
--- a/stoatrelay/bench_test.go
+++ b/stoatrelay/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-func bigBook(routes, upstreams int) (*stoatroute.Builder, stoatpaddle.Declaration) {
+func largeBook(routes, upstreams int) (*stoatroute.Builder, stoatpaddle.Declaration) {
 	d := stoatpaddle.Declaration{Version: 1, Caps: map[stoatpaddle.ServiceID]int{"app": 2000}}
 	for i := range routes {
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
@@ -30,7 +30,7 @@
 	return b, d
 }
 
-// A message without news, as each child gets one with each proof.
+// A message without changes, which each child gets whenever its parent's knowledge is confirmed.
 func BenchmarkHead(b *testing.B) {
 	h := &Head{
 		Known: 1234567, AgeMS: 40, Path: []string{"10.1.0.10:8166", "10.1.0.77:8166", "10.1.0.78:8166"},
@@ -53,8 +53,8 @@
 	}
 }
 
-// toldOver writes a body, and reads it as a child does.
-func toldOver(b *testing.B, w *Body) Message {
+// transfer encodes a body and decodes it as a child does.
+func transfer(b *testing.B, w *Body) Message {
 	data, err := Encode(w)
 	if err != nil {
 		b.Fatal(err)
@@ -71,28 +71,28 @@
 	return x
 }
 
-// Everything, as a new child gets it: written once, read and taken in by the child.
+// The full state for a new child: encoded once, decoded and applied by the child.
 func BenchmarkWhole(b *testing.B) {
 	for _, n := range []int{18, 150, 3000, 43000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			book, _ := bigBook(14, n)
+			book, _ := largeBook(14, n)
 			t := book.Table()
 			now := time.Unix(1000, 0)
 			b.ReportAllocs()
 			for range b.N {
-				x := toldOver(b, EncodeBody(now, t, Holds{}))
+				x := transfer(b, EncodeBody(now, t, Holds{}))
 				stoatroute.NewBuilder(stoatroute.Config{}).Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.Upstreams, Complete: true, UpToDate: true})
 			}
 		})
 	}
 }
 
-// One route of many changes, and is told.
+// One of many routes changes, and the change is sent to a child.
 func BenchmarkOneRouteChanges(b *testing.B) {
 	for _, n := range []int{14, 489, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			book, d := bigBook(n, 0)
-			_, held := bigBook(n, 0)
+			book, d := largeBook(n, 0)
+			_, childDeclaration := largeBook(n, 0)
 			now := time.Unix(1000, 0)
 			b.ReportAllocs()
 			for i := range b.N {
@@ -100,11 +100,11 @@
 				d.Version++
 				d.Routes[0].Priority = i
 				book.ApplyDeclaration(d, d.Version)
-				x := toldOver(b, EncodeBody(now, book.Table(), child))
-				if !x.Delta.Fits(held.Version) {
-					b.Fatal("does not fit")
+				x := transfer(b, EncodeBody(now, book.Table(), child))
+				if !x.Delta.Fits(childDeclaration.Version) {
+					b.Fatal("delta does not apply")
 				}
-				held = x.Delta.Onto(&held)
+				childDeclaration = x.Delta.Onto(&childDeclaration)
 			}
 		})
 	}
--- a/stoatrelay/codec_test.go
+++ b/stoatrelay/codec_test.go
@@ -17,32 +17,32 @@
 
 var listen = netip.MustParseAddrPort("198.18.0.1:443")
 
-// version is a configuration with one route, and the revision at which it was written.
-type version struct {
+// declaredVersion is a declaration with one route, and the revision at which it was written.
+type declaredVersion struct {
 	revision    stoatpaddle.Version
 	declaration *stoatpaddle.Declaration
 }
 
-func declared(number, revision stoatpaddle.Version) version {
-	return version{revision: revision, declaration: &stoatpaddle.Declaration{
+func declared(number, revision stoatpaddle.Version) declaredVersion {
+	return declaredVersion{revision: revision, declaration: &stoatpaddle.Declaration{
 		Version: number, Routes: []stoatpaddle.Route{{Listen: listen, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}},
 	}}
 }
 
-// entry is a registration, and the revision at which it was written.
-type entry struct {
+// registeredUpstream is a registration, and the revision at which it was written.
+type registeredUpstream struct {
 	revision     stoatpaddle.Version
 	registration *stoatpaddle.Registration
 }
 
-func registered(id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) entry {
-	return entry{revision: revision, registration: &stoatpaddle.Registration{
+func registered(id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) registeredUpstream {
+	return registeredUpstream{revision: revision, registration: &stoatpaddle.Registration{
 		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, Created: revision,
 	}}
 }
 
-// What one entry tells, another takes in as the same; later it is told what changed alone.
-func TestNewsCodec(t *testing.T) {
+// A child decodes what its parent encoded, and later messages contain only what changed.
+func TestMessageCodec(t *testing.T) {
 	c, r := declared(4, 9), registered("i-2", 2, 7)
 	c.declaration.Caps = map[stoatpaddle.ServiceID]int{"app": 2000}
 	c.declaration.ColdRates = map[stoatpaddle.ServiceID]float64{"app": 2.5}
@@ -57,7 +57,7 @@
 	b.ApplyDeclaration(*c.declaration, c.revision)
 	b.Register(now, *r.registration, r.revision)
 	first := b.Table()
-	got, err := Decode(&Head{Known: 12}, overTheWire(t, EncodeBody(now.Add(time.Second), first, Holds{})))
+	got, err := Decode(&Head{Known: 12}, roundTrip(t, EncodeBody(now.Add(time.Second), first, Holds{})))
 	if err != nil || got.Delta == nil || len(got.Upstreams) != 1 || !got.Whole || got.Known.Revision != 12 {
 		t.Fatalf("%+v %v", got, err)
 	}
@@ -71,14 +71,14 @@
 		t.Errorf("%+v", u)
 	}
 	b.MarkGone(now, "i-2", 12)
-	got, err = Decode(&Head{}, overTheWire(t, EncodeBody(now, b.Table(), HoldsOf(first))))
+	got, err = Decode(&Head{}, roundTrip(t, EncodeBody(now, b.Table(), HoldsOf(first))))
 	if err != nil || got.Delta != nil || len(got.Upstreams) != 1 || got.Upstreams[0].State != stoatroute.Gone || got.Upstreams[0].Revision != 12 {
 		t.Errorf("%+v %v", got, err)
 	}
 	if w := EncodeBody(now, b.Table(), HoldsOf(b.Table())); w != nil {
-		t.Errorf("told again: %+v", w)
+		t.Errorf("sent again without a change: %+v", w)
 	}
-	for _, spoil := range []func(w *Body){
+	for _, corrupt := range []func(w *Body){
 		func(w *Body) { w.Upstreams[0].Addr = []byte{1} },
 		func(w *Body) { w.Upstreams[0].Standing = 9 },
 		func(w *Body) { w.Upstreams[0].Service = 99 },
@@ -86,19 +86,19 @@
 		func(w *Body) { w.Declared.Routes[0].Listen = nil },
 	} {
 		w := EncodeBody(now, first, Holds{})
-		spoil(w)
+		corrupt(w)
 		if _, err := Decode(&Head{}, w); err == nil {
-			t.Errorf("a faulty parent is believed: %+v", w)
+			t.Errorf("a faulty body is accepted: %+v", w)
 		}
 	}
 	if _, err := Decode(&Head{Path: []string{"x"}}, nil); err == nil {
-		t.Error("a faulty path is believed")
+		t.Error("a faulty path is accepted")
 	}
 }
 
 func sameAddr(a, b netip.AddrPort) bool { return a == b }
 
-func overTheWire(t *testing.T, w *Body) *Body {
+func roundTrip(t *testing.T, w *Body) *Body {
 	t.Helper()
 	data, err := Encode(w)
 	if err != nil {
@@ -111,15 +111,15 @@
 	return out
 }
 
-// A route moved to another service while flows are open at the one before. An entry that
-// starts afterwards, and is told by one that saw it, forwards their packets too.
-func TestEarlierServicesAreTold(t *testing.T) {
+// A route moved to another service while flows are open at the earlier one. An entry that starts afterwards
+// learns of the earlier service from its parent, and must forward packets of those flows too.
+func TestEarlierServicesAreSent(t *testing.T) {
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	first, moved := declared(1, 5), declared(2, 9)
 	moved.declaration.Routes[0].Backends[0].Service = "other"
 	b.ApplyDeclaration(*first.declaration, first.revision)
 	b.ApplyDeclaration(*moved.declaration, moved.revision)
-	got, err := Decode(&Head{}, overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), Holds{})))
+	got, err := Decode(&Head{}, roundTrip(t, EncodeBody(time.Unix(1000, 0), b.Table(), Holds{})))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,9 +130,9 @@
 	}
 }
 
-// A configuration of two thousand routes changes: one route is added, one changed, one
-// removed. What is told is those three, and makes the same of the version before.
-func TestDifferenceOfDeclarations(t *testing.T) {
+// A declaration of two thousand routes changes: one route is added, one changed, one removed. The message
+// contains only these three, and applying it to the earlier version yields the new one.
+func TestDeclarationDelta(t *testing.T) {
 	route := func(i int, priority int) stoatpaddle.Route {
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
 		return stoatpaddle.Route{Listen: netip.AddrPortFrom(addr, 443), Priority: priority, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}
@@ -149,7 +149,7 @@
 	next.Routes = append([]stoatpaddle.Route{route(0, 5)}, old.Routes[2:]...)
 	next.Routes = append(next.Routes, route(5000, 1))
 	b.ApplyDeclaration(next, 20)
-	w := overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), HoldsOf(before)))
+	w := roundTrip(t, EncodeBody(time.Unix(1000, 0), b.Table(), HoldsOf(before)))
 	if len(w.Declared.Routes) != 2 || len(w.Declared.Removed) != 1 || w.Declared.Base != 3 {
 		t.Fatal(len(w.Declared.Routes), len(w.Declared.Removed), w.Declared.Base)
 	}
@@ -163,11 +163,11 @@
 		t.Error(fits, diff)
 	}
 	if got.Delta.Fits(old.Version + 1) {
-		t.Error("fits a version between")
+		t.Error("the delta applies to a version in between")
 	}
 }
 
-// What a child lacks of evacuations is told to it, over the wire, and no more.
+// A child is sent the evacuations that it lacks, and no others.
 func TestEvacuationCodec(t *testing.T) {
 	b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
 	b.ApplyDeclaration(*declared(1, 5).declaration, 5)
@@ -179,7 +179,7 @@
 	for child, want := range map[Holds]int{{}: 2, HoldsOf(first): 2, HoldsOf(b.Table()): 0} {
 		got := 0
 		if w := EncodeBody(time.Unix(1000, 0), b.Table(), child); w != nil {
-			x, err := Decode(&Head{}, overTheWire(t, w))
+			x, err := Decode(&Head{}, roundTrip(t, w))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -191,14 +191,14 @@
 			}
 		}
 		if got != want {
-			t.Errorf("%d states told to a child that holds %+v, expected %d", got, child, want)
+			t.Errorf("%d evacuations sent to a child with %+v, expected %d", got, child, want)
 		}
 	}
 }
 
-// A parent's message carries an upstream's incarnation: without it, a child would take a start
-// for a heartbeat.
-func TestIncarnationIsTold(t *testing.T) {
+// A parent's message carries an upstream's incarnation: without it, a child would take a restart for a
+// heartbeat.
+func TestIncarnationIsSent(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	r := registered("i-1", 1, 5).registration
@@ -218,9 +218,9 @@
 	}
 }
 
-// Entries are replaced in turn, so that some are of the release before, whose messages lack the last
-// fields, and some of the next one, whose messages have more. Both are read: what is missing is empty,
-// what is not known is passed over.
+// Entries are replaced one after the other, so that some run the previous release, whose messages lack the
+// last fields, and some the next one, whose messages have more. Both must be readable: missing fields are
+// empty, and unknown ones are skipped.
 func TestMessagesOfOtherReleases(t *testing.T) {
 	type earlier struct {
 		_msgpack  struct{} `msgpack:",as_array"`
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -10,13 +10,12 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// placeError reports a name that a body does not have.
-type placeError struct{ place int }
+// indexError reports an index beyond the names of a body.
+type indexError struct{ index int }
 
-// Error says that there is none.
-func (e *placeError) Error() string { return "no name has the place that a parent's message names" }
+func (e *indexError) Error() string { return "name index is out of range in a parent's message" }
 
-// body reads a Body; the first fault stays in err.
+// bodyReader converts the fields of a Body; err keeps the first fault.
 type bodyReader struct {
 	names []string
 	err   error
@@ -28,12 +27,12 @@
 	}
 }
 
-func (r *bodyReader) name(place int) string {
-	if place < 0 || place >= len(r.names) {
-		r.fail("name", &placeError{place: place})
+func (r *bodyReader) name(index int) string {
+	if index < 0 || index >= len(r.names) {
+		r.fail("name", &indexError{index: index})
 		return ""
 	}
-	return r.names[place]
+	return r.names[index]
 }
 
 func (r *bodyReader) addr(b []byte) netip.AddrPort {
@@ -44,59 +43,59 @@
 	return a
 }
 
-// Message is what a parent says at once.
+// Message is one decoded message from a parent.
 type Message struct {
-	Path  []netip.AddrPort // from a reader to the parent
-	Known stoatpaddle.Position
-	Era   stoatpaddle.Era // of all revisions in it; 0: not said
-	Age   time.Duration   // of what it believes; negative: it was never known to be up to date
-	Whole bool            // all upstreams there are; otherwise those that changed
-	Delta *Delta          // of the declaration; nil: it did not change
+	Path  []netip.AddrPort     // from an entry that reads the platform to the parent
+	Known stoatpaddle.Position // up to which the parent knows everything
+	Era   stoatpaddle.Era      // of all revisions in the message; 0: not known
+	Age   time.Duration        // of the parent's knowledge; negative: it was never known to be up to date
+	Whole bool                 // Upstreams are all there are; otherwise those that changed
+	Delta *Delta               // of the declaration; nil: it did not change
 
 	Upstreams   []stoatroute.RemoteUpstream
 	Evacuations []stoatpaddle.Evacuation
 }
 
-// Read reads one message; there is no Body if nothing changed.
+// Read reads one message. The Body is nil if nothing changed.
 func Read(dec *msgpack.Decoder) (*Head, *Body, error) {
-	h := &Head{}
-	if err := dec.Decode(h); err != nil || !h.Body {
-		return h, nil, err
+	head := &Head{}
+	if err := dec.Decode(head); err != nil || !head.Body {
+		return head, nil, err
 	}
-	w := &Body{}
-	return h, w, dec.Decode(w)
+	body := &Body{}
+	return head, body, dec.Decode(body)
 }
 
-// Decode maps a parent's message, or returns *stoatpaddle.DecodeError.
-func Decode(h *Head, w *Body) (Message, error) {
-	x := Message{
-		Known: stoatpaddle.Position{Era: stoatpaddle.Era(h.KnownEra), Revision: stoatpaddle.Version(h.Known)},
-		Era:   stoatpaddle.Era(h.Era), Age: time.Duration(h.AgeMS) * time.Millisecond,
+// Decode converts a parent's message, or returns *stoatpaddle.DecodeError.
+func Decode(head *Head, body *Body) (Message, error) {
+	m := Message{
+		Known: stoatpaddle.Position{Era: stoatpaddle.Era(head.KnownEra), Revision: stoatpaddle.Version(head.Known)},
+		Era:   stoatpaddle.Era(head.Era), Age: time.Duration(head.AgeMS) * time.Millisecond,
 	}
 	var err error
-	if x.Path, err = ParseAddrs(h.Path); err != nil || w == nil {
-		return x, err
+	if m.Path, err = ParseAddrs(head.Path); err != nil || body == nil {
+		return m, err
 	}
-	x.Whole = w.Whole
-	r := &bodyReader{names: w.Names}
-	if w.Declared != nil {
-		x.Delta = r.declaration(w.Declared)
+	m.Whole = body.Whole
+	r := &bodyReader{names: body.Names}
+	if body.Declared != nil {
+		m.Delta = r.declaration(body.Declared)
 	}
-	for i := range w.Upstreams {
-		x.Upstreams = append(x.Upstreams, r.held(&w.Upstreams[i]))
+	for i := range body.Upstreams {
+		m.Upstreams = append(m.Upstreams, r.upstream(&body.Upstreams[i]))
 	}
-	for _, ev := range w.Evacuated {
-		x.Evacuations = append(x.Evacuations, stoatpaddle.Evacuation{
+	for _, ev := range body.Evacuated {
+		m.Evacuations = append(m.Evacuations, stoatpaddle.Evacuation{
 			DataCentre: stoatpaddle.DataCentreID(r.name(ev.Centre)), Revision: stoatpaddle.Version(ev.Revision), Withdrawn: ev.Withdrawn,
 		})
 	}
 	if r.err != nil {
 		return Message{}, r.err
 	}
-	return x, nil
+	return m, nil
 }
 
-func (r *bodyReader) held(u *wireHeld) stoatroute.RemoteUpstream {
+func (r *bodyReader) upstream(u *wireHeld) stoatroute.RemoteUpstream {
 	if u.Standing > uint8(stoatroute.Gone) {
 		r.fail("standing of "+u.ID, nil)
 	}
@@ -106,13 +105,13 @@
 			ID: stoatpaddle.UpstreamID(u.ID), Target: stoatpaddle.Target(u.Target), Service: stoatpaddle.ServiceID(r.name(u.Service)),
 			DataCentre: stoatpaddle.DataCentreID(r.name(u.Centre)), Addr: r.addr(u.Addr), Slots: u.Slots, Leaving: u.Leaving,
 			Created: stoatpaddle.Version(u.Created), Cold: time.Duration(u.ColdMS) * time.Millisecond,
-			Incarnation: stoatpaddle.Incarnation(u.Life),
+			Incarnation: stoatpaddle.Incarnation(u.Incarnation),
 		},
 	}
 }
 
 func (r *bodyReader) declaration(w *wireConfig) *Delta {
-	a := &Delta{
+	delta := &Delta{
 		Revision: stoatpaddle.Version(w.Revision), Base: stoatpaddle.Version(w.Base),
 		Declaration: stoatpaddle.Declaration{
 			Version: stoatpaddle.Version(w.Version), Caps: make(map[stoatpaddle.ServiceID]int, len(w.Caps)),
@@ -121,32 +120,32 @@
 	}
 	for _, c := range w.Caps {
 		service := stoatpaddle.ServiceID(r.name(c.Service))
-		a.Declaration.Caps[service] = c.Flows
-		a.Declaration.SetColdRate(service, c.Cold)
+		delta.Declaration.Caps[service] = c.MaxFlows
+		delta.Declaration.SetColdRate(service, c.ColdRate)
 	}
 	for _, b := range w.Removed {
-		a.removed = append(a.removed, r.addr(b))
+		delta.removed = append(delta.removed, r.addr(b))
 	}
 	for i := range w.Routes {
-		x := &w.Routes[i]
+		wire := &w.Routes[i]
 		route := stoatpaddle.Route{
-			Listen: r.addr(x.Listen), Idempotent: x.Repeat, Priority: x.Priority, Objective: time.Duration(x.AimMS) * time.Millisecond,
+			Listen: r.addr(wire.Listen), Idempotent: wire.Idempotent, Priority: wire.Priority, Objective: time.Duration(wire.ObjectiveMS) * time.Millisecond,
 		}
-		for _, place := range x.Regions {
-			route.Regions = append(route.Regions, stoatpaddle.RegionID(r.name(place)))
+		for _, index := range wire.Regions {
+			route.Regions = append(route.Regions, stoatpaddle.RegionID(r.name(index)))
 		}
-		for _, b := range x.Backends {
+		for _, b := range wire.Backends {
 			route.Backends = append(route.Backends, stoatpaddle.Backend{Service: stoatpaddle.ServiceID(r.name(b.Service)), Weight: stoatpaddle.Weight(b.Weight)})
 		}
-		for _, place := range x.Earlier {
-			route.Earlier = append(route.Earlier, stoatpaddle.ServiceID(r.name(place)))
+		for _, index := range wire.Earlier {
+			route.Earlier = append(route.Earlier, stoatpaddle.ServiceID(r.name(index)))
 		}
-		a.Declaration.Routes = append(a.Declaration.Routes, route)
+		delta.Declaration.Routes = append(delta.Declaration.Routes, route)
 	}
-	return a
+	return delta
 }
 
-// ParseAddrs reads addresses of entries, or returns *stoatpaddle.DecodeError.
+// ParseAddrs parses addresses of entries, or returns *stoatpaddle.DecodeError.
 func ParseAddrs(list []string) ([]netip.AddrPort, error) {
 	out := make([]netip.AddrPort, 0, len(list))
 	for _, s := range list {
@@ -159,7 +158,7 @@
 	return out, nil
 }
 
-// AddrTexts returns addresses as text.
+// FormatAddrs returns the addresses as text, the reverse of ParseAddrs.
 func AddrTexts(list []netip.AddrPort) []string {
 	out := make([]string, 0, len(list))
 	for _, a := range list {
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -12,7 +12,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Encode returns a Head, a Body or a list of reports as it is sent.
+// Encode returns the wire form of a Head, a Body or a list of reports.
 func Encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -23,68 +23,68 @@
 	return buf.Bytes(), nil
 }
 
-// EncodeRefusal writes a Refusal.
+// EncodeRefusal writes the wire form of a Refusal to w.
 func EncodeRefusal(w io.Writer, r *Refusal) error { return msgpack.NewEncoder(w).Encode(r) }
 
-// names numbers the names that a body uses.
-type names struct {
+// nameTable assigns an index to each name that a body refers to.
+type nameTable struct {
 	list  []string
-	place map[string]int
+	index map[string]int
 }
 
-func (n *names) of(s string) int {
-	i, known := n.place[s]
+func (n *nameTable) indexOf(s string) int {
+	i, known := n.index[s]
 	if !known {
 		i = len(n.list)
 		n.list = append(n.list, s)
-		n.place[s] = i
+		n.index[s] = i
 	}
 	return i
 }
 
-// Holds is what a child has of a table.
+// ChildState identifies what a child has been sent of a table.
 type Holds struct {
-	change  uint64              // the table's count; 0: nothing yet
+	change  uint64              // the table's change count; 0: nothing was sent yet
 	version stoatpaddle.Version // of the declaration
 }
 
-// HoldsOf returns what a child has that was sent all of the table.
+// ChildStateOf returns the state of a child that has been sent all of the table.
 func HoldsOf(t *stoatroute.Table) Holds {
 	return Holds{change: t.ChangeSeq, version: t.Declaration.Version}
 }
 
-// EncodeBody returns what t has that a child does not, or nil if there is nothing.
+// EncodeBody returns what t has and the child has not been sent, or nil if there is nothing.
 func EncodeBody(now time.Time, t *stoatroute.Table, child Holds) *Body {
 	if child.change == t.ChangeSeq {
 		return nil
 	}
-	n := &names{place: map[string]int{}}
-	w := &Body{Whole: child.change == 0}
+	names := &nameTable{index: map[string]int{}}
+	body := &Body{Whole: child.change == 0}
 	if t.DeclarationSeq > child.change {
-		w.Declared = encodeConfig(n, t, child)
+		body.Declared = encodeDeclaration(names, t, child)
 	}
 	for _, u := range t.UpstreamsSince(child.change) {
 		r := &u.Registration
-		w.Upstreams = append(w.Upstreams, wireHeld{
-			ID: string(r.ID), Target: uint64(r.Target), Service: n.of(string(r.Service)), Centre: n.of(string(r.DataCentre)),
+		body.Upstreams = append(body.Upstreams, wireHeld{
+			ID: string(r.ID), Target: uint64(r.Target), Service: names.indexOf(string(r.Service)), Centre: names.indexOf(string(r.DataCentre)),
 			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.Created),
-			Standing: uint8(u.State), ColdMS: max(0, u.WarmAt.Sub(now).Milliseconds()), Life: uint64(r.Incarnation),
+			Standing: uint8(u.State), ColdMS: max(0, u.WarmAt.Sub(now).Milliseconds()), Incarnation: uint64(r.Incarnation),
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
-		w.Evacuated = append(w.Evacuated, wireEvacuation{Centre: n.of(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
+		body.Evacuated = append(body.Evacuated, wireEvacuation{Centre: names.indexOf(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
 	}
-	w.Names = n.list
-	return w
+	body.Names = names.list
+	return body
 }
 
 func packAddr(a netip.AddrPort) []byte {
-	// It fails on no address.
+	// MarshalBinary returns no error for any address.
 	b, _ := a.MarshalBinary()
 	return b
 }
 
-func encodeConfig(n *names, t *stoatroute.Table, child Holds) *wireConfig {
+func encodeDeclaration(names *nameTable, t *stoatroute.Table, child Holds) *wireConfig {
 	d := &t.Declaration
 	w := &wireConfig{
 		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.Idle.Milliseconds(),
@@ -94,7 +94,7 @@
 		w.Base, routes, removed = 0, d.Routes, nil
 	}
 	for s, flows := range d.Caps {
-		w.Caps = append(w.Caps, wireCap{Service: n.of(string(s)), Flows: flows, Cold: d.ColdRates[s]})
+		w.Caps = append(w.Caps, wireCap{Service: names.indexOf(string(s)), MaxFlows: flows, ColdRate: d.ColdRates[s]})
 	}
 	for _, listen := range removed {
 		w.Removed = append(w.Removed, packAddr(listen))
@@ -102,16 +102,16 @@
 	w.Routes = make([]wireRoute, 0, len(routes))
 	for i := range routes {
 		r := &routes[i]
-		out := wireRoute{Listen: packAddr(r.Listen), Repeat: r.Idempotent, AimMS: r.Objective.Milliseconds(), Priority: r.Priority}
+		out := wireRoute{Listen: packAddr(r.Listen), Idempotent: r.Idempotent, ObjectiveMS: r.Objective.Milliseconds(), Priority: r.Priority}
 		for _, region := range r.Regions {
-			out.Regions = append(out.Regions, n.of(string(region)))
+			out.Regions = append(out.Regions, names.indexOf(string(region)))
 		}
 		for _, b := range r.Backends {
-			out.Backends = append(out.Backends, wireBackend{Service: n.of(string(b.Service)), Weight: uint32(b.Weight)})
+			out.Backends = append(out.Backends, wireBackend{Service: names.indexOf(string(b.Service)), Weight: uint32(b.Weight)})
 		}
-		if held := t.Route(r.Listen); held != nil {
-			for _, s := range held.FormerServices() {
-				out.Earlier = append(out.Earlier, n.of(string(s)))
+		if current := t.Route(r.Listen); current != nil {
+			for _, s := range current.FormerServices() {
+				out.Earlier = append(out.Earlier, names.indexOf(string(s)))
 			}
 		}
 		w.Routes = append(w.Routes, out)
--- a/stoatrelay/fuzz_test.go
+++ b/stoatrelay/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Whatever comes on a connection to a parent, reading it ends, and what is taken in can be sent on: the
-// next entry reads the same from it.
+// Reading any bytes from a parent's connection ends, and whatever is accepted can be encoded again and
+// decoded by the next entry.
 func FuzzMessage(f *testing.F) {
 	at := time.Unix(1000, 0)
 	b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
@@ -50,16 +50,16 @@
 		if next == nil {
 			return
 		}
-		text, err := Encode(next)
+		encoded, err := Encode(next)
 		if err != nil {
 			t.Fatal(err)
 		}
 		var again Body
-		if err := msgpack.Unmarshal(text, &again); err != nil {
+		if err := msgpack.Unmarshal(encoded, &again); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Decode(&Head{}, &again); err != nil {
-			t.Fatal("what was taken in cannot be sent on:", err)
+			t.Fatal("accepted data cannot be relayed:", err)
 		}
 	})
 }
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -2,34 +2,35 @@
 
 import "github.com/stoatpaddle/stoatpaddle/stoatoutlier"
 
-// Head begins each message. Messages are msgpack arrays: one comes every second or so to each child, and
-// names of fields would be half of it.
+// Head begins each message. Messages are msgpack arrays: each child gets one about every second, and field
+// names would be half of it.
 type Head struct {
-	_msgpack  struct{} `msgpack:",as_array"`
-	Known     uint64
-	AgeMS     int64 // -1: never known to be up to date
-	Path      []string
-	Relatives []string
-	Centre    string                    // of the parent
-	Seen      []stoatoutlier.WireReport // which upstreams fail, as all entries of the child's data centre saw it
-	Whole     bool                      // Seen has all, and not what changed
+	_msgpack  struct{}                  `msgpack:",as_array"`
+	Known     uint64                    // revision of the position up to which the parent knows everything
+	AgeMS     int64                     // age of the parent's knowledge; -1: it was never known to be up to date
+	Path      []string                  // addresses from an entry that reads the platform to the parent
+	Relatives []string                  // addresses of other children, to ask when the parent is gone
+	Centre    string                    // data centre of the parent
+	Seen      []stoatoutlier.WireReport // failing upstreams, as all entries of the child's data centre observed them
+	Whole     bool                      // Reports has all of them, not only what changed
 	Body      bool                      // a Body follows
-	Rank      int                       // of the child among the entries of its data centre
-	Entries   int                       // how many these are; 0: it is in another one, or that is not known
-	KnownEra  uint64                    // of Known
-	Era       uint64                    // of the revisions in the Body; 0: the parent knows of none
+	Rank      int                       // rank of the child among the entries of its data centre
+	Entries   int                       // number of those entries; 0: the child is in another data centre, or the number is not known
+	KnownEra  uint64                    // era of the position whose revision is PositionRevision
+	Era       uint64                    // era of the revisions in the Body; 0: the parent knows of none
 }
 
-// Body follows a Head where something changed.
+// Body follows a Head when something changed.
 type Body struct {
 	_msgpack  struct{} `msgpack:",as_array"`
-	Whole     bool     // all upstreams there are; otherwise those that changed
-	Names     []string // of services and data centres, which others name by their place here
+	Whole     bool     // Upstreams are all there are; otherwise those that changed
+	Names     []string // of services, data centres and regions; other fields refer to them by index
 	Declared  *wireConfig
 	Upstreams []wireHeld
 	Evacuated []wireEvacuation
 }
 
+// wireEvacuation says that a data centre is evacuated, or is no longer.
 type wireEvacuation struct {
 	_msgpack  struct{} `msgpack:",as_array"`
 	Centre    int
@@ -37,59 +38,63 @@
 	Withdrawn bool
 }
 
-// wireConfig is a declaration, or how it differs from the one with version Base.
+// wireConfig is a declaration, or its difference from the declaration with version Base.
 type wireConfig struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Revision uint64
 	Version  uint64
-	Base     uint64 // 0: Routes are all there are
+	Base     uint64 // 0: Routes is complete
 	Routes   []wireRoute
-	Removed  [][]byte // addresses
+	Removed  [][]byte // listen addresses of removed routes
 	Caps     []wireCap
 	IdleMS   int64
 }
 
+// wireRoute is one route of a declaration.
 type wireRoute struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Listen   []byte   // the address and port in binary: 6 bytes instead of 17 in text
-	Backends []wireBackend
-	Earlier  []int // services
-	Repeat   bool  // its requests may run twice
-	AimMS    int64 // objective
-	Priority int
-	Regions  []int // those that it allows
+	_msgpack    struct{} `msgpack:",as_array"`
+	Listen      []byte   // address and port in binary: 6 bytes instead of 17 in text
+	Backends    []wireBackend
+	Earlier     []int // indexes of the names of services that it sent flows to before
+	Idempotent  bool  // its requests may run twice
+	ObjectiveMS int64 // an answer later than this is late
+	Priority    int
+	Regions     []int // indexes of the names of the regions that its flows may go to
 }
 
+// wireBackend is a service that a route sends flows to, with its weight.
 type wireBackend struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  int
 	Weight   uint32
 }
 
+// wireCap is the limits of the upstreams of one service.
 type wireCap struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Service  int
-	Flows    int
-	Cold     float64 // requests a second while cold; 0: no limit
+	MaxFlows int
+	ColdRate float64 // requests a second while cold; 0: no limit
 }
 
+// wireHeld is an upstream as the parent knows it.
 type wireHeld struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	ID       string
-	Target   uint64
-	Service  int
-	Centre   int
-	Addr     []byte
-	Slots    int
-	Leaving  bool
-	Revision uint64
-	Created  uint64
-	Standing uint8
-	ColdMS   int64  // how much longer it is slow
-	Life     uint64 // its incarnation
+	_msgpack    struct{} `msgpack:",as_array"`
+	ID          string
+	Target      uint64
+	Service     int
+	Centre      int
+	Addr        []byte
+	Slots       int
+	Leaving     bool
+	Revision    uint64
+	Created     uint64
+	Standing    uint8
+	ColdMS      int64 // remaining time of its slow start
+	Incarnation uint64
 }
 
-// Refusal says why an entry tells nothing, and whom to ask instead.
+// Refusal says why an entry does not accept a child, and which entries to ask instead.
 type Refusal struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Reason   string
--- a/stoattunnel/parse.go
+++ b/stoattunnel/parse.go
@@ -11,30 +11,32 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// Parser reads packets without allocating; one goroutine uses it at a time.
+// Parser parses packets without allocating. It must not be used by several goroutines at once.
 type Parser struct {
-	ip4   layers.IPv4
-	ip6   layers.IPv6
-	tcp   layers.TCP
-	udp   layers.UDP
-	icmp4 layers.ICMPv4
-	icmp6 layers.ICMPv6
-	none  gopacket.DecodeFeedback
+	ip4      layers.IPv4
+	ip6      layers.IPv6
+	tcp      layers.TCP
+	udp      layers.UDP
+	icmp4    layers.ICMPv4
+	icmp6    layers.ICMPv6
+	feedback gopacket.DecodeFeedback
 }
 
 // NewParser returns a Parser.
-func NewParser() *Parser { return &Parser{none: gopacket.NilDecodeFeedback} }
+func NewParser() *Parser { return &Parser{feedback: gopacket.NilDecodeFeedback} }
 
 const (
 	version4 = 4
 	version6 = 6
-	// icmp6Unused is the length of the field between an ICMPv6 header and the packet it quotes (RFC 4443).
+	// icmp6Unused is the length of the unused field between an ICMPv6 header and the packet that it quotes
+	// (RFC 4443).
 	icmp6Unused = 4
-	// quotedPorts is what an ICMP error quotes of the transport header at least (RFC 792): the two ports.
+	// quotedPorts is how many bytes of the transport header an ICMP error quotes at least (RFC 792): the
+	// two ports.
 	quotedPorts = 4
 )
 
-// Parse fills p from data and returns why the packet must be dropped, if it must.
+// Parse fills p from data and returns the reason to drop the packet, or DropNone.
 func (r *Parser) Parse(data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
 	*p = stoatpacket.Packet{}
 	if len(data) == 0 {
@@ -51,11 +53,11 @@
 }
 
 func (r *Parser) parse4(data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
-	if err := r.ip4.DecodeFromBytes(data, r.none); err != nil {
+	if err := r.ip4.DecodeFromBytes(data, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
-	// A fragment after the first has no ports, so it cannot be told whose it is;
-	// the first would reach an upstream that never gets the rest.
+	// A later fragment has no ports, so that its flow is not known. The first one would reach an upstream
+	// that never gets the rest.
 	if r.ip4.FragOffset != 0 || r.ip4.Flags&layers.IPv4MoreFragments != 0 {
 		return stoatpacket.DropFragment
 	}
@@ -67,11 +69,11 @@
 	if r.ip4.Protocol == layers.IPProtocolICMPv4 {
 		return r.parseICMP4(p)
 	}
-	return r.transport(uint8(r.ip4.Protocol), src.Unmap(), dst.Unmap(), r.ip4.Payload, p)
+	return r.parseTransport(uint8(r.ip4.Protocol), src.Unmap(), dst.Unmap(), r.ip4.Payload, p)
 }
 
 func (r *Parser) parse6(data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
-	if err := r.ip6.DecodeFromBytes(data, r.none); err != nil {
+	if err := r.ip6.DecodeFromBytes(data, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
 	if r.ip6.NextHeader == layers.IPProtocolIPv6Fragment {
@@ -85,14 +87,14 @@
 	if r.ip6.NextHeader == layers.IPProtocolICMPv6 {
 		return r.parseICMP6(p)
 	}
-	return r.transport(uint8(r.ip6.NextHeader), src, dst, r.ip6.Payload, p)
+	return r.parseTransport(uint8(r.ip6.NextHeader), src, dst, r.ip6.Payload, p)
 }
 
-func (r *Parser) transport(proto uint8, src, dst netip.Addr, data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
+func (r *Parser) parseTransport(proto uint8, src, dst netip.Addr, data []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
 	p.Tuple.Protocol = stoatpaddle.Protocol(proto)
 	switch p.Tuple.Protocol {
 	case stoatpaddle.ProtocolTCP:
-		if err := r.tcp.DecodeFromBytes(data, r.none); err != nil {
+		if err := r.tcp.DecodeFromBytes(data, r.feedback); err != nil {
 			return stoatpacket.DropShort
 		}
 		p.Tuple.Src = netip.AddrPortFrom(src, uint16(r.tcp.SrcPort))
@@ -105,7 +107,7 @@
 		p.Size = len(r.tcp.Payload)
 		return stoatpacket.DropNone
 	case stoatpaddle.ProtocolUDP:
-		if err := r.udp.DecodeFromBytes(data, r.none); err != nil {
+		if err := r.udp.DecodeFromBytes(data, r.feedback); err != nil {
 			return stoatpacket.DropShort
 		}
 		p.Tuple.Src = netip.AddrPortFrom(src, uint16(r.udp.SrcPort))
@@ -118,10 +120,10 @@
 	}
 }
 
-// parseICMP4 takes the flow from the packet that the error quotes: that packet went
-// from the upstream to the caller, so its source is the service (RFC 792, RFC 1191).
+// parseICMP4 takes the flow from the packet that the error quotes. That packet went from the upstream to
+// the caller, so its source is the service (RFC 792, RFC 1191).
 func (r *Parser) parseICMP4(p *stoatpacket.Packet) stoatpacket.DropReason {
-	if err := r.icmp4.DecodeFromBytes(r.ip4.Payload, r.none); err != nil {
+	if err := r.icmp4.DecodeFromBytes(r.ip4.Payload, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
 	if r.icmp4.TypeCode.Type() != layers.ICMPv4TypeDestinationUnreachable {
@@ -137,11 +139,11 @@
 	}
 	src, _ := netip.AddrFromSlice(quoted[12:16])
 	dst, _ := netip.AddrFromSlice(quoted[16:20])
-	return quote(quoted[9], src, dst, quoted[header:], p)
+	return setQuotedFlow(quoted[9], src, dst, quoted[header:], p)
 }
 
 func (r *Parser) parseICMP6(p *stoatpacket.Packet) stoatpacket.DropReason {
-	if err := r.icmp6.DecodeFromBytes(r.ip6.Payload, r.none); err != nil {
+	if err := r.icmp6.DecodeFromBytes(r.ip6.Payload, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
 	t := r.icmp6.TypeCode.Type()
@@ -158,10 +160,12 @@
 	}
 	src, _ := netip.AddrFromSlice(quoted[8:24])
 	dst, _ := netip.AddrFromSlice(quoted[24:40])
-	return quote(quoted[6], src, dst, quoted[header:], p)
+	return setQuotedFlow(quoted[6], src, dst, quoted[header:], p)
 }
 
-func quote(proto uint8, src, dst netip.Addr, ports []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
+// setQuotedFlow fills p with the flow of a packet that an ICMP error quotes, its source and destination
+// exchanged.
+func setQuotedFlow(proto uint8, src, dst netip.Addr, ports []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
 	p.Tuple.Protocol = stoatpaddle.Protocol(proto)
 	if p.Tuple.Protocol != stoatpaddle.ProtocolTCP && p.Tuple.Protocol != stoatpaddle.ProtocolUDP {
 		return stoatpacket.DropProtocol
