--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -109,7 +109,7 @@
 	if e.ctx.Err() != nil {
 		return
 	}
-	e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
+	e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
 	e.givePlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	if left := context.Cause(ctx); left != nil {
 		cause = left
@@ -203,11 +203,11 @@
 	}
 	if stoatpaddle.DataCentreID(h.Centre) == e.settings().DataCentre {
 		now := clock()
-		e.pool.Follow(now, addr, stoatoutlier.Update{Whole: h.Whole, Reports: stoatoutlier.Decode(now, h.Seen)})
+		e.pool.HandleParentUpdate(now, addr, stoatoutlier.Update{Full: h.Whole, Reports: stoatoutlier.Decode(now, h.Seen)})
 		e.givePlace(addr, stoatfilter.EntryRank{Rank: h.Rank, Entries: h.Entries})
 		e.notice()
 	} else {
-		e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
+		e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
 		e.givePlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	}
 	e.post(x)
--- a/stoatedge/run_seen.go
+++ b/stoatedge/run_seen.go
@@ -47,12 +47,12 @@
 		e.place.mu.Unlock()
 		e.notice()
 	}
-	u := stoatoutlier.Update{Whole: r.URL.Query().Get(askWhole) != "", Reports: stoatoutlier.Decode(now, list)}
-	if len(list) == 0 && !u.Whole {
+	u := stoatoutlier.Update{Full: r.URL.Query().Get(askWhole) != "", Reports: stoatoutlier.Decode(now, list)}
+	if len(list) == 0 && !u.Full {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if !e.pool.Take(now, from, u) {
+	if !e.pool.HandleChildUpdate(now, from, u) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -76,7 +76,7 @@
 		}
 		now := clock()
 		e.judge(now)
-		pause.Reset(pacer.Took(now))
+		pause.Reset(pacer.RecordRound(now))
 		select {
 		case <-e.ctx.Done():
 			return nil
@@ -101,8 +101,8 @@
 	e.engineMu.Lock()
 	own := e.engine.Reports(now, suspects)
 	e.engineMu.Unlock()
-	sum, report, to := e.pool.Turn(now, own, e.reporting.Load())
-	delay, steady := e.pool.Delay(), e.pool.Steady(now)
+	sum, report, to := e.pool.Aggregate(now, own, e.reporting.Load())
+	delay, steady := e.pool.PropagationDelay(), e.pool.Stable(now)
 	place, size, parent := e.findPlace()
 	e.engineMu.Lock()
 	e.engine.SetPlace(now, place)
@@ -119,7 +119,7 @@
 	}
 	e.logSilent(now, silent)
 	e.place.seen.Store(&sum)
-	if _, due := e.rung.Next(now, sum, stoatoutlier.SinceFirst); due {
+	if _, due := e.rung.Next(now, sum, stoatoutlier.FirstWait); due {
 		e.place.bell.ring()
 	}
 	// Counts are needed only where entries share something.
@@ -166,7 +166,7 @@
 		case x := <-e.reports:
 			e.place.sized.Store(int64(x.size))
 			if !e.sendReport(x) {
-				e.pool.Lost()
+				e.pool.ResetParentStream()
 				e.place.sized.Store(0)
 			}
 			e.reporting.Store(false)
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithTimeout(e.ctx, seekTimeout)
 	defer cancel()
 	url := "http://" + x.to.String() + pathSeen + "?" + askFrom + "=" + e.settings().Admin.String() + "&" + askSize + "=" + strconv.Itoa(x.size)
-	if x.update.Whole {
+	if x.update.Full {
 		url += "&" + askWhole + "=1"
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
--- a/stoatedge/run_tell.go
+++ b/stoatedge/run_tell.go
@@ -123,7 +123,7 @@
 	e.place.mu.Lock()
 	e.place.tree.Part(ask.From, a.Ticket)
 	e.place.mu.Unlock()
-	e.pool.Forget(ask.From)
+	e.pool.RemoveChild(ask.From)
 	e.log.emit(clock(), EventChildGone, stoatevent.F("child", ask.From.String()), stoatevent.F("cause", cause))
 }
 
@@ -138,7 +138,7 @@
 	rc := http.NewResponseController(w)
 	out := &stoatcount.Writer{W: w, N: &e.place.sent}
 	var child stoatrelay.Holds
-	var seen stoatoutlier.Stream
+	var seen stoatoutlier.DeltaTracker
 	for {
 		next := e.place.bell.wait()
 		if e.stop.asked() {
@@ -165,7 +165,7 @@
 }
 
 // message returns the next one for a child, encoded, and what the child holds with it.
-func (e *Edge) message(now time.Time, ask stoattree.Ask, child stoatrelay.Holds, seen *stoatoutlier.Stream) ([]byte, stoatrelay.Holds, error) {
+func (e *Edge) message(now time.Time, ask stoattree.Ask, child stoatrelay.Holds, seen *stoatoutlier.DeltaTracker) ([]byte, stoatrelay.Holds, error) {
 	// First how far everything is known, then the table: it holds that much at least.
 	s, t := e.place.announced.Load(), e.table.Load()
 	body, err := e.place.bodies.of(now, t, child)
@@ -195,15 +195,15 @@
 }
 
 // headFor returns the head of a message to one child, encoded.
-func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.Ask, body bool, stream *stoatoutlier.Stream, era stoatpaddle.Era) ([]byte, error) {
+func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.Ask, body bool, stream *stoatoutlier.DeltaTracker, era stoatpaddle.Era) ([]byte, error) {
 	h := stoatrelay.Head{
 		Known: uint64(s.known.Revision), KnownEra: uint64(s.known.Era), Era: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), Body: body,
 		Path: stoatrelay.AddrTexts(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
 	}
 	h.Centre = string(e.settings().DataCentre)
 	if seen := e.place.seen.Load(); seen != nil && ask.Centre == e.settings().DataCentre {
-		if u, due := stream.Next(now, *seen, stoatoutlier.SinceFirst); due {
-			h.Seen, h.Whole = stoatoutlier.Encode(now, u.Reports), u.Whole
+		if u, due := stream.Next(now, *seen, stoatoutlier.FirstWait); due {
+			h.Seen, h.Whole = stoatoutlier.Encode(now, u.Reports), u.Full
 		}
 	}
 	e.place.mu.Lock()
--- a/stoatoutlier/aggregator.go
+++ b/stoatoutlier/aggregator.go
@@ -23,12 +23,12 @@
 
 // Aggregator adds up the reports of this entry and its children, and keeps the sum over the data centre
 // that its parent sends. Its methods may be called by several goroutines.
-type Pool struct {
+type Aggregator struct {
 	mu          sync.Mutex
 	children    map[netip.AddrPort]receivedReports
 	parent      netip.AddrPort  // relay parent in this data centre; invalid: none
 	sum         receivedReports // over the data centre, as the parent sent it
-	toParent    Stream          // what the parent was sent
+	toParent    DeltaTracker    // what the parent was sent
 	delay       delayEstimator
 	parentSince time.Time // when the parent last changed
 }
@@ -46,7 +46,7 @@
 // HandleChildUpdate applies an update from a child, which covers the child and the entries below it. It
 // returns false if the update only names changes to reports that are not known here; the child then has to
 // send everything.
-func (agg *Pool) Take(now time.Time, from netip.AddrPort, u Update) bool {
+func (agg *Aggregator) HandleChildUpdate(now time.Time, from netip.AddrPort, u Update) bool {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
 	if agg.children == nil {
@@ -58,7 +58,7 @@
 		}
 	}
 	before, known := agg.children[from]
-	if !known && !u.Whole {
+	if !known && !u.Full {
 		return false
 	}
 	agg.children[from] = receivedReports{receivedAt: now, reports: u.applyTo(before.reports)}
@@ -67,7 +67,7 @@
 
 // RemoveChild drops the reports of a child that now reports to another parent, so that they don't count
 // twice.
-func (agg *Pool) Forget(child netip.AddrPort) {
+func (agg *Aggregator) RemoveChild(child netip.AddrPort) {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
 	delete(agg.children, child)
@@ -75,11 +75,11 @@
 
 // HandleParentUpdate records the relay parent in this data centre, invalid for none, and applies its update
 // of the sum.
-func (agg *Pool) Follow(now time.Time, parent netip.AddrPort, u Update) {
+func (agg *Aggregator) HandleParentUpdate(now time.Time, parent netip.AddrPort, u Update) {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
 	if parent != agg.parent {
-		agg.parent, agg.sum, agg.toParent, agg.parentSince = parent, receivedReports{}, Stream{}, now
+		agg.parent, agg.sum, agg.toParent, agg.parentSince = parent, receivedReports{}, DeltaTracker{}, now
 	}
 	if parent.IsValid() {
 		agg.sum = receivedReports{receivedAt: now, reports: u.applyTo(agg.sum.reports)}
@@ -93,21 +93,21 @@
 const stableAfter = 500 * time.Millisecond
 
 // Stable reports whether this entry has had its parent for long enough to rely on the sum.
-func (agg *Pool) Steady(now time.Time) bool {
+func (agg *Aggregator) Stable(now time.Time) bool {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
 	return now.Sub(agg.parentSince) >= stableAfter
 }
 
 // ResetParentStream makes the next report contain everything, after the parent did not accept one.
-func (agg *Pool) Lost() {
+func (agg *Aggregator) ResetParentStream() {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
-	agg.toParent = Stream{}
+	agg.toParent = DeltaTracker{}
 }
 
 // Suspects returns the upstreams that any entry saw failing, as far as this entry knows.
-func (agg *Pool) Suspects(now time.Time) map[stoatpaddle.UpstreamKey]bool {
+func (agg *Aggregator) Suspects(now time.Time) map[stoatpaddle.UpstreamKey]bool {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
 	keys := map[stoatpaddle.UpstreamKey]bool{}
@@ -129,7 +129,7 @@
 }
 
 // subtreeSum returns the sum of what this entry and those below it observed, sorted by key.
-func (agg *Pool) subtreeSum(now time.Time, own []Report) []Report {
+func (agg *Aggregator) subtreeSum(now time.Time, own []Report) []Report {
 	sums := map[stoatpaddle.UpstreamKey]Report{}
 	addAll := func(list []Report) {
 		for i := range list {
@@ -162,7 +162,7 @@
 // reportable returns the reports for the parent: those that count against an upstream, and those on
 // upstreams that are in the sum because of other entries. Without the latter, the sum would consist of the
 // failures that two entries saw and lack the answers of the thirty entries that saw no failure.
-func (agg *Pool) reportable(subtree []Report) []Report {
+func (agg *Aggregator) reportable(subtree []Report) []Report {
 	var out []Report
 	for i := range subtree {
 		if subtree[i].outlier() || find(agg.sum.reports, subtree[i].Key) != nil {
@@ -176,7 +176,7 @@
 // send and its recipient. An invalid address means that nothing is due. busy says that the previous report
 // is still being sent; the next one is held back then, because a change counts as sent once it is returned
 // here.
-func (agg *Pool) Turn(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
+func (agg *Aggregator) Aggregate(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
 	subtree := agg.subtreeSum(now, own)
@@ -192,7 +192,7 @@
 	}
 	u, due := agg.toParent.Next(now, agg.reportable(subtree), func(r *Report) time.Time {
 		if known := find(agg.sum.reports, r.Key); known != nil {
-			return known.First
+			return known.FirstWaitSince
 		}
 		return time.Time{}
 	})
@@ -205,4 +205,4 @@
 
 // FirstWait is the function to pass to DeltaTracker.Next for a sum over the data centre, whose reports
 // contain the time of the first wait themselves.
-func SinceFirst(r *Report) time.Time { return r.First }
+func FirstWait(r *Report) time.Time { return r.FirstWaitSince }
--- a/stoatoutlier/codec.go
+++ b/stoatoutlier/codec.go
@@ -9,14 +9,14 @@
 // WireReport is the wire form of a Report, a msgpack array. Times are sent as ages because the clocks of
 // two entries may differ.
 type WireReport struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Key      uint32
-	Answered int
-	Failed   int
-	Waiting  int   // entries that wait for an overdue answer
-	FirstMS  int64 // age of the earliest wait; -1: no entry waits
-	SecondMS int64 // age of the second wait; -1: at most one entry waits
-	HeardMS  int64 // age of the last sign of life; -1: none recently
+	_msgpack        struct{} `msgpack:",as_array"`
+	Key             uint32
+	Answered        int
+	Failed          int
+	WaitingEntries  int   // entries that wait for an overdue answer
+	FirstWaitAgeMS  int64 // age of the earliest wait; -1: no entry waits
+	SecondWaitAgeMS int64 // age of the second wait; -1: at most one entry waits
+	LastHeardAgeMS  int64 // age of the last sign of life; -1: none recently
 }
 
 // MaxReportBytes is an upper bound for the encoded size of a full list of reports.
@@ -28,8 +28,8 @@
 	for i := range list {
 		r := &list[i]
 		out = append(out, WireReport{
-			Key: uint32(r.Key), Answered: r.Answered, Failed: r.Failed, Waiting: r.Entries,
-			FirstMS: ageOf(now, r.First), SecondMS: ageOf(now, r.Second), HeardMS: ageOf(now, r.Heard),
+			Key: uint32(r.Key), Answered: r.Answered, Failed: r.Failed, WaitingEntries: r.WaitingEntries,
+			FirstWaitAgeMS: ageOf(now, r.FirstWaitSince), SecondWaitAgeMS: ageOf(now, r.SecondWaitSince), LastHeardAgeMS: ageOf(now, r.LastHeard),
 		})
 	}
 	return out
@@ -40,12 +40,12 @@
 func Decode(now time.Time, list []WireReport) []Report {
 	out := make([]Report, 0, min(len(list), maxReports))
 	for _, w := range list[:min(len(list), maxReports)] {
-		if w.Answered < 0 || w.Failed < 0 || w.Waiting < 0 {
+		if w.Answered < 0 || w.Failed < 0 || w.WaitingEntries < 0 {
 			continue
 		}
 		out = append(out, Report{
 			Key: stoatpaddle.UpstreamKey(w.Key), Counts: Counts{Answered: w.Answered, Failed: w.Failed},
-			Silence: Silence{Entries: w.Waiting, First: timeOf(now, w.FirstMS), Second: timeOf(now, w.SecondMS), Heard: timeOf(now, w.HeardMS)},
+			Silence: Silence{WaitingEntries: w.WaitingEntries, FirstWaitSince: timeOf(now, w.FirstWaitAgeMS), SecondWaitSince: timeOf(now, w.SecondWaitAgeMS), LastHeard: timeOf(now, w.LastHeardAgeMS)},
 		})
 	}
 	return out
--- a/stoatoutlier/delay.go
+++ b/stoatoutlier/delay.go
@@ -38,7 +38,7 @@
 	d.sentAt = time.Time{}
 	for i := range u.Reports {
 		k := u.Reports[i].Key
-		if r := find(own, k); r != nil && r.Entries > 0 {
+		if r := find(own, k); r != nil && r.WaitingEntries > 0 {
 			d.key, d.sentAt = k, now
 			return
 		}
@@ -51,7 +51,7 @@
 		return
 	}
 	r := find(sum, d.key)
-	if r == nil || r.Entries == 0 {
+	if r == nil || r.WaitingEntries == 0 {
 		return
 	}
 	sample := now.Sub(d.sentAt)
@@ -66,7 +66,7 @@
 // PropagationDelay returns how long a sign of life may take from the entry that observed it to this one.
 // That is two round trips: the other entries have to learn first that this entry waits for the upstream,
 // and then this entry has to learn of their answer.
-func (agg *Pool) Delay() time.Duration {
+func (agg *Aggregator) PropagationDelay() time.Duration {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
 	if agg.delay.roundTrip == 0 {
--- a/stoatoutlier/delta.go
+++ b/stoatoutlier/delta.go
@@ -8,7 +8,7 @@
 
 // Update is a message with reports: all of them, or those that changed.
 type Update struct {
-	Whole   bool // Reports replaces all earlier ones
+	Full    bool // Reports replaces all earlier ones
 	Reports []Report
 }
 
@@ -16,7 +16,7 @@
 // report removes the earlier one.
 func (u Update) applyTo(list []Report) []Report {
 	byUpstream := map[stoatpaddle.UpstreamKey]Report{}
-	if !u.Whole {
+	if !u.Full {
 		for _, r := range list {
 			byUpstream[r.Key] = r
 		}
@@ -35,7 +35,7 @@
 //
 // When a hundred upstreams stop answering, the full list, sent at each change, would go through each link
 // of the tree fifty times a second with two kilobytes each time.
-type Stream struct {
+type DeltaTracker struct {
 	sent     map[stoatpaddle.UpstreamKey]claim
 	fullAt   time.Time // when everything was last sent; zero: never
 	countsAt time.Time // when counts were last sent
@@ -52,18 +52,18 @@
 // Next returns the update to send for a list, and whether there is anything to send. first returns since
 // when an entry of the data centre has been waiting for an upstream, as far as the receiver knows. A
 // changed claim is due at once, failure counts after countInterval, and everything after fullInterval.
-func (t *Stream) Next(now time.Time, reports []Report, first func(*Report) time.Time) (Update, bool) {
+func (t *DeltaTracker) Next(now time.Time, reports []Report, first func(*Report) time.Time) (Update, bool) {
 	if t.sent == nil {
 		t.sent = map[stoatpaddle.UpstreamKey]claim{}
 	}
 	countsDue := now.Sub(t.countsAt) >= countInterval
-	u := Update{Whole: len(reports) > 0 && now.Sub(t.fullAt) >= fullInterval}
+	u := Update{Full: len(reports) > 0 && now.Sub(t.fullAt) >= fullInterval}
 	listed := make(map[stoatpaddle.UpstreamKey]bool, len(reports))
 	for i := range reports {
 		r := &reports[i]
 		listed[r.Key] = true
 		c, old := claimOf(r, first(r)), t.sent[r.Key]
-		if u.Whole || c.differs(old, countsDue) {
+		if u.Full || c.differs(old, countsDue) {
 			u.Reports = append(u.Reports, *r)
 			t.sent[r.Key] = c
 		}
@@ -73,11 +73,11 @@
 			continue
 		}
 		delete(t.sent, key)
-		if !u.Whole {
+		if !u.Full {
 			u.Reports = append(u.Reports, Report{Key: key})
 		}
 	}
-	if u.Whole {
+	if u.Full {
 		t.fullAt = now
 	}
 	if countsDue {
@@ -88,8 +88,8 @@
 
 func claimOf(r *Report, first time.Time) claim {
 	return claim{
-		reported: true, waiting: min(2, r.Entries), failed: r.Failed,
-		alive: !first.IsZero() && r.Heard.After(first),
+		reported: true, waiting: min(2, r.WaitingEntries), failed: r.Failed,
+		alive: !first.IsZero() && r.LastHeard.After(first),
 	}
 }
 
--- a/stoatoutlier/pacer.go
+++ b/stoatoutlier/pacer.go
@@ -20,7 +20,7 @@
 }
 
 // RecordRound records a round, and returns how long to wait for the next one.
-func (p *Pacer) Took(now time.Time) time.Duration {
+func (p *Pacer) RecordRound(now time.Time) time.Duration {
 	if !p.last.IsZero() {
 		p.spent = max(0, p.spent-roundRate*now.Sub(p.last).Seconds())
 	}
--- a/stoatoutlier/report.go
+++ b/stoatoutlier/report.go
@@ -13,7 +13,7 @@
 type Counts struct{ Answered, Failed int }
 
 // FailureRatio returns the fraction of the requests that failed.
-func (c Counts) Share() float64 {
+func (c Counts) FailureRatio() float64 {
 	if c.Failed == 0 {
 		return 0
 	}
@@ -33,7 +33,7 @@
 }
 
 // outlier reports whether the report counts against its upstream.
-func (r *Report) outlier() bool { return r.Failed > 0 || r.Entries > 0 }
+func (r *Report) outlier() bool { return r.Failed > 0 || r.WaitingEntries > 0 }
 
 // empty reports whether the report contains nothing.
 func (r *Report) empty() bool { return r.Counts == Counts{} && r.Silence == Silence{} }
