--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -138,7 +138,7 @@
 	if !k.sameHistory(now, &x) {
 		return
 	}
-	if current := k.book.Declaration().Version; !x.delta.Fits(current) {
+	if current := k.book.Declaration().Version; !x.delta.AppliesTo(current) {
 		// This entry read a version of its own in between. None of the message counts: had it
 		// been taken for known, the configuration would stay as it is until the next change.
 		// Everything is told anew after a new search.
@@ -205,7 +205,7 @@
 		k.book.AddFormerServices(x.delta.Declaration.Routes)
 		return
 	}
-	d := x.delta.Onto(&current)
+	d := x.delta.ApplyTo(&current)
 	k.apply(now, declarations, []change{{revision: x.delta.Revision, declaration: &d}}, x.from)
 }
 
--- a/stoatedge/keeper_test.go
+++ b/stoatedge/keeper_test.go
@@ -175,7 +175,7 @@
 	s := startSession(t, true, true)
 	s.answer(declarations, 10, declared(2, 8))
 	s.answer(upstreams, 10, registered("i-1", 1, 6))
-	child := stoatrelay.HoldsOf(s.table)
+	child := stoatrelay.ChildStateOf(s.table)
 	c := declared(2, 8)
 	c.declaration.Routes[0].Earlier = []stoatpaddle.ServiceID{"before"}
 	s.tell(update{from: "10.0.0.2:1", whole: true, known: at(10)}, c, registered("i-1", 1, 6))
@@ -183,7 +183,7 @@
 	if !r.EverUsed("before") || !r.EverUsed("app") || r.EverUsed("other") {
 		t.Error("the services that the route had are not known")
 	}
-	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declared == nil || len(body.Declared.Routes) != 1 || len(body.Declared.Routes[0].Earlier) != 1 {
+	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declaration == nil || len(body.Declaration.Routes) != 1 || len(body.Declaration.Routes[0].Earlier) != 1 {
 		t.Errorf("children are not told: %+v", body)
 	}
 }
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -170,7 +170,7 @@
 	if err := dec.Decode(&w); err != nil {
 		return &stoatpaddle.DecodeError{What: "a refusal of " + addr.String(), Cause: err}
 	}
-	try, err := stoatrelay.ParseAddrs(w.Try)
+	try, err := stoatrelay.ParseAddrs(w.Alternatives)
 	if err != nil {
 		return err
 	}
@@ -187,10 +187,10 @@
 		return err
 	}
 	x := update{
-		serial: serial, from: addr.String(), path: m.Path, known: m.Known, era: m.Era, age: m.Age, whole: m.Whole, delta: m.Delta,
+		serial: serial, from: addr.String(), path: m.Path, known: m.Position, era: m.Era, age: m.Age, whole: m.Full, delta: m.Delta,
 		upstreams: m.Upstreams, evacuations: m.Evacuations,
 	}
-	relatives, err := stoatrelay.ParseAddrs(h.Relatives)
+	relatives, err := stoatrelay.ParseAddrs(h.Siblings)
 	if err != nil {
 		return err
 	}
@@ -203,8 +203,8 @@
 	}
 	if stoatpaddle.DataCentreID(h.Centre) == e.settings().DataCentre {
 		now := clock()
-		e.pool.HandleParentUpdate(now, addr, stoatoutlier.Update{Full: h.Whole, Reports: stoatoutlier.Decode(now, h.Seen)})
-		e.givePlace(addr, stoatfilter.EntryRank{Rank: h.Rank, Entries: h.Entries})
+		e.pool.HandleParentUpdate(now, addr, stoatoutlier.Update{Full: h.FullReports, Reports: stoatoutlier.Decode(now, h.Reports)})
+		e.givePlace(addr, stoatfilter.EntryRank{Rank: h.Rank, Entries: h.DataCentreEntries})
 		e.notice()
 	} else {
 		e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
--- a/stoatedge/run_tell.go
+++ b/stoatedge/run_tell.go
@@ -130,14 +130,14 @@
 func refuseAsk(w http.ResponseWriter, a stoattree.Answer) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	// Whoever hung up asks another one.
-	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Try: stoatrelay.AddrTexts(a.Try)})
+	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Alternatives: stoatrelay.FormatAddrs(a.Try)})
 }
 
 // tellChild sends messages until something ends it, and returns what did.
 func (e *Edge) tellChild(w http.ResponseWriter, r *http.Request, ask stoattree.Ask) string {
 	rc := http.NewResponseController(w)
 	out := &stoatcount.Writer{W: w, N: &e.place.sent}
-	var child stoatrelay.Holds
+	var child stoatrelay.ChildState
 	var seen stoatoutlier.DeltaTracker
 	for {
 		next := e.place.bell.wait()
@@ -165,7 +165,7 @@
 }
 
 // message returns the next one for a child, encoded, and what the child holds with it.
-func (e *Edge) message(now time.Time, ask stoattree.Ask, child stoatrelay.Holds, seen *stoatoutlier.DeltaTracker) ([]byte, stoatrelay.Holds, error) {
+func (e *Edge) message(now time.Time, ask stoattree.Ask, child stoatrelay.ChildState, seen *stoatoutlier.DeltaTracker) ([]byte, stoatrelay.ChildState, error) {
 	// First how far everything is known, then the table: it holds that much at least.
 	s, t := e.place.announced.Load(), e.table.Load()
 	body, err := e.place.bodies.of(now, t, child)
@@ -176,7 +176,7 @@
 	if err != nil {
 		return nil, child, err
 	}
-	return append(head, body...), stoatrelay.HoldsOf(t), nil
+	return append(head, body...), stoatrelay.ChildStateOf(t), nil
 }
 
 // waitForNews returns when there is some or a message is due anyway, or with what ended the telling.
@@ -197,19 +197,19 @@
 // headFor returns the head of a message to one child, encoded.
 func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.Ask, body bool, stream *stoatoutlier.DeltaTracker, era stoatpaddle.Era) ([]byte, error) {
 	h := stoatrelay.Head{
-		Known: uint64(s.known.Revision), KnownEra: uint64(s.known.Era), Era: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), Body: body,
-		Path: stoatrelay.AddrTexts(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
+		PositionRevision: uint64(s.known.Revision), PositionEra: uint64(s.known.Era), BodyEra: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), HasBody: body,
+		Path: stoatrelay.FormatAddrs(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
 	}
 	h.Centre = string(e.settings().DataCentre)
 	if seen := e.place.seen.Load(); seen != nil && ask.Centre == e.settings().DataCentre {
 		if u, due := stream.Next(now, *seen, stoatoutlier.FirstWait); due {
-			h.Seen, h.Whole = stoatoutlier.Encode(now, u.Reports), u.Full
+			h.Reports, h.FullReports = stoatoutlier.Encode(now, u.Reports), u.Full
 		}
 	}
 	e.place.mu.Lock()
-	h.Relatives = stoatrelay.AddrTexts(e.place.tree.Relatives(ask.From, ask.Centre))
+	h.Siblings = stoatrelay.FormatAddrs(e.place.tree.Relatives(ask.From, ask.Centre))
 	if own := e.ownPlace(); ask.Centre == e.settings().DataCentre && own.Entries > 0 {
-		h.Rank, h.Entries = e.place.tree.RankOf(ask.From, own.Rank), own.Entries
+		h.Rank, h.DataCentreEntries = e.place.tree.RankOf(ask.From, own.Rank), own.Entries
 	}
 	e.place.mu.Unlock()
 	return stoatrelay.Encode(&h)
@@ -218,8 +218,8 @@
 // bodies keeps the last body: children that were told the same are told the same next.
 type bodies struct {
 	mu    sync.Mutex
-	held  stoatrelay.Holds // of the table that it was made from
-	child stoatrelay.Holds
+	held  stoatrelay.ChildState // of the table that it was made from
+	child stoatrelay.ChildState
 	made  time.Time
 	text  []byte
 }
@@ -228,10 +228,10 @@
 const bodyKept = 200 * time.Millisecond
 
 // of returns what t has that a child does not, encoded; nothing if there is nothing.
-func (b *bodies) of(now time.Time, t *stoatroute.Table, child stoatrelay.Holds) ([]byte, error) {
+func (b *bodies) of(now time.Time, t *stoatroute.Table, child stoatrelay.ChildState) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.held == stoatrelay.HoldsOf(t) && b.child == child && now.Sub(b.made) < bodyKept {
+	if b.held == stoatrelay.ChildStateOf(t) && b.child == child && now.Sub(b.made) < bodyKept {
 		return b.text, nil
 	}
 	var text []byte
@@ -241,7 +241,7 @@
 			return nil, err
 		}
 	}
-	b.held, b.child, b.made, b.text = stoatrelay.HoldsOf(t), child, now, text
+	b.held, b.child, b.made, b.text = stoatrelay.ChildStateOf(t), child, now, text
 	return text, nil
 }
 
@@ -292,6 +292,6 @@
 	if a.Near {
 		q.Set(askNear, "1")
 	}
-	q.Set(askSkip, strings.Join(stoatrelay.AddrTexts(a.Skip), ","))
+	q.Set(askSkip, strings.Join(stoatrelay.FormatAddrs(a.Skip), ","))
 	return q.Encode()
 }
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -45,12 +45,12 @@
 
 // Message is one decoded message from a parent.
 type Message struct {
-	Path  []netip.AddrPort     // from an entry that reads the platform to the parent
-	Known stoatpaddle.Position // up to which the parent knows everything
-	Era   stoatpaddle.Era      // of all revisions in the message; 0: not known
-	Age   time.Duration        // of the parent's knowledge; negative: it was never known to be up to date
-	Whole bool                 // Upstreams are all there are; otherwise those that changed
-	Delta *Delta               // of the declaration; nil: it did not change
+	Path     []netip.AddrPort     // from an entry that reads the platform to the parent
+	Position stoatpaddle.Position // up to which the parent knows everything
+	Era      stoatpaddle.Era      // of all revisions in the message; 0: not known
+	Age      time.Duration        // of the parent's knowledge; negative: it was never known to be up to date
+	Full     bool                 // Upstreams are all there are; otherwise those that changed
+	Delta    *Delta               // of the declaration; nil: it did not change
 
 	Upstreams   []stoatroute.RemoteUpstream
 	Evacuations []stoatpaddle.Evacuation
@@ -59,7 +59,7 @@
 // Read reads one message. The Body is nil if nothing changed.
 func Read(dec *msgpack.Decoder) (*Head, *Body, error) {
 	head := &Head{}
-	if err := dec.Decode(head); err != nil || !head.Body {
+	if err := dec.Decode(head); err != nil || !head.HasBody {
 		return head, nil, err
 	}
 	body := &Body{}
@@ -69,22 +69,22 @@
 // Decode converts a parent's message, or returns *stoatpaddle.DecodeError.
 func Decode(head *Head, body *Body) (Message, error) {
 	m := Message{
-		Known: stoatpaddle.Position{Era: stoatpaddle.Era(head.KnownEra), Revision: stoatpaddle.Version(head.Known)},
-		Era:   stoatpaddle.Era(head.Era), Age: time.Duration(head.AgeMS) * time.Millisecond,
+		Position: stoatpaddle.Position{Era: stoatpaddle.Era(head.PositionEra), Revision: stoatpaddle.Version(head.PositionRevision)},
+		Era:      stoatpaddle.Era(head.BodyEra), Age: time.Duration(head.AgeMS) * time.Millisecond,
 	}
 	var err error
 	if m.Path, err = ParseAddrs(head.Path); err != nil || body == nil {
 		return m, err
 	}
-	m.Whole = body.Whole
+	m.Full = body.Full
 	r := &bodyReader{names: body.Names}
-	if body.Declared != nil {
-		m.Delta = r.declaration(body.Declared)
+	if body.Declaration != nil {
+		m.Delta = r.declaration(body.Declaration)
 	}
 	for i := range body.Upstreams {
 		m.Upstreams = append(m.Upstreams, r.upstream(&body.Upstreams[i]))
 	}
-	for _, ev := range body.Evacuated {
+	for _, ev := range body.Evacuations {
 		m.Evacuations = append(m.Evacuations, stoatpaddle.Evacuation{
 			DataCentre: stoatpaddle.DataCentreID(r.name(ev.Centre)), Revision: stoatpaddle.Version(ev.Revision), Withdrawn: ev.Withdrawn,
 		})
@@ -159,7 +159,7 @@
 }
 
 // FormatAddrs returns the addresses as text, the reverse of ParseAddrs.
-func AddrTexts(list []netip.AddrPort) []string {
+func FormatAddrs(list []netip.AddrPort) []string {
 	out := make([]string, 0, len(list))
 	for _, a := range list {
 		out = append(out, a.String())
--- a/stoatrelay/delta.go
+++ b/stoatrelay/delta.go
@@ -17,12 +17,12 @@
 // AppliesTo reports whether the delta can be applied to the declaration with version current. A difference
 // from another version would leave out what changed in between. A delta that is not later than current
 // changes nothing and always applies.
-func (delta *Delta) Fits(current stoatpaddle.Version) bool {
+func (delta *Delta) AppliesTo(current stoatpaddle.Version) bool {
 	return delta == nil || delta.Base == 0 || delta.Base == current || delta.Declaration.Version <= current
 }
 
 // ApplyTo returns the declaration that results from applying the delta to d. AppliesTo must hold for d.
-func (delta *Delta) Onto(d *stoatpaddle.Declaration) stoatpaddle.Declaration {
+func (delta *Delta) ApplyTo(d *stoatpaddle.Declaration) stoatpaddle.Declaration {
 	out := delta.Declaration
 	if delta.Base == 0 {
 		return out
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -43,25 +43,25 @@
 }
 
 // ChildState identifies what a child has been sent of a table.
-type Holds struct {
+type ChildState struct {
 	change  uint64              // the table's change count; 0: nothing was sent yet
 	version stoatpaddle.Version // of the declaration
 }
 
 // ChildStateOf returns the state of a child that has been sent all of the table.
-func HoldsOf(t *stoatroute.Table) Holds {
-	return Holds{change: t.ChangeSeq, version: t.Declaration.Version}
+func ChildStateOf(t *stoatroute.Table) ChildState {
+	return ChildState{change: t.ChangeSeq, version: t.Declaration.Version}
 }
 
 // EncodeBody returns what t has and the child has not been sent, or nil if there is nothing.
-func EncodeBody(now time.Time, t *stoatroute.Table, child Holds) *Body {
+func EncodeBody(now time.Time, t *stoatroute.Table, child ChildState) *Body {
 	if child.change == t.ChangeSeq {
 		return nil
 	}
 	names := &nameTable{index: map[string]int{}}
-	body := &Body{Whole: child.change == 0}
+	body := &Body{Full: child.change == 0}
 	if t.DeclarationSeq > child.change {
-		body.Declared = encodeDeclaration(names, t, child)
+		body.Declaration = encodeDeclaration(names, t, child)
 	}
 	for _, u := range t.UpstreamsSince(child.change) {
 		r := &u.Registration
@@ -72,7 +72,7 @@
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
-		body.Evacuated = append(body.Evacuated, wireEvacuation{Centre: names.indexOf(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
+		body.Evacuations = append(body.Evacuations, wireEvacuation{Centre: names.indexOf(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
 	}
 	body.Names = names.list
 	return body
@@ -84,7 +84,7 @@
 	return b
 }
 
-func encodeDeclaration(names *nameTable, t *stoatroute.Table, child Holds) *wireConfig {
+func encodeDeclaration(names *nameTable, t *stoatroute.Table, child ChildState) *wireConfig {
 	d := &t.Declaration
 	w := &wireConfig{
 		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.Idle.Milliseconds(),
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -5,29 +5,29 @@
 // Head begins each message. Messages are msgpack arrays: each child gets one about every second, and field
 // names would be half of it.
 type Head struct {
-	_msgpack  struct{}                  `msgpack:",as_array"`
-	Known     uint64                    // revision of the position up to which the parent knows everything
-	AgeMS     int64                     // age of the parent's knowledge; -1: it was never known to be up to date
-	Path      []string                  // addresses from an entry that reads the platform to the parent
-	Relatives []string                  // addresses of other children, to ask when the parent is gone
-	Centre    string                    // data centre of the parent
-	Seen      []stoatoutlier.WireReport // failing upstreams, as all entries of the child's data centre observed them
-	Whole     bool                      // Reports has all of them, not only what changed
-	Body      bool                      // a Body follows
-	Rank      int                       // rank of the child among the entries of its data centre
-	Entries   int                       // number of those entries; 0: the child is in another data centre, or the number is not known
-	KnownEra  uint64                    // era of the position whose revision is PositionRevision
-	Era       uint64                    // era of the revisions in the Body; 0: the parent knows of none
+	_msgpack          struct{}                  `msgpack:",as_array"`
+	PositionRevision  uint64                    // revision of the position up to which the parent knows everything
+	AgeMS             int64                     // age of the parent's knowledge; -1: it was never known to be up to date
+	Path              []string                  // addresses from an entry that reads the platform to the parent
+	Siblings          []string                  // addresses of other children, to ask when the parent is gone
+	Centre            string                    // data centre of the parent
+	Reports           []stoatoutlier.WireReport // failing upstreams, as all entries of the child's data centre observed them
+	FullReports       bool                      // Reports has all of them, not only what changed
+	HasBody           bool                      // a Body follows
+	Rank              int                       // rank of the child among the entries of its data centre
+	DataCentreEntries int                       // number of those entries; 0: the child is in another data centre, or the number is not known
+	PositionEra       uint64                    // era of the position whose revision is PositionRevision
+	BodyEra           uint64                    // era of the revisions in the Body; 0: the parent knows of none
 }
 
 // Body follows a Head when something changed.
 type Body struct {
-	_msgpack  struct{} `msgpack:",as_array"`
-	Whole     bool     // Upstreams are all there are; otherwise those that changed
-	Names     []string // of services, data centres and regions; other fields refer to them by index
-	Declared  *wireConfig
-	Upstreams []wireHeld
-	Evacuated []wireEvacuation
+	_msgpack    struct{} `msgpack:",as_array"`
+	Full        bool     // Upstreams are all there are; otherwise those that changed
+	Names       []string // of services, data centres and regions; other fields refer to them by index
+	Declaration *wireConfig
+	Upstreams   []wireHeld
+	Evacuations []wireEvacuation
 }
 
 // wireEvacuation says that a data centre is evacuated, or is no longer.
@@ -96,7 +96,7 @@
 
 // Refusal says why an entry does not accept a child, and which entries to ask instead.
 type Refusal struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Reason   string
-	Try      []string
+	_msgpack     struct{} `msgpack:",as_array"`
+	Reason       string
+	Alternatives []string
 }
