--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -85,7 +85,7 @@
 		observed: make(chan struct{}, 1),
 		reports:  make(chan pendingReport, 1),
 		place: newPlace(stoattree.Config{
-			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, Share: cfg.Settings.Share, Link: cfg.Settings.Link,
+			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, CPUShare: cfg.Settings.Share, LinkMbps: cfg.Settings.Link,
 			Rand: rand.New(rand.NewPCG(seed, 2)),
 		}),
 	}
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -90,16 +90,16 @@
 	var cause error = &refusedError{reason: "nobody to ask"}
 	e.place.mu.Lock()
 	e.place.tree.SetSeeds(e.settings().Seeds)
-	e.place.tree.Begin()
+	e.place.tree.StartSearch()
 	e.place.mu.Unlock()
 	for ctx.Err() == nil {
 		e.place.mu.Lock()
-		addr, ask, ok := e.place.tree.Next()
+		addr, ask, ok := e.place.tree.NextCandidate()
 		e.place.mu.Unlock()
 		if !ok {
 			break
 		}
-		ask.Known, ask.Within = x.known, x.within
+		ask.Position, ask.MaxAge = x.known, x.within
 		accepted, err := e.hear(ctx, x.serial, addr, ask)
 		cause = err
 		if accepted {
@@ -119,7 +119,7 @@
 
 // hear asks one entry, and takes in what it tells until that ends; accepted tells whether
 // it told anything.
-func (e *Edge) hear(parent context.Context, serial int, addr netip.AddrPort, ask stoattree.Ask) (accepted bool, err error) {
+func (e *Edge) hear(parent context.Context, serial int, addr netip.AddrPort, ask stoattree.JoinRequest) (accepted bool, err error) {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
 	watchdog := time.AfterFunc(seekTimeout, func() { cancel(&silentError{after: seekTimeout}) })
@@ -151,7 +151,7 @@
 	}
 }
 
-func (e *Edge) askEntry(ctx context.Context, addr netip.AddrPort, ask stoattree.Ask) (*http.Response, error) {
+func (e *Edge) askEntry(ctx context.Context, addr netip.AddrPort, ask stoattree.JoinRequest) (*http.Response, error) {
 	url := "http://" + addr.String() + pathNews + "?" + writeAsk(ask)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -175,7 +175,7 @@
 		return err
 	}
 	e.place.mu.Lock()
-	e.place.tree.Refused(try)
+	e.place.tree.AddCandidates(try)
 	e.place.mu.Unlock()
 	return &refusedError{addr: addr, reason: w.Reason}
 }
@@ -195,8 +195,8 @@
 		return err
 	}
 	e.place.mu.Lock()
-	e.place.tree.Learn(relatives)
-	looped := e.place.tree.Looped(x.path)
+	e.place.tree.SetSiblings(relatives)
+	looped := e.place.tree.FormsLoop(x.path)
 	e.place.mu.Unlock()
 	if looped {
 		return &refusedError{addr: addr, reason: string(stoattree.Loop)}
--- a/stoatedge/run_seen.go
+++ b/stoatedge/run_seen.go
@@ -43,7 +43,7 @@
 	now := clock()
 	if size, err := strconv.Atoi(r.URL.Query().Get(askSize)); err == nil {
 		e.place.mu.Lock()
-		e.place.tree.SetSize(from, size)
+		e.place.tree.SetSubtreeSize(from, size)
 		e.place.mu.Unlock()
 		e.notice()
 	}
--- a/stoatedge/run_tell.go
+++ b/stoatedge/run_tell.go
@@ -90,7 +90,7 @@
 func (e *Edge) state() stoattree.State {
 	s := e.place.announced.Load()
 	return stoattree.State{
-		Ready: e.table.Load().Ready() && !e.stop.asked(), Known: s.known, Path: s.path, Reads: s.reads,
+		Ready: e.table.Load().Ready() && !e.stop.asked(), Position: s.known, Path: s.path, ReadsPlatform: s.reads,
 		Age: ageAt(clock(), s.asOf),
 	}
 }
@@ -118,23 +118,23 @@
 		refuseAsk(w, a)
 		return
 	}
-	e.log.emit(clock(), EventChild, stoatevent.F("child", ask.From.String()), stoatevent.F("centre", string(ask.Centre)), stoatevent.F("known", ask.Known.String()))
+	e.log.emit(clock(), EventChild, stoatevent.F("child", ask.From.String()), stoatevent.F("centre", string(ask.Centre)), stoatevent.F("known", ask.Position.String()))
 	cause := e.tellChild(w, r, ask)
 	e.place.mu.Lock()
-	e.place.tree.Part(ask.From, a.Ticket)
+	e.place.tree.RemoveChild(ask.From, a.Admission)
 	e.place.mu.Unlock()
 	e.pool.RemoveChild(ask.From)
 	e.log.emit(clock(), EventChildGone, stoatevent.F("child", ask.From.String()), stoatevent.F("cause", cause))
 }
 
-func refuseAsk(w http.ResponseWriter, a stoattree.Answer) {
+func refuseAsk(w http.ResponseWriter, a stoattree.JoinResponse) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	// Whoever hung up asks another one.
-	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Alternatives: stoatrelay.FormatAddrs(a.Try)})
+	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Alternatives: stoatrelay.FormatAddrs(a.Alternatives)})
 }
 
 // tellChild sends messages until something ends it, and returns what did.
-func (e *Edge) tellChild(w http.ResponseWriter, r *http.Request, ask stoattree.Ask) string {
+func (e *Edge) tellChild(w http.ResponseWriter, r *http.Request, ask stoattree.JoinRequest) string {
 	rc := http.NewResponseController(w)
 	out := &stoatcount.Writer{W: w, N: &e.place.sent}
 	var child stoatrelay.ChildState
@@ -165,7 +165,7 @@
 }
 
 // message returns the next one for a child, encoded, and what the child holds with it.
-func (e *Edge) message(now time.Time, ask stoattree.Ask, child stoatrelay.ChildState, seen *stoatoutlier.DeltaTracker) ([]byte, stoatrelay.ChildState, error) {
+func (e *Edge) message(now time.Time, ask stoattree.JoinRequest, child stoatrelay.ChildState, seen *stoatoutlier.DeltaTracker) ([]byte, stoatrelay.ChildState, error) {
 	// First how far everything is known, then the table: it holds that much at least.
 	s, t := e.place.announced.Load(), e.table.Load()
 	body, err := e.place.bodies.of(now, t, child)
@@ -195,7 +195,7 @@
 }
 
 // headFor returns the head of a message to one child, encoded.
-func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.Ask, body bool, stream *stoatoutlier.DeltaTracker, era stoatpaddle.Era) ([]byte, error) {
+func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.JoinRequest, body bool, stream *stoatoutlier.DeltaTracker, era stoatpaddle.Era) ([]byte, error) {
 	h := stoatrelay.Head{
 		PositionRevision: uint64(s.known.Revision), PositionEra: uint64(s.known.Era), BodyEra: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), HasBody: body,
 		Path: stoatrelay.FormatAddrs(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
@@ -207,9 +207,9 @@
 		}
 	}
 	e.place.mu.Lock()
-	h.Siblings = stoatrelay.FormatAddrs(e.place.tree.Relatives(ask.From, ask.Centre))
+	h.Siblings = stoatrelay.FormatAddrs(e.place.tree.Siblings(ask.From, ask.Centre))
 	if own := e.ownPlace(); ask.Centre == e.settings().DataCentre && own.Entries > 0 {
-		h.Rank, h.DataCentreEntries = e.place.tree.RankOf(ask.From, own.Rank), own.Entries
+		h.Rank, h.DataCentreEntries = e.place.tree.ChildRank(ask.From, own.Rank), own.Entries
 	}
 	e.place.mu.Unlock()
 	return stoatrelay.Encode(&h)
@@ -246,9 +246,9 @@
 }
 
 // readAsk reads what an entry says, or returns *stoatpaddle.DecodeError.
-func readAsk(q url.Values) (stoattree.Ask, error) {
-	fail := func(what string, err error) (stoattree.Ask, error) {
-		return stoattree.Ask{}, &stoatpaddle.DecodeError{What: what, Cause: err}
+func readAsk(q url.Values) (stoattree.JoinRequest, error) {
+	fail := func(what string, err error) (stoattree.JoinRequest, error) {
+		return stoattree.JoinRequest{}, &stoatpaddle.DecodeError{What: what, Cause: err}
 	}
 	from, err := netip.ParseAddrPort(q.Get(askFrom))
 	if err != nil {
@@ -269,29 +269,29 @@
 	if err != nil {
 		return fail(askWithin, err)
 	}
-	a := stoattree.Ask{
+	a := stoattree.JoinRequest{
 		From: from, Centre: stoatpaddle.DataCentreID(q.Get(askCentre)),
-		Known: stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(known)},
-		Near:  q.Get(askNear) != "", Within: time.Duration(within) * time.Millisecond,
+		Position:  stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(known)},
+		LocalOnly: q.Get(askNear) != "", MaxAge: time.Duration(within) * time.Millisecond,
 	}
 	if skip := q.Get(askSkip); skip != "" {
-		if a.Skip, err = stoatrelay.ParseAddrs(strings.Split(skip, ",")); err != nil {
+		if a.Tried, err = stoatrelay.ParseAddrs(strings.Split(skip, ",")); err != nil {
 			return fail(askSkip, err)
 		}
 	}
 	return a, nil
 }
 
-func writeAsk(a stoattree.Ask) string {
+func writeAsk(a stoattree.JoinRequest) string {
 	q := url.Values{}
 	q.Set(askFrom, a.From.String())
 	q.Set(askCentre, string(a.Centre))
-	q.Set(askKnown, a.Known.Revision.String())
-	q.Set(askEra, a.Known.Era.String())
-	q.Set(askWithin, strconv.FormatInt(a.Within.Milliseconds(), 10))
-	if a.Near {
+	q.Set(askKnown, a.Position.Revision.String())
+	q.Set(askEra, a.Position.Era.String())
+	q.Set(askWithin, strconv.FormatInt(a.MaxAge.Milliseconds(), 10))
+	if a.LocalOnly {
 		q.Set(askNear, "1")
 	}
-	q.Set(askSkip, strings.Join(stoatrelay.FormatAddrs(a.Skip), ","))
+	q.Set(askSkip, strings.Join(stoatrelay.FormatAddrs(a.Tried), ","))
 	return q.Encode()
 }
--- a/stoattree/rank_test.go
+++ b/stoattree/rank_test.go
@@ -14,7 +14,7 @@
 	for range 20 {
 		for _, m := range f.all {
 			if !m.dead && m.hasLocalParent() {
-				m.parent.tree.SetSize(addr(m.i), m.tree.Size())
+				m.parent.tree.SetSubtreeSize(addr(m.i), m.tree.SubtreeSize())
 			}
 		}
 	}
@@ -25,7 +25,7 @@
 	if !m.hasLocalParent() {
 		return 0
 	}
-	return m.parent.tree.RankOf(addr(m.i), m.parent.rank())
+	return m.parent.tree.ChildRank(addr(m.i), m.parent.rank())
 }
 
 // Three hundred entries start. The entries of a data centre form few groups, each below one of its entries.
@@ -60,8 +60,8 @@
 					t.Errorf("round %d: none of %d entries has rank %d", round, len(ranks), r)
 				}
 			}
-			if top.tree.Size() != len(ranks) {
-				t.Errorf("round %d: subtree size is %d, expected %d", round, top.tree.Size(), len(ranks))
+			if top.tree.SubtreeSize() != len(ranks) {
+				t.Errorf("round %d: subtree size is %d, expected %d", round, top.tree.SubtreeSize(), len(ranks))
 			}
 		}
 		for centre, n := range groups {
--- a/stoattree/search.go
+++ b/stoattree/search.go
@@ -25,7 +25,7 @@
 
 // SetSiblings replaces the remembered siblings, which are other entries of this data centre that a parent
 // named. A list without a usable address leaves them unchanged.
-func (t *Tree) Learn(siblings []netip.AddrPort) {
+func (t *Tree) SetSiblings(siblings []netip.AddrPort) {
 	list := make([]netip.AddrPort, 0, maxSiblings)
 	for _, a := range siblings {
 		if a != t.cfg.Self && a.IsValid() && len(list) < maxSiblings {
@@ -39,7 +39,7 @@
 
 // StartSearch begins a search for a parent. Siblings are asked first, since they are near and were sent the
 // same, and seeds after them. Each entry has its own order of the seeds, so that they share the load.
-func (t *Tree) Begin() {
+func (t *Tree) StartSearch() {
 	t.search = &search{pending: t.candidates(), localOnly: true}
 }
 
@@ -61,7 +61,7 @@
 }
 
 // NextCandidate returns the entry to ask next and the request for it, or false if no candidate is left.
-func (t *Tree) Next() (netip.AddrPort, Ask, bool) {
+func (t *Tree) NextCandidate() (netip.AddrPort, JoinRequest, bool) {
 	s := t.search
 	for s != nil && len(s.asked) < maxRequests {
 		if len(s.pending) == 0 {
@@ -77,14 +77,14 @@
 			continue
 		}
 		s.asked = append(s.asked, a)
-		return a, Ask{From: t.cfg.Self, Centre: t.cfg.Centre, Near: s.localOnly, Skip: s.asked}, true
+		return a, JoinRequest{From: t.cfg.Self, Centre: t.cfg.Centre, LocalOnly: s.localOnly, Tried: s.asked}, true
 	}
 	t.search = nil
-	return netip.AddrPort{}, Ask{}, false
+	return netip.AddrPort{}, JoinRequest{}, false
 }
 
 // AddCandidates adds the entries that a refusing entry named as alternatives. They are asked next.
-func (t *Tree) Refused(alternatives []netip.AddrPort) {
+func (t *Tree) AddCandidates(alternatives []netip.AddrPort) {
 	if t.search == nil {
 		return
 	}
@@ -99,6 +99,6 @@
 
 // FormsLoop reports whether a parent with this path is below this entry. A path longer than MaxPathLength
 // counts as a loop too.
-func (t *Tree) Looped(path []netip.AddrPort) bool {
-	return len(path) > MaxPath || slices.Contains(path, t.cfg.Self)
+func (t *Tree) FormsLoop(path []netip.AddrPort) bool {
+	return len(path) > MaxPathLength || slices.Contains(path, t.cfg.Self)
 }
--- a/stoattree/tree.go
+++ b/stoattree/tree.go
@@ -22,25 +22,25 @@
 	// MaxPathLength limits the path from an entry that reads the platform to any other. Eight levels with
 	// two children each reach further than any deployment, and a longer path is a loop that was not
 	// detected.
-	MaxPath = 16
+	MaxPathLength = 16
 	// maxAlternatives limits the entries that are named to one that looks for a parent.
 	maxAlternatives = 3
 )
 
 // JoinRequest is what an entry sends when it asks to become a child.
-type Ask struct {
+type JoinRequest struct {
 	From   netip.AddrPort
 	Centre stoatpaddle.DataCentreID
 	// Position is the position up to which the requester knows everything. Revision 0: it has nothing to
 	// serve by, and so no children that could be above the entry that it asks.
-	Known stoatpaddle.Position
+	Position stoatpaddle.Position
 	// LocalOnly makes an entry of another data centre refuse, since traffic between data centres is
 	// expensive.
-	Near bool
+	LocalOnly bool
 	// MaxAge is how old the knowledge of the parent may be. 0: any age will do, since the platform does not
 	// answer the requester.
-	Within time.Duration
-	Skip   []netip.AddrPort // entries that were asked already
+	MaxAge time.Duration
+	Tried  []netip.AddrPort // entries that were asked already
 }
 
 // Refusal says why an entry does not accept another one as its child.
@@ -48,42 +48,42 @@
 
 // The reasons to refuse a request. The refusing entry sends the text to the requester, which logs it.
 const (
-	Accepted  Refusal = ""                                            // no refusal
-	NotReady  Refusal = "nothing to tell"                             // this entry has no complete state to relay, or is stopping
-	Behind    Refusal = "knows less"                                  // the requester knows a later position
-	Stale     Refusal = "knows only what is too old"                  // this entry's knowledge is older than the requester's MaxAge
-	Loop      Refusal = "is told by the one that asks"                // the requester is above this entry in the tree
-	NoRoot    Refusal = "out of touch, and not the first of its kind" // this entry has no parent and may not be a root for the requester
-	OtherSide Refusal = "in another data centre"                      // the requester is in another data centre and has a nearer entry to ask
-	Full      Refusal = "tells as many as it can"                     // this entry has as many children as it can serve
+	Accepted        Refusal = ""                                            // no refusal
+	NotReady        Refusal = "nothing to tell"                             // this entry has no complete state to relay, or is stopping
+	Behind          Refusal = "knows less"                                  // the requester knows a later position
+	Stale           Refusal = "knows only what is too old"                  // this entry's knowledge is older than the requester's MaxAge
+	Loop            Refusal = "is told by the one that asks"                // the requester is above this entry in the tree
+	NotRoot         Refusal = "out of touch, and not the first of its kind" // this entry has no parent and may not be a root for the requester
+	OtherDataCentre Refusal = "in another data centre"                      // the requester is in another data centre and has a nearer entry to ask
+	Full            Refusal = "tells as many as it can"                     // this entry has as many children as it can serve
 )
 
 // JoinResponse is the decision on a JoinRequest.
-type Answer struct {
-	Refusal Refusal
-	Try     []netip.AddrPort // entries to ask instead
-	Ticket  Ticket           // of a request that was accepted
+type JoinResponse struct {
+	Refusal      Refusal
+	Alternatives []netip.AddrPort // entries to ask instead
+	Admission    AdmissionID      // of a request that was accepted
 }
 
 // AdmissionID identifies one admission of a child. A child that lost its connection asks again before the
 // end of the old connection is noticed, and that end must not remove the new admission.
-type Ticket uint64
+type AdmissionID uint64
 
 type child struct {
 	centre    stoatpaddle.DataCentreID
-	admission Ticket
+	admission AdmissionID
 	size      int // entries of its data centre in its subtree as it reported, itself included
 }
 
 // State is the state of an entry that decides on a request.
 type State struct {
-	Ready bool
-	Known stoatpaddle.Position
+	Ready    bool
+	Position stoatpaddle.Position
 	// Path leads from an entry that reads the platform to this entry's parent; empty: it has no parent.
 	Path []netip.AddrPort
 	// ReadsPlatform means that this entry reads the platform itself and gets answers.
-	Reads bool
-	Age   time.Duration // of its knowledge; negative: it was never known to be up to date
+	ReadsPlatform bool
+	Age           time.Duration // of its knowledge; negative: it was never known to be up to date
 }
 
 // Config configures a Tree.
@@ -92,10 +92,10 @@
 	Centre stoatpaddle.DataCentreID
 	Seeds  []netip.AddrPort
 	// CPUShare is the part of a core that this entry has; 0: not known.
-	Share float64
+	CPUShare float64
 	// LinkMbps is the bandwidth of its link, Mbit/s; 0: not known.
-	Link float64
-	Rand *rand.Rand
+	LinkMbps float64
+	Rand     *rand.Rand
 }
 
 // Tree is one entry's view of the relay tree: its children, and the entries that it may ask to become its
@@ -103,7 +103,7 @@
 type Tree struct {
 	cfg           Config
 	children      map[netip.AddrPort]child
-	lastAdmission Ticket
+	lastAdmission AdmissionID
 	siblings      []netip.AddrPort // other entries of this data centre that a parent named
 	search        *search
 }
@@ -120,7 +120,7 @@
 func (t *Tree) IsSeed() bool { return slices.Contains(t.cfg.Seeds, t.cfg.Self) }
 
 // ChildCount returns the number of children.
-func (t *Tree) Children() int { return len(t.children) }
+func (t *Tree) ChildCount() int { return len(t.children) }
 
 // cpuPerChild is the part of a core that an entry must have for each child. A message without changes costs
 // 0.2 ms, so that a child takes a fiftieth of this at most.
@@ -139,35 +139,35 @@
 // children nor its callers have to wait for it.
 func (t *Tree) capacity() int {
 	n := MaxChildren
-	if t.cfg.Share > 0 {
-		n = min(n, int(t.cfg.Share/cpuPerChild))
+	if t.cfg.CPUShare > 0 {
+		n = min(n, int(t.cfg.CPUShare/cpuPerChild))
 	}
-	if t.cfg.Link > 0 {
-		n = min(n, int(t.cfg.Link/linkMbpsPerChild))
+	if t.cfg.LinkMbps > 0 {
+		n = min(n, int(t.cfg.LinkMbps/linkMbpsPerChild))
 	}
 	return max(minChildren, n)
 }
 
 // Admit decides on a request to become a child. An accepted entry is a child until RemoveChild.
-func (t *Tree) Admit(s State, req Ask) Answer {
+func (t *Tree) Admit(s State, req JoinRequest) JoinResponse {
 	if refusal := t.refusalReason(s, req); refusal != Accepted {
-		return Answer{Refusal: refusal}
+		return JoinResponse{Refusal: refusal}
 	}
 	if req.Centre != t.cfg.Centre {
 		// One link between two data centres is enough: the first child alternatives serves the others.
-		if alternatives := t.childrenIn(req.Centre, req.Skip); len(alternatives) > 0 {
-			return Answer{Refusal: OtherSide, Try: alternatives}
+		if alternatives := t.childrenIn(req.Centre, req.Tried); len(alternatives) > 0 {
+			return JoinResponse{Refusal: OtherDataCentre, Alternatives: alternatives}
 		}
-		if req.Near {
-			return Answer{Refusal: OtherSide}
+		if req.LocalOnly {
+			return JoinResponse{Refusal: OtherDataCentre}
 		}
 	}
 	if _, admitted := t.children[req.From]; !admitted && len(t.children) >= t.limit(req.Centre) {
-		return Answer{Refusal: Full, Try: t.childrenIn(req.Centre, req.Skip)}
+		return JoinResponse{Refusal: Full, Alternatives: t.childrenIn(req.Centre, req.Tried)}
 	}
 	t.lastAdmission++
 	t.children[req.From] = child{centre: req.Centre, admission: t.lastAdmission, size: max(1, t.children[req.From].size)}
-	return Answer{Ticket: t.lastAdmission}
+	return JoinResponse{Admission: t.lastAdmission}
 }
 
 // limit returns how many children there may be when an entry of that data centre is accepted. Entries of
@@ -181,24 +181,24 @@
 }
 
 // refusalReason returns why this entry must not accept the requester even if it has capacity, or Accepted.
-func (t *Tree) refusalReason(s State, req Ask) Refusal {
+func (t *Tree) refusalReason(s State, req JoinRequest) Refusal {
 	switch {
 	case !s.Ready:
 		return NotReady
-	case s.Known.Before(req.Known):
+	case s.Position.Before(req.Position):
 		return Behind
-	case req.Within > 0 && (s.Age < 0 || s.Age > req.Within):
+	case req.MaxAge > 0 && (s.Age < 0 || s.Age > req.MaxAge):
 		return Stale
 	case req.From == t.cfg.Self || slices.Contains(s.Path, req.From):
 		return Loop
-	case req.Known.Revision == 0 || len(s.Path) > 0 || s.Reads && t.IsSeed():
+	case req.Position.Revision == 0 || len(s.Path) > 0 || s.ReadsPlatform && t.IsSeed():
 		return Accepted
 	case entryOrder(t.cfg.Self) < entryOrder(req.From):
 		// Two entries without a parent would accept each other. A total order of all entries decides, so
 		// that they gather below the first of them.
 		return Accepted
 	}
-	return NoRoot
+	return NotRoot
 }
 
 func entryOrder(a netip.AddrPort) uint64 { return xxhash.Sum64String(a.String()) }
@@ -231,7 +231,7 @@
 
 // SetSubtreeSize records how many entries of its data centre are in the subtree of a child, itself
 // included.
-func (t *Tree) SetSize(from netip.AddrPort, n int) {
+func (t *Tree) SetSubtreeSize(from netip.AddrPort, n int) {
 	if c, known := t.children[from]; known {
 		c.size = max(1, n)
 		t.children[from] = c
@@ -239,7 +239,7 @@
 }
 
 // SubtreeSize returns how many entries of this data centre are in the subtree of this one, itself included.
-func (t *Tree) Size() int {
+func (t *Tree) SubtreeSize() int {
 	n := 1
 	for _, c := range t.children {
 		if c.centre == t.cfg.Centre {
@@ -251,7 +251,7 @@
 
 // ChildRank returns the rank of a child of this data centre, given the rank of this entry. Ranks number the
 // entries depth first: each entry is followed by those below it, one child after the other.
-func (t *Tree) RankOf(from netip.AddrPort, own int) int {
+func (t *Tree) ChildRank(from netip.AddrPort, own int) int {
 	rank := own + 1
 	for a, c := range t.children {
 		if c.centre == t.cfg.Centre && a.Compare(from) < 0 {
@@ -262,7 +262,7 @@
 }
 
 // RemoveChild removes a child, unless it has been admitted again.
-func (t *Tree) Part(from netip.AddrPort, admission Ticket) {
+func (t *Tree) RemoveChild(from netip.AddrPort, admission AdmissionID) {
 	if t.children[from].admission == admission {
 		delete(t.children, from)
 	}
@@ -270,7 +270,7 @@
 
 // Siblings returns a few entries that a child may ask when this one is gone: other children in its data
 // centre.
-func (t *Tree) Relatives(child netip.AddrPort, centre stoatpaddle.DataCentreID) []netip.AddrPort {
+func (t *Tree) Siblings(child netip.AddrPort, centre stoatpaddle.DataCentreID) []netip.AddrPort {
 	var list []netip.AddrPort
 	for a, x := range t.children {
 		if a != child && x.centre == centre {
