--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -39,7 +39,7 @@
 func (d *decoder) list() int {
 	n := readField(d, d.in.DecodeArrayLen)
 	if n < 0 || n > maxList {
-		d.err = &RangeError{Got: n, Most: maxList}
+		d.err = &RangeError{Got: n, Max: maxList}
 		return 0
 	}
 	return n
@@ -147,7 +147,7 @@
 	for b := d.bytes(); len(b) > 0; {
 		n, size := binary.Uvarint(b)
 		if size <= 0 || n > 1<<31 {
-			d.err = &RangeError{Got: size, Most: 1 << 31}
+			d.err = &RangeError{Got: size, Max: 1 << 31}
 			return l
 		}
 		l.Open = append(l.Open, uint32(n))
--- a/stoatpeer/encode.go
+++ b/stoatpeer/encode.go
@@ -71,7 +71,7 @@
 func (d *decoder) state() stoatpaddle.State {
 	n := d.uint()
 	if d.err == nil && n >= uint64(len(states)) {
-		d.err = &RangeError{Got: int(n), Most: len(states) - 1}
+		d.err = &RangeError{Got: int(n), Max: len(states) - 1}
 	}
 	if d.err != nil {
 		return ""
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -190,9 +190,9 @@
 		t.Fatal(err)
 	}
 	for data, event := range map[string]string{
-		"GET / HTTP/1.1\r\n\r\n": EventFrame.Number.String(),
-		string(huge):             EventFrame.Number.String(),
-		string(other):            EventStranger.Number.String(),
+		"GET / HTTP/1.1\r\n\r\n": EventMalformedFrame.Number.String(),
+		string(huge):             EventMalformedFrame.Number.String(),
+		string(other):            EventPeerRefused.Number.String(),
 	} {
 		conn, err := net.Dial("tcp", addrA.String())
 		if err != nil {
@@ -206,6 +206,6 @@
 	}
 	a.Send("b", &stoatmessage.Want{Refs: []stoatpaddle.Ref{{Kind: "contract", Name: "still"}}})
 	rb.wait("want a still")
-	a.Hangup("b")
+	a.Disconnect("b")
 	rb.wait("disconnected a")
 }
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -43,7 +43,7 @@
 	Log     stoatevent.Sink
 	// Partitioned reports whether the network between this entry and the instance counts as cut. It is for
 	// tests.
-	Severed func(id stoatpaddle.InstanceID) bool
+	Partitioned func(id stoatpaddle.InstanceID) bool
 }
 
 // Transport manages the connections of one entry with its peers.
@@ -154,7 +154,7 @@
 }
 
 // Disconnect closes the connection with a peer.
-func (t *Transport) Hangup(id stoatpaddle.InstanceID) {
+func (t *Transport) Disconnect(id stoatpaddle.InstanceID) {
 	t.mu.Lock()
 	c := t.conns[id]
 	t.mu.Unlock()
@@ -174,19 +174,19 @@
 	}
 	frame, err := Encode(m)
 	if err != nil {
-		t.cfg.Log.Emit(EventFrame, stoatevent.F("peer", string(to)), stoatevent.F("cause", err.Error()))
+		t.cfg.Log.Emit(EventMalformedFrame, stoatevent.F("peer", string(to)), stoatevent.F("cause", err.Error()))
 		return
 	}
 	select {
 	case c.queue <- frame:
 	default:
-		t.cfg.Log.Emit(EventSlow, stoatevent.F("peer", string(to)))
+		t.cfg.Log.Emit(EventSlowPeer, stoatevent.F("peer", string(to)))
 		c.close()
 	}
 }
 
 func (t *Transport) partitioned(id stoatpaddle.InstanceID) bool {
-	return t.cfg.Severed != nil && t.cfg.Severed(id)
+	return t.cfg.Partitioned != nil && t.cfg.Partitioned(id)
 }
 
 // serve runs one connection to its end.
@@ -231,7 +231,7 @@
 	}
 	hello, ok := m.(*stoatmessage.Hello)
 	if !ok || hello.Cluster != own.Cluster || hello.Instance.ID == own.Instance.ID {
-		t.cfg.Log.Emit(EventStranger, stoatevent.F("address", conn.RemoteAddr().String()))
+		t.cfg.Log.Emit(EventPeerRefused, stoatevent.F("address", conn.RemoteAddr().String()))
 		return nil, nil, false
 	}
 	if t.partitioned(hello.Instance.ID) {
@@ -247,7 +247,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netErr) {
 		return
 	}
-	t.cfg.Log.Emit(EventFrame, stoatevent.F("address", conn.RemoteAddr().String()), stoatevent.F("cause", err.Error()))
+	t.cfg.Log.Emit(EventMalformedFrame, stoatevent.F("address", conn.RemoteAddr().String()), stoatevent.F("cause", err.Error()))
 }
 
 // add registers c as the connection with its peer, in place of an earlier one. It returns false if the
