--- a/stoattunnel/build.go
+++ b/stoattunnel/build.go
@@ -22,7 +22,7 @@
 const defaultTTL = 64
 
 // BuildSegment returns the segment as an IP packet with checksums.
-func Build(s Segment) ([]byte, error) {
+func BuildSegment(s Segment) ([]byte, error) {
 	tcp := &layers.TCP{
 		SrcPort: layers.TCPPort(s.Src.Port()),
 		DstPort: layers.TCPPort(s.Dst.Port()),
@@ -63,7 +63,7 @@
 
 // ResetToCaller returns the reset that tells the caller of p that its flow is refused or lost. Its sequence
 // and acknowledgment numbers follow RFC 9293 section 3.5.2, so that the caller accepts it.
-func ResetFor(p *stoatpacket.Packet) ([]byte, error) {
+func ResetToCaller(p *stoatpacket.Packet) ([]byte, error) {
 	s := Segment{Src: p.Tuple.Dst, Dst: p.Tuple.Src, RST: true}
 	if p.Opens {
 		s.ACK = true
@@ -71,7 +71,7 @@
 	} else {
 		s.Seq = p.Ack
 	}
-	return Build(s)
+	return BuildSegment(s)
 }
 
 // maxQuoteSize is how many bytes of the packet an ICMP error quotes at most (RFC 1812, 4.3.2.3).
@@ -79,7 +79,7 @@
 
 // PortUnreachable returns the ICMP error that tells a caller that nothing accepts its UDP flow (RFC 792,
 // RFC 4443: port unreachable). data is the packet of the caller, and p is what was parsed from it.
-func Unreachable(p *stoatpacket.Packet, data []byte) ([]byte, error) {
+func PortUnreachable(p *stoatpacket.Packet, data []byte) ([]byte, error) {
 	quoted := gopacket.Payload(data[:min(len(data), maxQuoteSize)])
 	src, dst := p.Tuple.Dst.Addr(), p.Tuple.Src.Addr()
 	buf := gopacket.NewSerializeBuffer()
@@ -103,6 +103,6 @@
 
 // ResetToUpstream returns the reset that ends the flow of p at its upstream, which would otherwise keep the
 // connection for a caller that has given it up.
-func ResetTo(p *stoatpacket.Packet) ([]byte, error) {
-	return Build(Segment{Src: p.Tuple.Src, Dst: p.Tuple.Dst, RST: true, Seq: p.Seq})
+func ResetToUpstream(p *stoatpacket.Packet) ([]byte, error) {
+	return BuildSegment(Segment{Src: p.Tuple.Src, Dst: p.Tuple.Dst, RST: true, Seq: p.Seq})
 }
