--- a/stoatmessage/message.go
+++ b/stoatmessage/message.go
@@ -16,8 +16,8 @@
 
 // Digest summarizes the object versions that an entry holds. Entries with different digests hold different versions.
 type Digest struct {
-	Newest stoatpaddle.Version // highest version
-	Sum    uint32              // XOR of the hashes of all objects with their versions
+	Newest   stoatpaddle.Version // highest version
+	Checksum uint32              // XOR of the hashes of all objects with their versions
 }
 
 // Heartbeat says that the sender is alive, and which objects it holds.
@@ -27,13 +27,13 @@
 }
 
 // ObjectVersion is a reference to one version of an object.
-type Held struct {
+type ObjectVersion struct {
 	Ref     stoatpaddle.Ref
 	Version stoatpaddle.Version
 }
 
 // Have offers objects; the receiver requests those that it lacks with Want.
-type Have struct{ Objects []Held }
+type Have struct{ Objects []ObjectVersion }
 
 // Want requests objects.
 type Want struct{ Refs []stoatpaddle.Ref }
--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -83,7 +83,7 @@
 func (d *decoder) heartbeat() *stoatmessage.Heartbeat {
 	m := &stoatmessage.Heartbeat{}
 	m.Digest.Newest = stoatpaddle.Version(d.uint())
-	m.Digest.Sum = uint32(d.uint())
+	m.Digest.Checksum = uint32(d.uint())
 	m.State = d.state()
 	return m
 }
@@ -92,7 +92,7 @@
 	m := &stoatmessage.Have{}
 	for n := d.list(); n > 0 && d.err == nil; n-- {
 		ref := d.ref()
-		m.Objects = append(m.Objects, stoatmessage.Held{Ref: ref, Version: stoatpaddle.Version(d.uint())})
+		m.Objects = append(m.Objects, stoatmessage.ObjectVersion{Ref: ref, Version: stoatpaddle.Version(d.uint())})
 	}
 	return m
 }
--- a/stoatpeer/encode.go
+++ b/stoatpeer/encode.go
@@ -59,7 +59,7 @@
 
 func (e *encoder) heartbeat(m *stoatmessage.Heartbeat) {
 	e.uint(uint64(m.Digest.Newest))
-	e.uint(uint64(m.Digest.Sum))
+	e.uint(uint64(m.Digest.Checksum))
 	e.uint(uint64(stateCode(m.State)))
 }
 
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -56,9 +56,9 @@
 	case 0:
 		return &stoatmessage.Hello{Cluster: "c", Instance: instance("e", someAddr)}
 	case 1:
-		return &stoatmessage.Heartbeat{Digest: stoatmessage.Digest{Newest: version, Sum: rapid.Uint32().Draw(t, "sum")}, State: stoatpaddle.StateLeaving}
+		return &stoatmessage.Heartbeat{Digest: stoatmessage.Digest{Newest: version, Checksum: rapid.Uint32().Draw(t, "sum")}, State: stoatpaddle.StateLeaving}
 	case 2:
-		return &stoatmessage.Have{Objects: []stoatmessage.Held{{Ref: ref, Version: version}}}
+		return &stoatmessage.Have{Objects: []stoatmessage.ObjectVersion{{Ref: ref, Version: version}}}
 	case 3:
 		return &stoatmessage.Want{Refs: []stoatpaddle.Ref{ref, ref}}
 	case 4:
