--- a/stoatedge/answer_test.go
+++ b/stoatedge/answer_test.go
@@ -28,7 +28,7 @@
 		"again the same":  {"i-1", []platform.Object{named("i-1")}, true, "i-1", stoatfeed.Failed},
 		"alone, complete": {"", []platform.Object{broken}, false, "", stoatfeed.Answered},
 	} {
-		r, changes := readAnswer(ask{topic: upstreams, call: stoatfeed.Call{List: true, After: c.after}}, platform.Answer{Items: c.items, More: c.more}, nil)
+		r, changes := readAnswer(startCall{topic: upstreams, call: stoatfeed.Call{List: true, After: c.after}}, platform.Answer{Items: c.items, More: c.more}, nil)
 		if r.Outcome != c.want || r.Last != c.last || (r.Outcome == stoatfeed.Answered) != (len(changes) == len(c.items)) {
 			t.Errorf("%s: %+v, %d changes", name, r, len(changes))
 		}
@@ -42,9 +42,9 @@
 	var c callCancel
 	given := c.begin(t.Context())
 	c.interrupt()
-	e.call(given, ask{topic: upstreams, call: stoatfeed.Call{Pause: time.Hour}})
+	e.call(given, startCall{topic: upstreams, call: stoatfeed.Call{Pause: time.Hour}})
 	list := e.events.take()
-	if x, ok := list[0].(ended); len(list) != 1 || !ok || x.result.Outcome != stoatfeed.Interrupted {
+	if x, ok := list[0].(callEnded); len(list) != 1 || !ok || x.result.Outcome != stoatfeed.Interrupted {
 		t.Errorf("%+v", list)
 	}
 }
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -96,8 +96,8 @@
 		e.Kill()
 		return nil, err
 	}
-	k := newKeeper(keeperConfig{
-		Apply: e.set.Bound(), Evacuations: e.set.Evacuate > 0, Return: e.set.Return, Life: e.set.Life, Seeds: namedSeeds(e.set), Seed: seed,
+	k := newController(controllerConfig{
+		Apply: e.set.Bound(), Evacuations: e.set.Evacuate > 0, Return: e.set.Return, Life: e.set.Life, Seeds: seedRoleOf(e.set), Seed: seed,
 	})
 	e.group.Go(func() error { return e.control(k) })
 	e.log.emit(now, EventStart, stoatevent.F("tunnel", e.set.Tunnel.String()), stoatevent.F("centre", string(e.set.DataCentre)),
@@ -119,7 +119,7 @@
 // no use out of an entry that has no table, so their listeners, the metrics and the search for
 // a parent come after the first packets.
 func (e *Edge) waitForTable() {
-	t := time.NewTimer(settle)
+	t := time.NewTimer(answerWait)
 	defer t.Stop()
 	select {
 	case <-e.placing:
@@ -128,10 +128,10 @@
 	}
 }
 
-// namedSeeds is what the settings say of seeds.
-func namedSeeds(set stoatsetting.Settings) naming {
+// seedRoleOf is what the settings say of seeds.
+func seedRoleOf(set stoatsetting.Settings) seedRole {
 	other := func(seed netip.AddrPort) bool { return seed != set.Admin }
-	return naming{others: slices.ContainsFunc(set.Seeds, other), self: slices.Contains(set.Seeds, set.Admin)}
+	return seedRole{otherSeeds: slices.ContainsFunc(set.Seeds, other), isSeed: slices.Contains(set.Seeds, set.Admin)}
 }
 
 // addrSeed keeps entries that start in the same nanosecond from choosing alike.
--- a/stoatedge/evacuation_test.go
+++ b/stoatedge/evacuation_test.go
@@ -11,9 +11,9 @@
 
 // evacuating returns a session of an entry that follows evacuations, and of which nothing is answered.
 func evacuating(t *testing.T, others, follows bool) *session {
-	s := newSessionOf(t, keeperConfig{
+	s := newSessionOf(t, controllerConfig{
 		Apply: 3 * time.Second, Evacuations: true, Return: 2 * time.Second, Life: time.Minute,
-		Seeds: naming{others: others, self: others && !follows}, Seed: 1,
+		Seeds: seedRole{otherSeeds: others, isSeed: others && !follows}, Seed: 1,
 	})
 	s.step(started{})
 	return s
@@ -33,7 +33,7 @@
 
 func takenBack(centre string, revision stoatpaddle.Version) change {
 	c := evacuated(centre, revision)
-	c.gone, c.evacuation.Withdrawn = true, true
+	c.deleted, c.evacuation.Withdrawn = true, true
 	return c
 }
 
@@ -134,7 +134,7 @@
 	s := evacuating(t, false, false).serving()
 	s.now = s.now.Add(time.Second)
 	s.answer(declarations, 30)
-	s.pass(settle + 2*tickEvery)
+	s.pass(answerWait + 2*tickInterval)
 	if c := s.calls[evacuations]; c == nil || c.Wait > time.Millisecond {
 		t.Fatalf("the replica is not asked again: %+v", c)
 	}
@@ -151,7 +151,7 @@
 func TestEvacuationIsTold(t *testing.T) {
 	s := evacuating(t, true, true)
 	tell := func(known stoatpaddle.Version, list ...stoatpaddle.Evacuation) {
-		s.tell(update{from: "parent", age: 100 * ms, whole: true, known: at(known), evacuations: list},
+		s.tell(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: at(known), evacuations: list},
 			declared(1, 5), registered("i-1", 1, 6))
 	}
 	here := func(revision stoatpaddle.Version, withdrawn bool) stoatpaddle.Evacuation {
@@ -177,14 +177,14 @@
 func TestWatchWaitsForAParent(t *testing.T) {
 	s := evacuating(t, true, true).serving()
 	for topic, c := range s.calls {
-		if c == nil || c.Pause < parentWait/2 || c.List {
+		if c == nil || c.Pause < firstWatchDelay/2 || c.List {
 			t.Errorf("topic %d: %+v", topic, c)
 		}
 	}
-	s.tell(update{from: "parent", age: 100 * ms, whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
+	s.tell(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
 	s.quiet("a parent was found")
 	alone := evacuating(t, true, true).serving()
-	alone.now = alone.now.Add(parentWait)
+	alone.now = alone.now.Add(firstWatchDelay)
 	alone.answer(declarations, 11)
 	if c := alone.calls[declarations]; c == nil || c.Pause > 0 {
 		t.Errorf("without a parent it goes on reading: %+v", c)
@@ -231,7 +231,7 @@
 		t.Errorf("woken %d times, the last time by an evacuation", s.woken)
 	}
 	s.answer(upstreams, 50, registered("i-2", 2, 50))
-	s.pass(ringEvery + tickEvery)
+	s.pass(ringEvery + tickInterval)
 	if s.woken != 3 {
 		t.Errorf("woken %d times, the last time for what came just after", s.woken)
 	}
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -29,7 +29,7 @@
 type change struct {
 	revision     stoatpaddle.Version
 	name         string
-	gone         bool
+	deleted         bool
 	declaration  *stoatpaddle.Declaration
 	registration *stoatpaddle.Registration
 	evacuation   *stoatpaddle.Evacuation
@@ -43,8 +43,8 @@
 	started struct{}
 	// ticked comes every tickEvery.
 	ticked struct{}
-	// ended reports the end of a call.
-	ended struct {
+	// callEnded reports the end of a call.
+	callEnded struct {
 		topic   topic
 		call    stoatfeed.Call
 		sent    time.Time
@@ -52,13 +52,13 @@
 		changes []change
 		cause   error
 	}
-	// update carries what the parent says; age is how long ago that was known to be up to
+	// parentUpdate carries what the parent says; age is how long ago that was known to be up to
 	// date (negative: never), known the position up to which it knows everything. With
 	// whole, upstreams has all there are, otherwise what changed. Revisions of what it has
 	// are of the era; 0: it does not say.
-	update struct {
-		serial      int
-		from        string
+	parentUpdate struct {
+		searchID      int
+		parent        string
 		path        []netip.AddrPort // from a reader to the parent
 		known       stoatpaddle.Position
 		era         stoatpaddle.Era
@@ -70,41 +70,41 @@
 	}
 	// parentLost reports the end of a search that found nobody, or of a parent's telling.
 	parentLost struct {
-		serial int
+		searchID int
 		cause  error
 	}
 	// resumed reports that the process stood still for so long.
 	resumed struct{ gap time.Duration }
-	// doubted tells that traffic met a cookie which is not known here.
-	doubted struct{}
-	// recalled carries which services routes had, as the platform keeps it.
-	recalled struct{ former []stoatroute.Former }
-	// rebound carries changed bounds.
-	rebound struct {
-		apply, back, life time.Duration
-		seeds             naming
+	// unknownCookie tells that traffic met a cookie which is not known here.
+	unknownCookie struct{}
+	// formerLoaded carries which services routes had, as the platform keeps it.
+	formerLoaded struct{ former []stoatroute.Former }
+	// settingsChanged carries changed bounds.
+	settingsChanged struct {
+		apply, returnTimeout, flowLifetime time.Duration
+		seeds             seedRole
 	}
 )
 
 // The effects of the keeper.
 type (
-	// ask does a call; it ends in ended.
-	ask struct {
+	// startCall does a call; it ends in ended.
+	startCall struct {
 		topic topic
 		call  stoatfeed.Call
 	}
-	// interrupt gives up the waiting call of a topic; it ends in ended.
-	interrupt struct{ topic topic }
-	// seek searches for a parent and listens to it; it ends in parted. Within bounds how old
+	// cancelCall gives up the waiting call of a topic; it ends in ended.
+	cancelCall struct{ topic topic }
+	// findParent searches for a parent and listens to it; it ends in parted. Within bounds how old
 	// the parent's word may be; 0: it does not matter.
-	seek struct {
-		serial int
+	findParent struct {
+		searchID int
 		known  stoatpaddle.Position
-		within time.Duration
+		maxAge time.Duration
 	}
-	// leave ends the listening of a search.
-	leave struct {
-		serial int
+	// leaveParent ends the listening of a search.
+	leaveParent struct {
+		searchID int
 		why    string
 	}
 	// announcement says what others may rely on.
@@ -114,21 +114,21 @@
 		reads bool
 		asOf  time.Time
 	}
-	// changed wakes those who are told: there is something for them.
-	changed struct{}
-	// recall reads which services routes had; it ends in recalled, or in nothing.
-	recall struct{}
-	// remember keeps at the platform which services routes had, as of a version of the configuration.
-	remember struct {
+	// wakeChildren wakes those who are told: there is something for them.
+	wakeChildren struct{}
+	// loadFormer reads which services routes had; it ends in recalled, or in nothing.
+	loadFormer struct{}
+	// saveFormer keeps at the platform which services routes had, as of a version of the configuration.
+	saveFormer struct {
 		version stoatpaddle.Version
 		former  []stoatroute.Former
 	}
-	// touched tells whether the platform answers.
-	touched struct{ answers bool }
-	// publish makes a table the one that traffic reads.
-	publish struct{ table *stoatroute.Table }
-	// logged writes a numbered event.
-	logged struct {
+	// platformStatus tells whether the platform answers.
+	platformStatus struct{ answers bool }
+	// publishTable makes a table the one that traffic reads.
+	publishTable struct{ table *stoatroute.Table }
+	// logEvent writes a numbered event.
+	logEvent struct {
 		entry  *stoatevent.Entry
 		fields []stoatevent.Field
 	}
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -21,192 +21,192 @@
 // platform itself, at once, until another one tells it.
 
 const (
-	// relyShare is how much of the bound a parent's word may be old before the entry reads the
+	// maxParentAgeShare is how much of the bound a parent's word may be old before the entry reads the
 	// platform itself: readers prove what they know every 0.45 to 0.5 of it, and after a watch
 	// that went silent at 0.65; what is left is many times what a question takes.
-	relyShare = 0.72
-	// seekEvery is the pause between two searches for a parent, and half of it at most is
+	maxParentAgeShare = 0.72
+	// searchInterval is the pause between two searches for a parent, and half of it at most is
 	// added at random. An entry that has nothing to serve by does not pause as long.
-	seekEvery = time.Second
-	seekFirst = 300 * time.Millisecond
-	// seekMost bounds the pause of such an entry, which doubles with each search: seeds that are asked by a thousand
+	searchInterval = time.Second
+	minSearchBackoff = 300 * time.Millisecond
+	// maxSearchBackoff bounds the pause of such an entry, which doubles with each search: seeds that are asked by a thousand
 	// entries several times a second have no time left to read what these wait for.
-	seekMost = 2400 * time.Millisecond
-	// seekAgain bounds the random pause of an entry that lost its parent. All its children
+	maxSearchBackoff = 2400 * time.Millisecond
+	// maxLostParentPause bounds the random pause of an entry that lost its parent. All its children
 	// notice in one moment; if they asked each other in that moment, each would be accepted
 	// by one that has no parent either, and they would go round in a loop.
-	seekAgain = 400 * time.Millisecond
+	maxLostParentPause = 400 * time.Millisecond
 )
 
 // follower is what the keeper knows of its parent.
 type follower struct {
-	others  bool   // there are entries to ask
-	allowed bool   // the parent's word is enough: this entry is no seed
-	serial  int    // of the latest search
-	seeking bool   // it goes on, or a parent was found
+	hasOthers  bool   // there are entries to ask
+	mayRely bool   // the parent's word is enough: this entry is no seed
+	searchID  int    // of the latest search
+	searching bool   // it goes on, or a parent was found
 	parent  string // "": nobody tells
 	path    []netip.AddrPort
-	fresh   time.Time     // as of when the parent's word was up to date; zero: never
-	again   time.Time     // when to search next
-	pause   time.Duration // the last one of an entry that has nothing to serve by
+	currentAt   time.Time     // as of when the parent's word was up to date; zero: never
+	nextSearch   time.Time     // when to search next
+	backoff   time.Duration // the last one of an entry that has nothing to serve by
 }
 
-// naming is what the settings say of seeds.
-type naming struct {
-	others bool // they name other entries
-	self   bool // and this one: it reads the platform for others
+// seedRole is what the settings say of seeds.
+type seedRole struct {
+	otherSeeds bool // they name other entries
+	isSeed   bool // and this one: it reads the platform for others
 }
 
-// follows tells whether this entry goes by what others tell.
-func (n naming) follows() bool { return n.others && !n.self }
+// reliesOnOthers tells whether this entry goes by what others tell.
+func (n seedRole) reliesOnOthers() bool { return n.otherSeeds && !n.isSeed }
 
-// rebind takes in which entries the settings name.
-func (k *keeper) rebind(now time.Time, n naming) {
-	k.follow.others, k.follow.allowed = n.others, n.follows()
-	for _, t := range k.topics {
-		k.feeds[t].SetStart(n.follows(), n.self)
+// setSeedRole takes in which entries the settings name.
+func (ctl *controller) setSeedRole(now time.Time, n seedRole) {
+	ctl.follower.hasOthers, ctl.follower.mayRely = n.otherSeeds, n.reliesOnOthers()
+	for _, t := range ctl.topics {
+		ctl.feeds[t].SetStart(n.reliesOnOthers(), n.isSeed)
 	}
-	if !n.follows() && !k.reading {
-		k.read(now, "the settings changed")
+	if !n.reliesOnOthers() && !ctl.reading {
+		ctl.startReading(now, "the settings changed")
 	}
-	if !n.others {
-		k.leave("the settings name nobody")
+	if !n.otherSeeds {
+		ctl.leaveParent("the settings name nobody")
 	}
 }
 
 // wantsParent tells whether to search for one: always, but for a seed, which needs somebody's
 // word only while the platform does not answer.
-func (k *keeper) wantsParent(now time.Time) bool {
-	f := &k.follow
-	if !f.others || f.seeking || now.Before(f.again) {
+func (ctl *controller) wantsParent(now time.Time) bool {
+	f := &ctl.follower
+	if !f.hasOthers || f.searching || now.Before(f.nextSearch) {
 		return false
 	}
-	if f.allowed {
+	if f.mayRely {
 		return true
 	}
-	if !k.ready {
+	if !ctl.ready {
 		// A large list comes in pages; as long as they come, nobody needs to be troubled.
-		return now.Sub(k.heard) > settle
+		return now.Sub(ctl.lastAnswer) > answerWait
 	}
-	failing := k.failing()
-	return !failing.IsZero() && now.Sub(failing) > settle
+	failing := ctl.failing()
+	return !failing.IsZero() && now.Sub(failing) > answerWait
 }
 
-func (k *keeper) seek(now time.Time) {
-	f := &k.follow
-	f.serial++
-	f.seeking = true
-	pause := seekEvery + time.Duration(k.rnd.Int64N(int64(seekEvery/2)))
-	if !k.ready {
-		f.pause = min(seekMost, max(seekFirst, 2*f.pause))
-		pause = f.pause
-		if pause > seekFirst {
-			pause = pause/2 + time.Duration(k.rnd.Int64N(int64(pause)))
+func (ctl *controller) findParent(now time.Time) {
+	f := &ctl.follower
+	f.searchID++
+	f.searching = true
+	pause := searchInterval + time.Duration(ctl.rand.Int64N(int64(searchInterval/2)))
+	if !ctl.ready {
+		f.backoff = min(maxSearchBackoff, max(minSearchBackoff, 2*f.backoff))
+		pause = f.backoff
+		if pause > minSearchBackoff {
+			pause = pause/2 + time.Duration(ctl.rand.Int64N(int64(pause)))
 		}
 	}
-	f.again = now.Add(pause)
-	x := seek{serial: f.serial, known: k.known}
-	if k.ready && k.failing().IsZero() {
+	f.nextSearch = now.Add(pause)
+	x := findParent{searchID: f.searchID, known: ctl.known}
+	if ctl.ready && ctl.failing().IsZero() {
 		// The platform answers here, so that an old word is worth nothing.
-		x.within = stoatfeed.Share(k.bound, relyShare)
+		x.maxAge = stoatfeed.Share(ctl.applyBound, maxParentAgeShare)
 	}
-	k.do(x)
+	ctl.emit(x)
 }
 
-// leave parts from the parent, if there is one.
-func (k *keeper) leave(why string) {
-	f := &k.follow
+// leaveParent parts from the parent, if there is one.
+func (ctl *controller) leaveParent(why string) {
+	f := &ctl.follower
 	if f.parent == "" {
 		return
 	}
-	k.do(leave{serial: f.serial, why: why})
+	ctl.emit(leaveParent{searchID: f.searchID, why: why})
 }
 
-// takeUpdate takes in what the parent says.
-func (k *keeper) takeUpdate(now time.Time, x update) {
-	f := &k.follow
-	if x.serial != f.serial {
+// handleUpdate takes in what the parent says.
+func (ctl *controller) handleUpdate(now time.Time, x parentUpdate) {
+	f := &ctl.follower
+	if x.searchID != f.searchID {
 		return
 	}
 	if f.parent == "" {
-		f.parent = x.from
-		k.book.Follow(now, true)
-		k.log(EventFollows, stoatevent.F("parent", x.from), stoatevent.F("depth", countOf(len(x.path))),
+		f.parent = x.parent
+		ctl.book.Follow(now, true)
+		ctl.log(EventFollows, stoatevent.F("parent", x.parent), stoatevent.F("depth", countText(len(x.path))),
 			stoatevent.F("revision", x.known.String()), stoatevent.F("age", ageText(x.age)))
 	}
 	f.path = x.path
-	if !k.sameHistory(now, &x) {
+	if !ctl.sameHistory(now, &x) {
 		return
 	}
-	if current := k.book.Declaration().Version; !x.delta.Fits(current) {
+	if current := ctl.book.Declaration().Version; !x.delta.Fits(current) {
 		// This entry read a version of its own in between. None of the message counts: had it
 		// been taken for known, the configuration would stay as it is until the next change.
 		// Everything is told anew after a new search.
-		k.leave("its change does not fit version " + current.String())
+		ctl.leaveParent("its change does not fit version " + current.String())
 		return
 	}
-	later := !x.known.Before(k.known)
+	later := !x.known.Before(ctl.known)
 	if later && x.age >= 0 {
-		f.fresh = now.Add(-x.age)
+		f.currentAt = now.Add(-x.age)
 	}
-	k.mirror(now, x, later)
+	ctl.applyUpdate(now, x, later)
 	// The word of one that is out of touch, or that only helps out a seed, says nothing
 	// about what lapsed in an outage: that stays to be found out.
-	enough := later && f.allowed && k.relies(now)
-	for _, t := range k.topics {
+	enough := later && f.mayRely && ctl.parentIsCurrent(now)
+	for _, t := range ctl.topics {
 		if enough {
-			k.feeds[t].Adopt(x.known)
+			ctl.feeds[t].Adopt(x.known)
 		} else {
-			k.feeds[t].Heard(x.known)
+			ctl.feeds[t].Heard(x.known)
 		}
 	}
-	if enough && k.reading {
-		k.rely()
+	if enough && ctl.reading {
+		ctl.stopReading()
 	}
 }
 
 // sameHistory makes sure that the parent's revisions can be compared with this entry's. A parent that has
 // not heard of a restore is left: what it says next would be put aside, and never be said again.
-func (k *keeper) sameHistory(now time.Time, x *update) bool {
-	switch own := k.book.Era(); {
+func (ctl *controller) sameHistory(now time.Time, x *parentUpdate) bool {
+	switch own := ctl.book.Era(); {
 	case x.era == 0:
 		// It is of a release that knows no eras.
 		x.known.Era = own
 	case x.era < own:
-		k.leave("it has not heard of the platform's restore")
+		ctl.leaveParent("it has not heard of the platform's restore")
 		return false
 	case x.era > own:
-		k.restored(now, x.era, x.from)
+		ctl.handleRestore(now, x.era, x.parent)
 	}
 	return true
 }
 
-// mirror makes what the parent believes this entry's own.
-func (k *keeper) mirror(now time.Time, x update, later bool) {
+// applyUpdate makes what the parent believes this entry's own.
+func (ctl *controller) applyUpdate(now time.Time, x parentUpdate, later bool) {
 	if x.whole {
-		k.log(EventNeighbour, stoatevent.F("neighbour", x.from), stoatevent.F("age", ageText(x.age)),
-			stoatevent.F("upstreams", countOf(len(x.upstreams))))
+		ctl.log(EventNeighbour, stoatevent.F("neighbour", x.parent), stoatevent.F("age", ageText(x.age)),
+			stoatevent.F("upstreams", countText(len(x.upstreams))))
 	}
 	if x.delta != nil {
-		k.applyDelta(now, x)
+		ctl.applyDelta(now, x)
 	}
 	for _, ev := range x.evacuations {
-		k.evacuate(ev, x.from)
+		ctl.evacuate(ev, x.parent)
 	}
-	for _, id := range k.book.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Whole: x.whole, Later: later}) {
-		k.newcomer(id, x.from)
+	for _, id := range ctl.book.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Whole: x.whole, Later: later}) {
+		ctl.noteUpdate(id, x.parent)
 	}
 }
 
 // applyDelta adopts the declaration that the parent tells, if it is later than the one in force.
-func (k *keeper) applyDelta(now time.Time, x update) {
-	current := k.book.Declaration()
+func (ctl *controller) applyDelta(now time.Time, x parentUpdate) {
+	current := ctl.book.Declaration()
 	if x.delta.Declaration.Version <= current.Version {
-		k.book.Recall(x.delta.Declaration.Routes)
+		ctl.book.Recall(x.delta.Declaration.Routes)
 		return
 	}
 	d := x.delta.Onto(&current)
-	k.apply(now, declarations, []change{{revision: x.delta.Revision, declaration: &d}}, x.from)
+	ctl.apply(now, declarations, []change{{revision: x.delta.Revision, declaration: &d}}, x.parent)
 }
 
 func ageText(d time.Duration) string {
@@ -216,95 +216,95 @@
 	return d.Round(time.Millisecond).String()
 }
 
-// relies tells whether the parent's word is young enough to go by, also when it has ended:
+// parentIsCurrent tells whether the parent's word is young enough to go by, also when it has ended:
 // until it is old, there is time to find another parent.
-func (k *keeper) relies(now time.Time) bool {
-	return now.Sub(k.follow.fresh) <= stoatfeed.Share(k.bound, relyShare)
+func (ctl *controller) parentIsCurrent(now time.Time) bool {
+	return now.Sub(ctl.follower.currentAt) <= stoatfeed.Share(ctl.applyBound, maxParentAgeShare)
 }
 
-// rely ends reading the platform. The calls under way are given up; what they bring is older
+// stopReading ends reading the platform. The calls under way are given up; what they bring is older
 // than what the parent tells next.
-func (k *keeper) rely() {
-	k.reading, k.parked, k.unwatched = false, [topicCount]bool{}, false
-	for _, t := range k.topics {
-		k.drop(t)
+func (ctl *controller) stopReading() {
+	ctl.reading, ctl.deferred, ctl.unwatched = false, [topicCount]bool{}, false
+	for _, t := range ctl.topics {
+		ctl.discardCall(t)
 	}
 }
 
-// read begins to read the platform, exactly and at once. The first question finds out whether
+// startReading begins to startReading the platform, exactly and at once. The first question finds out whether
 // it answers this entry at all: in an outage each one is paid for by each entry.
-func (k *keeper) read(now time.Time, why string) {
-	k.reading, k.unwatched = true, true
-	k.log(EventReads, stoatevent.F("why", why), stoatevent.F("parent", k.follow.parent))
-	for _, t := range k.topics {
-		k.parked[t] = t != declarations
+func (ctl *controller) startReading(now time.Time, why string) {
+	ctl.reading, ctl.unwatched = true, true
+	ctl.log(EventReads, stoatevent.F("why", why), stoatevent.F("parent", ctl.follower.parent))
+	for _, t := range ctl.topics {
+		ctl.deferred[t] = t != declarations
 		// A replica's word on evacuations has to reach what the exact answer about the configuration says.
 		if t != evacuations {
-			k.feeds[t].Doubt()
+			ctl.feeds[t].Doubt()
 		}
 	}
-	if !k.pending[declarations] {
-		k.ask(now, declarations)
+	if !ctl.pending[declarations] {
+		ctl.startCall(now, declarations)
 	}
 }
 
-// watchParent notices that the parent's word has grown old.
-func (k *keeper) watchParent(now time.Time) {
-	if !k.reading && !k.relies(now) {
-		k.read(now, "the parent's word is old")
+// checkParent notices that the parent's word has grown old.
+func (ctl *controller) checkParent(now time.Time) {
+	if !ctl.reading && !ctl.parentIsCurrent(now) {
+		ctl.startReading(now, "the parent's word is old")
 	}
-	if k.wantsParent(now) {
-		k.seek(now)
+	if ctl.wantsParent(now) {
+		ctl.findParent(now)
 	}
 }
 
-// compareParent parts from a parent whose word is old, once the platform itself has answered.
-func (k *keeper) compareParent(now time.Time) {
-	if k.follow.parent == "" {
+// reviewParent parts from a parent whose word is old, once the platform itself has answered.
+func (ctl *controller) reviewParent(now time.Time) {
+	if ctl.follower.parent == "" {
 		return
 	}
-	if !k.follow.allowed {
-		k.leave("the platform answers")
+	if !ctl.follower.mayRely {
+		ctl.leaveParent("the platform answers")
 		return
 	}
-	if !k.relies(now) {
-		k.leave("its word is old, and the platform answers")
+	if !ctl.parentIsCurrent(now) {
+		ctl.leaveParent("its word is old, and the platform answers")
 	}
 }
 
-// loseParent takes in that a search found nobody, or that the parent tells no more.
-func (k *keeper) loseParent(now time.Time, x parentLost) {
-	f := &k.follow
-	if x.serial != f.serial {
+// handleParentLost takes in that a search found nobody, or that the parent tells no more.
+func (ctl *controller) handleParentLost(now time.Time, x parentLost) {
+	f := &ctl.follower
+	if x.searchID != f.searchID {
 		return
 	}
 	if f.parent != "" {
-		k.log(EventFollowsNobody, stoatevent.F("parent", f.parent), stoatevent.F("cause", x.cause.Error()))
-		f.again = now.Add(time.Duration(k.rnd.Int64N(int64(seekAgain))))
+		ctl.log(EventFollowsNobody, stoatevent.F("parent", f.parent), stoatevent.F("cause", x.cause.Error()))
+		f.nextSearch = now.Add(time.Duration(ctl.rand.Int64N(int64(maxLostParentPause))))
 	} else {
-		k.log(EventSought, stoatevent.F("cause", x.cause.Error()))
+		ctl.log(EventSought, stoatevent.F("cause", x.cause.Error()))
 	}
-	f.seeking, f.parent, f.path = false, "", nil
-	k.book.Follow(now, false)
+	f.searching, f.parent, f.path = false, "", nil
+	ctl.book.Follow(now, false)
 }
 
-// resumed follows a pause of this process, which the steady clock may not have counted: what
+// handleResumed follows a pause of this process, which the steady clock may not have counted: what
 // is believed is older by it.
-func (k *keeper) resumed(now time.Time, gap time.Duration) {
-	if !k.follow.fresh.IsZero() {
-		k.follow.fresh = k.follow.fresh.Add(-gap)
+func (ctl *controller) handleResumed(now time.Time, gap time.Duration) {
+	if !ctl.follower.currentAt.IsZero() {
+		ctl.follower.currentAt = ctl.follower.currentAt.Add(-gap)
 	}
-	if k.reading {
+	if ctl.reading {
 		for _, t := range []topic{declarations, upstreams} {
-			k.doubt(now, t)
+			ctl.verify(now, t)
 		}
 	}
 }
 
 // asOf is when what is believed was last known to be up to date; zero: never.
-func (k *keeper) asOf() time.Time {
-	if own := k.book.Proven(); own.After(k.follow.fresh) {
+func (ctl *controller) asOf() time.Time {
+	if own := ctl.book.Proven(); own.After(ctl.follower.currentAt) {
 		return own
 	}
-	return k.follow.fresh
+	return ctl.follower.currentAt
 }
--- a/stoatedge/keeper.go
+++ b/stoatedge/keeper.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// tickEvery is how often what happens without events is looked at: a tenth of the least
+	// tickInterval is how often what happens without events is looked at: a tenth of the least
 	// time that matters here, the second of a short outage.
-	tickEvery = 100 * time.Millisecond
-	// settle is how long a replica may take to bring what a proof shows to exist, and the
+	tickInterval = 100 * time.Millisecond
+	// answerWait is how long a replica may take to bring what a proof shows to exist, and the
 	// platform to answer at the start, before somebody is asked: many times an answer's 4 ms.
-	settle = 150 * time.Millisecond
-	// parentWait is how long an entry that has just started and has its lists leaves the platform alone
+	answerWait = 150 * time.Millisecond
+	// firstWatchDelay is how long an entry that has just started and has its lists leaves the platform alone
 	// while it looks for a parent: the search takes some tens of milliseconds, and a watch that is given
 	// up then is paid for like any other. Its lists are older by that at most, once in a life.
-	parentWait = time.Second
-	// readyPages is how many pages of a list an entry reads before it has a parent: a deployment of hundreds of
+	firstWatchDelay = time.Second
+	// pagesWithoutParent is how many pages of a list an entry reads before it has a parent: a deployment of hundreds of
 	// upstreams is known some tens of milliseconds after a start, whether anybody is left to ask or not.
-	readyPages = 2
-	// pagesWait is how long it waits for a parent with the rest, and up to three times as long besides, at random.
+	pagesWithoutParent = 2
+	// pageHold is how long it waits for a parent with the rest, and up to three times as long besides, at random.
 	// A thousand entries that list 10,000 upstreams at once fill the platform's link for 24 s, the seeds' answers
 	// among theirs. Those whose wait ends first read all.
-	pagesWait = 2 * time.Second
+	pageHold = 2 * time.Second
 )
 
-// keeper decides what is believed about routes and upstreams. One goroutine uses it.
-type keeper struct {
+// controller decides what is believed about routes and upstreams. One goroutine uses it.
+type controller struct {
 	book   *stoatroute.Book
 	topics []topic // that are followed
 	// evacuations says that they are among these.
@@ -40,52 +40,52 @@
 	feeds       [topicCount]*stoatfeed.Feed
 	reading     bool             // the platform is asked; otherwise the parent tells
 	pending     [topicCount]bool // a call is under way
-	stale       [topicCount]bool // and what it brings is not wanted any more
-	waiting     [topicCount]bool // it is a watch that waits for a change
+	discard       [topicCount]bool // and what it brings is not wanted any more
+	watching     [topicCount]bool // it is a watch that waits for a change
 	// unwatched is set until the first answer about upstreams once this entry reads again: what
 	// ended meanwhile may have lapsed in an outage of which it noticed nothing.
 	unwatched       bool
-	answers         bool                // the platform does, as last said to touched
-	parked          [topicCount]bool    // it is not asked about until the configuration is answered
+	platformAnswers         bool                // the platform does, as last said to touched
+	deferred          [topicCount]bool    // it is not asked about until the configuration is answered
 	behind          [topicCount]bool    // its last answer was older than what is known
-	settled         time.Time           // what ends until then may have lapsed with a restore only
-	refused         stoatpaddle.Version // the last configuration that was read and not taken in
+	restoreGraceEnd         time.Time           // what ends until then may have lapsed with a restore only
+	rejected         stoatpaddle.Version // the last configuration that was read and not taken in
 	upstreamPages   pages[stoatpaddle.UpstreamID]
 	evacuationPages pages[stoatpaddle.DataCentreID]
-	follow          follower
-	bound           time.Duration // how soon a change has to be in force
-	back            time.Duration // how long a registration that lapsed may take to come back
-	open            *proof        // not matched yet
-	rnd             *rand.Rand
+	follower          follower
+	applyBound           time.Duration // how soon a change has to be in force
+	returnTimeout            time.Duration // how long a registration that lapsed may take to come back
+	openProof            *proof        // not matched yet
+	rand             *rand.Rand
 	known           stoatpaddle.Position // everything up to it, of all topics, once ready
-	begun           time.Time            // when the entry started
-	heard           time.Time            // when the platform last answered; at first the start
+	startedAt           time.Time            // when the entry started
+	lastAnswer           time.Time            // when the platform last answered; at first the start
 	ready           bool
 	table           *stoatroute.Table
 	announced       announcement // as last said to others
-	rung            rung
-	listPages       [topicCount]int     // of the list under way, read so far
-	pagesAfter      time.Time           // until when further pages wait for a parent
+	lastWake            rung
+	pagesRead       [topicCount]int     // of the list under way, read so far
+	pagesHeldUntil      time.Time           // until when further pages wait for a parent
 	former          []stoatroute.Former // as the platform kept it when this entry started
 	changes         []standingChange    // of the present step, to be logged
-	out             []any               // effects of the present step
+	effects             []any               // effects of the present step
 }
 
-type keeperConfig struct {
+type controllerConfig struct {
 	Apply time.Duration
 	// Evacuations says that the platform has some to follow.
 	Evacuations bool
 	Return      time.Duration
 	Life        time.Duration
-	Seeds       naming
+	Seeds       seedRole
 	Seed        uint64
 }
 
-func newKeeper(cfg keeperConfig) *keeper {
+func newController(cfg controllerConfig) *controller {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, 1))
-	k := &keeper{
-		bound: cfg.Apply, rnd: rnd, reading: true, topics: []topic{declarations, upstreams},
-		back:        cfg.Return,
+	k := &controller{
+		applyBound: cfg.Apply, rand: rnd, reading: true, topics: []topic{declarations, upstreams},
+		returnTimeout:        cfg.Return,
 		book:        stoatroute.NewBook(stoatroute.Config{Return: cfg.Return, Keep: cfg.Life, Evacuations: cfg.Evacuations}),
 		evacuations: cfg.Evacuations,
 	}
@@ -95,227 +95,227 @@
 	k.feeds[declarations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd})
 	k.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
 	k.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
-	k.rebind(time.Time{}, cfg.Seeds)
+	k.setSeedRole(time.Time{}, cfg.Seeds)
 	return k
 }
 
 // step takes one event in and returns what to do.
-func (k *keeper) step(now time.Time, ev any) []any {
-	k.out = nil
+func (ctl *controller) step(now time.Time, ev any) []any {
+	ctl.effects = nil
 	switch x := ev.(type) {
 	case started:
-		k.begun, k.heard = now, now
-		k.pagesAfter = now.Add(pagesWait + time.Duration(k.rnd.Int64N(int64(3*pagesWait))))
-		for _, t := range k.topics {
-			k.ask(now, t)
+		ctl.startedAt, ctl.lastAnswer = now, now
+		ctl.pagesHeldUntil = now.Add(pageHold + time.Duration(ctl.rand.Int64N(int64(3*pageHold))))
+		for _, t := range ctl.topics {
+			ctl.startCall(now, t)
 		}
-		k.do(recall{})
-		if k.wantsParent(now) {
-			k.seek(now)
+		ctl.emit(loadFormer{})
+		if ctl.wantsParent(now) {
+			ctl.findParent(now)
 		}
-	case recalled:
-		k.former = x.former
-		k.book.RecallFormer(now, k.former)
+	case formerLoaded:
+		ctl.former = x.former
+		ctl.book.RecallFormer(now, ctl.former)
 	case ticked:
-		k.tick(now)
-	case ended:
-		k.ended(now, x)
-	case update:
-		k.takeUpdate(now, x)
+		ctl.tick(now)
+	case callEnded:
+		ctl.handleCallEnd(now, x)
+	case parentUpdate:
+		ctl.handleUpdate(now, x)
 	case parentLost:
-		k.loseParent(now, x)
+		ctl.handleParentLost(now, x)
 	case resumed:
-		k.resumed(now, x.gap)
-	case doubted:
-		k.doubt(now, upstreams)
-	case rebound:
-		k.bound, k.back = x.apply, x.back
-		k.rebind(now, x.seeds)
-		k.book.SetBounds(stoatroute.Config{Return: x.back, Keep: x.life, Evacuations: k.evacuations})
-		for _, t := range k.topics {
-			k.feeds[t].SetBound(x.apply)
+		ctl.handleResumed(now, x.gap)
+	case unknownCookie:
+		ctl.verify(now, upstreams)
+	case settingsChanged:
+		ctl.applyBound, ctl.returnTimeout = x.apply, x.returnTimeout
+		ctl.setSeedRole(now, x.seeds)
+		ctl.book.SetBounds(stoatroute.Config{Return: x.returnTimeout, Keep: x.flowLifetime, Evacuations: ctl.evacuations})
+		for _, t := range ctl.topics {
+			ctl.feeds[t].SetBound(x.apply)
 		}
 	}
-	k.logStandings()
-	k.publish()
-	k.announce()
-	k.ring(now)
-	return k.out
+	ctl.logStandings()
+	ctl.publish()
+	ctl.announce()
+	ctl.ring(now)
+	return ctl.effects
 }
 
-func (k *keeper) do(effect any) { k.out = append(k.out, effect) }
+func (ctl *controller) emit(effect any) { ctl.effects = append(ctl.effects, effect) }
 
-func (k *keeper) log(e *stoatevent.Entry, fields ...stoatevent.Field) {
-	k.do(logged{entry: e, fields: fields})
+func (ctl *controller) log(e *stoatevent.Entry, fields ...stoatevent.Field) {
+	ctl.emit(logEvent{entry: e, fields: fields})
 }
 
-func (k *keeper) ask(now time.Time, t topic) {
-	k.feeds[t].SetRelayed(k.follow.allowed && k.follow.parent != "")
-	c := k.feeds[t].Next()
-	if !c.List && c.Wait > time.Millisecond && k.follow.allowed && k.follow.parent == "" {
-		c.Pause = max(c.Pause, k.begun.Add(parentWait).Sub(now))
+func (ctl *controller) startCall(now time.Time, t topic) {
+	ctl.feeds[t].SetRelayed(ctl.follower.mayRely && ctl.follower.parent != "")
+	c := ctl.feeds[t].Next()
+	if !c.List && c.Wait > time.Millisecond && ctl.follower.mayRely && ctl.follower.parent == "" {
+		c.Pause = max(c.Pause, ctl.startedAt.Add(firstWatchDelay).Sub(now))
 	}
-	if c.List && c.After != "" && k.waitsForParent(t) {
-		c.Pause = max(c.Pause, k.pagesAfter.Sub(now))
+	if c.List && c.After != "" && ctl.waitsForParent(t) {
+		c.Pause = max(c.Pause, ctl.pagesHeldUntil.Sub(now))
 	}
-	k.waiting[t], k.pending[t] = !c.List && c.Wait > time.Millisecond, true
-	k.do(ask{topic: t, call: c})
+	ctl.watching[t], ctl.pending[t] = !c.List && c.Wait > time.Millisecond, true
+	ctl.emit(startCall{topic: t, call: c})
 }
 
 // waitsForParent tells whether the next page of a list can wait for somebody who has it all.
-func (k *keeper) waitsForParent(t topic) bool {
-	return !k.ready && k.follow.allowed && k.listPages[t] >= readyPages
+func (ctl *controller) waitsForParent(t topic) bool {
+	return !ctl.ready && ctl.follower.mayRely && ctl.pagesRead[t] >= pagesWithoutParent
 }
 
-// doubt has a topic asked at once, exactly.
-func (k *keeper) doubt(now time.Time, t topic) {
-	k.feeds[t].Doubt()
-	if !k.reading && !k.pending[t] {
-		k.ask(now, t)
+// verify has a topic asked at once, exactly.
+func (ctl *controller) verify(now time.Time, t topic) {
+	ctl.feeds[t].Doubt()
+	if !ctl.reading && !ctl.pending[t] {
+		ctl.startCall(now, t)
 		return
 	}
-	k.nudge(t)
+	ctl.interruptWatch(t)
 }
 
-func (k *keeper) nudge(t topic) {
-	if k.waiting[t] {
-		k.waiting[t] = false
-		k.do(interrupt{topic: t})
+func (ctl *controller) interruptWatch(t topic) {
+	if ctl.watching[t] {
+		ctl.watching[t] = false
+		ctl.emit(cancelCall{topic: t})
 	}
 }
 
-func (k *keeper) tick(now time.Time) {
-	for _, id := range k.book.Expire(now) {
-		k.standing(id, "did not come back")
+func (ctl *controller) tick(now time.Time) {
+	for _, id := range ctl.book.Expire(now) {
+		ctl.noteStanding(id, "did not come back")
 	}
-	k.expireEvacuations(now)
-	k.press(now)
-	k.watchParent(now)
+	ctl.expireEvacuations(now)
+	ctl.retryProof(now)
+	ctl.checkParent(now)
 }
 
 // failing tells since when one of the feeds got no answer.
-func (k *keeper) failing() time.Time {
-	for _, t := range k.topics {
-		if f := k.feeds[t]; !f.Failing().IsZero() {
+func (ctl *controller) failing() time.Time {
+	for _, t := range ctl.topics {
+		if f := ctl.feeds[t]; !f.Failing().IsZero() {
 			return f.Failing()
 		}
 	}
 	return time.Time{}
 }
 
-func (k *keeper) ended(now time.Time, x ended) {
-	k.waiting[x.topic], k.pending[x.topic] = false, false
-	if k.stale[x.topic] {
-		k.stale[x.topic] = false
-		k.next(now, x.topic)
+func (ctl *controller) handleCallEnd(now time.Time, x callEnded) {
+	ctl.watching[x.topic], ctl.pending[x.topic] = false, false
+	if ctl.discard[x.topic] {
+		ctl.discard[x.topic] = false
+		ctl.callNext(now, x.topic)
 		return
 	}
 	if x.result.Outcome == stoatfeed.Answered {
-		k.heard = now
-		k.countPage(&x)
+		ctl.lastAnswer = now
+		ctl.countPage(&x)
 	}
-	f := k.feeds[x.topic]
+	f := ctl.feeds[x.topic]
 	failing := f.Failing()
 	v := f.Done(now, x.sent, x.call, x.result)
-	if era := f.Era(); era > k.book.Era() {
-		k.restored(now, era, "platform")
+	if era := f.Era(); era > ctl.book.Era() {
+		ctl.handleRestore(now, era, "platform")
 	}
-	k.noteBehind(x, v)
+	ctl.noteBehind(x, v)
 	if v.Lost {
 		cause := "refused by rate"
 		if x.cause != nil {
 			cause = x.cause.Error()
 		}
-		k.log(EventPlatformLost, stoatevent.F("topic", x.topic.String()), stoatevent.F("cause", cause))
+		ctl.log(EventPlatformLost, stoatevent.F("topic", x.topic.String()), stoatevent.F("cause", cause))
 	}
 	if v.Back {
-		k.log(EventPlatformBack, stoatevent.F("topic", x.topic.String()), stoatevent.F("away", now.Sub(failing).String()))
+		ctl.log(EventPlatformBack, stoatevent.F("topic", x.topic.String()), stoatevent.F("away", now.Sub(failing).String()))
 	}
 	if x.result.Outcome == stoatfeed.Failed && x.topic == upstreams {
-		k.book.Hold(now)
+		ctl.book.Hold(now)
 	}
 	if v.Apply {
-		k.apply(now, x.topic, x.changes, "platform")
-		k.complete(now, x, v)
+		ctl.apply(now, x.topic, x.changes, "platform")
+		ctl.compareList(now, x, v)
 		if x.topic == upstreams && (v.Complete || !x.call.List) {
-			k.unwatched = false
+			ctl.unwatched = false
 		}
-		k.prove(now, x, v)
+		ctl.updateProof(now, x, v)
 		if v.Proof {
-			k.compareParent(now)
+			ctl.reviewParent(now)
 		}
 	}
-	k.next(now, x.topic)
+	ctl.callNext(now, x.topic)
 }
 
 // noteBehind says once that answers are older than what is known.
-func (k *keeper) noteBehind(x ended, v stoatfeed.Verdict) {
-	if x.result.Outcome != stoatfeed.Answered || v.Behind == k.behind[x.topic] || x.result.More {
+func (ctl *controller) noteBehind(x callEnded, v stoatfeed.Verdict) {
+	if x.result.Outcome != stoatfeed.Answered || v.Behind == ctl.behind[x.topic] || x.result.More {
 		return
 	}
-	k.behind[x.topic] = v.Behind
+	ctl.behind[x.topic] = v.Behind
 	if v.Behind {
-		k.log(EventBehind, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", k.feeds[x.topic].Position().String()),
+		ctl.log(EventBehind, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", ctl.feeds[x.topic].Position().String()),
 			stoatevent.F("answered", x.result.AsOf.String()),
 			stoatevent.F("list", strconv.FormatBool(x.call.List)), stoatevent.F("exact", strconv.FormatBool(!x.call.Stale)))
 	}
 }
 
-// next asks about a topic again. While the platform answers none, one question at a
+// callNext asks about a topic again. While the platform answers none, one question at a
 // time finds out that it is back: each is paid for.
-func (k *keeper) next(now time.Time, t topic) {
-	if !k.reading {
+func (ctl *controller) callNext(now time.Time, t topic) {
+	if !ctl.reading {
 		return
 	}
-	if t != declarations && (k.parked[t] || k.lost(t) && k.lost(declarations)) {
-		k.parked[t] = true
+	if t != declarations && (ctl.deferred[t] || ctl.outage(t) && ctl.outage(declarations)) {
+		ctl.deferred[t] = true
 		return
 	}
-	k.ask(now, t)
-	if !k.feeds[declarations].Failing().IsZero() {
+	ctl.startCall(now, t)
+	if !ctl.feeds[declarations].Failing().IsZero() {
 		return
 	}
-	for _, t := range k.topics {
-		if !k.parked[t] {
+	for _, t := range ctl.topics {
+		if !ctl.deferred[t] {
 			continue
 		}
-		k.parked[t] = false
-		if !k.pending[t] {
-			k.ask(now, t)
+		ctl.deferred[t] = false
+		if !ctl.pending[t] {
+			ctl.startCall(now, t)
 		}
 	}
 }
 
-func (k *keeper) lost(t topic) bool { return k.feeds[t].Lost() }
+func (ctl *controller) outage(t topic) bool { return ctl.feeds[t].Lost() }
 
-// prove notes until when the view is proven up to date: by an exact answer about the
+// updateProof notes until when the view is proven up to date: by an exact answer about the
 // upstreams, or by replicas' answers that are as new as an exact one.
-func (k *keeper) prove(now time.Time, x ended, v stoatfeed.Verdict) {
+func (ctl *controller) updateProof(now time.Time, x callEnded, v stoatfeed.Verdict) {
 	asOf := x.call.AsOf(x.sent, now, x.result)
 	switch {
 	case x.topic == upstreams && v.Proof:
-		k.book.Prove(asOf)
+		ctl.book.Prove(asOf)
 	case x.topic == declarations && v.Proof:
-		k.challenge(proof{asOf: asOf, pos: x.result.AsOf, at: now})
+		ctl.setProof(proof{asOf: asOf, pos: x.result.AsOf, receivedAt: now})
 	}
-	k.match()
-	if k.open != nil && k.open.hurried && k.feeds[x.topic].Position().Before(k.open.pos) {
+	ctl.matchProof()
+	if ctl.openProof != nil && ctl.openProof.retried && ctl.feeds[x.topic].Position().Before(ctl.openProof.pos) {
 		// The replica is behind what the platform has said already.
-		k.feeds[x.topic].Doubt()
+		ctl.feeds[x.topic].Doubt()
 	}
 }
 
-func (k *keeper) publish() {
-	t := k.book.Table()
-	if t == k.table {
+func (ctl *controller) publish() {
+	t := ctl.book.Table()
+	if t == ctl.table {
 		return
 	}
-	k.table = t
-	k.do(publish{table: t})
-	if t.Ready() && !k.ready {
-		k.ready = true
+	ctl.table = t
+	ctl.emit(publishTable{table: t})
+	if t.Ready() && !ctl.ready {
+		ctl.ready = true
 		_, n := t.Counts()
-		k.log(EventReady, stoatevent.F("version", t.Declaration.Version.String()), stoatevent.F("upstreams", countOf(n[stoatroute.Serving])),
-			stoatevent.F("leaving", countOf(n[stoatroute.Leaving])), stoatevent.F("names", namesOf(t)))
+		ctl.log(EventReady, stoatevent.F("version", t.Declaration.Version.String()), stoatevent.F("upstreams", countText(n[stoatroute.Serving])),
+			stoatevent.F("leaving", countText(n[stoatroute.Leaving])), stoatevent.F("names", namesOf(t)))
 	}
 }
--- a/stoatedge/keeper_test.go
+++ b/stoatedge/keeper_test.go
@@ -18,13 +18,13 @@
 // session drives a keeper: what it asks for stands in calls until it is answered.
 type session struct {
 	t      *testing.T
-	k      *keeper
+	k      *controller
 	now    time.Time
 	calls  [topicCount]*stoatfeed.Call
 	sent   [topicCount]time.Time
 	table  *stoatroute.Table
 	events map[stoatevent.Number]int
-	sought []seek               // searches for a parent
+	sought []findParent               // searches for a parent
 	left   int                  // how often a parent was left
 	knows  stoatpaddle.Position // as said to others
 	era    stoatpaddle.Era      // of the answers to come
@@ -41,42 +41,42 @@
 
 // startSession returns a session of an entry whose settings name others, and not itself.
 func startSession(t *testing.T, others, follows bool) *session {
-	s := newSessionOf(t, keeperConfig{
-		Apply: 3 * time.Second, Return: 2 * time.Second, Life: time.Minute, Seeds: naming{others: others, self: others && !follows}, Seed: 1,
+	s := newSessionOf(t, controllerConfig{
+		Apply: 3 * time.Second, Return: 2 * time.Second, Life: time.Minute, Seeds: seedRole{otherSeeds: others, isSeed: others && !follows}, Seed: 1,
 	})
 	s.step(started{})
 	return s
 }
 
-func newSessionOf(t *testing.T, cfg keeperConfig) *session {
-	return &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, k: newKeeper(cfg)}
+func newSessionOf(t *testing.T, cfg controllerConfig) *session {
+	return &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, k: newController(cfg)}
 }
 
 func (s *session) step(ev any) {
 	for _, effect := range s.k.step(s.now, ev) {
 		switch x := effect.(type) {
-		case ask:
+		case startCall:
 			if s.calls[x.topic] != nil {
 				s.t.Errorf("%s is asked twice at once", x.topic)
 			}
 			s.calls[x.topic], s.sent[x.topic] = &x.call, s.now
-		case interrupt:
+		case cancelCall:
 			if s.calls[x.topic] != nil {
 				s.end(x.topic, stoatfeed.Result{Outcome: stoatfeed.Interrupted})
 			}
-		case publish:
+		case publishTable:
 			s.table = x.table
-		case logged:
+		case logEvent:
 			s.events[x.entry.Number]++
-		case seek:
+		case findParent:
 			s.sought = append(s.sought, x)
-		case leave:
+		case leaveParent:
 			s.left++
-			s.step(parentLost{serial: x.serial, cause: &leftError{why: x.why}})
+			s.step(parentLost{searchID: x.searchID, cause: &leftError{why: x.why}})
 		case announcement:
 			s.knows, s.reads = x.known, x.reads
 			s.woken++
-		case changed:
+		case wakeChildren:
 			s.woken++
 		}
 	}
@@ -89,7 +89,7 @@
 		s.t.Fatalf("%s is not asked", t)
 	}
 	s.calls[t] = nil
-	s.step(ended{topic: t, call: *c, sent: s.sent[t], result: r, changes: changes})
+	s.step(callEnded{topic: t, call: *c, sent: s.sent[t], result: r, changes: changes})
 }
 
 func (s *session) answer(t topic, asOf stoatpaddle.Version, changes ...change) {
@@ -105,7 +105,7 @@
 // pass lets time pass, with ticks.
 func (s *session) pass(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
-		s.now = s.now.Add(tickEvery)
+		s.now = s.now.Add(tickInterval)
 		s.step(ticked{})
 	}
 }
@@ -125,12 +125,12 @@
 }
 
 func ended1(id string, revision stoatpaddle.Version) change {
-	return change{name: id, revision: revision, gone: true}
+	return change{name: id, revision: revision, deleted: true}
 }
 
 // tell has the parent of the latest search say that.
-func (s *session) tell(x update, changes ...change) {
-	x.serial = s.k.follow.serial
+func (s *session) tell(x parentUpdate, changes ...change) {
+	x.searchID = s.k.follower.searchID
 	for i := range changes {
 		c := &changes[i]
 		if c.declaration != nil {
@@ -178,7 +178,7 @@
 	child := stoatrelay.HoldsOf(s.table)
 	c := declared(2, 8)
 	c.declaration.Routes[0].Earlier = []stoatpaddle.ServiceID{"before"}
-	s.tell(update{from: "10.0.0.2:1", whole: true, known: at(10)}, c, registered("i-1", 1, 6))
+	s.tell(parentUpdate{parent: "10.0.0.2:1", whole: true, known: at(10)}, c, registered("i-1", 1, 6))
 	r := s.table.Route(listen)
 	if !r.Had("before") || !r.Had("app") || r.Had("other") {
 		t.Error("the services that the route had are not known")
@@ -193,10 +193,10 @@
 func TestSearchesAtAStartBackOff(t *testing.T) {
 	s := startSession(t, true, true)
 	for range 200 {
-		if n := len(s.sought); n > 0 && s.k.follow.seeking {
-			s.step(parentLost{serial: s.sought[n-1].serial, cause: &leftError{why: "nothing to tell"}})
+		if n := len(s.sought); n > 0 && s.k.follower.searching {
+			s.step(parentLost{searchID: s.sought[n-1].searchID, cause: &leftError{why: "nothing to tell"}})
 		}
-		s.pass(tickEvery)
+		s.pass(tickInterval)
 	}
 	if n := len(s.sought); n < 6 || n > 14 {
 		t.Error(n, "searches in 20 s")
@@ -214,9 +214,9 @@
 		pages   int
 		waits   bool
 	}{
-		"a short list":          {true, readyPages - 1, false},
-		"a long one":            {true, readyPages, true},
-		"a long one, of a seed": {false, readyPages, false},
+		"a short list":          {true, pagesWithoutParent - 1, false},
+		"a long one":            {true, pagesWithoutParent, true},
+		"a long one, of a seed": {false, pagesWithoutParent, false},
 	} {
 		s := startSession(t, true, c.follows)
 		s.answer(declarations, 10, declared(1, 5))
@@ -224,13 +224,13 @@
 			page(s, i)
 		}
 		pause := s.calls[upstreams].Pause
-		if waits := pause >= pagesWait; waits != c.waits || pause > 4*pagesWait {
+		if waits := pause >= pageHold; waits != c.waits || pause > 4*pageHold {
 			t.Error(name, "waits", pause)
 		}
 		if !c.waits {
 			continue
 		}
-		s.tell(update{from: "10.0.0.2:1", whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
+		s.tell(parentUpdate{parent: "10.0.0.2:1", whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
 		if !s.table.Ready() || s.calls[upstreams] != nil && s.calls[upstreams].List {
 			t.Error(name, "is read on though a parent has told all")
 		}
@@ -323,7 +323,7 @@
 func TestDoubt(t *testing.T) {
 	s := running(t)
 	s.pass(time.Second)
-	s.step(doubted{})
+	s.step(unknownCookie{})
 	if c := s.calls[upstreams]; c.Stale || c.Wait > ms {
 		t.Fatalf("%+v", c)
 	}
@@ -343,9 +343,9 @@
 	if len(s.sought) == 0 || s.sought[0].known != at(0) {
 		t.Fatal("nobody is asked:", s.sought)
 	}
-	s.step(parentLost{serial: 1, cause: &stoatpaddle.UnavailableError{Op: "x"}})
+	s.step(parentLost{searchID: 1, cause: &stoatpaddle.UnavailableError{Op: "x"}})
 	s.pass(400 * ms)
-	s.tell(update{from: "10.0.0.2:1", age: -1, whole: true, known: at(6)}, declared(3, 5), registered("i-1", 1, 6))
+	s.tell(parentUpdate{parent: "10.0.0.2:1", age: -1, whole: true, known: at(6)}, declared(3, 5), registered("i-1", 1, 6))
 	if !s.table.Ready() || s.table.Declaration.Version != 3 || !s.table.Proven.IsZero() {
 		t.Error(s.table.Ready(), s.table.Declaration.Version, s.table.Proven)
 	}
@@ -377,7 +377,7 @@
 func TestSearchSaysWhatIsKnown(t *testing.T) {
 	s := startSession(t, true, false)
 	s.pass(300 * ms)
-	s.tell(update{from: "10.0.0.2:1", age: -1, whole: true, known: at(42)}, declared(3, 5), registered("i-1", 1, 6))
+	s.tell(parentUpdate{parent: "10.0.0.2:1", age: -1, whole: true, known: at(42)}, declared(3, 5), registered("i-1", 1, 6))
 	if s.knows != at(42) {
 		t.Error(s.knows)
 	}
@@ -385,11 +385,11 @@
 	if s.knows != at(42) {
 		t.Error("one topic alone is not everything:", s.knows)
 	}
-	s.step(parentLost{serial: s.k.follow.serial, cause: &silentError{}})
+	s.step(parentLost{searchID: s.k.follower.searchID, cause: &silentError{}})
 	s.fail(declarations)
 	s.fail(upstreams)
 	s.pass(2 * time.Second)
-	if last := s.sought[len(s.sought)-1]; last.known != at(42) || last.within != 0 {
+	if last := s.sought[len(s.sought)-1]; last.known != at(42) || last.maxAge != 0 {
 		t.Errorf("%+v", last)
 	}
 }
@@ -400,8 +400,8 @@
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	gone := registered("i-2", 2, 7)
-	s.tell(update{from: "10.0.0.2:1", whole: true, known: at(9)}, declared(0, 1), registered("i-1", 1, 1), gone)
-	s.step(update{serial: s.k.follow.serial, known: at(9), upstreams: []stoatroute.RemoteUpstream{{Registration: *gone.registration, Revision: 7, Standing: stoatroute.Gone}}})
+	s.tell(parentUpdate{parent: "10.0.0.2:1", whole: true, known: at(9)}, declared(0, 1), registered("i-1", 1, 1), gone)
+	s.step(parentUpdate{searchID: s.k.follower.searchID, known: at(9), upstreams: []stoatroute.RemoteUpstream{{Registration: *gone.registration, Revision: 7, Standing: stoatroute.Gone}}})
 	if s.table.Declaration.Version != 1 || len(s.table.Service("app")) != 2 {
 		t.Error(s.table.Declaration.Version, len(s.table.Service("app")))
 	}
@@ -419,7 +419,7 @@
 // Changed bounds are in force for the next call.
 func TestRebound(t *testing.T) {
 	s := running(t)
-	s.step(rebound{apply: time.Second, back: time.Second, life: time.Minute})
+	s.step(settingsChanged{apply: time.Second, returnTimeout: time.Second, flowLifetime: time.Minute})
 	s.answer(declarations, 10)
 	if w := s.calls[declarations].Wait; w != 650*ms {
 		t.Error(w)
--- a/stoatedge/lists.go
+++ b/stoatedge/lists.go
@@ -10,86 +10,86 @@
 // pages are what the pages of the list under way hold.
 type pages[ID ~string] struct {
 	names    map[ID]bool
-	nameless bool // an object in them has a name that cannot be read
+	unnamed bool // an object in them has a name that cannot be read
 }
 
 // add takes in a page.
-func (p *pages[ID]) add(x ended) {
+func (p *pages[ID]) add(x callEnded) {
 	if x.call.After == "" || p.names == nil {
 		*p = pages[ID]{names: map[ID]bool{}}
 	}
 	for _, c := range x.changes {
 		p.names[ID(c.name)] = true
-		p.nameless = p.nameless || c.name == ""
+		p.unnamed = p.unnamed || c.name == ""
 	}
 }
 
 // countPage counts the pages of the list under way.
-func (k *keeper) countPage(x *ended) {
+func (ctl *controller) countPage(x *callEnded) {
 	switch {
 	case !x.call.List || !x.result.More:
-		k.listPages[x.topic] = 0
+		ctl.pagesRead[x.topic] = 0
 	case x.call.After == "":
-		k.listPages[x.topic] = 1
+		ctl.pagesRead[x.topic] = 1
 	default:
-		k.listPages[x.topic]++
+		ctl.pagesRead[x.topic]++
 	}
 }
 
-// complete compares a finished list with what was known.
-func (k *keeper) complete(now time.Time, x ended, v stoatfeed.Verdict) {
+// compareList compares a finished list with what was known.
+func (ctl *controller) compareList(now time.Time, x callEnded, v stoatfeed.Verdict) {
 	if !x.call.List {
 		return
 	}
 	switch x.topic {
 	case upstreams:
-		k.upstreamPages.add(x)
+		ctl.upstreamPages.add(x)
 		if v.Complete {
-			k.listedUpstreams(now, v)
+			ctl.finishUpstreamList(now, v)
 		}
 	case evacuations:
-		k.evacuationPages.add(x)
+		ctl.evacuationPages.add(x)
 		if v.Complete {
-			k.listedEvacuations(now)
+			ctl.finishEvacuationList(now)
 		}
 	}
 }
 
-func (k *keeper) listedUpstreams(now time.Time, v stoatfeed.Verdict) {
-	p := k.upstreamPages
-	k.upstreamPages = pages[stoatpaddle.UpstreamID]{}
+func (ctl *controller) finishUpstreamList(now time.Time, v stoatfeed.Verdict) {
+	p := ctl.upstreamPages
+	ctl.upstreamPages = pages[stoatpaddle.UpstreamID]{}
 	// What the list lacks may be the object without a name: it is given time to come back.
-	for _, id := range k.book.Listed(now, p.names, v.Away || k.unwatched || p.nameless) {
-		k.standing(id, "not in the list")
+	for _, id := range ctl.book.Listed(now, p.names, v.Away || ctl.unwatched || p.unnamed) {
+		ctl.noteStanding(id, "not in the list")
 	}
 }
 
-func (k *keeper) listedEvacuations(now time.Time) {
-	p := k.evacuationPages
-	k.evacuationPages = pages[stoatpaddle.DataCentreID]{}
-	if p.nameless {
+func (ctl *controller) finishEvacuationList(now time.Time) {
+	p := ctl.evacuationPages
+	ctl.evacuationPages = pages[stoatpaddle.DataCentreID]{}
+	if p.unnamed {
 		// What the list seems to lack may be the object without a name: nothing is withdrawn for it.
-		for _, ev := range k.book.Table().EvacuationsSince(0) {
+		for _, ev := range ctl.book.Table().EvacuationsSince(0) {
 			p.names[ev.DataCentre] = true
 		}
 	}
 	// The list is as of the revision of its first page, which the feed knows now.
-	asOf := k.feeds[evacuations].Position().Revision
-	k.lifted(k.book.EvacuationsListed(now, p.names, asOf), asOf, "not in the list")
+	asOf := ctl.feeds[evacuations].Position().Revision
+	ctl.logWithdrawn(ctl.book.EvacuationsListed(now, p.names, asOf), asOf, "not in the list")
 }
 
 // expireEvacuations ends those that were not written again after a restore.
-func (k *keeper) expireEvacuations(now time.Time) {
-	if !k.failing().IsZero() {
-		k.book.HoldEvacuations(now)
+func (ctl *controller) expireEvacuations(now time.Time) {
+	if !ctl.failing().IsZero() {
+		ctl.book.HoldEvacuations(now)
 		return
 	}
-	asOf := k.feeds[evacuations].Position().Revision
-	k.lifted(k.book.ExpireEvacuations(now, asOf), asOf, "not written again after a restore")
+	asOf := ctl.feeds[evacuations].Position().Revision
+	ctl.logWithdrawn(ctl.book.ExpireEvacuations(now, asOf), asOf, "not written again after a restore")
 }
 
-func (k *keeper) lifted(list []stoatpaddle.DataCentreID, asOf stoatpaddle.Version, why string) {
+func (ctl *controller) logWithdrawn(list []stoatpaddle.DataCentreID, asOf stoatpaddle.Version, why string) {
 	for _, d := range list {
-		k.logEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: asOf, Withdrawn: true}, why)
+		ctl.logEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: asOf, Withdrawn: true}, why)
 	}
 }
--- a/stoatedge/metrics.go
+++ b/stoatedge/metrics.go
@@ -20,14 +20,14 @@
 // counters counts what the goroutines do.
 type counters struct {
 	malformed [stoatpacket.DropCount]atomic.Int64
-	doubted   time.Time // used by the traffic goroutine only
+	cookieReported   time.Time // used by the traffic goroutine only
 	set       *metrics.Set
 	stats     atomic.Pointer[stoatecho.Stats] // as the present reading found them
 	answer    *metrics.Histogram              // from a request to its caller's acknowledgement of the answer
 }
 
 // called counts one call to the platform.
-func (c *counters) called(x ask, r stoatfeed.Result, took time.Duration) {
+func (c *counters) called(x startCall, r stoatfeed.Result, took time.Duration) {
 	kind := "watch"
 	switch {
 	case x.call.List:
--- a/stoatedge/pause.go
+++ b/stoatedge/pause.go
@@ -29,7 +29,7 @@
 
 // starvedFor is how long after a tick the next one counts as late: twice the time between two,
 // which is a share of a core that was used up, or a machine that is busy.
-const starvedFor = 2 * tickEvery
+const starvedFor = 2 * tickInterval
 
 // starved tells whether the process lately did not run for a while: packets may have waited
 // though the socket was empty when it last looked.
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -14,44 +14,44 @@
 type proof struct {
 	asOf time.Time
 	pos  stoatpaddle.Position
-	at   time.Time // when it came
-	// hurried is set once the replicas that are behind were asked for it.
-	hurried bool
+	receivedAt   time.Time // when it came
+	// retried is set once the replicas that are behind were asked for it.
+	retried bool
 }
 
-// challenge notes a proof that this entry's view has to match, unless it has one already
+// setProof notes a proof that this entry's view has to match, unless it has one already
 // that is not matched: the older one would never be.
-func (k *keeper) challenge(p proof) {
-	if k.open == nil || !k.open.hurried {
-		k.open = &p
+func (ctl *controller) setProof(p proof) {
+	if ctl.openProof == nil || !ctl.openProof.retried {
+		ctl.openProof = &p
 	}
-	k.match()
+	ctl.matchProof()
 }
 
-// match tells whether everything up to the open proof's position is known here.
-func (k *keeper) match() {
-	if k.open == nil {
+// matchProof tells whether everything up to the open proof's position is known here.
+func (ctl *controller) matchProof() {
+	if ctl.openProof == nil {
 		return
 	}
-	for _, t := range k.topics {
-		if k.feeds[t].Position().Before(k.open.pos) {
+	for _, t := range ctl.topics {
+		if ctl.feeds[t].Position().Before(ctl.openProof.pos) {
 			return
 		}
 	}
-	k.book.Prove(k.open.asOf)
-	k.open = nil
+	ctl.book.Prove(ctl.openProof.asOf)
+	ctl.openProof = nil
 }
 
-// press asks replicas that are behind the open proof: first once more, then around them.
-func (k *keeper) press(now time.Time) {
-	if k.open == nil || k.open.hurried || now.Sub(k.open.at) <= settle {
+// retryProof asks replicas that are behind the open proof: first once more, then around them.
+func (ctl *controller) retryProof(now time.Time) {
+	if ctl.openProof == nil || ctl.openProof.retried || now.Sub(ctl.openProof.receivedAt) <= answerWait {
 		return
 	}
-	k.open.hurried = true
-	for _, t := range k.topics {
-		if f := k.feeds[t]; f.Position().Before(k.open.pos) {
+	ctl.openProof.retried = true
+	for _, t := range ctl.topics {
+		if f := ctl.feeds[t]; f.Position().Before(ctl.openProof.pos) {
 			f.Hurry()
-			k.nudge(t)
+			ctl.interruptWatch(t)
 		}
 	}
 }
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -16,7 +16,7 @@
 // following returns a session that serves by what a parent tells, as of revision 10.
 func following(t *testing.T) *session {
 	s := startSession(t, true, true)
-	s.tell(update{from: "parent", age: 500 * ms, whole: true, known: at(10)},
+	s.tell(parentUpdate{parent: "parent", age: 500 * ms, whole: true, known: at(10)},
 		declared(1, 5), registered("i-1", 1, 6), registered("i-2", 2, 7))
 	for topic := range topicCount {
 		if s.calls[topic] != nil {
@@ -42,7 +42,7 @@
 	s := following(t)
 	for range 10 {
 		s.pass(1300 * ms)
-		s.tell(update{from: "parent", age: 100 * ms, known: at(10)})
+		s.tell(parentUpdate{parent: "parent", age: 100 * ms, known: at(10)})
 	}
 	s.quiet("a quiet time")
 	if got := s.k.asOf(); !got.Equal(s.now.Add(-100 * ms)) {
@@ -61,7 +61,7 @@
 // itself, exactly and at once, both topics in turn, with a quarter of the bound left.
 func TestOldWordIsFoundOut(t *testing.T) {
 	s := following(t)
-	s.tell(update{from: "parent", age: 0, known: at(10)})
+	s.tell(parentUpdate{parent: "parent", age: 0, known: at(10)})
 	began := s.now
 	for s.calls[declarations] == nil && s.now.Sub(began) < 3*time.Second {
 		s.pass(100 * ms)
@@ -92,13 +92,13 @@
 // asked; found in time, the platform never hears of it.
 func TestParentEnds(t *testing.T) {
 	s := following(t)
-	s.step(parentLost{serial: 1, cause: &stoatpaddle.UnavailableError{Op: "news"}})
+	s.step(parentLost{searchID: 1, cause: &stoatpaddle.UnavailableError{Op: "news"}})
 	s.pass(500 * ms)
 	s.quiet("just after the parent's end")
 	if len(s.sought) != 2 || s.sought[1].known != at(10) {
 		t.Fatal("no search, or not for what is new:", s.sought)
 	}
-	s.tell(update{from: "other", age: 50 * ms, whole: true, known: at(11)}, registered("i-1", 1, 6), registered("i-2", 2, 7))
+	s.tell(parentUpdate{parent: "other", age: 50 * ms, whole: true, known: at(11)}, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	s.pass(time.Second)
 	s.quiet("told by another one")
 	if s.events[EventFollowsNobody.Number] != 1 || s.events[EventFollows.Number] != 2 {
@@ -110,10 +110,10 @@
 // on to search.
 func TestNobodyTells(t *testing.T) {
 	s := following(t)
-	s.step(parentLost{serial: 1, cause: &silentError{}})
+	s.step(parentLost{searchID: 1, cause: &silentError{}})
 	for range 5 {
 		s.pass(time.Second)
-		s.step(parentLost{serial: s.k.follow.serial, cause: &refusedError{}})
+		s.step(parentLost{searchID: s.k.follower.searchID, cause: &refusedError{}})
 	}
 	if s.calls[declarations] == nil || s.events[EventReads.Number] != 1 {
 		t.Fatal(s.calls, s.events)
@@ -134,9 +134,9 @@
 // What the parent said before it was left comes late, and is not taken in.
 func TestLateWordOfAFormerParent(t *testing.T) {
 	s := following(t)
-	s.step(parentLost{serial: 1, cause: &silentError{}})
+	s.step(parentLost{searchID: 1, cause: &silentError{}})
 	s.pass(500 * ms)
-	s.step(update{serial: 1, from: "parent", known: at(20), delta: &stoatrelay.Delta{Revision: 15, Declaration: *declared(2, 15).declaration}})
+	s.step(parentUpdate{searchID: 1, parent: "parent", known: at(20), delta: &stoatrelay.Delta{Revision: 15, Declaration: *declared(2, 15).declaration}})
 	if s.table.Declaration.Version != 1 {
 		t.Error("taken in")
 	}
@@ -149,7 +149,7 @@
 	s := startSession(t, true, true)
 	s.answer(declarations, 20, declared(1, 5))
 	s.answer(upstreams, 20, registered("i-1", 1, 6))
-	s.tell(update{from: "parent", known: at(19), whole: true}, registered("i-1", 1, 6), registered("i-2", 2, 25))
+	s.tell(parentUpdate{parent: "parent", known: at(19), whole: true}, registered("i-1", 1, 6), registered("i-2", 2, 25))
 	if len(s.table.Service("app")) != 2 {
 		t.Error("lost")
 	}
@@ -164,7 +164,7 @@
 func TestDifferenceThatDoesNotFit(t *testing.T) {
 	s := following(t)
 	d := declared(4, 30)
-	s.step(update{serial: 1, from: "parent", known: at(30), delta: &stoatrelay.Delta{Revision: 30, Base: 2, Declaration: *d.declaration}})
+	s.step(parentUpdate{searchID: 1, parent: "parent", known: at(30), delta: &stoatrelay.Delta{Revision: 30, Base: 2, Declaration: *d.declaration}})
 	if s.table.Declaration.Version != 1 || s.left != 1 {
 		t.Error(s.table.Declaration.Version, s.left)
 	}
@@ -181,7 +181,7 @@
 		t.Errorf("not read: %+v", c)
 	}
 	s = following(t)
-	s.step(update{serial: 1, from: "parent", known: at(30), delta: &stoatrelay.Delta{Revision: 30, Base: 1, Declaration: *d.declaration}})
+	s.step(parentUpdate{searchID: 1, parent: "parent", known: at(30), delta: &stoatrelay.Delta{Revision: 30, Base: 1, Declaration: *d.declaration}})
 	if s.table.Declaration.Version != 4 || s.left != 0 {
 		t.Error(s.table.Declaration.Version, s.left)
 	}
@@ -206,7 +206,7 @@
 	if c := s.calls[upstreams]; c == nil || !c.List {
 		t.Fatalf("no list after the outage: %+v", c)
 	}
-	s.tell(update{from: "seed", age: 6 * time.Second, known: at(30)}, registered("i-2", 2, 7))
+	s.tell(parentUpdate{parent: "seed", age: 6 * time.Second, known: at(30)}, registered("i-2", 2, 7))
 	s.answer(upstreams, 30, registered("i-2", 2, 7))
 	if u, _ := s.k.book.Registered("i-1"); u.Standing != stoatroute.Missing {
 		t.Error(u.Standing)
@@ -257,7 +257,7 @@
 	asked := 0
 	for age := 500 * ms; age < 30*time.Second; age += 500 * ms {
 		s.pass(500 * ms)
-		s.tell(update{from: "parent", age: age, known: at(10)})
+		s.tell(parentUpdate{parent: "parent", age: age, known: at(10)})
 		for topic := range topicCount {
 			if c := s.calls[topic]; c != nil && c.Pause < 2*time.Second {
 				s.fail(topic)
@@ -272,7 +272,7 @@
 	if asked < 6 || asked > 18 {
 		t.Error("asked", asked, "times in 30 s")
 	}
-	s.tell(update{from: "parent", age: 50 * ms, known: at(12)})
+	s.tell(parentUpdate{parent: "parent", age: 50 * ms, known: at(12)})
 	s.quiet("the parent's word is young again")
 }
 
@@ -292,10 +292,10 @@
 		}
 		s.pass(500 * ms)
 	}
-	if len(s.sought) == 0 || s.sought[0].within != 0 {
+	if len(s.sought) == 0 || s.sought[0].maxAge != 0 {
 		t.Fatal(s.sought)
 	}
-	s.tell(update{from: "seed", age: 50 * ms, known: at(15), whole: true}, declared(2, 12), registered("i-1", 1, 6))
+	s.tell(parentUpdate{parent: "seed", age: 50 * ms, known: at(15), whole: true}, declared(2, 12), registered("i-1", 1, 6))
 	if s.table.Declaration.Version != 2 || s.calls[declarations] == nil {
 		t.Error(s.table.Declaration.Version, s.calls)
 	}
@@ -310,10 +310,10 @@
 // of three: it proves as often.
 func TestLoneSeedProvesForOthers(t *testing.T) {
 	set := stoatsetting.Settings{Admin: above, Seeds: []netip.AddrPort{above}}
-	if got := namedSeeds(set); got != (naming{self: true}) || got.follows() {
+	if got := seedRoleOf(set); got != (seedRole{isSeed: true}) || got.reliesOnOthers() {
 		t.Error(got)
 	}
-	k := newKeeper(keeperConfig{Apply: 3 * time.Second, Seeds: namedSeeds(set), Seed: 1})
+	k := newController(controllerConfig{Apply: 3 * time.Second, Seeds: seedRoleOf(set), Seed: 1})
 	s := &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, k: k}
 	s.step(started{})
 	s.answer(declarations, 10, declared(1, 5))
@@ -321,10 +321,10 @@
 		t.Error("others wait for", c.Wait)
 	}
 	set.Admin = belowA
-	if got := namedSeeds(set); !got.follows() {
+	if got := seedRoleOf(set); !got.reliesOnOthers() {
 		t.Error(got)
 	}
-	if got := namedSeeds(stoatsetting.Settings{Admin: above}); got != (naming{}) {
+	if got := seedRoleOf(stoatsetting.Settings{Admin: above}); got != (seedRole{}) {
 		t.Error(got)
 	}
 }
@@ -332,11 +332,11 @@
 // The settings change and name nobody any more: the entry reads the platform by itself.
 func TestSeedsTakenAway(t *testing.T) {
 	s := following(t)
-	s.step(rebound{apply: 3 * time.Second, back: 2 * time.Second, life: time.Minute})
+	s.step(settingsChanged{apply: 3 * time.Second, returnTimeout: 2 * time.Second, flowLifetime: time.Minute})
 	if c := s.calls[declarations]; c == nil || c.Stale {
 		t.Errorf("%+v", c)
 	}
-	s.tell(update{from: "parent", known: at(10)})
+	s.tell(parentUpdate{parent: "parent", known: at(10)})
 	if s.calls[declarations] == nil || s.left == 0 {
 		t.Error("a late word is relied on")
 	}
@@ -357,7 +357,7 @@
 // answers proves, and afterwards nothing is asked again.
 func TestDoubtOfAFollower(t *testing.T) {
 	s := following(t)
-	s.step(doubted{})
+	s.step(unknownCookie{})
 	c := s.calls[upstreams]
 	if c == nil || c.Stale || c.Wait > ms || s.calls[declarations] != nil {
 		t.Fatalf("%+v", c)
@@ -375,8 +375,8 @@
 	s := startSession(t, true, true)
 	list := *s.calls[upstreams]
 	sent := s.now
-	s.tell(update{from: "parent", whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
-	s.step(ended{topic: upstreams, call: list, sent: sent, result: stoatfeed.Result{AsOf: at(8)}})
+	s.tell(parentUpdate{parent: "parent", whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
+	s.step(callEnded{topic: upstreams, call: list, sent: sent, result: stoatfeed.Result{AsOf: at(8)}})
 	s.quiet("after a late answer")
 	if len(s.table.Service("app")) != 1 {
 		t.Error("the late list took the upstream out")
--- a/stoatedge/reload.go
+++ b/stoatedge/reload.go
@@ -27,7 +27,7 @@
 	e.engineMu.Lock()
 	e.engine.SetRegions(next.Regions)
 	e.engineMu.Unlock()
-	e.post(rebound{apply: next.Bound(), back: next.Return, life: next.Life, seeds: namedSeeds(next)})
+	e.post(settingsChanged{apply: next.Bound(), returnTimeout: next.Return, flowLifetime: next.Life, seeds: seedRoleOf(next)})
 	e.log.emit(now, EventReload, stoatevent.F("applied", strings.Join(applied, ",")), stoatevent.F("kept", strings.Join(kept, ",")))
 }
 
--- a/stoatedge/restored.go
+++ b/stoatedge/restored.go
@@ -7,28 +7,28 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatevent"
 )
 
-// restored takes in that the platform came back from an older copy of itself, as its answer or the parent
+// handleRestore takes in that the platform came back from an older copy of itself, as its answer or the parent
 // said. Every topic is listed anew; calls under way were asked by revisions of before.
-func (k *keeper) restored(now time.Time, era stoatpaddle.Era, source string) {
-	before := k.book.Era()
-	k.book.Restore(now, era)
-	for _, t := range k.topics {
-		if k.feeds[t].Restored(era) {
-			k.drop(t)
+func (ctl *controller) handleRestore(now time.Time, era stoatpaddle.Era, source string) {
+	before := ctl.book.Era()
+	ctl.book.Restore(now, era)
+	for _, t := range ctl.topics {
+		if ctl.feeds[t].Restored(era) {
+			ctl.discardCall(t)
 		}
 	}
 	if before == 0 {
 		return
 	}
-	k.open, k.settled = nil, now.Add(k.back)
-	k.log(EventRestored, stoatevent.F("era", era.String()), stoatevent.F("before", before.String()), stoatevent.F("known", k.known.String()),
-		stoatevent.F("version", k.book.Declaration().Version.String()), stoatevent.F("source", source))
+	ctl.openProof, ctl.restoreGraceEnd = nil, now.Add(ctl.returnTimeout)
+	ctl.log(EventRestored, stoatevent.F("era", era.String()), stoatevent.F("before", before.String()), stoatevent.F("known", ctl.known.String()),
+		stoatevent.F("version", ctl.book.Declaration().Version.String()), stoatevent.F("source", source))
 }
 
-// drop gives up the call of a topic that is under way, and what it may still bring.
-func (k *keeper) drop(t topic) {
-	if k.pending[t] {
-		k.stale[t] = true
-		k.do(interrupt{topic: t})
+// discardCall gives up the call of a topic that is under way, and what it may still bring.
+func (ctl *controller) discardCall(t topic) {
+	if ctl.pending[t] {
+		ctl.discard[t] = true
+		ctl.emit(cancelCall{topic: t})
 	}
 }
--- a/stoatedge/restored_test.go
+++ b/stoatedge/restored_test.go
@@ -57,7 +57,7 @@
 	before := s.table.Proven
 	s.era = 2
 	for range 3 {
-		s.step(doubted{})
+		s.step(unknownCookie{})
 		s.answer(upstreams, 24, registered("i-1", 1, 6), registered("i-2", 2, 7))
 		s.pass(300 * ms)
 	}
@@ -65,7 +65,7 @@
 		t.Error("a restored platform's answer counts as complete after", s.table.Proven.Sub(before))
 	}
 	s.pass(2 * time.Second)
-	s.step(doubted{})
+	s.step(unknownCookie{})
 	s.answer(upstreams, 24)
 	if s.table.Proven.Equal(before) {
 		t.Error("nothing that is missing can ever be told from what has ended")
@@ -105,19 +105,19 @@
 	in := func(era stoatpaddle.Era, rev stoatpaddle.Version) stoatpaddle.Position {
 		return stoatpaddle.Position{Era: era, Revision: rev}
 	}
-	s.tell(update{from: "parent", age: 100 * ms, whole: true, known: in(1, 30), era: 1}, declared(21, 26), registered("i-1", 1, 6), registered("i-2", 2, 28))
-	s.tell(update{from: "parent", age: 300 * ms, known: in(1, 30), era: 2})
+	s.tell(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: in(1, 30), era: 1}, declared(21, 26), registered("i-1", 1, 6), registered("i-2", 2, 28))
+	s.tell(parentUpdate{parent: "parent", age: 300 * ms, known: in(1, 30), era: 2})
 	s.quiet("the parent lists for others")
 	if s.events[EventRestored.Number] != 1 || s.left != 0 || s.knows != in(1, 30) || len(s.table.Service("app")) != 2 {
 		t.Fatal(s.events, s.left, s.knows)
 	}
 	d := declared(24, 25)
-	s.tell(update{from: "parent", age: 100 * ms, known: in(2, 25), era: 2, delta: &stoatrelay.Delta{Revision: 25, Base: 21, Declaration: *d.declaration}})
+	s.tell(parentUpdate{parent: "parent", age: 100 * ms, known: in(2, 25), era: 2, delta: &stoatrelay.Delta{Revision: 25, Base: 21, Declaration: *d.declaration}})
 	if s.table.Declaration.Version != 24 || s.knows != in(2, 25) || s.left != 0 {
 		t.Error(s.table.Declaration.Version, s.knows, s.left)
 	}
 	gone := stoatroute.RemoteUpstream{Registration: *registered("i-2", 2, 28).registration, Revision: 40, Standing: stoatroute.Gone}
-	s.tell(update{from: "parent", age: 100 * ms, known: in(1, 41), era: 1, upstreams: []stoatroute.RemoteUpstream{gone}})
+	s.tell(parentUpdate{parent: "parent", age: 100 * ms, known: in(1, 41), era: 1, upstreams: []stoatroute.RemoteUpstream{gone}})
 	if s.left != 1 || len(s.table.Service("app")) != 2 {
 		t.Error("a parent of an earlier era is believed:", s.left, len(s.table.Service("app")))
 	}
@@ -127,8 +127,8 @@
 // replaced in turn, and those that are new must not leave it for that.
 func TestParentThatSaysNoEra(t *testing.T) {
 	s := startSession(t, true, true)
-	s.tell(update{from: "parent", age: 100 * ms, whole: true, known: at(30)}, declared(21, 26), registered("i-1", 1, 6))
-	s.tell(update{from: "parent", age: 100 * ms, known: at(31)}, registered("i-2", 2, 31))
+	s.tell(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: at(30)}, declared(21, 26), registered("i-1", 1, 6))
+	s.tell(parentUpdate{parent: "parent", age: 100 * ms, known: at(31)}, registered("i-2", 2, 31))
 	if s.left != 0 || s.events[EventRestored.Number] != 0 || len(s.table.Service("app")) != 2 || s.knows != at(31) {
 		t.Error(s.left, s.events, s.knows)
 	}
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -37,48 +37,48 @@
 // do performs one effect; what waits for others runs in the group.
 func (e *Edge) do(effect any) {
 	switch x := effect.(type) {
-	case ask:
+	case startCall:
 		ctx := e.cancels[x.topic].begin(e.ctx)
 		e.group.Go(func() error {
 			e.call(ctx, x)
 			return nil
 		})
-	case interrupt:
+	case cancelCall:
 		e.cancels[x.topic].interrupt()
-	case seek:
+	case findParent:
 		ctx, cancel := context.WithCancelCause(e.ctx)
-		e.place.parent.set(x.serial, cancel)
+		e.place.parent.set(x.searchID, cancel)
 		e.group.Go(func() error {
 			defer cancel(nil)
-			e.seek(ctx, x)
+			e.followParent(ctx, x)
 			return nil
 		})
-	case leave:
+	case leaveParent:
 		e.place.parent.leave(x)
-	case recall:
+	case loadFormer:
 		e.group.Go(func() error {
-			e.recallFormer()
+			e.loadFormer()
 			return nil
 		})
-	case remember:
+	case saveFormer:
 		e.group.Go(func() error {
-			e.rememberFormer(x)
+			e.saveFormer(x)
 			return nil
 		})
 	case announcement:
 		e.place.announced.Store(&x)
 		e.place.bell.ring()
-	case changed:
+	case wakeChildren:
 		e.place.bell.ring()
-	case publish:
+	case publishTable:
 		e.table.Store(x.table)
 		if x.table.Ready() {
 			e.release(clock())
 			e.placed.Do(func() { close(e.placing) })
 		}
-	case touched:
+	case platformStatus:
 		e.inTouch.Store(x.answers)
-	case logged:
+	case logEvent:
 		e.log.emit(clock(), x.entry, x.fields...)
 	}
 }
@@ -89,10 +89,10 @@
 
 // call does one call to the platform and reports its end. given is cancelled when the call
 // is given up.
-func (e *Edge) call(given context.Context, x ask) {
+func (e *Edge) call(given context.Context, x startCall) {
 	if !stoatplatform.Pause(given, x.call.Pause) {
 		if e.ctx.Err() == nil {
-			e.post(ended{topic: x.topic, call: x.call, sent: clock(), result: stoatfeed.Result{Outcome: stoatfeed.Interrupted}})
+			e.post(callEnded{topic: x.topic, call: x.call, sent: clock(), result: stoatfeed.Result{Outcome: stoatfeed.Interrupted}})
 		}
 		return
 	}
@@ -110,7 +110,7 @@
 	if e.ctx.Err() != nil {
 		return
 	}
-	out := ended{topic: x.topic, call: x.call, sent: sent, cause: err}
+	out := callEnded{topic: x.topic, call: x.call, sent: sent, cause: err}
 	out.result, out.changes = readAnswer(x, answer, err)
 	if err != nil && given.Err() != nil {
 		out.result.Outcome = stoatfeed.Interrupted
@@ -143,7 +143,7 @@
 	return stoatpaddle.Era(a.Era)
 }
 
-func readAnswer(x ask, a platform.Answer, err error) (stoatfeed.Result, []change) {
+func readAnswer(x startCall, a platform.Answer, err error) (stoatfeed.Result, []change) {
 	r := stoatfeed.Result{Outcome: outcomeOf(err), AsOf: stoatpaddle.Position{Era: eraOf(a, err), Revision: stoatpaddle.Version(a.AsOf)}, More: a.More}
 	var changes []change
 	for i := range a.Items {
@@ -164,13 +164,13 @@
 }
 
 // readChange decodes one object.
-func readChange(t topic, o *platform.Object, gone bool) change {
-	c := change{name: o.Meta.Name, revision: stoatpaddle.Version(o.Meta.Revision), gone: gone}
-	if t == evacuations && c.name != "" && (gone || o.Fault == nil) {
-		c.evacuation = &stoatpaddle.Evacuation{DataCentre: stoatpaddle.DataCentreID(c.name), Revision: c.revision, Withdrawn: gone}
+func readChange(t topic, o *platform.Object, deleted bool) change {
+	c := change{name: o.Meta.Name, revision: stoatpaddle.Version(o.Meta.Revision), deleted: deleted}
+	if t == evacuations && c.name != "" && (deleted || o.Fault == nil) {
+		c.evacuation = &stoatpaddle.Evacuation{DataCentre: stoatpaddle.DataCentreID(c.name), Revision: c.revision, Withdrawn: deleted}
 		return c
 	}
-	if gone {
+	if deleted {
 		return c
 	}
 	if t == upstreams {
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -43,10 +43,10 @@
 	p.serial, p.cancel = serial, cancel
 }
 
-func (p *parentCancel) leave(x leave) {
+func (p *parentCancel) leave(x leaveParent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.serial == x.serial && p.cancel != nil {
+	if p.serial == x.searchID && p.cancel != nil {
 		p.cancel(&leftError{why: x.why})
 	}
 }
@@ -84,8 +84,8 @@
 // Error tells for how long.
 func (e *silentError) Error() string { return "silent for " + e.after.String() }
 
-// seek searches for a parent, listens to the first that accepts, and reports the end.
-func (e *Edge) seek(ctx context.Context, x seek) {
+// followParent searches for a parent, listens to the first that accepts, and reports the end.
+func (e *Edge) followParent(ctx context.Context, x findParent) {
 	e.waitForTable()
 	var cause error = &refusedError{reason: "nobody to ask"}
 	e.place.mu.Lock()
@@ -99,8 +99,8 @@
 		if !ok {
 			break
 		}
-		ask.Known, ask.Within = x.known, x.within
-		accepted, err := e.hear(ctx, x.serial, addr, ask)
+		ask.Known, ask.Within = x.known, x.maxAge
+		accepted, err := e.hear(ctx, x.searchID, addr, ask)
 		cause = err
 		if accepted {
 			break
@@ -114,7 +114,7 @@
 	if left := context.Cause(ctx); left != nil {
 		cause = left
 	}
-	e.post(parentLost{serial: x.serial, cause: cause})
+	e.post(parentLost{searchID: x.searchID, cause: cause})
 }
 
 // hear asks one entry, and takes in what it tells until that ends; accepted tells whether
@@ -186,8 +186,8 @@
 	if err != nil {
 		return err
 	}
-	x := update{
-		serial: serial, from: addr.String(), path: m.Path, known: m.Known, era: m.Era, age: m.Age, whole: m.Whole, delta: m.Delta,
+	x := parentUpdate{
+		searchID: serial, parent: addr.String(), path: m.Path, known: m.Known, era: m.Era, age: m.Age, whole: m.Whole, delta: m.Delta,
 		upstreams: m.Upstreams, evacuations: m.Evacuations,
 	}
 	relatives, err := stoatrelay.ParseAddrs(h.Relatives)
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -23,11 +23,11 @@
 var formerRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectRoutes, Name: "former"}
 
 const (
-	// rememberWithin spreads the seeds, of which the first one writes and the others find it done.
-	rememberWithin = time.Second
-	// rememberTries bounds how often one tries, and recallTimeout how long an answer may take.
-	rememberTries = 5
-	recallTimeout = 2 * time.Second
+	// maxSavePause spreads the seeds, of which the first one writes and the others find it done.
+	maxSavePause = time.Second
+	// saveAttempts bounds how often one tries, and recallTimeout how long an answer may take.
+	saveAttempts = 5
+	loadTimeout = 2 * time.Second
 )
 
 // wireFormer is the object's value. Version is of the configuration by which it was made.
@@ -42,7 +42,7 @@
 	UntilMS int64  `json:"until"` // Unix ms by the writer's clock
 }
 
-func encodeFormer(x remember) ([]byte, error) {
+func encodeFormer(x saveFormer) ([]byte, error) {
 	w := wireFormer{Version: uint64(x.version)}
 	for _, f := range x.former {
 		w.Routes = append(w.Routes, wireService{Listen: f.Listen.String(), Service: string(f.Service), UntilMS: f.Until.UnixMilli()})
@@ -51,26 +51,26 @@
 }
 
 // decodeFormer reads the object's value, or returns *stoatpaddle.DecodeError.
-func decodeFormer(value []byte) (remember, error) {
+func decodeFormer(value []byte) (saveFormer, error) {
 	var w wireFormer
 	if err := json.Unmarshal(value, &w); err != nil {
-		return remember{}, &stoatpaddle.DecodeError{What: formerRef.String(), Cause: err}
+		return saveFormer{}, &stoatpaddle.DecodeError{What: formerRef.String(), Cause: err}
 	}
-	x := remember{version: stoatpaddle.Version(w.Version)}
+	x := saveFormer{version: stoatpaddle.Version(w.Version)}
 	for _, r := range w.Routes {
 		listen, err := netip.ParseAddrPort(r.Listen)
 		if err != nil {
-			return remember{}, &stoatpaddle.DecodeError{What: formerRef.String(), Cause: err}
+			return saveFormer{}, &stoatpaddle.DecodeError{What: formerRef.String(), Cause: err}
 		}
 		x.former = append(x.former, stoatroute.Former{Listen: listen, Service: stoatpaddle.ServiceID(r.Service), Until: time.UnixMilli(r.UntilMS)})
 	}
 	return x, nil
 }
 
-// recallFormer reads what was kept. A replica will do: what it lacks is some seconds old, and other entries
+// loadFormer reads what was kept. A replica will do: what it lacks is some seconds old, and other entries
 // that were there say it.
-func (e *Edge) recallFormer() {
-	ctx, cancel := context.WithTimeout(e.ctx, recallTimeout)
+func (e *Edge) loadFormer() {
+	ctx, cancel := context.WithTimeout(e.ctx, loadTimeout)
 	defer cancel()
 	x, err := e.readFormer(ctx)
 	if err != nil {
@@ -78,15 +78,15 @@
 		return
 	}
 	if len(x.former) > 0 {
-		e.post(recalled{former: x.former})
+		e.post(formerLoaded{former: x.former})
 	}
 }
 
 // readFormer returns what a replica has; nothing where there is no such object.
-func (e *Edge) readFormer(ctx context.Context) (remember, error) {
+func (e *Edge) readFormer(ctx context.Context) (saveFormer, error) {
 	answer, err := e.store.Read(ctx, platform.Query{Kind: stoatplatform.Kind, Stale: true})
 	if err != nil {
-		return remember{}, err
+		return saveFormer{}, err
 	}
 	for _, item := range answer.Items {
 		o, err := stoatplatform.FromObject(item, answer.Era)
@@ -95,15 +95,15 @@
 		}
 		return decodeFormer(o.Value)
 	}
-	return remember{}, nil
+	return saveFormer{}, nil
 }
 
-// rememberFormer keeps which services routes had, unless another entry did so of as late a configuration.
-func (e *Edge) rememberFormer(x remember) {
+// saveFormer keeps which services routes had, unless another entry did so of as late a configuration.
+func (e *Edge) saveFormer(x saveFormer) {
 	client := stoatplatform.New(stoatplatform.Config{Addr: e.settings().Platform})
 	var err error
-	for range rememberTries {
-		if !stoatplatform.Pause(e.ctx, time.Duration(rand.Int64N(int64(rememberWithin)))) {
+	for range saveAttempts {
+		if !stoatplatform.Pause(e.ctx, time.Duration(rand.Int64N(int64(maxSavePause)))) {
 			return
 		}
 		if err = writeFormer(e.ctx, client, x); err == nil {
@@ -113,7 +113,7 @@
 	e.log.emit(clock(), EventFormerUnwritten, stoatevent.F("version", x.version.String()), stoatevent.F("cause", err.Error()))
 }
 
-func writeFormer(ctx context.Context, p stoatpaddle.Platform, x remember) error {
+func writeFormer(ctx context.Context, p stoatpaddle.Platform, x saveFormer) error {
 	standing, err := p.Get(ctx, formerRef)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
--- a/stoatedge/run_seen.go
+++ b/stoatedge/run_seen.go
@@ -135,7 +135,7 @@
 // logSilent says which upstreams get no flows since they answer nobody: in one line where a data centre
 // is lost, which is as many at each entry.
 func (e *Edge) logSilent(now time.Time, silent []stoatecho.Silent) {
-	if len(silent) > maxLinesAtOnce {
+	if len(silent) > maxStandingLines {
 		var names []string
 		for _, s := range silent {
 			names = append(names, string(s.Upstream.ID))
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -145,7 +145,7 @@
 	case stoatecho.Drop:
 		e.logDrop(now, p, a.Reason)
 		if a.Reason == stoatpacket.DropUnproven {
-			e.doubt(now)
+			e.reportUnknownCookie(now)
 		}
 	}
 	if a.Took > 0 {
@@ -222,22 +222,22 @@
 		stoatevent.F("flow", p.Tuple.Src.String()+">"+p.Tuple.Dst.String()), stoatevent.F("cookie", strconv.FormatUint(uint64(p.Cookie), 16)))
 }
 
-// doubtEvery bounds how often unknown cookies make an entry ask: a flood of forged ones
+// unknownCookieInterval bounds how often unknown cookies make an entry ask: a flood of forged ones
 // must not use up the platform's rates.
-const doubtEvery = 500 * time.Millisecond
+const unknownCookieInterval = 500 * time.Millisecond
 
-func (e *Edge) doubt(now time.Time) {
-	if now.Sub(e.counts.doubted) < doubtEvery {
+func (e *Edge) reportUnknownCookie(now time.Time) {
+	if now.Sub(e.counts.cookieReported) < unknownCookieInterval {
 		return
 	}
-	e.counts.doubted = now
-	e.post(doubted{})
+	e.counts.cookieReported = now
+	e.post(unknownCookie{})
 }
 
 // tick drives what happens without packets: the keeper's ticks, the planned stop, and the
 // account of log lines that were left out.
 func (e *Edge) tick() error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
--- a/stoatedge/wake.go
+++ b/stoatedge/wake.go
@@ -18,40 +18,40 @@
 // ring wakes children for what changed of what they mirror. Without it they would hear of it with the
 // next proof, which comes with the next answer about the configuration: 0.6 s later, and 1.4 s at most.
 // An evacuation does not wait.
-func (k *keeper) ring(now time.Time) {
-	t := k.table
-	if t == nil || !k.ready || t.Change == k.rung.change {
+func (ctl *controller) ring(now time.Time) {
+	t := ctl.table
+	if t == nil || !ctl.ready || t.Change == ctl.lastWake.change {
 		return
 	}
-	if t.EvacuationChange() == k.rung.evacuation && now.Sub(k.rung.at) < ringEvery {
+	if t.EvacuationChange() == ctl.lastWake.evacuation && now.Sub(ctl.lastWake.at) < ringEvery {
 		return // the next tick is near
 	}
-	k.rung = rung{at: now, change: t.Change, evacuation: t.EvacuationChange()}
-	k.do(changed{})
+	ctl.lastWake = rung{at: now, change: t.Change, evacuation: t.EvacuationChange()}
+	ctl.emit(wakeChildren{})
 }
 
 // announce says what others may rely on, if it changed, after what they read is published.
-func (k *keeper) announce() {
-	reads := k.reading && k.ready && k.failing().IsZero()
-	if answers := k.ready && (reads || !k.reading); answers != k.answers {
-		k.answers = answers
-		k.do(touched{answers: answers})
+func (ctl *controller) announce() {
+	reads := ctl.reading && ctl.ready && ctl.failing().IsZero()
+	if answers := ctl.ready && (reads || !ctl.reading); answers != ctl.platformAnswers {
+		ctl.platformAnswers = answers
+		ctl.emit(platformStatus{answers: answers})
 	}
-	if k.ready {
-		k.known = k.feeds[declarations].Position()
-		for _, t := range k.topics {
-			if pos := k.feeds[t].Position(); pos.Before(k.known) {
-				k.known = pos
+	if ctl.ready {
+		ctl.known = ctl.feeds[declarations].Position()
+		for _, t := range ctl.topics {
+			if pos := ctl.feeds[t].Position(); pos.Before(ctl.known) {
+				ctl.known = pos
 			}
 		}
 	}
-	now := announcement{known: k.known, path: k.follow.path, reads: reads, asOf: k.asOf()}
-	if !now.same(&k.announced) {
-		k.announced = now
-		k.do(now)
-		if k.table != nil {
+	now := announcement{known: ctl.known, path: ctl.follower.path, reads: reads, asOf: ctl.asOf()}
+	if !now.same(&ctl.announced) {
+		ctl.announced = now
+		ctl.emit(now)
+		if ctl.table != nil {
 			// This wakes children too, and the table is published by then.
-			k.rung.change, k.rung.evacuation = k.table.Change, k.table.EvacuationChange()
+			ctl.lastWake.change, ctl.lastWake.evacuation = ctl.table.Change, ctl.table.EvacuationChange()
 		}
 	}
 }
