--- a/stoatedge/apply.go
+++ b/stoatedge/apply.go
@@ -10,7 +10,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// apply takes in what an answer of the platform, or a parent, brought.
+// apply applies the changes of a platform answer or of a parent's message.
 func (ctl *controller) apply(now time.Time, t topic, changes []change, source string) {
 	for i := range changes {
 		c := &changes[i]
@@ -18,14 +18,14 @@
 		case c.fault != nil:
 			ctl.log(EventInvalid, stoatevent.F("object", c.name), stoatevent.F("revision", c.revision.String()), stoatevent.F("cause", c.fault.Error()))
 			if t == evacuations && c.name != "" {
-				// The request is the name: what else is in it says nothing.
+				// The object's name is the whole request, so a value that cannot be read does not matter.
 				ctl.evacuate(stoatpaddle.Evacuation{DataCentre: stoatpaddle.DataCentreID(c.name), Revision: c.revision}, source)
 			}
-			if t == upstreams && ctl.book.Spoil(now, stoatpaddle.UpstreamID(c.name), c.target, c.revision) {
-				ctl.noteStanding(stoatpaddle.UpstreamID(c.name), "its entry cannot be read")
+			if t == upstreams && ctl.state.Spoil(now, stoatpaddle.UpstreamID(c.name), c.target, c.revision) {
+				ctl.noteStanding(stoatpaddle.UpstreamID(c.name), "its registration cannot be read")
 			}
 		case c.declaration != nil:
-			if ctl.book.Declare(*c.declaration, c.revision) {
+			if ctl.state.Declare(*c.declaration, c.revision) {
 				ctl.log(EventDeclared, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
 					stoatevent.F("routes", countText(len(c.declaration.Routes))), stoatevent.F("source", source))
 				ctl.updateFormer(now)
@@ -35,12 +35,12 @@
 		case c.evacuation != nil:
 			ctl.evacuate(*c.evacuation, source)
 		case c.deleted && t == upstreams && ctl.unwatched:
-			ctl.lapse(now, c, "registration ended while nobody watched")
+			ctl.lapse(now, c, "registration ended while this entry did not watch")
 		case c.deleted && t == upstreams && now.Before(ctl.restoreGraceEnd):
-			// Its lease, of before the outage, may have ended before the upstream could renew it.
+			// The lease from before the outage may have ended before the upstream could renew it.
 			ctl.lapse(now, c, "registration ended after a restore")
 		case c.deleted && t == upstreams:
-			if ctl.book.Remove(now, stoatpaddle.UpstreamID(c.name), c.revision) {
+			if ctl.state.Remove(now, stoatpaddle.UpstreamID(c.name), c.revision) {
 				ctl.noteStanding(stoatpaddle.UpstreamID(c.name), "registration ended")
 			}
 		case c.registration != nil:
@@ -49,26 +49,26 @@
 	}
 }
 
-// updateFormer takes in what was kept of the routes of a configuration that is new, and has those that lost a
-// service kept. Seeds keep it, since they read the platform in any case.
+// updateFormer merges the former services that were loaded at the start into a new configuration, and has
+// them saved if a route has lost a service. Only seeds save them, since they read the platform in any case.
 func (ctl *controller) updateFormer(now time.Time) {
-	ctl.book.RecallFormer(now, ctl.former)
-	former, news := ctl.book.Former(now)
-	if news && !ctl.follower.mayRely {
-		ctl.emit(saveFormer{version: ctl.book.Declaration().Version, former: former})
+	ctl.state.RecallFormer(now, ctl.former)
+	former, changed := ctl.state.Former(now)
+	if changed && !ctl.follower.mayRely {
+		ctl.emit(saveFormer{version: ctl.state.Declaration().Version, former: former})
 	}
 }
 
-// lapse takes in that a registration ended which may come back.
+// lapse marks an upstream as missing: its registration ended, but may come back.
 func (ctl *controller) lapse(now time.Time, c *change, why string) {
-	if ctl.book.Lapse(now, stoatpaddle.UpstreamID(c.name), c.revision) {
+	if ctl.state.Lapse(now, stoatpaddle.UpstreamID(c.name), c.revision) {
 		ctl.noteStanding(stoatpaddle.UpstreamID(c.name), why)
 	}
 }
 
-// logRejected says once that a later version was read and put aside.
+// logRejected logs once that a later configuration was read and rejected.
 func (ctl *controller) logRejected(c *change, source string) {
-	t := ctl.book.Table()
+	t := ctl.state.Table()
 	if c.declaration.Version <= t.Declaration.Version || c.declaration.Version == ctl.rejected {
 		return
 	}
@@ -77,9 +77,9 @@
 		stoatevent.F("inforce", t.Declaration.Version.String()), stoatevent.F("known", t.Revision.String()), stoatevent.F("source", source))
 }
 
-// evacuate takes in what operators want of a data centre.
+// evacuate applies an operator's request about a data centre.
 func (ctl *controller) evacuate(e stoatpaddle.Evacuation, source string) {
-	if ctl.book.Evacuate(e) {
+	if ctl.state.Evacuate(e) {
 		ctl.logEvacuation(e, source)
 	}
 }
@@ -92,10 +92,10 @@
 	ctl.log(entry, stoatevent.F("centre", string(e.DataCentre)), stoatevent.F("revision", e.Revision.String()), stoatevent.F("source", source))
 }
 
-// register takes in what an upstream says about itself.
+// register applies an upstream's registration.
 func (ctl *controller) register(now time.Time, c *change, source string) {
-	before, _ := ctl.book.Registered(c.registration.ID)
-	switch outcome := ctl.book.Register(now, *c.registration, c.revision); outcome {
+	before, _ := ctl.state.Registered(c.registration.ID)
+	switch outcome := ctl.state.Register(now, *c.registration, c.revision); outcome {
 	case stoatroute.Unchanged:
 	case stoatroute.Changed:
 		ctl.noteUpdate(c.registration.ID, source)
@@ -108,8 +108,8 @@
 	}
 }
 
-// noteUpdate logs an upstream that is new, or whose standing is. Before the entry is ready there
-// would be a line for each that there is; SP1402 names them in one.
+// noteUpdate records the standing of an upstream that is new or has changed. Until the entry is ready, the
+// upstreams get no lines of their own, since SP1402 lists all of them.
 func (ctl *controller) noteUpdate(id stoatpaddle.UpstreamID, why string) {
 	if ctl.ready {
 		ctl.noteStanding(id, why)
@@ -117,32 +117,33 @@
 	ctl.logClash(id)
 }
 
-// incarnationText tells a registration's incarnation, and what an upstream keeps for all of it.
+// incarnationText formats a registration's incarnation, and the service and address that an upstream keeps
+// for all of it.
 func incarnationText(r *stoatpaddle.Registration) string {
 	return strconv.FormatUint(uint64(r.Incarnation), 10) + " " + string(r.Service) + " " + r.Addr.String()
 }
 
-// maxStandingLines is how many upstreams have a line of their own at one moment.
+// maxStandingLines is how many upstreams get a log line of their own in one step.
 //
-// The load: the store was away, and 150 of 293 registrations lapse at once, at each of 195 entries:
-// 30,559 lines in 27 s. At 43,000 upstreams one outage would be as many lines an entry.
+// In an outage of the platform, 150 of 293 registrations lapsed at once at each of 195 entries, which logged
+// 30,559 lines in 27 s. With 43,000 upstreams, one outage would cause as many lines at each entry.
 const maxStandingLines = 8
 
-// standingChange is what an upstream's standing came to be, and why.
+// standingChange is the new standing of an upstream and its cause.
 type standingChange struct {
 	id       stoatpaddle.UpstreamID
 	standing stoatroute.Standing
 	why      string
 }
 
-// noteStanding notes that an upstream's noteStanding changed, for the log.
+// noteStanding records a change of an upstream's standing for the log.
 func (ctl *controller) noteStanding(id stoatpaddle.UpstreamID, why string) {
-	u, _ := ctl.book.Registered(id)
+	u, _ := ctl.state.Registered(id)
 	ctl.changes = append(ctl.changes, standingChange{id: id, standing: u.Standing, why: why})
 }
 
-// logStandings writes what changed in this step: a line for each of a few, and one for each standing
-// and cause where there are many.
+// logStandings logs the standing changes of this step: a line for each of them if they are few, otherwise a
+// line for each combination of standing and cause.
 func (ctl *controller) logStandings() {
 	list := ctl.changes
 	ctl.changes = nil
@@ -172,23 +173,23 @@
 }
 
 func (ctl *controller) logStanding(c *standingChange) {
-	u, _ := ctl.book.Registered(c.id)
+	u, _ := ctl.state.Registered(c.id)
 	ctl.log(EventUpstream, stoatevent.F("upstream", string(c.id)), stoatevent.F("service", string(u.Service)),
 		stoatevent.F("centre", string(u.DataCentre)), stoatevent.F("addr", u.Addr.String()),
 		stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why))
 }
 
-// logClash reports an upstream that cannot get flows because another has its cookie.
+// logClash logs that an upstream gets no flows because another one has the same cookie.
 func (ctl *controller) logClash(id stoatpaddle.UpstreamID) {
-	if other, ok := ctl.book.Clash(id); ok {
+	if other, ok := ctl.state.Clash(id); ok {
 		ctl.log(EventClash, stoatevent.F("upstream", string(id)), stoatevent.F("holder", string(other)))
 	}
 }
 
-// maxNames bounds the names in one line.
+// maxNames limits the names in one log line.
 const maxNames = 64
 
-// namesOf names the upstreams of a table, as many as fit in a line.
+// namesOf returns the names of a table's upstreams, as many as fit in a log line.
 func namesOf(t *stoatroute.Table) string {
 	var names []string
 	for _, u := range t.Upstreams() {
@@ -197,7 +198,7 @@
 	return joinNames(names)
 }
 
-// joinNames joins as many names as fit in a line.
+// joinNames joins as many names as fit in a log line.
 func joinNames(names []string) string {
 	if len(names) > maxNames {
 		names = append(names[:maxNames:maxNames], "and more")
--- a/stoatedge/doc.go
+++ b/stoatedge/doc.go
@@ -1,7 +1,7 @@
-// Package stoatedge joins the parts of an entry on a fabric whose packets bring back what
-// an entry wrote into them: the socket, the flow engine, the feeds from the platform, and
-// the readiness check.
+// Package stoatedge runs an entry on an echo fabric, whose packets carry back the cookie that an entry wrote
+// into them. It connects the packet socket, the flow engine, the feeds from the platform, and the readiness
+// check.
 //
-// One actor owns what is believed about routes and upstreams; one goroutine moves packets
-// and reads immutable tables.
+// One goroutine owns the state of routes and upstreams; another one forwards packets and reads immutable
+// tables.
 package stoatedge
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -32,41 +32,41 @@
 
 // Edge is one running entry on an echo fabric.
 type Edge struct {
-	set       stoatsetting.Settings
-	reloadMu  sync.Mutex // of set
-	log       *eventLog
-	store     *platform.Store
-	engine    *stoatecho.Engine
-	engineMu  sync.Mutex // of engine and hold
-	hold      stoatecho.Hold
-	table     atomic.Pointer[stoatroute.Table]
-	events    *mailbox
-	cancels   [topicCount]callCancel
-	metrics   *metrics.Set
-	counts    counters
-	conn      *net.UDPConn
-	in        *reader // of conn; used by the traffic goroutine only
-	own       netip.Addr
-	callers   uint16 // the port at which the fabric takes packets for callers
-	servers   []*http.Server
-	stop      stopState
-	pause     pauseWatch
-	inTouch   atomic.Bool   // the platform answers
-	placing   chan struct{} // closed when there is the first table that is enough to place flows
-	placed    sync.Once     // of placing
-	place     *place
-	pool      stoatoutlier.Pool
-	observed  chan struct{}       // what entries saw of upstreams changed
-	reports   chan pendingReport  // to the relay parent
-	reporting atomic.Bool         // one is under way
-	rung      stoatoutlier.Stream // what children were woken for; used by the share goroutine only
-	group     *errgroup.Group
-	ctx       context.Context
-	cancel    context.CancelFunc
-	closeOnce sync.Once
+	current         stoatsetting.Settings
+	reloadMu        sync.Mutex // guards current
+	log             *eventLog
+	store           *platform.Store
+	engine          *stoatecho.Engine
+	engineMu        sync.Mutex // guards engine and held
+	held            stoatecho.Hold
+	table           atomic.Pointer[stoatroute.Table]
+	events          *eventQueue
+	cancels         [topicCount]callCancel
+	metrics         *metrics.Set
+	counts          counters
+	conn            *net.UDPConn
+	reader          *reader // reads conn; used by the traffic goroutine only
+	ownAddr         netip.Addr
+	callerPort      uint16 // port on which the fabric takes packets for callers
+	servers         []*http.Server
+	stop            stopState
+	pause           pauseDetector
+	platformAnswers atomic.Bool   // whether the platform answers
+	tableReady      chan struct{} // closed when the first table that is enough to place flows is in force
+	tableReadyOnce  sync.Once     // closes tableReady
+	relay           *relayState
+	pool            stoatoutlier.Pool
+	observed        chan struct{}       // what entries observed of upstreams changed
+	reports         chan pendingReport  // to the parent
+	reportPending   atomic.Bool         // a report is in progress
+	wakeStream      stoatoutlier.Stream // what children were last woken for; used by shareObservations only
+	group           *errgroup.Group
+	ctx             context.Context
+	cancel          context.CancelFunc
+	closeOnce       sync.Once
 }
 
-// Start opens the sockets and begins to work.
+// Start opens the sockets and starts an entry.
 func Start(ctx context.Context, cfg Config) (*Edge, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
@@ -74,35 +74,35 @@
 	now := clock()
 	seed := uint64(now.UnixNano()) ^ addrSeed(cfg.Settings.Tunnel)
 	e := &Edge{
-		set: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
-		log:      newEventLog(cfg.Log, cfg.Settings),
-		store:    platform.NewStore(cfg.Settings.Platform),
-		engine:   stoatecho.New(stoatecho.Config{DataCentre: cfg.Settings.DataCentre, Regions: cfg.Settings.Regions, Start: now, Seed: seed}),
-		callers:  cfg.Settings.Tunnel.Port(),
-		own:      cfg.Settings.Tunnel.Addr(),
-		events:   newMailbox(),
-		placing:  make(chan struct{}),
-		observed: make(chan struct{}, 1),
-		reports:  make(chan pendingReport, 1),
-		place: newPlace(stoattree.Config{
+		current: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
+		log:        newEventLog(cfg.Log, cfg.Settings),
+		store:      platform.NewStore(cfg.Settings.Platform),
+		engine:     stoatecho.New(stoatecho.Config{DataCentre: cfg.Settings.DataCentre, Regions: cfg.Settings.Regions, Start: now, Seed: seed}),
+		callerPort: cfg.Settings.Tunnel.Port(),
+		ownAddr:    cfg.Settings.Tunnel.Addr(),
+		events:     newEventQueue(),
+		tableReady: make(chan struct{}),
+		observed:   make(chan struct{}, 1),
+		reports:    make(chan pendingReport, 1),
+		relay: newRelayState(stoattree.Config{
 			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, Share: cfg.Settings.Share, Link: cfg.Settings.Link,
 			Rand: rand.New(rand.NewPCG(seed, 2)),
 		}),
 	}
-	e.pause.ticked.Store(int64(uptime()))
+	e.pause.lastTick.Store(int64(uptime()))
 	e.table.Store(&stoatroute.Table{})
-	e.counts.begin()
+	e.counts.initMetrics()
 	if err := e.openTunnel(); err != nil {
 		e.Kill()
 		return nil, err
 	}
-	k := newController(controllerConfig{
-		Apply: e.set.Bound(), Evacuations: e.set.Evacuate > 0, Return: e.set.Return, Life: e.set.Life, Seeds: seedRoleOf(e.set), Seed: seed,
+	ctl := newController(controllerConfig{
+		Apply: e.current.Bound(), Evacuations: e.current.Evacuate > 0, Return: e.current.Return, Life: e.current.Life, Seeds: seedRoleOf(e.current), Seed: seed,
 	})
-	e.group.Go(func() error { return e.control(k) })
-	e.log.emit(now, EventStart, stoatevent.F("tunnel", e.set.Tunnel.String()), stoatevent.F("centre", string(e.set.DataCentre)),
-		stoatevent.F("platform", e.set.Platform.String()), stoatevent.F("apply", e.set.Apply.String()), stoatevent.F("evacuate", e.set.Evacuate.String()))
-	e.serve()
+	e.group.Go(func() error { return e.control(ctl) })
+	e.log.emit(now, EventStart, stoatevent.F("tunnel", e.current.Tunnel.String()), stoatevent.F("centre", string(e.current.DataCentre)),
+		stoatevent.F("platform", e.current.Platform.String()), stoatevent.F("apply", e.current.Apply.String()), stoatevent.F("evacuate", e.current.Evacuate.String()))
+	e.startWorkers()
 	e.post(started{})
 	e.waitForTable()
 	if err := e.openServers(); err != nil {
@@ -112,29 +112,29 @@
 	return e, nil
 }
 
-// waitForTable returns when there is a table, or when it does not come soon.
+// waitForTable returns when there is a table, or when none comes within answerWait.
 //
-// The load: all entries lost power, and each millisecond of processor time until packets go
-// on is eleven milliseconds at a tenth of a core. The fabric, operators and other entries get
-// no use out of an entry that has no table, so their listeners, the metrics and the search for
-// a parent come after the first packets.
+// After a power loss of all entries, each millisecond of processor time before packets are forwarded takes
+// eleven milliseconds at a tenth of a core. An entry without a table is of no use to the fabric, to operators
+// or to other entries, so their listeners, the metrics and the search for a parent come after the first
+// packets.
 func (e *Edge) waitForTable() {
 	t := time.NewTimer(answerWait)
 	defer t.Stop()
 	select {
-	case <-e.placing:
+	case <-e.tableReady:
 	case <-t.C:
 	case <-e.ctx.Done():
 	}
 }
 
-// seedRoleOf is what the settings say of seeds.
+// seedRoleOf returns what the settings say about seeds.
 func seedRoleOf(set stoatsetting.Settings) seedRole {
 	other := func(seed netip.AddrPort) bool { return seed != set.Admin }
 	return seedRole{otherSeeds: slices.ContainsFunc(set.Seeds, other), isSeed: slices.Contains(set.Seeds, set.Admin)}
 }
 
-// addrSeed keeps entries that start in the same nanosecond from choosing alike.
+// addrSeed keeps entries that start in the same nanosecond from making the same random choices.
 func addrSeed(a netip.AddrPort) uint64 {
 	v := a.Addr().As16()
 	seed := uint64(a.Port())
@@ -144,19 +144,19 @@
 	return seed
 }
 
-// openTunnel opens the socket that packets wait in while the table is on its way.
+// openTunnel opens the packet socket. Packets wait in its buffer until there is a table.
 func (e *Edge) openTunnel() error {
 	var err error
-	if e.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.set.Tunnel)); err != nil {
+	if e.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.current.Tunnel)); err != nil {
 		return err
 	}
-	// Half a second of traffic at the busiest entry; what the kernel does not grant is not needed.
+	// The buffer holds half a second of traffic at the busiest entry. The kernel may grant less.
 	_ = e.conn.SetReadBuffer(receiveBuffer)
-	e.in, err = newReader(e.conn, func() bool { return e.pause.starved(uptime()) })
+	e.reader, err = newReader(e.conn, func() bool { return e.pause.starved(uptime()) })
 	return err
 }
 
-// openServers opens what is not needed to move packets.
+// openServers opens the listeners that are not needed to forward packets.
 func (e *Edge) openServers() error {
 	set := e.settings()
 	e.metrics = e.newMetrics()
@@ -175,7 +175,7 @@
 )
 
 func (e *Edge) listen(addr netip.AddrPort, h http.Handler) error {
-	// Without multipath TCP, which nothing here speaks, the library asks the kernel for less.
+	// Without multipath TCP, which nothing here uses, the library makes fewer system calls.
 	var cfg net.ListenConfig
 	cfg.SetMultipathTCP(false)
 	ln, err := cfg.Listen(e.ctx, "tcp4", addr.String())
@@ -191,10 +191,10 @@
 	return nil
 }
 
-// readiness answers the fabric: an entry that cannot place flows, or is about to end, is
+// readiness answers the fabric's readiness check: an entry that cannot place flows, or is about to exit, is
 // not ready.
 func (e *Edge) readiness(w http.ResponseWriter, _ *http.Request) {
-	if e.stop.asked() || !e.table.Load().Ready() {
+	if e.stop.requested() || !e.table.Load().Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -223,10 +223,10 @@
 	e.Kill()
 }
 
-// Table returns what traffic reads now.
+// Table returns the routing table that traffic uses now.
 func (e *Edge) Table() *stoatroute.Table { return e.table.Load() }
 
-// Stats returns what became of flows so far.
+// Stats returns the flow counters since the start.
 func (e *Edge) Stats() stoatecho.Stats {
 	e.engineMu.Lock()
 	defer e.engineMu.Unlock()
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -25,23 +25,23 @@
 
 func (t topic) String() string { return [...]string{"configuration", "upstreams", "evacuations"}[t] }
 
-// change is one object that an answer brought, decoded.
+// change is one decoded object of an answer.
 type change struct {
 	revision     stoatpaddle.Version
 	name         string
-	deleted         bool
+	deleted      bool
 	declaration  *stoatpaddle.Declaration
 	registration *stoatpaddle.Registration
 	evacuation   *stoatpaddle.Evacuation
-	fault        error              // why it cannot be used
-	target       stoatpaddle.Target // that its name says, if it cannot be used; 0: none
+	fault        error              // why the object cannot be used
+	target       stoatpaddle.Target // the target in the name of an object that cannot be used; 0: none
 }
 
-// The events of the keeper.
+// The events of the controller.
 type (
 	// started is the first event.
 	started struct{}
-	// ticked comes every tickEvery.
+	// ticked comes every tickInterval.
 	ticked struct{}
 	// callEnded reports the end of a call.
 	callEnded struct {
@@ -52,82 +52,82 @@
 		changes []change
 		cause   error
 	}
-	// parentUpdate carries what the parent says; age is how long ago that was known to be up to
-	// date (negative: never), known the position up to which it knows everything. With
-	// whole, upstreams has all there are, otherwise what changed. Revisions of what it has
-	// are of the era; 0: it does not say.
+	// parentUpdate is a message of the parent. Age is how long ago the parent's state was known to be current
+	// (negative: never), and known is the position up to which the parent knows everything. With whole,
+	// upstreams has all there are, otherwise those that changed. The revisions in the message belong to era;
+	// 0: it is not given.
 	parentUpdate struct {
-		searchID      int
-		parent        string
-		path        []netip.AddrPort // from a reader to the parent
+		searchID    int
+		parent      string
+		path        []netip.AddrPort // from an entry that reads the platform to the parent
 		known       stoatpaddle.Position
 		era         stoatpaddle.Era
 		age         time.Duration
 		whole       bool
-		delta       *stoatrelay.Delta // of the declaration, if it changed
+		delta       *stoatrelay.Delta // of the configuration, if it changed
 		upstreams   []stoatroute.RemoteUpstream
 		evacuations []stoatpaddle.Evacuation
 	}
-	// parentLost reports the end of a search that found nobody, or of a parent's telling.
+	// parentLost reports a search that found no parent, or the end of a parent's updates.
 	parentLost struct {
 		searchID int
-		cause  error
+		cause    error
 	}
-	// resumed reports that the process stood still for so long.
+	// resumed reports that the process did not run for the time in gap.
 	resumed struct{ gap time.Duration }
-	// unknownCookie tells that traffic met a cookie which is not known here.
+	// unknownCookie reports that a packet had a cookie that is not known here.
 	unknownCookie struct{}
-	// formerLoaded carries which services routes had, as the platform keeps it.
+	// formerLoaded carries the former services of routes, as saved at the platform.
 	formerLoaded struct{ former []stoatroute.Former }
-	// settingsChanged carries changed bounds.
+	// settingsChanged carries changed settings.
 	settingsChanged struct {
 		apply, returnTimeout, flowLifetime time.Duration
-		seeds             seedRole
+		seeds                              seedRole
 	}
 )
 
-// The effects of the keeper.
+// The effects of the controller.
 type (
-	// startCall does a call; it ends in ended.
+	// startCall makes a call, which ends with callEnded.
 	startCall struct {
 		topic topic
 		call  stoatfeed.Call
 	}
-	// cancelCall gives up the waiting call of a topic; it ends in ended.
+	// cancelCall cancels the call in progress of a topic, which ends with callEnded.
 	cancelCall struct{ topic topic }
-	// findParent searches for a parent and listens to it; it ends in parted. Within bounds how old
-	// the parent's word may be; 0: it does not matter.
+	// findParent searches for a parent and receives its updates, which ends with parentLost. The parent's
+	// state may be as old as maxAge; 0: any age will do.
 	findParent struct {
 		searchID int
-		known  stoatpaddle.Position
-		maxAge time.Duration
+		known    stoatpaddle.Position
+		maxAge   time.Duration
 	}
-	// leaveParent ends the listening of a search.
+	// leaveParent ends a search, or the updates of the parent that it found.
 	leaveParent struct {
 		searchID int
-		why    string
+		why      string
 	}
-	// announcement says what others may rely on.
+	// announcement says which state children may rely on.
 	announcement struct {
 		known stoatpaddle.Position
 		path  []netip.AddrPort
 		reads bool
 		asOf  time.Time
 	}
-	// wakeChildren wakes those who are told: there is something for them.
+	// wakeChildren wakes the children's connections, since there is something to send.
 	wakeChildren struct{}
-	// loadFormer reads which services routes had; it ends in recalled, or in nothing.
+	// loadFormer loads the former services of routes, which ends with formerLoaded, or with no event.
 	loadFormer struct{}
-	// saveFormer keeps at the platform which services routes had, as of a version of the configuration.
+	// saveFormer saves the former services of routes at the platform, as of a version of the configuration.
 	saveFormer struct {
 		version stoatpaddle.Version
 		former  []stoatroute.Former
 	}
-	// platformStatus tells whether the platform answers.
+	// platformStatus reports whether the platform answers.
 	platformStatus struct{ answers bool }
-	// publishTable makes a table the one that traffic reads.
+	// publishTable makes a table the one that traffic uses.
 	publishTable struct{ table *stoatroute.Table }
-	// logEvent writes a numbered event.
+	// logEvent logs a numbered event.
 	logEvent struct {
 		entry  *stoatevent.Entry
 		fields []stoatevent.Field
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -9,73 +9,76 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Who asks the platform, and who is told.
+// Which entries read the platform, and which ones get updates from other entries.
 //
-// The load: each question is paid for and counts toward the platform's rates, which grow
-// more slowly than the fleet. Twelve entries that ask by themselves use up six of eight reads
-// a second; a hundred list and watch a hundred and fifty upstreams each.
 //
-// So the entries that the settings name as seeds read the platform, and the others are told:
-// each has a parent, which sends what it believes, what changed, and how long ago that was
-// known to be up to date. An entry whose parent falls silent or falls behind reads the
-// platform itself, at once, until another one tells it.
+// Each call is paid for and counts toward the platform's rate limits, which grow more slowly than the number
+// of entries. Twelve entries that all read the platform use up six of eight reads a second; a hundred entries
+// would each list and watch a hundred and fifty upstreams.
+//
+//
+// Therefore the entries that the settings name as seeds read the platform. Each other entry has a parent,
+// which sends its state, the changes to it, and how long ago that state was known to be current. An entry
+// whose parent falls silent or falls behind reads the platform itself, at once, until it finds another
+// parent.
 
 const (
-	// maxParentAgeShare is how much of the bound a parent's word may be old before the entry reads the
-	// platform itself: readers prove what they know every 0.45 to 0.5 of it, and after a watch
-	// that went silent at 0.65; what is left is many times what a question takes.
+	// maxParentAgeShare is how old the parent's state may be, as a share of the apply bound, before the entry
+	// reads the platform itself. Readers prove their state every 0.45 to 0.5 of the bound, and after 0.65 if
+	// a watch went silent. The rest of the bound is many times what a call takes.
 	maxParentAgeShare = 0.72
-	// searchInterval is the pause between two searches for a parent, and half of it at most is
-	// added at random. An entry that has nothing to serve by does not pause as long.
-	searchInterval = time.Second
+	// searchInterval is the pause between two searches for a parent; up to half of it is added at random. The
+	// pause of an entry that is not ready starts at minSearchBackoff instead.
+	searchInterval   = time.Second
 	minSearchBackoff = 300 * time.Millisecond
-	// maxSearchBackoff bounds the pause of such an entry, which doubles with each search: seeds that are asked by a thousand
-	// entries several times a second have no time left to read what these wait for.
+	// maxSearchBackoff limits the pause of an entry that is not ready, which doubles with each search. Seeds
+	// that a thousand entries ask several times a second have no time left to read the state that these wait
+	// for.
 	maxSearchBackoff = 2400 * time.Millisecond
-	// maxLostParentPause bounds the random pause of an entry that lost its parent. All its children
-	// notice in one moment; if they asked each other in that moment, each would be accepted
-	// by one that has no parent either, and they would go round in a loop.
+	// maxLostParentPause limits the random pause of an entry that lost its parent. All children notice the
+	// loss at the same time. If they asked each other at once, each would be accepted by one that has no
+	// parent either, and they would form a loop.
 	maxLostParentPause = 400 * time.Millisecond
 )
 
-// follower is what the keeper knows of its parent.
+// follower is the state of an entry as a child of another one.
 type follower struct {
-	hasOthers  bool   // there are entries to ask
-	mayRely bool   // the parent's word is enough: this entry is no seed
-	searchID  int    // of the latest search
-	searching bool   // it goes on, or a parent was found
-	parent  string // "": nobody tells
-	path    []netip.AddrPort
-	currentAt   time.Time     // as of when the parent's word was up to date; zero: never
-	nextSearch   time.Time     // when to search next
-	backoff   time.Duration // the last one of an entry that has nothing to serve by
+	hasOthers  bool   // there are other entries to ask
+	mayRely    bool   // the parent's state suffices: this entry is not a seed
+	searchID   int    // of the latest search
+	searching  bool   // that search is running, or has found a parent
+	parent     string // its address; "": none
+	path       []netip.AddrPort
+	currentAt  time.Time     // when the parent's state was last known to be current; zero: never
+	nextSearch time.Time     // when to search next
+	backoff    time.Duration // the last pause of an entry that is not ready
 }
 
-// seedRole is what the settings say of seeds.
+// seedRole is what the settings say about seeds.
 type seedRole struct {
 	otherSeeds bool // they name other entries
-	isSeed   bool // and this one: it reads the platform for others
+	isSeed     bool // they name this entry, which reads the platform for others
 }
 
-// reliesOnOthers tells whether this entry goes by what others tell.
-func (n seedRole) reliesOnOthers() bool { return n.otherSeeds && !n.isSeed }
+// reliesOnOthers reports whether this entry uses the state of other entries instead of reading the platform.
+func (r seedRole) reliesOnOthers() bool { return r.otherSeeds && !r.isSeed }
 
-// setSeedRole takes in which entries the settings name.
-func (ctl *controller) setSeedRole(now time.Time, n seedRole) {
-	ctl.follower.hasOthers, ctl.follower.mayRely = n.otherSeeds, n.reliesOnOthers()
+// setSeedRole applies which entries the settings name as seeds.
+func (ctl *controller) setSeedRole(now time.Time, role seedRole) {
+	ctl.follower.hasOthers, ctl.follower.mayRely = role.otherSeeds, role.reliesOnOthers()
 	for _, t := range ctl.topics {
-		ctl.feeds[t].SetStart(n.reliesOnOthers(), n.isSeed)
+		ctl.feeds[t].SetStart(role.reliesOnOthers(), role.isSeed)
 	}
-	if !n.reliesOnOthers() && !ctl.reading {
+	if !role.reliesOnOthers() && !ctl.reading {
 		ctl.startReading(now, "the settings changed")
 	}
-	if !n.otherSeeds {
-		ctl.leaveParent("the settings name nobody")
+	if !role.otherSeeds {
+		ctl.leaveParent("the settings name no other entry")
 	}
 }
 
-// wantsParent tells whether to search for one: always, but for a seed, which needs somebody's
-// word only while the platform does not answer.
+// wantsParent reports whether to search for a parent. A seed needs one only while the platform does not
+// answer; other entries always want one.
 func (ctl *controller) wantsParent(now time.Time) bool {
 	f := &ctl.follower
 	if !f.hasOthers || f.searching || now.Before(f.nextSearch) {
@@ -85,7 +88,7 @@
 		return true
 	}
 	if !ctl.ready {
-		// A large list comes in pages; as long as they come, nobody needs to be troubled.
+		// A long list comes in pages. As long as they come, no other entry has to be asked.
 		return now.Sub(ctl.lastAnswer) > answerWait
 	}
 	failing := ctl.failing()
@@ -107,13 +110,13 @@
 	f.nextSearch = now.Add(pause)
 	x := findParent{searchID: f.searchID, known: ctl.known}
 	if ctl.ready && ctl.failing().IsZero() {
-		// The platform answers here, so that an old word is worth nothing.
+		// The platform answers this entry, so a parent's state that is too old is of no use.
 		x.maxAge = stoatfeed.Share(ctl.applyBound, maxParentAgeShare)
 	}
 	ctl.emit(x)
 }
 
-// leaveParent parts from the parent, if there is one.
+// leaveParent leaves the parent, if there is one.
 func (ctl *controller) leaveParent(why string) {
 	f := &ctl.follower
 	if f.parent == "" {
@@ -122,7 +125,7 @@
 	ctl.emit(leaveParent{searchID: f.searchID, why: why})
 }
 
-// handleUpdate takes in what the parent says.
+// handleUpdate processes a message of the parent.
 func (ctl *controller) handleUpdate(now time.Time, x parentUpdate) {
 	f := &ctl.follower
 	if x.searchID != f.searchID {
@@ -130,7 +133,7 @@
 	}
 	if f.parent == "" {
 		f.parent = x.parent
-		ctl.book.Follow(now, true)
+		ctl.state.Follow(now, true)
 		ctl.log(EventFollows, stoatevent.F("parent", x.parent), stoatevent.F("depth", countText(len(x.path))),
 			stoatevent.F("revision", x.known.String()), stoatevent.F("age", ageText(x.age)))
 	}
@@ -138,11 +141,10 @@
 	if !ctl.sameHistory(now, &x) {
 		return
 	}
-	if current := ctl.book.Declaration().Version; !x.delta.Fits(current) {
-		// This entry read a version of its own in between. None of the message counts: had it
-		// been taken for known, the configuration would stay as it is until the next change.
-		// Everything is told anew after a new search.
-		ctl.leaveParent("its change does not fit version " + current.String())
+	if current := ctl.state.Declaration().Version; !x.delta.Fits(current) {
+		// This entry has read another version itself since. Nothing of the message counts as known: otherwise
+		// the configuration would stay as it is until its next change. A new search brings the whole state.
+		ctl.leaveParent("its configuration change does not apply to version " + current.String())
 		return
 	}
 	later := !x.known.Before(ctl.known)
@@ -150,8 +152,8 @@
 		f.currentAt = now.Add(-x.age)
 	}
 	ctl.applyUpdate(now, x, later)
-	// The word of one that is out of touch, or that only helps out a seed, says nothing
-	// about what lapsed in an outage: that stays to be found out.
+	// A parent that has lost touch with the platform itself, or that only helps a seed in an outage, does not
+	// know which registrations lapsed in the outage. The feeds still have to find that out.
 	enough := later && f.mayRely && ctl.parentIsCurrent(now)
 	for _, t := range ctl.topics {
 		if enough {
@@ -165,15 +167,15 @@
 	}
 }
 
-// sameHistory makes sure that the parent's revisions can be compared with this entry's. A parent that has
-// not heard of a restore is left: what it says next would be put aside, and never be said again.
+// sameHistory ensures that the parent's revisions can be compared with this entry's. A parent that does not
+// know of a restore is left: its next changes would be ignored and never sent again.
 func (ctl *controller) sameHistory(now time.Time, x *parentUpdate) bool {
-	switch own := ctl.book.Era(); {
+	switch own := ctl.state.Era(); {
 	case x.era == 0:
-		// It is of a release that knows no eras.
+		// The parent's release does not send eras.
 		x.known.Era = own
 	case x.era < own:
-		ctl.leaveParent("it has not heard of the platform's restore")
+		ctl.leaveParent("it does not know of the platform's restore")
 		return false
 	case x.era > own:
 		ctl.handleRestore(now, x.era, x.parent)
@@ -181,7 +183,7 @@
 	return true
 }
 
-// applyUpdate makes what the parent believes this entry's own.
+// applyUpdate merges the parent's state into this entry's.
 func (ctl *controller) applyUpdate(now time.Time, x parentUpdate, later bool) {
 	if x.whole {
 		ctl.log(EventNeighbour, stoatevent.F("neighbour", x.parent), stoatevent.F("age", ageText(x.age)),
@@ -193,16 +195,16 @@
 	for _, ev := range x.evacuations {
 		ctl.evacuate(ev, x.parent)
 	}
-	for _, id := range ctl.book.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Whole: x.whole, Later: later}) {
+	for _, id := range ctl.state.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Whole: x.whole, Later: later}) {
 		ctl.noteUpdate(id, x.parent)
 	}
 }
 
-// applyDelta adopts the declaration that the parent tells, if it is later than the one in force.
+// applyDelta applies the parent's configuration, if it is later than the one in force.
 func (ctl *controller) applyDelta(now time.Time, x parentUpdate) {
-	current := ctl.book.Declaration()
+	current := ctl.state.Declaration()
 	if x.delta.Declaration.Version <= current.Version {
-		ctl.book.Recall(x.delta.Declaration.Routes)
+		ctl.state.Recall(x.delta.Declaration.Routes)
 		return
 	}
 	d := x.delta.Onto(&current)
@@ -216,14 +218,14 @@
 	return d.Round(time.Millisecond).String()
 }
 
-// parentIsCurrent tells whether the parent's word is young enough to go by, also when it has ended:
-// until it is old, there is time to find another parent.
+// parentIsCurrent reports whether the parent's state is recent enough to be relied on. That may hold for some
+// time after the parent has ended, which is time to find another one.
 func (ctl *controller) parentIsCurrent(now time.Time) bool {
 	return now.Sub(ctl.follower.currentAt) <= stoatfeed.Share(ctl.applyBound, maxParentAgeShare)
 }
 
-// stopReading ends reading the platform. The calls under way are given up; what they bring is older
-// than what the parent tells next.
+// stopReading ends reading the platform. The calls in progress are cancelled, since their results are older
+// than the parent's next message.
 func (ctl *controller) stopReading() {
 	ctl.reading, ctl.deferred, ctl.unwatched = false, [topicCount]bool{}, false
 	for _, t := range ctl.topics {
@@ -231,14 +233,15 @@
 	}
 }
 
-// startReading begins to startReading the platform, exactly and at once. The first question finds out whether
-// it answers this entry at all: in an outage each one is paid for by each entry.
+// startReading begins to read the platform, with an exact call at once. This first call finds out whether the
+// platform answers this entry at all: in an outage each call of each entry is paid for.
 func (ctl *controller) startReading(now time.Time, why string) {
 	ctl.reading, ctl.unwatched = true, true
 	ctl.log(EventReads, stoatevent.F("why", why), stoatevent.F("parent", ctl.follower.parent))
 	for _, t := range ctl.topics {
 		ctl.deferred[t] = t != declarations
-		// A replica's word on evacuations has to reach what the exact answer about the configuration says.
+		// A replica's answer about evacuations has to reach the position of the exact answer about the
+		// configuration.
 		if t != evacuations {
 			ctl.feeds[t].Doubt()
 		}
@@ -248,17 +251,19 @@
 	}
 }
 
-// checkParent notices that the parent's word has grown old.
+// checkParent reads the platform when the parent's state is too old, and searches for a parent when one is
+// wanted.
 func (ctl *controller) checkParent(now time.Time) {
 	if !ctl.reading && !ctl.parentIsCurrent(now) {
-		ctl.startReading(now, "the parent's word is old")
+		ctl.startReading(now, "the parent's state is too old")
 	}
 	if ctl.wantsParent(now) {
 		ctl.findParent(now)
 	}
 }
 
-// reviewParent parts from a parent whose word is old, once the platform itself has answered.
+// reviewParent leaves a parent that is not needed, or whose state is too old, once the platform itself has
+// answered.
 func (ctl *controller) reviewParent(now time.Time) {
 	if ctl.follower.parent == "" {
 		return
@@ -268,11 +273,11 @@
 		return
 	}
 	if !ctl.parentIsCurrent(now) {
-		ctl.leaveParent("its word is old, and the platform answers")
+		ctl.leaveParent("its state is too old, and the platform answers")
 	}
 }
 
-// handleParentLost takes in that a search found nobody, or that the parent tells no more.
+// handleParentLost processes a search that found no parent, or the end of the parent's updates.
 func (ctl *controller) handleParentLost(now time.Time, x parentLost) {
 	f := &ctl.follower
 	if x.searchID != f.searchID {
@@ -285,11 +290,11 @@
 		ctl.log(EventSought, stoatevent.F("cause", x.cause.Error()))
 	}
 	f.searching, f.parent, f.path = false, "", nil
-	ctl.book.Follow(now, false)
+	ctl.state.Follow(now, false)
 }
 
-// handleResumed follows a pause of this process, which the steady clock may not have counted: what
-// is believed is older by it.
+// handleResumed processes a pause of this process, which the monotonic clock may not have counted: the state
+// is older by the length of the pause.
 func (ctl *controller) handleResumed(now time.Time, gap time.Duration) {
 	if !ctl.follower.currentAt.IsZero() {
 		ctl.follower.currentAt = ctl.follower.currentAt.Add(-gap)
@@ -301,9 +306,9 @@
 	}
 }
 
-// asOf is when what is believed was last known to be up to date; zero: never.
+// asOf returns when the state was last known to be current; zero: never.
 func (ctl *controller) asOf() time.Time {
-	if own := ctl.book.Proven(); own.After(ctl.follower.currentAt) {
+	if own := ctl.state.Proven(); own.After(ctl.follower.currentAt) {
 		return own
 	}
 	return ctl.follower.currentAt
--- a/stoatedge/keeper.go
+++ b/stoatedge/keeper.go
@@ -12,68 +12,71 @@
 )
 
 const (
-	// tickInterval is how often what happens without events is looked at: a tenth of the least
-	// time that matters here, the second of a short outage.
+	// tickInterval is the pause between two checks of everything that depends on time alone: a tenth of the
+	// shortest time that matters here, which is an outage of one second.
 	tickInterval = 100 * time.Millisecond
-	// answerWait is how long a replica may take to bring what a proof shows to exist, and the
-	// platform to answer at the start, before somebody is asked: many times an answer's 4 ms.
+	// answerWait is how long a replica may take to return what a proof shows to exist, and the platform to
+	// answer an entry that has just started, before others are asked. An answer usually takes 4 ms.
 	answerWait = 150 * time.Millisecond
-	// firstWatchDelay is how long an entry that has just started and has its lists leaves the platform alone
-	// while it looks for a parent: the search takes some tens of milliseconds, and a watch that is given
-	// up then is paid for like any other. Its lists are older by that at most, once in a life.
+	// firstWatchDelay is how long an entry that has just started and has its lists delays its first watches
+	// while it looks for a parent. The search takes some tens of milliseconds, and a watch that is cancelled
+	// then is paid for like any other. The lists are older by this delay at most, once after a start.
 	firstWatchDelay = time.Second
-	// pagesWithoutParent is how many pages of a list an entry reads before it has a parent: a deployment of hundreds of
-	// upstreams is known some tens of milliseconds after a start, whether anybody is left to ask or not.
+	// pagesWithoutParent is how many pages of a list an entry reads before it has a parent. With them, a
+	// deployment of hundreds of upstreams is known some tens of milliseconds after a start, even if no other
+	// entry is left to ask.
 	pagesWithoutParent = 2
-	// pageHold is how long it waits for a parent with the rest, and up to three times as long besides, at random.
-	// A thousand entries that list 10,000 upstreams at once fill the platform's link for 24 s, the seeds' answers
-	// among theirs. Those whose wait ends first read all.
+	// pageHold is how long an entry waits for a parent before it reads the other pages; up to three times as
+	// much is added at random. A thousand entries that list 10,000 upstreams at once saturate the platform's
+	// link for 24 s, which delays the answers to the seeds too. The entries whose wait ends first read all
+	// pages.
 	pageHold = 2 * time.Second
 )
 
-// controller decides what is believed about routes and upstreams. One goroutine uses it.
+// controller computes the state of routes and upstreams from what the platform and the parent report. It does
+// no I/O: step takes an event and returns effects. One goroutine uses it.
 type controller struct {
-	book   *stoatroute.Book
-	topics []topic // that are followed
-	// evacuations says that they are among these.
+	state  *stoatroute.Book
+	topics []topic // the kinds of objects that are followed
+	// evacuations is set if evacuations are among the topics.
 	evacuations bool
 	feeds       [topicCount]*stoatfeed.Feed
-	reading     bool             // the platform is asked; otherwise the parent tells
-	pending     [topicCount]bool // a call is under way
-	discard       [topicCount]bool // and what it brings is not wanted any more
-	watching     [topicCount]bool // it is a watch that waits for a change
-	// unwatched is set until the first answer about upstreams once this entry reads again: what
-	// ended meanwhile may have lapsed in an outage of which it noticed nothing.
+	reading     bool             // the platform is called; otherwise the parent sends updates
+	pending     [topicCount]bool // a call is in progress
+	discard     [topicCount]bool // the result of the call in progress is not wanted any more
+	watching    [topicCount]bool // the call in progress is a watch that waits for a change
+	// unwatched is set from when this entry starts to read again until the first answer about upstreams: a
+	// registration that ended meanwhile may have lapsed in an outage that this entry did not notice.
 	unwatched       bool
-	platformAnswers         bool                // the platform does, as last said to touched
-	deferred          [topicCount]bool    // it is not asked about until the configuration is answered
-	behind          [topicCount]bool    // its last answer was older than what is known
-	restoreGraceEnd         time.Time           // what ends until then may have lapsed with a restore only
-	rejected         stoatpaddle.Version // the last configuration that was read and not taken in
+	platformAnswers bool                // whether the platform answers, as last reported in platformStatus
+	deferred        [topicCount]bool    // no call is made until the configuration has been answered
+	behind          [topicCount]bool    // the last answer was older than what is known
+	restoreGraceEnd time.Time           // a registration that ends before may have lapsed because of a restore
+	rejected        stoatpaddle.Version // the last configuration that was read and rejected
 	upstreamPages   pages[stoatpaddle.UpstreamID]
 	evacuationPages pages[stoatpaddle.DataCentreID]
-	follower          follower
-	applyBound           time.Duration // how soon a change has to be in force
-	returnTimeout            time.Duration // how long a registration that lapsed may take to come back
-	openProof            *proof        // not matched yet
-	rand             *rand.Rand
-	known           stoatpaddle.Position // everything up to it, of all topics, once ready
-	startedAt           time.Time            // when the entry started
-	lastAnswer           time.Time            // when the platform last answered; at first the start
+	follower        follower
+	applyBound      time.Duration // how soon a change has to be in force
+	returnTimeout   time.Duration // how long a lapsed registration may take to come back
+	openProof       *proof        // the proof that is not matched yet; nil: none
+	rand            *rand.Rand
+	known           stoatpaddle.Position // everything up to it is known, of all topics, once ready
+	startedAt       time.Time            // when the entry started
+	lastAnswer      time.Time            // when the platform last answered; at first the start
 	ready           bool
 	table           *stoatroute.Table
-	announced       announcement // as last said to others
-	lastWake            rung
-	pagesRead       [topicCount]int     // of the list under way, read so far
-	pagesHeldUntil      time.Time           // until when further pages wait for a parent
-	former          []stoatroute.Former // as the platform kept it when this entry started
+	announced       announcement // as last emitted
+	lastWake        wakeState
+	pagesRead       [topicCount]int     // pages of the list in progress, read so far
+	pagesHeldUntil  time.Time           // until when further pages wait for a parent
+	former          []stoatroute.Former // as saved at the platform when this entry started
 	changes         []standingChange    // of the present step, to be logged
-	effects             []any               // effects of the present step
+	effects         []any               // of the present step
 }
 
 type controllerConfig struct {
 	Apply time.Duration
-	// Evacuations says that the platform has some to follow.
+	// Evacuations reports whether the platform has evacuations to follow.
 	Evacuations bool
 	Return      time.Duration
 	Life        time.Duration
@@ -83,23 +86,23 @@
 
 func newController(cfg controllerConfig) *controller {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, 1))
-	k := &controller{
+	ctl := &controller{
 		applyBound: cfg.Apply, rand: rnd, reading: true, topics: []topic{declarations, upstreams},
-		returnTimeout:        cfg.Return,
-		book:        stoatroute.NewBook(stoatroute.Config{Return: cfg.Return, Keep: cfg.Life, Evacuations: cfg.Evacuations}),
-		evacuations: cfg.Evacuations,
+		returnTimeout: cfg.Return,
+		state:         stoatroute.NewBook(stoatroute.Config{Return: cfg.Return, Keep: cfg.Life, Evacuations: cfg.Evacuations}),
+		evacuations:   cfg.Evacuations,
 	}
 	if cfg.Evacuations {
-		k.topics = append(k.topics, evacuations)
+		ctl.topics = append(ctl.topics, evacuations)
 	}
-	k.feeds[declarations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd})
-	k.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
-	k.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
-	k.setSeedRole(time.Time{}, cfg.Seeds)
-	return k
+	ctl.feeds[declarations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd})
+	ctl.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
+	ctl.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
+	ctl.setSeedRole(time.Time{}, cfg.Seeds)
+	return ctl
 }
 
-// step takes one event in and returns what to do.
+// step processes one event and returns the effects to perform.
 func (ctl *controller) step(now time.Time, ev any) []any {
 	ctl.effects = nil
 	switch x := ev.(type) {
@@ -115,7 +118,7 @@
 		}
 	case formerLoaded:
 		ctl.former = x.former
-		ctl.book.RecallFormer(now, ctl.former)
+		ctl.state.RecallFormer(now, ctl.former)
 	case ticked:
 		ctl.tick(now)
 	case callEnded:
@@ -131,7 +134,7 @@
 	case settingsChanged:
 		ctl.applyBound, ctl.returnTimeout = x.apply, x.returnTimeout
 		ctl.setSeedRole(now, x.seeds)
-		ctl.book.SetBounds(stoatroute.Config{Return: x.returnTimeout, Keep: x.flowLifetime, Evacuations: ctl.evacuations})
+		ctl.state.SetBounds(stoatroute.Config{Return: x.returnTimeout, Keep: x.flowLifetime, Evacuations: ctl.evacuations})
 		for _, t := range ctl.topics {
 			ctl.feeds[t].SetBound(x.apply)
 		}
@@ -139,7 +142,7 @@
 	ctl.logStandings()
 	ctl.publish()
 	ctl.announce()
-	ctl.ring(now)
+	ctl.wakeChildrenIfDue(now)
 	return ctl.effects
 }
 
@@ -162,12 +165,12 @@
 	ctl.emit(startCall{topic: t, call: c})
 }
 
-// waitsForParent tells whether the next page of a list can wait for somebody who has it all.
+// waitsForParent reports whether the next page of a list can wait for a parent, which sends the whole list.
 func (ctl *controller) waitsForParent(t topic) bool {
 	return !ctl.ready && ctl.follower.mayRely && ctl.pagesRead[t] >= pagesWithoutParent
 }
 
-// verify has a topic asked at once, exactly.
+// verify asks the platform itself about a topic, at once.
 func (ctl *controller) verify(now time.Time, t topic) {
 	ctl.feeds[t].Doubt()
 	if !ctl.reading && !ctl.pending[t] {
@@ -185,15 +188,15 @@
 }
 
 func (ctl *controller) tick(now time.Time) {
-	for _, id := range ctl.book.Expire(now) {
-		ctl.noteStanding(id, "did not come back")
+	for _, id := range ctl.state.Expire(now) {
+		ctl.noteStanding(id, "did not register again in time")
 	}
 	ctl.expireEvacuations(now)
 	ctl.retryProof(now)
 	ctl.checkParent(now)
 }
 
-// failing tells since when one of the feeds got no answer.
+// failing returns since when one of the feeds has got no answer; zero: all get answers.
 func (ctl *controller) failing() time.Time {
 	for _, t := range ctl.topics {
 		if f := ctl.feeds[t]; !f.Failing().IsZero() {
@@ -217,12 +220,12 @@
 	f := ctl.feeds[x.topic]
 	failing := f.Failing()
 	v := f.Done(now, x.sent, x.call, x.result)
-	if era := f.Era(); era > ctl.book.Era() {
+	if era := f.Era(); era > ctl.state.Era() {
 		ctl.handleRestore(now, era, "platform")
 	}
 	ctl.noteBehind(x, v)
 	if v.Lost {
-		cause := "refused by rate"
+		cause := "refused by the rate limit"
 		if x.cause != nil {
 			cause = x.cause.Error()
 		}
@@ -232,7 +235,7 @@
 		ctl.log(EventPlatformBack, stoatevent.F("topic", x.topic.String()), stoatevent.F("away", now.Sub(failing).String()))
 	}
 	if x.result.Outcome == stoatfeed.Failed && x.topic == upstreams {
-		ctl.book.Hold(now)
+		ctl.state.Hold(now)
 	}
 	if v.Apply {
 		ctl.apply(now, x.topic, x.changes, "platform")
@@ -248,7 +251,7 @@
 	ctl.callNext(now, x.topic)
 }
 
-// noteBehind says once that answers are older than what is known.
+// noteBehind logs once that answers are older than what is known.
 func (ctl *controller) noteBehind(x callEnded, v stoatfeed.Verdict) {
 	if x.result.Outcome != stoatfeed.Answered || v.Behind == ctl.behind[x.topic] || x.result.More {
 		return
@@ -261,8 +264,8 @@
 	}
 }
 
-// callNext asks about a topic again. While the platform answers none, one question at a
-// time finds out that it is back: each is paid for.
+// callNext makes the next call about a topic. While the platform answers none, a single call at a time finds
+// out when it is back, since each call is paid for.
 func (ctl *controller) callNext(now time.Time, t topic) {
 	if !ctl.reading {
 		return
@@ -288,25 +291,25 @@
 
 func (ctl *controller) outage(t topic) bool { return ctl.feeds[t].Lost() }
 
-// updateProof notes until when the view is proven up to date: by an exact answer about the
-// upstreams, or by replicas' answers that are as new as an exact one.
+// updateProof records up to when the state is proven current: by an exact answer about the upstreams, or by
+// replicas' answers that are as recent as an exact one.
 func (ctl *controller) updateProof(now time.Time, x callEnded, v stoatfeed.Verdict) {
 	asOf := x.call.AsOf(x.sent, now, x.result)
 	switch {
 	case x.topic == upstreams && v.Proof:
-		ctl.book.Prove(asOf)
+		ctl.state.Prove(asOf)
 	case x.topic == declarations && v.Proof:
 		ctl.setProof(proof{asOf: asOf, pos: x.result.AsOf, receivedAt: now})
 	}
 	ctl.matchProof()
 	if ctl.openProof != nil && ctl.openProof.retried && ctl.feeds[x.topic].Position().Before(ctl.openProof.pos) {
-		// The replica is behind what the platform has said already.
+		// The replica is behind a position that the platform has already reported.
 		ctl.feeds[x.topic].Doubt()
 	}
 }
 
 func (ctl *controller) publish() {
-	t := ctl.book.Table()
+	t := ctl.state.Table()
 	if t == ctl.table {
 		return
 	}
--- a/stoatedge/lists.go
+++ b/stoatedge/lists.go
@@ -7,13 +7,13 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfeed"
 )
 
-// pages are what the pages of the list under way hold.
+// pages collects the names in the pages of a list in progress.
 type pages[ID ~string] struct {
-	names    map[ID]bool
-	unnamed bool // an object in them has a name that cannot be read
+	names   map[ID]bool
+	unnamed bool // an object in the pages has a name that cannot be read
 }
 
-// add takes in a page.
+// add adds a page; the first page of a list starts a new collection.
 func (p *pages[ID]) add(x callEnded) {
 	if x.call.After == "" || p.names == nil {
 		*p = pages[ID]{names: map[ID]bool{}}
@@ -24,7 +24,7 @@
 	}
 }
 
-// countPage counts the pages of the list under way.
+// countPage counts the pages of the list in progress.
 func (ctl *controller) countPage(x *callEnded) {
 	switch {
 	case !x.call.List || !x.result.More:
@@ -36,7 +36,7 @@
 	}
 }
 
-// compareList compares a finished list with what was known.
+// compareList collects the pages of a list, and compares the complete list with the known state.
 func (ctl *controller) compareList(now time.Time, x callEnded, v stoatfeed.Verdict) {
 	if !x.call.List {
 		return
@@ -58,9 +58,9 @@
 func (ctl *controller) finishUpstreamList(now time.Time, v stoatfeed.Verdict) {
 	p := ctl.upstreamPages
 	ctl.upstreamPages = pages[stoatpaddle.UpstreamID]{}
-	// What the list lacks may be the object without a name: it is given time to come back.
-	for _, id := range ctl.book.Listed(now, p.names, v.Away || ctl.unwatched || p.unnamed) {
-		ctl.noteStanding(id, "not in the list")
+	// An upstream that the list lacks may be the object whose name cannot be read: it gets time to return.
+	for _, id := range ctl.state.Listed(now, p.names, v.Away || ctl.unwatched || p.unnamed) {
+		ctl.noteStanding(id, "missing from the list")
 	}
 }
 
@@ -68,24 +68,25 @@
 	p := ctl.evacuationPages
 	ctl.evacuationPages = pages[stoatpaddle.DataCentreID]{}
 	if p.unnamed {
-		// What the list seems to lack may be the object without a name: nothing is withdrawn for it.
-		for _, ev := range ctl.book.Table().EvacuationsSince(0) {
+		// A data centre that the list lacks may be the object whose name cannot be read, so no evacuation is
+		// withdrawn because of it.
+		for _, ev := range ctl.state.Table().EvacuationsSince(0) {
 			p.names[ev.DataCentre] = true
 		}
 	}
-	// The list is as of the revision of its first page, which the feed knows now.
+	// The list is as of the revision of its first page, which is the feed's position by now.
 	asOf := ctl.feeds[evacuations].Position().Revision
-	ctl.logWithdrawn(ctl.book.EvacuationsListed(now, p.names, asOf), asOf, "not in the list")
+	ctl.logWithdrawn(ctl.state.EvacuationsListed(now, p.names, asOf), asOf, "missing from the list")
 }
 
-// expireEvacuations ends those that were not written again after a restore.
+// expireEvacuations withdraws evacuations that were not written again after a restore.
 func (ctl *controller) expireEvacuations(now time.Time) {
 	if !ctl.failing().IsZero() {
-		ctl.book.HoldEvacuations(now)
+		ctl.state.HoldEvacuations(now)
 		return
 	}
 	asOf := ctl.feeds[evacuations].Position().Revision
-	ctl.logWithdrawn(ctl.book.ExpireEvacuations(now, asOf), asOf, "not written again after a restore")
+	ctl.logWithdrawn(ctl.state.ExpireEvacuations(now, asOf), asOf, "not written again after a restore")
 }
 
 func (ctl *controller) logWithdrawn(list []stoatpaddle.DataCentreID, asOf stoatpaddle.Version, why string) {
--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -12,35 +12,35 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// flowLines bounds the lines a second of an event that packets cause: a flood must not turn
-// into a flood of lines. State changes have no bound.
-const flowLines = 40
+// maxPacketLines limits the log lines per second of each event that packets cause, so that a flood of packets
+// does not become a flood of lines. State changes have no limit.
+const maxPacketLines = 40
 
 // eventLog writes events without ever blocking traffic.
 type eventLog struct {
-	pipe    *stoatevent.Pipe
-	mu      sync.RWMutex // guards logger
-	logger  *stoatevent.Logger
-	sampler *stoatevent.Sampler
-	group   errgroup.Group
-	lost    int64
-	told    time.Time
-	name    string
+	pipe         *stoatevent.Pipe
+	mu           sync.RWMutex // guards logger
+	logger       *stoatevent.Logger
+	sampler      *stoatevent.Sampler
+	group        errgroup.Group
+	lostReported int64
+	lastReport   time.Time
+	name         string
 }
 
 func newEventLog(w io.Writer, set stoatsetting.Settings) *eventLog {
 	l := &eventLog{pipe: stoatevent.NewPipe(), name: string(set.Instance)}
 	l.sampler = stoatevent.NewSampler(map[stoatevent.Number]int{
-		EventOpened.Number: flowLines, EventReset.Number: flowLines,
-		EventDropped.Number: flowLines, EventEjected.Number: flowLines,
-		EventLate.Number: flowLines, EventInvalid.Number: flowLines, EventLife.Number: flowLines,
+		EventOpened.Number: maxPacketLines, EventReset.Number: maxPacketLines,
+		EventDropped.Number: maxPacketLines, EventEjected.Number: maxPacketLines,
+		EventLate.Number: maxPacketLines, EventInvalid.Number: maxPacketLines, EventLife.Number: maxPacketLines,
 	})
-	l.level(set.Level)
+	l.setLevel(set.Level)
 	l.group.Go(func() error { return l.pipe.Run(w) })
 	return l
 }
 
-func (l *eventLog) level(level string) {
+func (l *eventLog) setLevel(level string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.logger = stoatevent.NewLogger(stoatevent.Config{Writer: l.pipe, Level: level, Instance: l.name})
@@ -61,21 +61,21 @@
 	}
 }
 
-const accountEvery = 5 * time.Second
+const omittedInterval = 5 * time.Second
 
-// account says which lines were left out, and tells whether its time had come.
-func (l *eventLog) account(now time.Time) bool {
-	if now.Sub(l.told) < accountEvery {
+// reportOmitted logs which lines were omitted, and reports whether that was due.
+func (l *eventLog) reportOmitted(now time.Time) bool {
+	if now.Sub(l.lastReport) < omittedInterval {
 		return false
 	}
-	l.told = now
+	l.lastReport = now
 	var fields []stoatevent.Field
 	for _, left := range l.sampler.Take() {
 		fields = append(fields, stoatevent.F(left.Number.String(), strconv.FormatInt(left.Count, 10)))
 	}
-	if lost := l.pipe.Lost(); lost > l.lost {
-		fields = append(fields, stoatevent.F("writer", strconv.FormatInt(lost-l.lost, 10)))
-		l.lost = lost
+	if lost := l.pipe.Lost(); lost > l.lostReported {
+		fields = append(fields, stoatevent.F("writer", strconv.FormatInt(lost-l.lostReported, 10)))
+		l.lostReported = lost
 	}
 	if len(fields) > 0 {
 		l.write(EventLeftOut, fields...)
--- a/stoatedge/metrics.go
+++ b/stoatedge/metrics.go
@@ -17,17 +17,17 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// counters counts what the goroutines do.
+// counters holds what the goroutines count outside the engine.
 type counters struct {
-	malformed [stoatpacket.DropCount]atomic.Int64
-	cookieReported   time.Time // used by the traffic goroutine only
-	set       *metrics.Set
-	stats     atomic.Pointer[stoatecho.Stats] // as the present reading found them
-	answer    *metrics.Histogram              // from a request to its caller's acknowledgement of the answer
+	dropped        [stoatpacket.DropCount]atomic.Int64
+	cookieReported time.Time // when an unknown cookie was last reported; used by the traffic goroutine only
+	set            *metrics.Set
+	stats          atomic.Pointer[stoatecho.Stats] // as of the latest scrape
+	answerTime     *metrics.Histogram              // from a request to its caller's acknowledgement of the answer
 }
 
-// called counts one call to the platform.
-func (c *counters) called(x startCall, r stoatfeed.Result, took time.Duration) {
+// countCall counts one call to the platform.
+func (c *counters) countCall(x startCall, r stoatfeed.Result, took time.Duration) {
 	kind := "watch"
 	switch {
 	case x.call.List:
@@ -44,13 +44,13 @@
 	c.set.GetOrCreateGauge("stoatpaddle_platform_era", nil).Set(float64(r.AsOf.Era))
 }
 
-// begin makes what is counted from the first packet on.
-func (c *counters) begin() {
+// initMetrics creates the metrics that are needed from the first packet on.
+func (c *counters) initMetrics() {
 	c.set = metrics.NewSet()
-	c.answer = c.set.NewHistogram("stoatpaddle_request_answer_seconds")
+	c.answerTime = c.set.NewHistogram("stoatpaddle_request_answer_seconds")
 }
 
-// newMetrics names what /metrics shows besides.
+// newMetrics registers the other metrics of /metrics.
 func (e *Edge) newMetrics() *metrics.Set {
 	set := e.counts.set
 	e.counts.stats.Store(&stoatecho.Stats{})
@@ -70,7 +70,7 @@
 	stat("stoatpaddle_packet_forwarded_total", func(s *stoatecho.Stats) int64 { return s.Forwarded })
 	for r := stoatpacket.DropShort; r < stoatpacket.DropCount; r++ {
 		set.NewGauge(fmt.Sprintf("stoatpaddle_packet_dropped_total{reason=%q}", r), func() float64 {
-			return float64(e.counts.stats.Load().Drops[r] + e.counts.malformed[r].Load())
+			return float64(e.counts.stats.Load().Drops[r] + e.counts.dropped[r].Load())
 		})
 		stat(fmt.Sprintf("stoatpaddle_flow_reset_total{reason=%q}", r), func(s *stoatecho.Stats) int64 { return s.Resets[r] })
 	}
@@ -82,18 +82,18 @@
 		return -1
 	})
 	set.NewGauge("stoatpaddle_tree_children", func() float64 {
-		e.place.mu.Lock()
-		defer e.place.mu.Unlock()
-		return float64(e.place.tree.Children())
+		e.relay.mu.Lock()
+		defer e.relay.mu.Unlock()
+		return float64(e.relay.tree.Children())
 	})
 	set.NewGauge("stoatpaddle_tree_depth", func() float64 { return float64(e.Depth()) })
-	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="sent"}`, func() float64 { return float64(e.place.sent.Load()) })
-	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="received"}`, func() float64 { return float64(e.place.heard.Load()) })
+	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="sent"}`, func() float64 { return float64(e.relay.sent.Load()) })
+	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="received"}`, func() float64 { return float64(e.relay.received.Load()) })
 	set.NewGauge("stoatpaddle_log_lost_total", func() float64 { return float64(e.log.pipe.Lost()) })
 	return set
 }
 
-// writeMetrics reads the engine's counters once: each reading takes its lock from traffic.
+// writeMetrics reads the engine's counters once, since each read takes the lock that traffic needs.
 func (e *Edge) writeMetrics(w http.ResponseWriter, _ *http.Request) {
 	stats := e.Stats()
 	e.counts.stats.Store(&stats)
@@ -105,8 +105,8 @@
 	metrics.WriteProcessMetrics(w)
 }
 
-// writeInProgress writes what is in progress at each upstream. They come and go, so that the
-// lines are made at each reading and not kept in a set.
+// writeInProgress writes what is in progress at each upstream. Upstreams come and go, so the lines are made
+// at each scrape instead of being kept in a set.
 func (e *Edge) writeInProgress(w io.Writer) {
 	t := e.table.Load()
 	e.engineMu.Lock()
@@ -120,7 +120,7 @@
 		}
 		flows[u.DataCentre] += x.Flows
 		label := fmt.Sprintf("{upstream=%q,service=%q}", u.ID, u.Service)
-		// Whoever hung up does not want it any more.
+		// A client that has closed the connection needs no answer.
 		_, _ = fmt.Fprintf(w, "stoatpaddle_upstream_flows%s %d\nstoatpaddle_upstream_requests%s %d\n"+
 			"stoatpaddle_upstream_answer_mean_seconds%s %g\nstoatpaddle_upstream_ejected%s %d\nstoatpaddle_upstream_failing%s %d\n",
 			label, x.Flows, label, x.Requests, label, x.Mean.Seconds(), label, oneIf(x.Ejected), label, oneIf(x.Failing))
@@ -130,7 +130,7 @@
 	}
 }
 
-// oneIf is how a gauge shows a state.
+// oneIf returns the value of a gauge for a state.
 func oneIf(b bool) int {
 	if b {
 		return 1
--- a/stoatedge/pause.go
+++ b/stoatedge/pause.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// pausedFor is how long the process must have stood still for its view of the platform to count
-// as older by that: a watch that went on would have ended by then, and a parent's word is old.
-const pausedFor = 1500 * time.Millisecond
+// minPause is the shortest pause after which what the process knows of the platform counts as older by the
+// length of the pause: a watch would have ended in that time, and a parent's state would be too old.
+const minPause = 1500 * time.Millisecond
 
-// pauseWatch notices that the process stood still: the ticker did not come. It goes by the
-// time since the machine was started, in which a suspended machine's time counts; the
-// steady clock leaves that out, and the time of day jumps for other reasons.
-type pauseWatch struct {
-	ticked atomic.Int64 // time since the machine's start, at the last tick
-	last   atomic.Int64 // the time between the last two ticks
+// pauseDetector detects that the process did not run, by the time between two ticks. It uses the time since
+// the machine booted, which includes the time for which the machine was suspended. The monotonic clock leaves
+// that out, and the time of day jumps for other reasons.
+type pauseDetector struct {
+	lastTick atomic.Int64 // time since boot, at the last tick
+	lastGap  atomic.Int64 // the time between the last two ticks
 }
 
-// tick notes that the process runs, and returns for how long it stood still; 0: it did not.
-func (w *pauseWatch) tick(up time.Duration) time.Duration {
-	gap := up - time.Duration(w.ticked.Swap(int64(up)))
-	w.last.Store(int64(gap))
-	if gap < pausedFor {
+// tick records that the process runs, and returns for how long it did not; 0: it was not paused.
+func (w *pauseDetector) tick(up time.Duration) time.Duration {
+	gap := up - time.Duration(w.lastTick.Swap(int64(up)))
+	w.lastGap.Store(int64(gap))
+	if gap < minPause {
 		return 0
 	}
 	return gap
 }
 
-// starvedFor is how long after a tick the next one counts as late: twice the time between two,
-// which is a share of a core that was used up, or a machine that is busy.
-const starvedFor = 2 * tickInterval
+// starvedAfter is how long after a tick the next one counts as late: twice the interval of ticks. A late tick
+// means that the process has used up its share of a core, or that the machine is busy.
+const starvedAfter = 2 * tickInterval
 
-// starved tells whether the process lately did not run for a while: packets may have waited
-// though the socket was empty when it last looked.
-func (w *pauseWatch) starved(up time.Duration) bool {
-	return max(up-time.Duration(w.ticked.Load()), time.Duration(w.last.Load())) > starvedFor
+// starved reports whether the process recently did not run for a while: packets may have waited although the
+// socket was empty at the last look.
+func (w *pauseDetector) starved(up time.Duration) bool {
+	return max(up-time.Duration(w.lastTick.Load()), time.Duration(w.lastGap.Load())) > starvedAfter
 }
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -6,21 +6,21 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// proof says which position the platform was at at a time.
+// proof is a position of the platform, and when the platform was there.
 //
-// Replicas cost a tenth and count toward no rate, but may be seconds behind. Of the topics one is
-// asked exactly, the configuration: its answer says which position the platform was at, and the
-// replicas that tell of the others have to reach it.
+// Calls to replicas cost a tenth and count toward no rate limit, but a replica may be seconds behind. Only
+// one topic, the configuration, is requested from the platform itself. The answer says which position the
+// platform was at, and the replicas that answer about the other topics have to reach it.
 type proof struct {
-	asOf time.Time
-	pos  stoatpaddle.Position
-	receivedAt   time.Time // when it came
-	// retried is set once the replicas that are behind were asked for it.
+	asOf       time.Time
+	pos        stoatpaddle.Position
+	receivedAt time.Time // when the answer came
+	// retried is set once the replicas that are behind were asked again.
 	retried bool
 }
 
-// setProof notes a proof that this entry's view has to match, unless it has one already
-// that is not matched: the older one would never be.
+// setProof sets the proof that this entry's state has to match. One that was retried and is not matched yet
+// stays, since it would never be matched if each later proof replaced it.
 func (ctl *controller) setProof(p proof) {
 	if ctl.openProof == nil || !ctl.openProof.retried {
 		ctl.openProof = &p
@@ -28,7 +28,7 @@
 	ctl.matchProof()
 }
 
-// matchProof tells whether everything up to the open proof's position is known here.
+// matchProof records the open proof as matched if everything up to its position is known.
 func (ctl *controller) matchProof() {
 	if ctl.openProof == nil {
 		return
@@ -38,11 +38,12 @@
 			return
 		}
 	}
-	ctl.book.Prove(ctl.openProof.asOf)
+	ctl.state.Prove(ctl.openProof.asOf)
 	ctl.openProof = nil
 }
 
-// retryProof asks replicas that are behind the open proof: first once more, then around them.
+// retryProof asks the replicas that are behind the open proof again: first the replicas, and then the
+// platform itself.
 func (ctl *controller) retryProof(now time.Time) {
 	if ctl.openProof == nil || ctl.openProof.retried || now.Sub(ctl.openProof.receivedAt) <= answerWait {
 		return
--- a/stoatedge/reload.go
+++ b/stoatedge/reload.go
@@ -8,8 +8,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// Reload takes changed settings in, or says why the ones before stay in force. Nothing that
-// flows is interrupted: addresses and names need a start of the entry and are only named.
+// Reload applies changed settings, or logs why the previous ones stay in force. It interrupts no flow:
+// changes of addresses and names need a restart of the entry and are only logged.
 func (e *Edge) Reload(set stoatsetting.Settings, err error) {
 	now := clock() // house: the settings were read now
 	if err != nil {
@@ -18,12 +18,12 @@
 	}
 	e.reloadMu.Lock()
 	defer e.reloadMu.Unlock()
-	next, applied, kept := merge(e.set, set)
+	next, applied, kept := merge(e.current, set)
 	if len(applied) == 0 && len(kept) == 0 {
 		return
 	}
-	e.set = next
-	e.log.level(next.Level)
+	e.current = next
+	e.log.setLevel(next.Level)
 	e.engineMu.Lock()
 	e.engine.SetRegions(next.Regions)
 	e.engineMu.Unlock()
@@ -31,8 +31,8 @@
 	e.log.emit(now, EventReload, stoatevent.F("applied", strings.Join(applied, ",")), stoatevent.F("kept", strings.Join(kept, ",")))
 }
 
-// merge returns the settings in force after a change to next, and names what was applied
-// and what needs a start.
+// merge returns the settings in force after a change to next, and names those that were applied and those
+// that need a restart.
 func merge(old, next stoatsetting.Settings) (stoatsetting.Settings, []string, []string) {
 	out := old
 	var applied, kept []string
@@ -50,8 +50,8 @@
 	apply("log.level", old.Level != next.Level, func() { out.Level = next.Level })
 	apply("platform.apply", old.Apply != next.Apply, func() { out.Apply = next.Apply })
 	apply("platform.leave", old.Leave != next.Leave, func() { out.Leave = next.Leave })
-	// Whether evacuations are followed at all is settled at the start: one that comes to follow them
-	// would know none until it has read them, and send flows where none may go.
+	// Whether evacuations are followed at all is fixed at the start: an entry that begins to follow them
+	// later knows none until it has read them, and would send flows where none may go.
 	follows := old.Evacuate > 0 && next.Evacuate > 0
 	apply("platform.evacuate", follows && old.Evacuate != next.Evacuate, func() { out.Evacuate = next.Evacuate })
 	keep("platform.evacuate", !follows && old.Evacuate != next.Evacuate)
@@ -84,9 +84,9 @@
 	return true
 }
 
-// settings returns what is in force.
+// settings returns the settings in force.
 func (e *Edge) settings() stoatsetting.Settings {
 	e.reloadMu.Lock()
 	defer e.reloadMu.Unlock()
-	return e.set
+	return e.current
 }
--- a/stoatedge/restored.go
+++ b/stoatedge/restored.go
@@ -7,11 +7,11 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatevent"
 )
 
-// handleRestore takes in that the platform came back from an older copy of itself, as its answer or the parent
-// said. Every topic is listed anew; calls under way were asked by revisions of before.
+// handleRestore processes a restore of the platform from an older copy, which an answer or the parent
+// reported. Every topic is listed anew, since calls in progress use revisions of before the restore.
 func (ctl *controller) handleRestore(now time.Time, era stoatpaddle.Era, source string) {
-	before := ctl.book.Era()
-	ctl.book.Restore(now, era)
+	before := ctl.state.Era()
+	ctl.state.Restore(now, era)
 	for _, t := range ctl.topics {
 		if ctl.feeds[t].Restored(era) {
 			ctl.discardCall(t)
@@ -22,10 +22,10 @@
 	}
 	ctl.openProof, ctl.restoreGraceEnd = nil, now.Add(ctl.returnTimeout)
 	ctl.log(EventRestored, stoatevent.F("era", era.String()), stoatevent.F("before", before.String()), stoatevent.F("known", ctl.known.String()),
-		stoatevent.F("version", ctl.book.Declaration().Version.String()), stoatevent.F("source", source))
+		stoatevent.F("version", ctl.state.Declaration().Version.String()), stoatevent.F("source", source))
 }
 
-// discardCall gives up the call of a topic that is under way, and what it may still bring.
+// discardCall cancels the call in progress of a topic, and discards what it still brings.
 func (ctl *controller) discardCall(t topic) {
 	if ctl.pending[t] {
 		ctl.discard[t] = true
--- a/stoatedge/run_admin.go
+++ b/stoatedge/run_admin.go
@@ -10,43 +10,42 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatstatus"
 )
 
-// admin serves operators and neighbours.
+// admin returns the handler for operators and other entries.
 func (e *Edge) admin() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+pathNews, e.tellNews)
-	mux.HandleFunc("POST "+pathSeen, e.takeSeen)
-	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { answer(w, e.status()) })
-	mux.HandleFunc("GET /v1/report", func(w http.ResponseWriter, _ *http.Request) { answer(w, e.report()) })
+	mux.HandleFunc("GET "+pathUpdates, e.serveUpdates)
+	mux.HandleFunc("POST "+pathReports, e.receiveReport)
+	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.status()) })
+	mux.HandleFunc("GET /v1/report", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, e.report()) })
 	mux.HandleFunc("GET /metrics", e.writeMetrics)
 	return mux
 }
 
-func answer(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	data, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// Whoever hung up does not want it any more.
+	// A client that has closed the connection needs no answer.
 	_, _ = w.Write(append(data, '\n'))
 }
 
-// ViewAge is how long ago what is believed was known to be up to date; negative: never.
-func (e *Edge) ViewAge(now time.Time) time.Duration { return ageAt(now, e.place.announced.Load().asOf) }
+// ViewAge returns how long ago the state was known to be current; negative: never.
+func (e *Edge) ViewAge(now time.Time) time.Duration { return ageAt(now, e.relay.announced.Load().asOf) }
 
-// Depth is the number of entries between a reader of the platform and this one; 0: it is told
-// by nobody.
-func (e *Edge) Depth() int { return len(e.place.announced.Load().path) }
+// Depth returns the number of hops from an entry that reads the platform; 0: there is no parent.
+func (e *Edge) Depth() int { return len(e.relay.announced.Load().path) }
 
-// status is what is in force on this entry. The entries that it names are those of the
-// settings: on this fabric entries need not know each other.
+// status returns the status of this entry. It lists the entries that the settings name, since entries on this
+// fabric need not know each other.
 func (e *Edge) status() stoatstatus.Status {
 	set, t := e.settings(), e.table.Load()
 	routes, n := t.Counts()
 	s := stoatstatus.Status{
-		Instance: string(set.Instance), Ready: t.Ready(), Leaving: e.stop.asked(),
-		Platform: e.inTouch.Load(), Watching: true,
+		Instance: string(set.Instance), Ready: t.Ready(), Leaving: e.stop.requested(),
+		Platform: e.platformAnswers.Load(), Watching: true,
 		Contracts: []stoatstatus.Summary{}, Instances: []stoatstatus.Instance{},
 		View: &stoatstatus.View{
 			Version: uint64(t.Declaration.Version), Age: max(-1, e.ViewAge(clock()).Milliseconds()), Routes: routes, Serving: n[stoatroute.Serving],
@@ -64,7 +63,7 @@
 	return s
 }
 
-// report sums up what became of flows.
+// report returns the flow counters for operators.
 func (e *Edge) report() stoatstatus.Report {
 	s := e.Stats()
 	return stoatstatus.Report{
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -13,13 +13,13 @@
 
 func clock() time.Time { return time.Now() }
 
-var began = time.Now()
+var processStart = time.Now()
 
-// steady is the steady clock's time since the process started.
-func steady() time.Duration { return time.Since(began) }
+// monotonic returns the monotonic time since the process started.
+func monotonic() time.Duration { return time.Since(processStart) }
 
-// callCancel gives up the call of a topic. Begin and interrupt are effects of one keeper, in
-// its order: an interrupt finds the call that was asked for before it, also in its pause.
+// callCancel cancels the call of a topic. The controller emits startCall and cancelCall in order, so that
+// interrupt finds the call that was started before it, even during the call's pause.
 type callCancel struct{ cancel context.CancelFunc }
 
 func (c *callCancel) begin(parent context.Context) context.Context {
@@ -34,8 +34,8 @@
 	}
 }
 
-// do performs one effect; what waits for others runs in the group.
-func (e *Edge) do(effect any) {
+// perform performs one effect. An effect that has to wait runs in the group.
+func (e *Edge) perform(effect any) {
 	switch x := effect.(type) {
 	case startCall:
 		ctx := e.cancels[x.topic].begin(e.ctx)
@@ -47,14 +47,14 @@
 		e.cancels[x.topic].interrupt()
 	case findParent:
 		ctx, cancel := context.WithCancelCause(e.ctx)
-		e.place.parent.set(x.searchID, cancel)
+		e.relay.search.set(x.searchID, cancel)
 		e.group.Go(func() error {
 			defer cancel(nil)
 			e.followParent(ctx, x)
 			return nil
 		})
 	case leaveParent:
-		e.place.parent.leave(x)
+		e.relay.search.leave(x)
 	case loadFormer:
 		e.group.Go(func() error {
 			e.loadFormer()
@@ -66,18 +66,18 @@
 			return nil
 		})
 	case announcement:
-		e.place.announced.Store(&x)
-		e.place.bell.ring()
+		e.relay.announced.Store(&x)
+		e.relay.notifier.notify()
 	case wakeChildren:
-		e.place.bell.ring()
+		e.relay.notifier.notify()
 	case publishTable:
 		e.table.Store(x.table)
 		if x.table.Ready() {
-			e.release(clock())
-			e.placed.Do(func() { close(e.placing) })
+			e.releaseHeld(clock())
+			e.tableReadyOnce.Do(func() { close(e.tableReady) })
 		}
 	case platformStatus:
-		e.inTouch.Store(x.answers)
+		e.platformAnswers.Store(x.answers)
 	case logEvent:
 		e.log.emit(clock(), x.entry, x.fields...)
 	}
@@ -87,16 +87,15 @@
 	return [...]string{platform.KindConfig, platform.KindUpstream, platform.KindEvacuation}[t]
 }
 
-// call does one call to the platform and reports its end. given is cancelled when the call
-// is given up.
-func (e *Edge) call(given context.Context, x startCall) {
-	if !stoatplatform.Pause(given, x.call.Pause) {
+// call makes one call to the platform and reports its end. callCtx ends when the call is cancelled.
+func (e *Edge) call(callCtx context.Context, x startCall) {
+	if !stoatplatform.Pause(callCtx, x.call.Pause) {
 		if e.ctx.Err() == nil {
 			e.post(callEnded{topic: x.topic, call: x.call, sent: clock(), result: stoatfeed.Result{Outcome: stoatfeed.Interrupted}})
 		}
 		return
 	}
-	ctx, cancel := context.WithTimeout(given, x.call.Timeout)
+	ctx, cancel := context.WithTimeout(callCtx, x.call.Timeout)
 	defer cancel()
 	q := platform.Query{Kind: kindOf(x.topic), Stale: x.call.Stale}
 	if x.call.List {
@@ -112,10 +111,10 @@
 	}
 	out := callEnded{topic: x.topic, call: x.call, sent: sent, cause: err}
 	out.result, out.changes = readAnswer(x, answer, err)
-	if err != nil && given.Err() != nil {
+	if err != nil && callCtx.Err() != nil {
 		out.result.Outcome = stoatfeed.Interrupted
 	}
-	e.counts.called(x, out.result, took)
+	e.counts.countCall(x, out.result, took)
 	e.post(out)
 }
 
@@ -134,7 +133,7 @@
 	}
 }
 
-// eraOf returns which history an answer is of, also one that refuses to go on from a revision.
+// eraOf returns the era of an answer, or of one that refuses to go on from a revision.
 func eraOf(a platform.Answer, err error) stoatpaddle.Era {
 	var history *platform.HistoryError
 	if errors.As(err, &history) {
@@ -157,7 +156,7 @@
 	}
 	r.Changes = len(changes)
 	if r.More && (r.Last == "" || r.Last == x.call.After) {
-		// No name of the page can be read: the next question would bring it again, for ever.
+		// No name in the page can be read: the next call would return the same page, forever.
 		r.Outcome, changes = stoatfeed.Failed, nil
 	}
 	return r, changes
@@ -190,7 +189,7 @@
 	return c
 }
 
-// readRegistration decodes an upstream's object. What its name says is known also if the rest cannot be read.
+// readRegistration decodes an upstream's object. What its name says is known even if the rest cannot be read.
 func (c *change) readRegistration(o *platform.Object) {
 	err := o.Fault
 	var r stoatpaddle.Registration
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -20,33 +20,34 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattree"
 )
 
-// seekTimeout bounds one question to another entry: behind a cut it would hang. A slow one
+// peerTimeout limits one request to another entry, which would hang if the network is cut. A slow entry
 // answers within some tens of milliseconds.
-const seekTimeout = 500 * time.Millisecond
+const peerTimeout = 500 * time.Millisecond
 
-// followClient asks other entries. A connection is not used again: it may have gone silent.
-var followClient = &http.Client{Transport: &http.Transport{
-	DialContext:       (&net.Dialer{Timeout: seekTimeout}).DialContext,
+// parentClient sends requests to other entries. It does not reuse connections, since one may have gone
+// silent.
+var parentClient = &http.Client{Transport: &http.Transport{
+	DialContext:       (&net.Dialer{Timeout: peerTimeout}).DialContext,
 	DisableKeepAlives: true, DisableCompression: true,
 }}
 
-// parentCancel ends the listening of one search.
-type parentCancel struct {
-	mu     sync.Mutex
-	serial int
-	cancel context.CancelCauseFunc
+// searchCancel cancels one search, or the updates of the parent that it found.
+type searchCancel struct {
+	mu       sync.Mutex
+	searchID int
+	cancel   context.CancelCauseFunc
 }
 
-func (p *parentCancel) set(serial int, cancel context.CancelCauseFunc) {
+func (p *searchCancel) set(searchID int, cancel context.CancelCauseFunc) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.serial, p.cancel = serial, cancel
+	p.searchID, p.cancel = searchID, cancel
 }
 
-func (p *parentCancel) leave(x leaveParent) {
+func (p *searchCancel) leave(x leaveParent) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.serial == x.searchID && p.cancel != nil {
+	if p.searchID == x.searchID && p.cancel != nil {
 		p.cancel(&leftError{why: x.why})
 	}
 }
@@ -54,10 +55,10 @@
 // leftError reports that this entry left its parent.
 type leftError struct{ why string }
 
-// Error tells why.
-func (e *leftError) Error() string { return "left: " + e.why }
+// Error returns the reason.
+func (e *leftError) Error() string { return "left the parent: " + e.why }
 
-// refusedError reports that an entry tells nothing.
+// refusedError reports that an entry refused to send updates.
 type refusedError struct {
 	addr   netip.AddrPort
 	reason string
@@ -66,41 +67,44 @@
 // Error names the entry and its reason.
 func (e *refusedError) Error() string { return e.addr.String() + " refused: " + e.reason }
 
-// goneError reports an entry that does not answer, or does not go on.
-type goneError struct {
+// unreachableError reports an entry that does not answer, or whose updates ended.
+type unreachableError struct {
 	addr  netip.AddrPort
 	cause error
 }
 
 // Error names the entry and the cause.
-func (e *goneError) Error() string { return e.addr.String() + " tells nothing: " + e.cause.Error() }
+func (e *unreachableError) Error() string {
+	return e.addr.String() + " sends nothing: " + e.cause.Error()
+}
 
 // Unwrap returns the cause.
-func (e *goneError) Unwrap() error { return e.cause }
+func (e *unreachableError) Unwrap() error { return e.cause }
 
-// silentError reports a parent of which nothing was heard.
+// silentError reports a parent that sent nothing for too long.
 type silentError struct{ after time.Duration }
 
-// Error tells for how long.
+// Error returns the length of the silence.
 func (e *silentError) Error() string { return "silent for " + e.after.String() }
 
-// followParent searches for a parent, listens to the first that accepts, and reports the end.
+// followParent searches for a parent, receives the updates of the first entry that accepts, and reports their
+// end.
 func (e *Edge) followParent(ctx context.Context, x findParent) {
 	e.waitForTable()
-	var cause error = &refusedError{reason: "nobody to ask"}
-	e.place.mu.Lock()
-	e.place.tree.SetSeeds(e.settings().Seeds)
-	e.place.tree.Begin()
-	e.place.mu.Unlock()
+	var cause error = &refusedError{reason: "no entry to ask"}
+	e.relay.mu.Lock()
+	e.relay.tree.SetSeeds(e.settings().Seeds)
+	e.relay.tree.Begin()
+	e.relay.mu.Unlock()
 	for ctx.Err() == nil {
-		e.place.mu.Lock()
-		addr, ask, ok := e.place.tree.Next()
-		e.place.mu.Unlock()
+		e.relay.mu.Lock()
+		addr, ask, ok := e.relay.tree.Next()
+		e.relay.mu.Unlock()
 		if !ok {
 			break
 		}
 		ask.Known, ask.Within = x.known, x.maxAge
-		accepted, err := e.hear(ctx, x.searchID, addr, ask)
+		accepted, err := e.receiveUpdates(ctx, x.searchID, addr, ask)
 		cause = err
 		if accepted {
 			break
@@ -110,26 +114,26 @@
 		return
 	}
 	e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
-	e.givePlace(netip.AddrPort{}, stoatfilter.Place{})
+	e.setPlace(netip.AddrPort{}, stoatfilter.Place{})
 	if left := context.Cause(ctx); left != nil {
 		cause = left
 	}
 	e.post(parentLost{searchID: x.searchID, cause: cause})
 }
 
-// hear asks one entry, and takes in what it tells until that ends; accepted tells whether
-// it told anything.
-func (e *Edge) hear(parent context.Context, serial int, addr netip.AddrPort, ask stoattree.Ask) (accepted bool, err error) {
-	ctx, cancel := context.WithCancelCause(parent)
+// receiveUpdates asks one entry for updates, and processes them until they end. Accepted reports whether it
+// sent any.
+func (e *Edge) receiveUpdates(parentCtx context.Context, searchID int, addr netip.AddrPort, ask stoattree.Ask) (accepted bool, err error) {
+	ctx, cancel := context.WithCancelCause(parentCtx)
 	defer cancel(nil)
-	watchdog := time.AfterFunc(seekTimeout, func() { cancel(&silentError{after: seekTimeout}) })
+	watchdog := time.AfterFunc(peerTimeout, func() { cancel(&silentError{after: peerTimeout}) })
 	defer watchdog.Stop()
 	res, err := e.askEntry(ctx, addr, ask)
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, N: &e.place.heard}))
+	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, N: &e.relay.received}))
 	if res.StatusCode != http.StatusOK {
 		return false, e.refused(addr, dec)
 	}
@@ -139,32 +143,32 @@
 			if cause := context.Cause(ctx); cause != nil {
 				err = cause
 			}
-			return accepted, &goneError{addr: addr, cause: err}
+			return accepted, &unreachableError{addr: addr, cause: err}
 		}
 		silence := stoatfeed.Share(e.settings().Bound(), silenceShare)
 		watchdog.Stop()
 		watchdog = time.AfterFunc(silence, func() { cancel(&silentError{after: silence}) })
 		accepted = true
-		if err := e.takeNews(serial, addr, h, body); err != nil {
+		if err := e.handleMessage(searchID, addr, h, body); err != nil {
 			return true, err
 		}
 	}
 }
 
 func (e *Edge) askEntry(ctx context.Context, addr netip.AddrPort, ask stoattree.Ask) (*http.Response, error) {
-	url := "http://" + addr.String() + pathNews + "?" + writeAsk(ask)
+	url := "http://" + addr.String() + pathUpdates + "?" + encodeRequest(ask)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return nil, &goneError{addr: addr, cause: err}
+		return nil, &unreachableError{addr: addr, cause: err}
 	}
-	res, err := followClient.Do(req)
+	res, err := parentClient.Do(req)
 	if err != nil {
-		return nil, &goneError{addr: addr, cause: err}
+		return nil, &unreachableError{addr: addr, cause: err}
 	}
 	return res, nil
 }
 
-// refused takes in whom an entry that refused names instead.
+// refused learns which entries a refusal names instead.
 func (e *Edge) refused(addr netip.AddrPort, dec *msgpack.Decoder) error {
 	var w stoatrelay.Refusal
 	if err := dec.Decode(&w); err != nil {
@@ -174,41 +178,41 @@
 	if err != nil {
 		return err
 	}
-	e.place.mu.Lock()
-	e.place.tree.Refused(try)
-	e.place.mu.Unlock()
+	e.relay.mu.Lock()
+	e.relay.tree.Refused(try)
+	e.relay.mu.Unlock()
 	return &refusedError{addr: addr, reason: w.Reason}
 }
 
-// takeNews hands a parent's message to the keeper, or tells why the parent is to be left.
-func (e *Edge) takeNews(serial int, addr netip.AddrPort, h *stoatrelay.Head, w *stoatrelay.Body) error {
+// handleMessage passes a parent's message to the controller, or returns why the parent has to be left.
+func (e *Edge) handleMessage(searchID int, addr netip.AddrPort, h *stoatrelay.Head, w *stoatrelay.Body) error {
 	m, err := stoatrelay.Decode(h, w)
 	if err != nil {
 		return err
 	}
 	x := parentUpdate{
-		searchID: serial, parent: addr.String(), path: m.Path, known: m.Known, era: m.Era, age: m.Age, whole: m.Whole, delta: m.Delta,
+		searchID: searchID, parent: addr.String(), path: m.Path, known: m.Known, era: m.Era, age: m.Age, whole: m.Whole, delta: m.Delta,
 		upstreams: m.Upstreams, evacuations: m.Evacuations,
 	}
 	relatives, err := stoatrelay.ParseAddrs(h.Relatives)
 	if err != nil {
 		return err
 	}
-	e.place.mu.Lock()
-	e.place.tree.Learn(relatives)
-	looped := e.place.tree.Looped(x.path)
-	e.place.mu.Unlock()
+	e.relay.mu.Lock()
+	e.relay.tree.Learn(relatives)
+	looped := e.relay.tree.Looped(x.path)
+	e.relay.mu.Unlock()
 	if looped {
 		return &refusedError{addr: addr, reason: string(stoattree.Loop)}
 	}
 	if stoatpaddle.DataCentreID(h.Centre) == e.settings().DataCentre {
 		now := clock()
 		e.pool.Follow(now, addr, stoatoutlier.Update{Whole: h.Whole, Reports: stoatoutlier.Decode(now, h.Seen)})
-		e.givePlace(addr, stoatfilter.Place{Rank: h.Rank, Entries: h.Entries})
-		e.notice()
+		e.setPlace(addr, stoatfilter.Place{Rank: h.Rank, Entries: h.Entries})
+		e.notifyObserved()
 	} else {
 		e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
-		e.givePlace(netip.AddrPort{}, stoatfilter.Place{})
+		e.setPlace(netip.AddrPort{}, stoatfilter.Place{})
 	}
 	e.post(x)
 	return nil
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -16,21 +16,23 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Which services routes had before is kept at the platform: the configuration says what they have now, and after a
-// power loss of all entries nobody else knows. Flows at the service before would be taken for forged.
+// The former services of routes are saved at the platform. The configuration has the present services only,
+// and after a power loss of all entries nobody else knows the former ones: packets of flows there would be
+// dropped as forged.
 
-// formerRef names the object.
+// formerRef names the object that has the former services.
 var formerRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectRoutes, Name: "former"}
 
 const (
-	// maxSavePause spreads the seeds, of which the first one writes and the others find it done.
+	// maxSavePause spreads the attempts of the seeds: the first one writes, and the others find the object up
+	// to date.
 	maxSavePause = time.Second
-	// saveAttempts bounds how often one tries, and recallTimeout how long an answer may take.
+	// saveAttempts limits the attempts to save, and loadTimeout the time that loading may take.
 	saveAttempts = 5
-	loadTimeout = 2 * time.Second
+	loadTimeout  = 2 * time.Second
 )
 
-// wireFormer is the object's value. Version is of the configuration by which it was made.
+// wireFormer is the object's value. Version is the version of the configuration with which it was saved.
 type wireFormer struct {
 	Version uint64        `json:"version"`
 	Routes  []wireService `json:"routes"`
@@ -50,7 +52,7 @@
 	return json.Marshal(w)
 }
 
-// decodeFormer reads the object's value, or returns *stoatpaddle.DecodeError.
+// decodeFormer decodes the object's value, or returns *stoatpaddle.DecodeError.
 func decodeFormer(value []byte) (saveFormer, error) {
 	var w wireFormer
 	if err := json.Unmarshal(value, &w); err != nil {
@@ -67,8 +69,8 @@
 	return x, nil
 }
 
-// loadFormer reads what was kept. A replica will do: what it lacks is some seconds old, and other entries
-// that were there say it.
+// loadFormer loads the former services. A replica is enough: what it lacks is some seconds old, and the
+// entries that ran at that time send it.
 func (e *Edge) loadFormer() {
 	ctx, cancel := context.WithTimeout(e.ctx, loadTimeout)
 	defer cancel()
@@ -82,7 +84,7 @@
 	}
 }
 
-// readFormer returns what a replica has; nothing where there is no such object.
+// readFormer returns what a replica has; the zero value if there is no such object.
 func (e *Edge) readFormer(ctx context.Context) (saveFormer, error) {
 	answer, err := e.store.Read(ctx, platform.Query{Kind: stoatplatform.Kind, Stale: true})
 	if err != nil {
@@ -98,7 +100,7 @@
 	return saveFormer{}, nil
 }
 
-// saveFormer keeps which services routes had, unless another entry did so of as late a configuration.
+// saveFormer saves the former services, unless another entry has saved those of the same or a later version.
 func (e *Edge) saveFormer(x saveFormer) {
 	client := stoatplatform.New(stoatplatform.Config{Addr: e.settings().Platform})
 	var err error
--- a/stoatedge/run_place.go
+++ b/stoatedge/run_place.go
@@ -6,49 +6,49 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfilter"
 )
 
-// Which place an entry has among those of its data centre, for what they share without asking each
-// other. Counts go up the relay tree, ranks come down it.
+// The place of an entry among those of its data centre, by which they share limits without asking each other.
+// Counts go up the relay tree, ranks come down it.
 
-// givenPlace is what the parent says of this entry's place.
-type givenPlace struct {
+// assignedPlace is the place that the parent assigned to this entry.
+type assignedPlace struct {
 	parent netip.AddrPort
 	place  stoatfilter.Place
 }
 
-// ownPlace is this entry's place as the tree has it now; the caller holds place.mu. The first entry of
-// a data centre is one that another data centre's entry tells, or a seed. Any other one that nobody
-// tells knows of nobody, and has none.
+// ownPlace returns this entry's place as the tree has it now; the caller holds relay.mu. The first entry of a
+// data centre is a seed, or has a parent in another data centre. Any other entry without a parent knows of no
+// other entries, and has no place.
 func (e *Edge) ownPlace() stoatfilter.Place {
-	if g := e.place.given.Load(); g != nil {
+	if g := e.relay.assigned.Load(); g != nil {
 		return g.place
 	}
-	if len(e.place.announced.Load().path) == 0 && !e.place.tree.IsSeed() {
+	if len(e.relay.announced.Load().path) == 0 && !e.relay.tree.IsSeed() {
 		return stoatfilter.Place{}
 	}
-	return stoatfilter.Place{Entries: e.place.tree.Size()}
+	return stoatfilter.Place{Entries: e.relay.tree.Size()}
 }
 
-// findPlace returns this entry's place, and what its parent has to be told of how many are below it; an
-// invalid address means nothing.
-func (e *Edge) findPlace() (own stoatfilter.Place, size int, to netip.AddrPort) {
-	e.place.mu.Lock()
-	defer e.place.mu.Unlock()
-	own, size = e.ownPlace(), e.place.tree.Size()
-	if g := e.place.given.Load(); g != nil && e.place.sized.Load() != int64(size) {
+// currentPlace returns this entry's place and the number of entries below it, itself included. To is the parent
+// that has to be told of that number; an invalid address means none.
+func (e *Edge) currentPlace() (own stoatfilter.Place, size int, to netip.AddrPort) {
+	e.relay.mu.Lock()
+	defer e.relay.mu.Unlock()
+	own, size = e.ownPlace(), e.relay.tree.Size()
+	if g := e.relay.assigned.Load(); g != nil && e.relay.reportedSize.Load() != int64(size) {
 		to = g.parent
 	}
 	return own, size, to
 }
 
-// givePlace takes in what a parent says of this entry's place; an invalid address means that there is
-// no parent in this data centre.
-func (e *Edge) givePlace(parent netip.AddrPort, p stoatfilter.Place) {
+// setPlace records the place that a parent assigned; an invalid address means that there is no parent in this
+// data centre.
+func (e *Edge) setPlace(parent netip.AddrPort, p stoatfilter.Place) {
 	if !parent.IsValid() {
-		e.place.given.Store(nil)
+		e.relay.assigned.Store(nil)
 		return
 	}
-	if old := e.place.given.Load(); old == nil || old.parent != parent {
-		e.place.sized.Store(0)
+	if old := e.relay.assigned.Load(); old == nil || old.parent != parent {
+		e.relay.reportedSize.Store(0)
 	}
-	e.place.given.Store(&givenPlace{parent: parent, place: p})
+	e.relay.assigned.Store(&assignedPlace{parent: parent, place: p})
 }
--- a/stoatedge/run_seen.go
+++ b/stoatedge/run_seen.go
@@ -18,18 +18,18 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatrelay"
 )
 
-// pathSeen is where an entry tells its parent which upstreams it saw failing.
-const pathSeen = "/v1/seen"
+// pathReports is where an entry reports to its parent which upstreams it observed to fail.
+const pathReports = "/v1/seen"
 
-// askSize says how many entries of the data centre are below the sender, itself included.
-const askSize = "size"
+// paramSize is the number of entries of the data centre below the sender, itself included.
+const paramSize = "size"
 
-// askWhole says that a report has all that its sender saw, and not what changed.
-const askWhole = "whole"
+// paramWhole marks a report that has all observations of its sender, and not only the changes.
+const paramWhole = "whole"
 
-// takeSeen answers a child's report.
-func (e *Edge) takeSeen(w http.ResponseWriter, r *http.Request) {
-	from, err := netip.ParseAddrPort(r.URL.Query().Get(askFrom))
+// receiveReport processes a child's report.
+func (e *Edge) receiveReport(w http.ResponseWriter, r *http.Request) {
+	from, err := netip.ParseAddrPort(r.URL.Query().Get(paramFrom))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -41,13 +41,13 @@
 		return
 	}
 	now := clock()
-	if size, err := strconv.Atoi(r.URL.Query().Get(askSize)); err == nil {
-		e.place.mu.Lock()
-		e.place.tree.SetSize(from, size)
-		e.place.mu.Unlock()
-		e.notice()
+	if size, err := strconv.Atoi(r.URL.Query().Get(paramSize)); err == nil {
+		e.relay.mu.Lock()
+		e.relay.tree.SetSize(from, size)
+		e.relay.mu.Unlock()
+		e.notifyObserved()
 	}
-	u := stoatoutlier.Update{Whole: r.URL.Query().Get(askWhole) != "", Reports: stoatoutlier.Decode(now, list)}
+	u := stoatoutlier.Update{Whole: r.URL.Query().Get(paramWhole) != "", Reports: stoatoutlier.Decode(now, list)}
 	if len(list) == 0 && !u.Whole {
 		w.WriteHeader(http.StatusNoContent)
 		return
@@ -56,12 +56,13 @@
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
-	e.notice()
+	e.notifyObserved()
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// share adds up what entries saw of upstreams, and judges by it: at each change, and now and then.
-func (e *Edge) share() error {
+// shareObservations adds up the observations of entries, and judges upstreams by them: at each change, and
+// periodically.
+func (e *Edge) shareObservations() error {
 	t := time.NewTicker(stoatecho.JudgeEvery)
 	defer t.Stop()
 	pause := time.NewTimer(0)
@@ -85,25 +86,25 @@
 	}
 }
 
-// notice has share look at what changed; it never blocks.
-func (e *Edge) notice() {
+// notifyObserved wakes shareObservations; it never blocks.
+func (e *Edge) notifyObserved() {
 	select {
 	case e.observed <- struct{}{}:
 	default:
 	}
 }
 
-// judge looks for upstreams that fail requests or answer nobody, by what all entries of this data
-// centre saw, and passes on what was seen here.
+// judge looks for upstreams that fail requests or answer no entry, by the observations of all entries of this
+// data centre, and passes on those of this entry.
 func (e *Edge) judge(now time.Time) {
 	t := e.table.Load()
 	suspects := e.pool.Suspects(now)
 	e.engineMu.Lock()
 	own := e.engine.Observed(now, suspects)
 	e.engineMu.Unlock()
-	sum, report, to := e.pool.Turn(now, own, e.reporting.Load())
+	sum, report, to := e.pool.Turn(now, own, e.reportPending.Load())
 	delay, steady := e.pool.Delay(), e.pool.Steady(now)
-	place, size, parent := e.findPlace()
+	place, size, parent := e.currentPlace()
 	e.engineMu.Lock()
 	e.engine.SetPlace(now, place)
 	e.engine.TakeSum(now, sum)
@@ -118,22 +119,22 @@
 			stoatevent.F("answered", strconv.Itoa(m.Answered)), stoatevent.F("failed", strconv.Itoa(m.Failed)), stoatevent.F("hold", m.Hold.String()))
 	}
 	e.logSilent(now, silent)
-	e.place.seen.Store(&sum)
-	if _, due := e.rung.Next(now, sum, stoatoutlier.SinceFirst); due {
-		e.place.bell.ring()
+	e.relay.observedSum.Store(&sum)
+	if _, due := e.wakeStream.Next(now, sum, stoatoutlier.SinceFirst); due {
+		e.relay.notifier.notify()
 	}
-	// Counts are needed only where entries share something.
-	if !to.IsValid() && !e.reporting.Load() && len(t.Declaration.ColdRates) > 0 {
+	// The count is needed only if entries share a limit.
+	if !to.IsValid() && !e.reportPending.Load() && len(t.Declaration.ColdRates) > 0 {
 		to = parent
 	}
 	if to.IsValid() {
-		e.reporting.Store(true)
+		e.reportPending.Store(true)
 		e.reports <- pendingReport{to: to, update: report, size: size}
 	}
 }
 
-// logSilent says which upstreams get no flows since they answer nobody: in one line where a data centre
-// is lost, which is as many at each entry.
+// logSilent logs which upstreams get no flows because they answer no entry. Many of them share a single line,
+// since every entry logs them all when a data centre is lost.
 func (e *Edge) logSilent(now time.Time, silent []stoatecho.Silent) {
 	if len(silent) > maxStandingLines {
 		var names []string
@@ -150,7 +151,7 @@
 	}
 }
 
-// pendingReport is one that is under way; there is one at a time.
+// pendingReport is a report that is being sent; there is one at a time.
 type pendingReport struct {
 	to     netip.AddrPort
 	update stoatoutlier.Update
@@ -164,46 +165,46 @@
 		case <-e.ctx.Done():
 			return nil
 		case x := <-e.reports:
-			e.place.sized.Store(int64(x.size))
+			e.relay.reportedSize.Store(int64(x.size))
 			if !e.sendReport(x) {
 				e.pool.Lost()
-				e.place.sized.Store(0)
+				e.relay.reportedSize.Store(0)
 			}
-			e.reporting.Store(false)
-			e.notice()
+			e.reportPending.Store(false)
+			e.notifyObserved()
 		}
 	}
 }
 
-// reportClient keeps the connection to the relay parent. One that has gone silent costs
-// seekTimeout, and is not used again then.
+// reportClient keeps the connection to the parent. A connection that has gone silent costs peerTimeout, and
+// is not reused.
 var reportClient = &http.Client{Transport: &http.Transport{
-	DialContext:         (&net.Dialer{Timeout: seekTimeout}).DialContext,
-	MaxIdleConnsPerHost: 1, IdleConnTimeout: reportIdle, DisableCompression: true,
+	DialContext:         (&net.Dialer{Timeout: peerTimeout}).DialContext,
+	MaxIdleConnsPerHost: 1, IdleConnTimeout: reportIdleTimeout, DisableCompression: true,
 }}
 
-// reportIdle is how long the connection is kept without reports: an upstream that failed is
-// usually followed by others within seconds.
-const reportIdle = 10 * time.Second
+// reportIdleTimeout is how long the connection is kept without reports: after one upstream fails, others
+// usually follow within seconds.
+const reportIdleTimeout = 10 * time.Second
 
-// sendReport sends a report, and tells whether the parent took it. One that does not is noticed by
-// its silence, or lacks what was reported before.
+// sendReport sends a report, and returns whether the parent accepted it. A parent that does not accept it is
+// either detected by its silence, or lacks the earlier reports.
 func (e *Edge) sendReport(x pendingReport) bool {
 	body, err := stoatrelay.Encode(stoatoutlier.Encode(clock(), x.update.Reports))
 	if err != nil {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(e.ctx, seekTimeout)
+	ctx, cancel := context.WithTimeout(e.ctx, peerTimeout)
 	defer cancel()
-	url := "http://" + x.to.String() + pathSeen + "?" + askFrom + "=" + e.settings().Admin.String() + "&" + askSize + "=" + strconv.Itoa(x.size)
+	url := "http://" + x.to.String() + pathReports + "?" + paramFrom + "=" + e.settings().Admin.String() + "&" + paramSize + "=" + strconv.Itoa(x.size)
 	if x.update.Whole {
-		url += "&" + askWhole + "=1"
+		url += "&" + paramWhole + "=1"
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return false
 	}
-	e.place.sent.Add(int64(len(body)))
+	e.relay.sent.Add(int64(len(body)))
 	res, err := reportClient.Do(req)
 	if err != nil {
 		e.log.emit(clock(), EventUnreported, stoatevent.F("parent", x.to.String()), stoatevent.F("cause", err.Error()))
--- a/stoatedge/run_tell.go
+++ b/stoatedge/run_tell.go
@@ -20,82 +20,82 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattree"
 )
 
-// pathNews is where an entry tells another one what it believes, for as long as it wants.
-const pathNews = "/v1/news"
+// pathUpdates is where an entry gets updates from another one, for as long as it wants.
+const pathUpdates = "/v1/news"
 
-// The names of what an entry says when it asks.
+// The query parameters of a request for updates.
 const (
-	askFrom   = "from"
-	askCentre = "centre"
-	askKnown  = "known"
-	askEra    = "era" // of known
-	askNear   = "near"
-	askWithin = "within" // ms; how old the word may be at most
-	askSkip   = "skip"
+	paramFrom   = "from"
+	paramCentre = "centre"
+	paramKnown  = "known"
+	paramEra    = "era" // of paramKnown
+	paramNear   = "near"
+	paramWithin = "within" // ms; how old the state may be at most
+	paramSkip   = "skip"
 )
 
 const (
-	// keepaliveShare is how much of the bound passes between two messages at most: half of
-	// the silence at which a child gives its parent up.
+	// keepaliveShare is the longest pause between two messages, as a share of the apply bound: half of the
+	// silence after which a child leaves its parent.
 	keepaliveShare = 0.36
-	// silenceShare is how long a child hears nothing until it gives its parent up. What is
-	// left of the bound is for asking the platform itself.
+	// silenceShare is the silence after which a child leaves its parent, as a share of the apply bound. The
+	// rest of the bound is for asking the platform itself.
 	silenceShare = 0.72
 )
 
-// bell wakes everybody who waits for news.
-type bell struct {
+// notifier wakes all goroutines that wait for a change.
+type notifier struct {
 	mu   sync.Mutex
 	next chan struct{}
 }
 
-func newBell() *bell { return &bell{next: make(chan struct{})} }
+func newNotifier() *notifier { return &notifier{next: make(chan struct{})} }
 
-func (b *bell) ring() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	close(b.next)
-	b.next = make(chan struct{})
+func (n *notifier) notify() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	close(n.next)
+	n.next = make(chan struct{})
 }
 
-// wait returns what is closed at the next ring.
-func (b *bell) wait() <-chan struct{} {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.next
+// wait returns a channel that is closed by the next notify.
+func (n *notifier) wait() <-chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.next
 }
 
-// place is this entry's place among the others.
-type place struct {
-	mu        sync.Mutex // of tree
-	tree      *stoattree.Tree
-	announced atomic.Pointer[announcement]
-	bell      *bell
-	bodies    bodies
-	seen      atomic.Pointer[[]stoatoutlier.Report] // the sum over this data centre
-	sent      atomic.Int64                          // bytes to children
-	heard     atomic.Int64                          // bytes from parents
-	parent    parentCancel
-	given     atomic.Pointer[givenPlace] // nil: no parent in this data centre
-	sized     atomic.Int64               // how many entries below this one the parent was told of; 0: none
+// relayState is this entry's state in the relay tree.
+type relayState struct {
+	mu           sync.Mutex // guards tree
+	tree         *stoattree.Tree
+	announced    atomic.Pointer[announcement]
+	notifier     *notifier
+	bodyCache    bodyCache
+	observedSum  atomic.Pointer[[]stoatoutlier.Report] // the sum over this data centre
+	sent         atomic.Int64                          // bytes to other entries
+	received     atomic.Int64                          // bytes from parents
+	search       searchCancel
+	assigned     atomic.Pointer[assignedPlace] // nil: no parent in this data centre
+	reportedSize atomic.Int64                  // the number of entries below this one that the parent knows; 0: none
 }
 
-func newPlace(cfg stoattree.Config) *place {
-	p := &place{tree: stoattree.New(cfg), bell: newBell()}
+func newRelayState(cfg stoattree.Config) *relayState {
+	p := &relayState{tree: stoattree.New(cfg), notifier: newNotifier()}
 	p.announced.Store(&announcement{})
 	return p
 }
 
-// state is what this entry is to one that asks.
+// state returns what decides whether this entry can be a parent.
 func (e *Edge) state() stoattree.State {
-	s := e.place.announced.Load()
+	s := e.relay.announced.Load()
 	return stoattree.State{
-		Ready: e.table.Load().Ready() && !e.stop.asked(), Known: s.known, Path: s.path, Reads: s.reads,
+		Ready: e.table.Load().Ready() && !e.stop.requested(), Known: s.known, Path: s.path, Reads: s.reads,
 		Age: ageAt(clock(), s.asOf),
 	}
 }
 
-// ageAt is how long ago something was; negative: never.
+// ageAt returns how long ago something was; negative: never.
 func ageAt(now, then time.Time) time.Duration {
 	if then.IsZero() {
 		return -1
@@ -103,45 +103,45 @@
 	return now.Sub(then)
 }
 
-// tellNews answers an entry that asks to be told: with a refusal, or with messages until
-// either side ends.
-func (e *Edge) tellNews(w http.ResponseWriter, r *http.Request) {
-	ask, err := readAsk(r.URL.Query())
+// serveUpdates answers an entry that asks for updates: with a refusal, or with messages until either side
+// ends the connection.
+func (e *Edge) serveUpdates(w http.ResponseWriter, r *http.Request) {
+	ask, err := parseRequest(r.URL.Query())
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	e.place.mu.Lock()
-	a := e.place.tree.Admit(e.state(), ask)
-	e.place.mu.Unlock()
+	e.relay.mu.Lock()
+	a := e.relay.tree.Admit(e.state(), ask)
+	e.relay.mu.Unlock()
 	if a.Refusal != stoattree.Accepted {
-		refuseAsk(w, a)
+		refuseRequest(w, a)
 		return
 	}
 	e.log.emit(clock(), EventChild, stoatevent.F("child", ask.From.String()), stoatevent.F("centre", string(ask.Centre)), stoatevent.F("known", ask.Known.String()))
-	cause := e.tellChild(w, r, ask)
-	e.place.mu.Lock()
-	e.place.tree.Part(ask.From, a.Ticket)
-	e.place.mu.Unlock()
+	cause := e.streamUpdates(w, r, ask)
+	e.relay.mu.Lock()
+	e.relay.tree.Part(ask.From, a.Ticket)
+	e.relay.mu.Unlock()
 	e.pool.Forget(ask.From)
 	e.log.emit(clock(), EventChildGone, stoatevent.F("child", ask.From.String()), stoatevent.F("cause", cause))
 }
 
-func refuseAsk(w http.ResponseWriter, a stoattree.Answer) {
+func refuseRequest(w http.ResponseWriter, a stoattree.Answer) {
 	w.WriteHeader(http.StatusServiceUnavailable)
-	// Whoever hung up asks another one.
+	// A client that has closed the connection asks another entry.
 	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Try: stoatrelay.AddrTexts(a.Try)})
 }
 
-// tellChild sends messages until something ends it, and returns what did.
-func (e *Edge) tellChild(w http.ResponseWriter, r *http.Request, ask stoattree.Ask) string {
+// streamUpdates sends messages to a child until something ends the connection, and returns what did.
+func (e *Edge) streamUpdates(w http.ResponseWriter, r *http.Request, ask stoattree.Ask) string {
 	rc := http.NewResponseController(w)
-	out := &stoatcount.Writer{W: w, N: &e.place.sent}
+	out := &stoatcount.Writer{W: w, N: &e.relay.sent}
 	var child stoatrelay.Holds
 	var seen stoatoutlier.Stream
 	for {
-		next := e.place.bell.wait()
-		if e.stop.asked() {
+		next := e.relay.notifier.wait()
+		if e.stop.requested() {
 			return "this entry stops"
 		}
 		now, bound := clock(), e.settings().Bound()
@@ -149,7 +149,7 @@
 		if err != nil {
 			return err.Error()
 		}
-		// A child that stands still must not hold this goroutine.
+		// A child that does not read must not block this goroutine.
 		_ = rc.SetWriteDeadline(now.Add(stoatfeed.Share(bound, silenceShare)))
 		if _, err := out.Write(text); err != nil {
 			return err.Error()
@@ -158,17 +158,17 @@
 			return err.Error()
 		}
 		child = told
-		if cause := e.waitForNews(r, next, stoatfeed.Share(bound, keepaliveShare)); cause != "" {
+		if cause := e.waitForUpdate(r, next, stoatfeed.Share(bound, keepaliveShare)); cause != "" {
 			return cause
 		}
 	}
 }
 
-// message returns the next one for a child, encoded, and what the child holds with it.
+// message returns the next message for a child, encoded, and what the child holds after it.
 func (e *Edge) message(now time.Time, ask stoattree.Ask, child stoatrelay.Holds, seen *stoatoutlier.Stream) ([]byte, stoatrelay.Holds, error) {
-	// First how far everything is known, then the table: it holds that much at least.
-	s, t := e.place.announced.Load(), e.table.Load()
-	body, err := e.place.bodies.of(now, t, child)
+	// The announcement is loaded before the table, so that the table has at least what is announced.
+	s, t := e.relay.announced.Load(), e.table.Load()
+	body, err := e.relay.bodyCache.get(now, t, child)
 	if err != nil {
 		return nil, child, err
 	}
@@ -179,17 +179,18 @@
 	return append(head, body...), stoatrelay.HoldsOf(t), nil
 }
 
-// waitForNews returns when there is some or a message is due anyway, or with what ended the telling.
-func (e *Edge) waitForNews(r *http.Request, next <-chan struct{}, most time.Duration) string {
-	timer := time.NewTimer(most)
+// waitForUpdate returns an empty string when there is a change or a message is due anyway, or else what ended
+// the connection.
+func (e *Edge) waitForUpdate(r *http.Request, next <-chan struct{}, longest time.Duration) string {
+	timer := time.NewTimer(longest)
 	defer timer.Stop()
 	select {
 	case <-next:
 	case <-timer.C:
 	case <-r.Context().Done():
-		return "it hung up"
+		return "the child closed the connection"
 	case <-e.ctx.Done():
-		return "this entry ends"
+		return "this entry exits"
 	}
 	return ""
 }
@@ -201,38 +202,38 @@
 		Path: stoatrelay.AddrTexts(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
 	}
 	h.Centre = string(e.settings().DataCentre)
-	if seen := e.place.seen.Load(); seen != nil && ask.Centre == e.settings().DataCentre {
+	if seen := e.relay.observedSum.Load(); seen != nil && ask.Centre == e.settings().DataCentre {
 		if u, due := stream.Next(now, *seen, stoatoutlier.SinceFirst); due {
 			h.Seen, h.Whole = stoatoutlier.Encode(now, u.Reports), u.Whole
 		}
 	}
-	e.place.mu.Lock()
-	h.Relatives = stoatrelay.AddrTexts(e.place.tree.Relatives(ask.From, ask.Centre))
+	e.relay.mu.Lock()
+	h.Relatives = stoatrelay.AddrTexts(e.relay.tree.Relatives(ask.From, ask.Centre))
 	if own := e.ownPlace(); ask.Centre == e.settings().DataCentre && own.Entries > 0 {
-		h.Rank, h.Entries = e.place.tree.RankOf(ask.From, own.Rank), own.Entries
+		h.Rank, h.Entries = e.relay.tree.RankOf(ask.From, own.Rank), own.Entries
 	}
-	e.place.mu.Unlock()
+	e.relay.mu.Unlock()
 	return stoatrelay.Encode(&h)
 }
 
-// bodies keeps the last body: children that were told the same are told the same next.
-type bodies struct {
-	mu    sync.Mutex
-	held  stoatrelay.Holds // of the table that it was made from
-	child stoatrelay.Holds
-	made  time.Time
-	text  []byte
+// bodyCache keeps the last body, since children that hold the same state get the same body next.
+type bodyCache struct {
+	mu        sync.Mutex
+	source    stoatrelay.Holds // the table from which the body was encoded
+	child     stoatrelay.Holds
+	encodedAt time.Time
+	encoded   []byte
 }
 
-// bodyKept is how long a body is told again: how much longer an upstream is cold is said in it.
-const bodyKept = 200 * time.Millisecond
+// bodyCacheTTL is how long a body is reused: it says for how much longer upstreams are cold.
+const bodyCacheTTL = 200 * time.Millisecond
 
-// of returns what t has that a child does not, encoded; nothing if there is nothing.
-func (b *bodies) of(now time.Time, t *stoatroute.Table, child stoatrelay.Holds) ([]byte, error) {
+// get returns what t has that a child does not, encoded; nil if there is nothing.
+func (b *bodyCache) get(now time.Time, t *stoatroute.Table, child stoatrelay.Holds) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.held == stoatrelay.HoldsOf(t) && b.child == child && now.Sub(b.made) < bodyKept {
-		return b.text, nil
+	if b.source == stoatrelay.HoldsOf(t) && b.child == child && now.Sub(b.encodedAt) < bodyCacheTTL {
+		return b.encoded, nil
 	}
 	var text []byte
 	if w := stoatrelay.EncodeBody(now, t, child); w != nil {
@@ -241,57 +242,57 @@
 			return nil, err
 		}
 	}
-	b.held, b.child, b.made, b.text = stoatrelay.HoldsOf(t), child, now, text
+	b.source, b.child, b.encodedAt, b.encoded = stoatrelay.HoldsOf(t), child, now, text
 	return text, nil
 }
 
-// readAsk reads what an entry says, or returns *stoatpaddle.DecodeError.
-func readAsk(q url.Values) (stoattree.Ask, error) {
+// parseRequest decodes the query of a request for updates, or returns *stoatpaddle.DecodeError.
+func parseRequest(q url.Values) (stoattree.Ask, error) {
 	fail := func(what string, err error) (stoattree.Ask, error) {
 		return stoattree.Ask{}, &stoatpaddle.DecodeError{What: what, Cause: err}
 	}
-	from, err := netip.ParseAddrPort(q.Get(askFrom))
+	from, err := netip.ParseAddrPort(q.Get(paramFrom))
 	if err != nil {
-		return fail(askFrom, err)
+		return fail(paramFrom, err)
 	}
-	known, err := strconv.ParseUint(q.Get(askKnown), 10, 64)
+	known, err := strconv.ParseUint(q.Get(paramKnown), 10, 64)
 	if err != nil {
-		return fail(askKnown, err)
+		return fail(paramKnown, err)
 	}
 	var era uint64
-	if text := q.Get(askEra); text != "" {
-		// An entry of the release before says none.
+	if text := q.Get(paramEra); text != "" {
+		// An entry of the previous release sends no era.
 		if era, err = strconv.ParseUint(text, 10, 64); err != nil {
-			return fail(askEra, err)
+			return fail(paramEra, err)
 		}
 	}
-	within, err := strconv.ParseUint(q.Get(askWithin), 10, 31)
+	within, err := strconv.ParseUint(q.Get(paramWithin), 10, 31)
 	if err != nil {
-		return fail(askWithin, err)
+		return fail(paramWithin, err)
 	}
 	a := stoattree.Ask{
-		From: from, Centre: stoatpaddle.DataCentreID(q.Get(askCentre)),
+		From: from, Centre: stoatpaddle.DataCentreID(q.Get(paramCentre)),
 		Known: stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(known)},
-		Near:  q.Get(askNear) != "", Within: time.Duration(within) * time.Millisecond,
+		Near:  q.Get(paramNear) != "", Within: time.Duration(within) * time.Millisecond,
 	}
-	if skip := q.Get(askSkip); skip != "" {
+	if skip := q.Get(paramSkip); skip != "" {
 		if a.Skip, err = stoatrelay.ParseAddrs(strings.Split(skip, ",")); err != nil {
-			return fail(askSkip, err)
+			return fail(paramSkip, err)
 		}
 	}
 	return a, nil
 }
 
-func writeAsk(a stoattree.Ask) string {
+func encodeRequest(a stoattree.Ask) string {
 	q := url.Values{}
-	q.Set(askFrom, a.From.String())
-	q.Set(askCentre, string(a.Centre))
-	q.Set(askKnown, a.Known.Revision.String())
-	q.Set(askEra, a.Known.Era.String())
-	q.Set(askWithin, strconv.FormatInt(a.Within.Milliseconds(), 10))
+	q.Set(paramFrom, a.From.String())
+	q.Set(paramCentre, string(a.Centre))
+	q.Set(paramKnown, a.Known.Revision.String())
+	q.Set(paramEra, a.Known.Era.String())
+	q.Set(paramWithin, strconv.FormatInt(a.Within.Milliseconds(), 10))
 	if a.Near {
-		q.Set(askNear, "1")
+		q.Set(paramNear, "1")
 	}
-	q.Set(askSkip, strings.Join(stoatrelay.AddrTexts(a.Skip), ","))
+	q.Set(paramSkip, strings.Join(stoatrelay.AddrTexts(a.Skip), ","))
 	return q.Encode()
 }
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -13,34 +13,34 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-func (e *Edge) serve() {
-	e.group.Go(e.traffic)
+func (e *Edge) startWorkers() {
+	e.group.Go(e.handleTraffic)
 	e.group.Go(e.tick)
-	e.group.Go(e.share)
+	e.group.Go(e.shareObservations)
 	e.group.Go(e.sendReports)
 }
 
-// mover is what one goroutine needs to carry decisions out; nothing in it is shared.
-type mover struct {
+// packetBuffers holds what one goroutine needs to handle packets; nothing in it is shared.
+type packetBuffers struct {
 	buf     []byte // TargetSize bytes of room, then the packet
 	reset   []byte
 	drained time.Time // when the socket was last known to be empty; zero: the packet did not wait there
 }
 
-func newMover() *mover {
-	return &mover{
+func newPacketBuffers() *packetBuffers {
+	return &packetBuffers{
 		buf:   make([]byte, platform.TargetSize+platform.HeaderSize+platform.MaxData+1),
 		reset: make([]byte, platform.HeaderSize),
 	}
 }
 
-// traffic moves packets, one at a time: an entry has a part of one core, and a second
-// goroutine would only wait for the engine.
-func (e *Edge) traffic() error {
-	m := newMover()
+// handleTraffic handles packets, one at a time: an entry has a part of one core, and a second goroutine would
+// only wait for the engine's lock.
+func (e *Edge) handleTraffic() error {
+	m := newPacketBuffers()
 	var p stoatpacket.Packet
 	for {
-		n, err := e.in.read(m.buf[platform.TargetSize:])
+		n, err := e.reader.read(m.buf[platform.TargetSize:])
 		if err != nil {
 			if e.ctx.Err() != nil {
 				return nil
@@ -48,15 +48,15 @@
 			continue
 		}
 		now := clock()
-		e.stop.packet(now)
-		m.drained = e.in.drained
+		e.stop.notePacket(now)
+		m.drained = e.reader.drained
 		reason := platform.ReadPacket(m.buf[platform.TargetSize:platform.TargetSize+n], &p)
 		// Resets towards this entry itself would come back as packets.
-		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.own {
+		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.ownAddr {
 			reason = stoatpacket.DropOwn
 		}
 		if reason != stoatpacket.DropNone {
-			e.counts.malformed[reason].Add(1)
+			e.counts.dropped[reason].Add(1)
 			e.logDrop(now, &p, reason)
 			continue
 		}
@@ -64,30 +64,30 @@
 	}
 }
 
-// handle decides about the packet in m and carries the decision out.
-func (e *Edge) handle(now time.Time, m *mover, n int, p *stoatpacket.Packet) {
+// handle decides about the packet in m and applies the decision.
+func (e *Edge) handle(now time.Time, m *packetBuffers, n int, p *stoatpacket.Packet) {
 	e.engineMu.Lock()
 	t := e.table.Load()
 	if !m.drained.IsZero() {
 		e.engine.Drained(m.drained)
 	}
 	a := e.engine.Handle(now, t, p)
-	if a.Verdict == stoatecho.Wait && !e.hold.Add(now, p, m.buf[platform.TargetSize:platform.TargetSize+n]) {
+	if a.Verdict == stoatecho.Wait && !e.held.Add(now, p, m.buf[platform.TargetSize:platform.TargetSize+n]) {
 		a.Verdict = stoatecho.Drop
-		e.counts.malformed[a.Reason].Add(1)
+		e.counts.dropped[a.Reason].Add(1)
 	}
 	observed := e.engine.TakeObserved()
 	e.engineMu.Unlock()
 	if observed {
-		e.notice()
+		e.notifyObserved()
 	}
-	e.carryOut(now, t, a, p, m, n)
+	e.apply(now, t, a, p, m, n)
 }
 
-// release handles the packets that waited for the first table.
-func (e *Edge) release(now time.Time) {
+// releaseHeld handles the packets that were held until the first table.
+func (e *Edge) releaseHeld(now time.Time) {
 	e.engineMu.Lock()
-	held := e.hold.Take()
+	held := e.held.Take()
 	t := e.table.Load()
 	e.engine.Retain(now, t)
 	ended := e.engine.TakeEnded(now, t)
@@ -96,10 +96,10 @@
 	e.replay(now, held)
 }
 
-// giveUp refuses what has waited for too long.
-func (e *Edge) giveUp(now time.Time) {
+// rejectOverdue refuses packets that have been held for too long.
+func (e *Edge) rejectOverdue(now time.Time) {
 	e.engineMu.Lock()
-	held := e.hold.Overdue(now)
+	held := e.held.Overdue(now)
 	e.engineMu.Unlock()
 	e.replay(now, held)
 }
@@ -108,15 +108,15 @@
 	if len(held) == 0 {
 		return
 	}
-	m := newMover()
+	m := newPacketBuffers()
 	for i := range held {
 		n := copy(m.buf[platform.TargetSize:], held[i].Data)
 		e.handle(now, m, n, &held[i].Packet)
 	}
 }
 
-// carryOut sends what was decided. A datagram that cannot be sent is lost like any other.
-func (e *Edge) carryOut(now time.Time, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, m *mover, n int) {
+// apply carries out a decision. A datagram that cannot be sent is lost like any other.
+func (e *Edge) apply(now time.Time, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, m *packetBuffers, n int) {
 	buf := m.buf[:platform.TargetSize+n]
 	switch a.Verdict {
 	case stoatecho.Forward:
@@ -149,7 +149,7 @@
 		}
 	}
 	if a.Took > 0 {
-		e.counts.answer.Update(a.Took.Seconds())
+		e.counts.answerTime.Update(a.Took.Seconds())
 	}
 	if a.Late {
 		e.logFlow(now, EventLate, t, a, p, stoatevent.F("took", a.Took.Round(time.Millisecond).String()), stoatevent.F("busy", strconv.Itoa(a.Busy)))
@@ -162,7 +162,7 @@
 	}
 }
 
-// excludedFields say why upstreams might not get a flow.
+// excludedFields returns log fields that say why upstreams were excluded.
 func excludedFields(x *stoatecho.Excluded) []stoatevent.Field {
 	var out []stoatevent.Field
 	for v, n := range x {
@@ -173,23 +173,23 @@
 	return out
 }
 
-// loadFields are the load on which a placement or refusal was decided.
+// loadFields returns log fields with the load that decided a placement or refusal.
 func loadFields(a stoatecho.Action) []stoatevent.Field {
 	return []stoatevent.Field{stoatevent.F("busy", strconv.Itoa(a.Busy)), stoatevent.F("mean", a.Mean.Round(time.Millisecond).String())}
 }
 
 // sendReset tells the caller of the packet that its flow cannot go on.
-func (e *Edge) sendReset(m *mover, p *stoatpacket.Packet) {
+func (e *Edge) sendReset(m *packetBuffers, p *stoatpacket.Packet) {
 	platform.PutReset(m.reset, p)
-	_, _ = e.conn.WriteToUDPAddrPort(m.reset, netip.AddrPortFrom(p.Tuple.Src.Addr(), e.callers))
+	_, _ = e.conn.WriteToUDPAddrPort(m.reset, netip.AddrPortFrom(p.Tuple.Src.Addr(), e.callerPort))
 }
 
-// resetEnded resets the flows that wait for an answer of upstreams which have ended.
+// resetEnded resets the flows that wait for an answer of upstreams that have ended.
 func (e *Edge) resetEnded(now time.Time, t *stoatroute.Table, list []stoatecho.Unanswered) {
 	if len(list) == 0 {
 		return
 	}
-	m := newMover()
+	m := newPacketBuffers()
 	for _, x := range list {
 		p := stoatpacket.Packet{Tuple: x.Tuple, Ack: x.Ack}
 		e.sendReset(m, &p)
@@ -198,7 +198,8 @@
 	}
 }
 
-// logFlow writes a line about one flow: its id, what decided, how old that was.
+// logFlow logs an event of one flow: the flow, the upstream, and the version and age of the state that
+// decided.
 func (e *Edge) logFlow(now time.Time, entry *stoatevent.Entry, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
 	if !e.log.admit(now, entry) {
 		return
@@ -222,8 +223,8 @@
 		stoatevent.F("flow", p.Tuple.Src.String()+">"+p.Tuple.Dst.String()), stoatevent.F("cookie", strconv.FormatUint(uint64(p.Cookie), 16)))
 }
 
-// unknownCookieInterval bounds how often unknown cookies make an entry ask: a flood of forged ones
-// must not use up the platform's rates.
+// unknownCookieInterval limits how often unknown cookies make an entry call the platform: a flood of forged
+// cookies must not use up the platform's rate limits.
 const unknownCookieInterval = 500 * time.Millisecond
 
 func (e *Edge) reportUnknownCookie(now time.Time) {
@@ -234,8 +235,8 @@
 	e.post(unknownCookie{})
 }
 
-// tick drives what happens without packets: the keeper's ticks, the planned stop, and the
-// account of log lines that were left out.
+// tick drives what happens without packets: the controller's ticks, the planned stop, and the log of omitted
+// lines.
 func (e *Edge) tick() error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
@@ -251,9 +252,9 @@
 			e.log.emit(now, EventPaused, stoatevent.F("gap", gap.String()))
 		}
 		e.post(ticked{})
-		e.giveUp(now)
-		if e.log.account(now) {
-			tuneCollector(e.settings().MemoryBytes())
+		e.rejectOverdue(now)
+		if e.log.reportOmitted(now) {
+			tuneGC(e.settings().MemoryBytes())
 		}
 		if quiet, done := e.stop.done(now); done {
 			e.log.emit(now, EventStopped, stoatevent.F("quiet", quiet.String()))
--- a/stoatedge/stop.go
+++ b/stoatedge/stop.go
@@ -8,55 +8,55 @@
 )
 
 const (
-	// stopLeast is how long the fabric needs to see that an entry is not ready: two checks
-	// at half a second, and a little.
-	stopLeast = 1500 * time.Millisecond
-	// stopQuiet is how long no packet must have come: a caller repeats after 200 ms.
-	stopQuiet = 400 * time.Millisecond
-	// stopMargin is left of the deadline: whoever is late is killed.
-	stopMargin = time.Second
+	// minStopTime is how long the fabric needs to see that an entry is not ready: two checks, half a second
+	// apart, and a margin.
+	minStopTime = 1500 * time.Millisecond
+	// minQuietTime is for how long no packet must have come: a caller repeats after 200 ms.
+	minQuietTime = 400 * time.Millisecond
+	// deadlineMargin is left before the deadline, at which the process would be killed.
+	deadlineMargin = time.Second
 )
 
-// stopState is the planned stop: what came meanwhile decides when it is complete.
+// stopState is the state of a planned stop. The packets that still come decide when it is complete.
 type stopState struct {
-	mu       sync.Mutex
-	since    time.Time
-	deadline time.Duration
-	last     time.Time // last packet
+	mu         sync.Mutex
+	startedAt  time.Time
+	deadline   time.Duration
+	lastPacket time.Time
 }
 
 func (s *stopState) begin(now time.Time, deadline time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.since.IsZero() {
+	if !s.startedAt.IsZero() {
 		return false
 	}
-	s.since, s.deadline = now, deadline
+	s.startedAt, s.deadline = now, deadline
 	return true
 }
 
-func (s *stopState) asked() bool {
+func (s *stopState) requested() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.since.IsZero()
+	return !s.startedAt.IsZero()
 }
 
-func (s *stopState) packet(now time.Time) {
+func (s *stopState) notePacket(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.last = now
+	s.lastPacket = now
 }
 
-// done tells whether the entry may end, and for how long no packet had come.
+// done reports whether the entry may exit, and for how long no packet has come.
 func (s *stopState) done(now time.Time) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.since.IsZero() {
+	if s.startedAt.IsZero() {
 		return 0, false
 	}
-	quiet := now.Sub(s.last)
-	spent := now.Sub(s.since)
-	return quiet, spent >= stopLeast && quiet >= stopQuiet || spent >= s.deadline-stopMargin
+	quiet := now.Sub(s.lastPacket)
+	elapsed := now.Sub(s.startedAt)
+	return quiet, elapsed >= minStopTime && quiet >= minQuietTime || elapsed >= s.deadline-deadlineMargin
 }
 
 // Stop begins the planned stop; Wait returns when it is complete.
@@ -64,8 +64,8 @@
 	now := clock() // house: the signal comes now
 	deadline := e.settings().Stop
 	if e.stop.begin(now, deadline) {
-		// Children look for another parent while this one still serves.
-		e.place.bell.ring()
+		// Children look for another parent while this entry still serves.
+		e.relay.notifier.notify()
 		e.log.emit(now, EventStopping, stoatevent.F("deadline", deadline.String()))
 	}
 }
--- a/stoatedge/uptime_linux.go
+++ b/stoatedge/uptime_linux.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// uptime is the time since the machine was started, suspended time included.
+// uptime returns the time since the machine booted, including the time for which it was suspended.
 func uptime() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return steady()
+		return monotonic()
 	}
 	return time.Duration(ts.Nano())
 }
--- a/stoatedge/uptime_other.go
+++ b/stoatedge/uptime_other.go
@@ -4,5 +4,5 @@
 
 import "time"
 
-// uptime is the steady time; on this system suspended time may be missing from it.
-func uptime() time.Duration { return steady() }
+// uptime returns the monotonic time, which may not include the time for which the machine was suspended.
+func uptime() time.Duration { return monotonic() }
