--- a/stoatedge/answer_test.go
+++ b/stoatedge/answer_test.go
@@ -9,9 +9,10 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfeed"
 )
 
-// A page of a list ends with an object whose name cannot be read. The list goes on after the last
-// name that can; where there is none, the question would come back for ever, and counts as failed.
-func TestPageEdge(t *testing.T) {
+// Guards against a list that never ends: a page ends with an object whose name cannot be read. The list goes
+// on after the last name that can be read; if there is none, the next call would return the same page, so
+// that the page counts as failed.
+func TestPageWithUnreadableNames(t *testing.T) {
 	named := func(name string) platform.Object { return platform.Object{Meta: platform.Meta{Name: name}} }
 	broken := platform.Object{Fault: &stoatpaddle.DecodeError{What: "an object"}}
 	for name, c := range map[string]struct {
@@ -21,12 +22,12 @@
 		last  string
 		want  stoatfeed.Outcome
 	}{
-		"last":            {"", []platform.Object{named("i-1"), broken}, true, "i-1", stoatfeed.Answered},
-		"first":           {"i-0", []platform.Object{broken, named("i-1")}, true, "i-1", stoatfeed.Answered},
-		"alone":           {"", []platform.Object{broken}, true, "", stoatfeed.Failed},
-		"alone, later":    {"i-1", []platform.Object{broken}, true, "", stoatfeed.Failed},
-		"again the same":  {"i-1", []platform.Object{named("i-1")}, true, "i-1", stoatfeed.Failed},
-		"alone, complete": {"", []platform.Object{broken}, false, "", stoatfeed.Answered},
+		"last":                {"", []platform.Object{named("i-1"), broken}, true, "i-1", stoatfeed.Answered},
+		"first":               {"i-0", []platform.Object{broken, named("i-1")}, true, "i-1", stoatfeed.Answered},
+		"alone":               {"", []platform.Object{broken}, true, "", stoatfeed.Failed},
+		"alone, later":        {"i-1", []platform.Object{broken}, true, "", stoatfeed.Failed},
+		"the same name again": {"i-1", []platform.Object{named("i-1")}, true, "i-1", stoatfeed.Failed},
+		"alone, complete":     {"", []platform.Object{broken}, false, "", stoatfeed.Answered},
 	} {
 		r, changes := readAnswer(startCall{topic: upstreams, call: stoatfeed.Call{List: true, After: c.after}}, platform.Answer{Items: c.items, More: c.more}, nil)
 		if r.Outcome != c.want || r.Last != c.last || (r.Outcome == stoatfeed.Answered) != (len(changes) == len(c.items)) {
@@ -35,10 +36,10 @@
 	}
 }
 
-// A call is given up while it still pauses, since the parent tells now: it ends at once, without
-// a question to the platform.
+// A call is cancelled during its pause, since a parent was found. It ends at once, without a call to the
+// platform.
 func TestInterruptDuringAPause(t *testing.T) {
-	e := &Edge{ctx: t.Context(), events: newMailbox()}
+	e := &Edge{ctx: t.Context(), events: newEventQueue()}
 	var c callCancel
 	given := c.begin(t.Context())
 	c.interrupt()
@@ -49,10 +50,10 @@
 	}
 }
 
-// Events reach the control goroutine in their order, also those that it posts itself, and
-// nothing that is posted late blocks its sender.
-func TestMailbox(t *testing.T) {
-	m := newMailbox()
+// Events reach the control goroutine in order, including those that it sends itself, and a late event does
+// not block its sender.
+func TestEventQueue(t *testing.T) {
+	m := newEventQueue()
 	m.post(1)
 	m.post(2)
 	if list := m.take(); len(list) != 2 || list[0] != 1 || list[1] != 2 {
@@ -62,6 +63,6 @@
 	m.close()
 	m.post(4)
 	if list := m.take(); len(list) != 0 {
-		t.Error("taken after the end:", list)
+		t.Error("taken after close:", list)
 	}
 }
--- a/stoatedge/edge_test.go
+++ b/stoatedge/edge_test.go
@@ -22,10 +22,10 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// patience bounds how long a test waits for what must come; nothing depends on how soon.
-const patience = 20 * time.Second
+// waitTimeout bounds how long a test waits for an event that has to come; no test depends on how soon.
+const waitTimeout = 20 * time.Second
 
-// rig is a store, two upstreams and a caller on loopback addresses of their own.
+// rig is a platform, two upstreams and a caller on their own loopback addresses.
 type rig struct {
 	t        testing.TB
 	store    *stoatfake.Platform
@@ -47,7 +47,7 @@
 	srv := httptest.NewServer(r.store)
 	t.Cleanup(srv.Close)
 	r.addr = netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
-	// The fabric takes packets for callers at the port at which entries listen.
+	// The fabric takes packets for callers on the port on which entries listen.
 	r.caller = r.listen("127.0.0.3:0")
 	r.port = r.caller.LocalAddr().(*net.UDPAddr).AddrPort().Port()
 	for i := range r.upstream {
@@ -83,26 +83,26 @@
 	})
 }
 
-// log is a writer that tests may read while the entry writes.
-type log struct {
+// logBuffer is a writer that tests may read while the entry writes.
+type logBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (l *log) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(p)
 }
 
-func (l *log) has(s string) bool {
+func (l *logBuffer) has(s string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return strings.Contains(l.buf.String(), s)
 }
 
 // start starts an entry on the host address.
-func (r *rig) start(host string, seeds ...netip.AddrPort) (*stoatedge.Edge, stoatsetting.Settings, *log) {
+func (r *rig) start(host string, seeds ...netip.AddrPort) (*stoatedge.Edge, stoatsetting.Settings, *logBuffer) {
 	r.t.Helper()
 	free := func() netip.AddrPort {
 		a, err := stoatfake.FreeAddr()
@@ -117,7 +117,7 @@
 		Evacuate: r.evacuate,
 		Apply:    600 * time.Millisecond, Return: 500 * time.Millisecond, Life: time.Minute, Stop: 4 * time.Second,
 	}
-	l := &log{}
+	l := &logBuffer{}
 	e, err := stoatedge.Start(context.Background(), stoatedge.Config{Settings: set, Log: l})
 	if err != nil {
 		r.t.Fatal(err)
@@ -128,9 +128,9 @@
 
 func (r *rig) wait(what string, ok func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(waitTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			r.t.Fatal("waited in vain: " + what)
+			r.t.Fatal("timed out waiting: " + what)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// packet builds a caller's packet to the route, or to another port.
+// packet returns a caller's packet to the route, or to another port.
 func packet(flags byte, sport, dport uint16, cookie uint32) []byte {
 	b := make([]byte, platform.HeaderSize)
 	le := binary.LittleEndian
@@ -172,7 +172,7 @@
 func (r *rig) receive(conn *net.UDPConn) []byte {
 	r.t.Helper()
 	buf := make([]byte, 2000)
-	_ = conn.SetReadDeadline(time.Now().Add(patience))
+	_ = conn.SetReadDeadline(time.Now().Add(waitTimeout))
 	n, err := conn.Read(buf)
 	if err != nil {
 		r.t.Fatal("no datagram:", err)
@@ -180,11 +180,11 @@
 	return buf[:n]
 }
 
-// arrives returns which upstream got the next datagram, its target and its cookie.
-func (r *rig) arrives() (int, uint64, uint32) {
+// receiveAtUpstream returns which upstream got the next datagram, its target and its cookie.
+func (r *rig) receiveAtUpstream() (int, uint64, uint32) {
 	r.t.Helper()
 	buf := make([]byte, 2000)
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); time.Now().Before(end); {
 		for i, conn := range r.upstream {
 			_ = conn.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
 			if n, err := conn.Read(buf); err == nil && n >= platform.TargetSize+platform.HeaderSize {
@@ -192,25 +192,25 @@
 			}
 		}
 	}
-	r.t.Fatal("nothing arrives")
+	r.t.Fatal("no packet reaches an upstream")
 	return 0, 0, 0
 }
 
-// A flow from its opening to the end of its upstream: the opening carries the target and a
-// cookie; a later packet reaches the same upstream through another entry, which never saw
-// the flow; when the upstream has ended, the caller is told with a reset.
+// A flow from its opening to the end of its upstream. The opening packet carries the target and a cookie. A
+// later packet reaches the same upstream through another entry, which never saw the flow. When the upstream
+// has ended, the caller gets a reset.
 func TestFlowOverTwoEntries(t *testing.T) {
 	r := newRig(t)
 	a, setA, _ := r.start("127.0.0.11")
 	_, setB, _ := r.start("127.0.0.12")
-	r.wait("both serve", func() bool { return isReady(setA) && isReady(setB) })
+	r.wait("both are ready", func() bool { return isReady(setA) && isReady(setB) })
 	r.send(setA, packet(flagSYN, 40001, 443, 0))
-	i, target, cookie := r.arrives()
+	i, target, cookie := r.receiveAtUpstream()
 	if target != []uint64{0x11, 0x22}[i] || cookie == 0 {
 		t.Fatalf("target %x cookie %x at upstream %d", target, cookie, i)
 	}
 	r.send(setB, packet(flagACK, 40001, 443, cookie))
-	if j, _, again := r.arrives(); j != i || again != cookie {
+	if j, _, again := r.receiveAtUpstream(); j != i || again != cookie {
 		t.Error("the flow went to", j)
 	}
 	r.wait("metrics name the upstream", func() bool {
@@ -231,11 +231,11 @@
 	}
 }
 
-// What nobody may open is refused at once; what no caller sends is counted and dropped.
+// A flow that cannot open is refused at once; a packet that no caller sends is counted and dropped.
 func TestRefusals(t *testing.T) {
 	r := newRig(t)
 	e, set, l := r.start("127.0.0.11")
-	r.wait("it serves", func() bool { return isReady(set) })
+	r.wait("it is ready", func() bool { return isReady(set) })
 	r.send(set, packet(flagSYN, 40001, 9, 0))
 	if reset := r.receive(r.caller); reset[0] != flagRST {
 		t.Errorf("% x", reset)
@@ -263,41 +263,41 @@
 	}
 }
 
-// The store is down. An entry that starts then serves what its neighbour tells, and goes on
-// when the store is back.
-func TestStartWithoutTheStore(t *testing.T) {
+// An entry that starts while the platform is down serves with the state of its parent, and follows the
+// platform when it is back.
+func TestStartDuringOutage(t *testing.T) {
 	r := newRig(t)
 	_, setA, _ := r.start("127.0.0.11")
-	r.wait("the first serves", func() bool { return isReady(setA) })
+	r.wait("the first is ready", func() bool { return isReady(setA) })
 	r.store.Set(stoatfake.Trouble{Down: true})
 	b, setB, l := r.start("127.0.0.12", setA.Admin)
-	r.wait("the second serves", func() bool { return isReady(setB) })
+	r.wait("the second is ready", func() bool { return isReady(setB) })
 	if !l.has(`"event":"SP1417"`) {
-		t.Error("no line tells of the neighbour")
+		t.Error("the parent's state is not logged")
 	}
 	r.send(setB, packet(flagSYN, 40001, 443, 0))
-	r.arrives()
+	r.receiveAtUpstream()
 	r.store.Set(stoatfake.Trouble{})
 	r.configure(2, "app")
-	r.wait("the second follows the store", func() bool {
+	r.wait("the second follows the platform", func() bool {
 		age := b.ViewAge(time.Now())
 		return b.Table().Declaration.Version == 2 && age >= 0 && age < setB.Bound()
 	})
 }
 
-// Two entries are told by a seed, one of them through the other: the store hears nothing of
-// them. A change reaches both. Then the seed is killed: both notice, and the next change is in
-// force all the same, since they read the store by themselves.
-func TestToldByOthers(t *testing.T) {
+// Two entries get updates from a seed, one of them through the other, and make no calls to the platform. A
+// change reaches both. When the seed is killed, both notice and read the platform themselves, so that the
+// next change comes into force too.
+func TestUpdatesFromOtherEntries(t *testing.T) {
 	r := newRig(t)
 	seed, setSeed, _ := r.start("127.0.0.11")
-	r.wait("the seed serves", func() bool { return isReady(setSeed) })
+	r.wait("the seed is ready", func() bool { return isReady(setSeed) })
 	b, setB, _ := r.start("127.0.0.12", setSeed.Admin)
-	r.wait("the second is told", func() bool { return told(b) == 1 })
+	r.wait("the second has a parent", func() bool { return depth(b) == 1 })
 	c, setC, _ := r.start("127.0.0.13", setB.Admin)
-	r.wait("the third is told through the second", func() bool { return told(c) == 2 })
-	r.wait("both serve", func() bool { return isReady(setB) && isReady(setC) })
-	// With the first change, what they asked before they were told has ended.
+	r.wait("the third gets updates through the second", func() bool { return depth(c) == 2 })
+	r.wait("both are ready", func() bool { return isReady(setB) && isReady(setC) })
+	// With the first change, the calls from before they had a parent have ended.
 	var before [2]string
 	for version := 2; version <= 3; version++ {
 		before = [2]string{r.calls(setB), r.calls(setC)}
@@ -310,27 +310,27 @@
 		}
 	}
 	if after := [2]string{r.calls(setB), r.calls(setC)}; after != before {
-		t.Error("the store is asked by entries that are told:", before, after)
+		t.Error("entries with a parent call the platform:", before, after)
 	}
 	seed.Kill()
 	r.configure(4, "app")
 	for _, e := range []*stoatedge.Edge{b, c} {
-		r.wait("the change after the seed's death is in force", func() bool { return e.Table().Declaration.Version == 4 })
+		r.wait("the change after the end of the seed is in force", func() bool { return e.Table().Declaration.Version == 4 })
 	}
 }
 
-// A data centre is evacuated and taken back. The seed reads it and the entry below it is told; both
-// refuse new flows at once, since nothing else has the service, and an open flow goes on. An entry
-// that starts meanwhile places no flow there either, its first one included.
+// A data centre is evacuated, and the evacuation is withdrawn. The seed reads it and its child gets an
+// update. Both refuse new flows at once, since no other data centre has the service, and an open flow
+// continues. An entry that starts meanwhile places no flow there either, not even its first one.
 func TestEvacuationReachesAll(t *testing.T) {
 	r := newRig(t)
 	r.evacuate = 600 * time.Millisecond
 	seed, setSeed, logSeed := r.start("127.0.0.11")
-	r.wait("the seed serves", func() bool { return isReady(setSeed) })
+	r.wait("the seed is ready", func() bool { return isReady(setSeed) })
 	b, setB, _ := r.start("127.0.0.12", setSeed.Admin)
-	r.wait("the second is told", func() bool { return told(b) == 1 && isReady(setB) })
+	r.wait("the second has a parent", func() bool { return depth(b) == 1 && isReady(setB) })
 	r.send(setB, packet(flagSYN, 40001, 443, 0))
-	i, _, cookie := r.arrives()
+	i, _, cookie := r.receiveAtUpstream()
 	r.store.Write(platform.KindEvacuation, "here", map[string]any{})
 	for _, e := range []*stoatedge.Edge{seed, b} {
 		r.wait("the evacuation is in force", func() bool { return e.Table().Evacuated("here") })
@@ -343,7 +343,7 @@
 		}
 	}
 	r.send(setLate, packet(flagACK, 40001, 443, cookie))
-	if j, _, _ := r.arrives(); j != i {
+	if j, _, _ := r.receiveAtUpstream(); j != i {
 		t.Error("the open flow went to", j)
 	}
 	r.wait("it is logged", func() bool {
@@ -351,14 +351,13 @@
 	})
 	r.store.Remove(platform.KindEvacuation, "here")
 	for _, e := range []*stoatedge.Edge{seed, b, late} {
-		r.wait("it is taken back", func() bool { return !e.Table().Evacuated("here") })
+		r.wait("the evacuation is withdrawn", func() bool { return !e.Table().Evacuated("here") })
 	}
 	r.send(setB, packet(flagSYN, 40020, 443, 0))
-	r.arrives()
+	r.receiveAtUpstream()
 }
 
-// calls returns the lines of an entry's metrics that count the calls that the store
-// answered.
+// calls returns the lines of an entry's metrics that count the calls that the platform answered.
 func (r *rig) calls(set stoatsetting.Settings) string {
 	r.t.Helper()
 	res, err := http.Get("http://" + set.Admin.String() + "/metrics")
@@ -379,26 +378,26 @@
 	return strings.Join(lines, "\n")
 }
 
-// told is the number of entries between a reader of the store and this one.
-func told(e *stoatedge.Edge) int { return e.Depth() }
+// depth returns the number of hops from an entry that reads the platform.
+func depth(e *stoatedge.Edge) int { return e.Depth() }
 
-// The parent's connection goes silent for good, without a word: something between the two
-// lost track of it. The entry gives it up within the bound and finds another way, so that a
-// change is in force.
+// The parent's connection goes silent for good without being closed, since a device between the two entries
+// lost track of it. The child leaves the parent within the bound and finds another way, so that a change
+// comes into force.
 func TestSilentParent(t *testing.T) {
 	r := newRig(t)
 	_, setSeed, _ := r.start("127.0.0.11")
-	r.wait("the seed serves", func() bool { return isReady(setSeed) })
+	r.wait("the seed is ready", func() bool { return isReady(setSeed) })
 	proxy := r.proxy(setSeed.Admin)
 	b, _, l := r.start("127.0.0.12", proxy.addr)
-	r.wait("it is told", func() bool { return told(b) == 1 })
+	r.wait("it has a parent", func() bool { return depth(b) == 1 })
 	proxy.silence()
 	r.configure(2, "app")
 	r.wait("the change is in force", func() bool { return b.Table().Declaration.Version == 2 })
 	r.wait("the silence is logged", func() bool { return l.has("silent for") })
 }
 
-// proxy forwards connections until it is told to carry nothing any more.
+// proxy forwards connections until silence is called.
 type proxy struct {
 	addr  netip.AddrPort
 	quiet atomic.Bool
@@ -446,11 +445,11 @@
 	}
 }
 
-// The store forgets its history while both watches wait, and everything changed in the gap.
+// The platform loses its history while both watches wait, and both topics change in the gap.
 func TestForgottenHistory(t *testing.T) {
 	r := newRig(t)
 	e, set, _ := r.start("127.0.0.11")
-	r.wait("it serves", func() bool { return isReady(set) })
+	r.wait("it is ready", func() bool { return isReady(set) })
 	r.store.Set(stoatfake.Trouble{SilentWatch: true})
 	r.configure(2, "app")
 	r.register(0, "draining")
@@ -459,34 +458,35 @@
 	r.wait("both are known", func() bool { return e.Table().Declaration.Version == 2 && len(e.Table().Service("app")) == 1 })
 }
 
-// A replica lags behind for good. What the store itself says is in force all the same.
+// A replica lags behind for good. What the platform itself answers comes into force nevertheless.
 func TestLaggingReplica(t *testing.T) {
 	r := newRig(t)
 	e, set, _ := r.start("127.0.0.11")
-	r.wait("it serves", func() bool { return isReady(set) })
+	r.wait("it is ready", func() bool { return isReady(set) })
 	r.store.Set(stoatfake.Trouble{Lagging: true})
 	r.register(0, "draining")
-	r.wait("the leaving one is known", func() bool { return len(e.Table().Service("app")) == 1 })
+	r.wait("the leaving upstream is known", func() bool { return len(e.Table().Service("app")) == 1 })
 }
 
-// A planned stop: not ready at once, forwards what still comes, then ends by itself.
+// In a planned stop, the entry is not ready at once, forwards the packets that still come, and then exits by
+// itself.
 func TestStop(t *testing.T) {
 	r := newRig(t)
 	e, set, l := r.start("127.0.0.11")
-	r.wait("it serves", func() bool { return isReady(set) })
+	r.wait("it is ready", func() bool { return isReady(set) })
 	e.Stop()
 	if isReady(set) {
 		t.Error("ready while it stops")
 	}
 	r.send(set, packet(flagSYN, 40001, 443, 0))
-	r.arrives()
+	r.receiveAtUpstream()
 	e.Wait()
 	if !l.has(`"event":"SP1403"`) || !l.has(`"event":"SP1404"`) {
 		t.Error("the stop is not logged")
 	}
 }
 
-// The settings change: a faulty file is refused with its fault, a good one is in force.
+// Changed settings: a faulty file is rejected and its fault is logged; a valid one comes into force.
 func TestReload(t *testing.T) {
 	r := newRig(t)
 	e, set, l := r.start("127.0.0.11")
@@ -497,11 +497,11 @@
 	r.wait("both are logged", func() bool { return l.has(`"event":"SP1415"`) && l.has("soon") && l.has(`"applied":"platform.apply"`) })
 }
 
-// What one reading of the metrics costs.
+// BenchmarkMetrics measures one scrape of the metrics.
 func BenchmarkMetrics(b *testing.B) {
 	r := newRig(b)
 	_, set, _ := r.start("127.0.0.11")
-	r.wait("it serves", func() bool { return isReady(set) })
+	r.wait("it is ready", func() bool { return isReady(set) })
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
--- a/stoatedge/keeper_test.go
+++ b/stoatedge/keeper_test.go
@@ -15,49 +15,52 @@
 
 const ms = time.Millisecond
 
-// session drives a keeper: what it asks for stands in calls until it is answered.
+// session drives a controller. Its calls stay in progress until the test answers them.
 type session struct {
-	t      *testing.T
-	k      *controller
-	now    time.Time
-	calls  [topicCount]*stoatfeed.Call
-	sent   [topicCount]time.Time
-	table  *stoatroute.Table
-	events map[stoatevent.Number]int
-	sought []findParent               // searches for a parent
-	left   int                  // how often a parent was left
-	knows  stoatpaddle.Position // as said to others
-	era    stoatpaddle.Era      // of the answers to come
-	reads  bool                 // as said to others
-	woken  int                  // how often others were woken
-}
-
-// at is a position of a platform that says no era.
-func at(rev stoatpaddle.Version) stoatpaddle.Position { return stoatpaddle.Position{Revision: rev} }
+	t              *testing.T
+	ctl            *controller
+	now            time.Time
+	calls          [topicCount]*stoatfeed.Call
+	sent           [topicCount]time.Time
+	table          *stoatroute.Table
+	events         map[stoatevent.Number]int
+	searches       []findParent
+	parentsLeft    int                  // how often a parent was left
+	announcedPos   stoatpaddle.Position // as last announced
+	era            stoatpaddle.Era      // of the answers to come
+	announcedReads bool                 // as last announced
+	wakeUps        int                  // how often children were woken
+}
+
+// position returns a position of a platform that gives no era.
+func position(rev stoatpaddle.Version) stoatpaddle.Position {
+	return stoatpaddle.Position{Revision: rev}
+}
 
 func newSession(t *testing.T) *session {
 	return startSession(t, false, false)
 }
 
-// startSession returns a session of an entry whose settings name others, and not itself.
-func startSession(t *testing.T, others, follows bool) *session {
+// startSession returns a session of an entry whose settings name other seeds or not, and which reads the
+// platform itself or relies on them.
+func startSession(t *testing.T, otherSeeds, reliesOnOthers bool) *session {
 	s := newSessionOf(t, controllerConfig{
-		Apply: 3 * time.Second, Return: 2 * time.Second, Life: time.Minute, Seeds: seedRole{otherSeeds: others, isSeed: others && !follows}, Seed: 1,
+		Apply: 3 * time.Second, Return: 2 * time.Second, Life: time.Minute, Seeds: seedRole{otherSeeds: otherSeeds, isSeed: otherSeeds && !reliesOnOthers}, Seed: 1,
 	})
 	s.step(started{})
 	return s
 }
 
 func newSessionOf(t *testing.T, cfg controllerConfig) *session {
-	return &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, k: newController(cfg)}
+	return &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, ctl: newController(cfg)}
 }
 
 func (s *session) step(ev any) {
-	for _, effect := range s.k.step(s.now, ev) {
+	for _, effect := range s.ctl.step(s.now, ev) {
 		switch x := effect.(type) {
 		case startCall:
 			if s.calls[x.topic] != nil {
-				s.t.Errorf("%s is asked twice at once", x.topic)
+				s.t.Errorf("%s has two calls at once", x.topic)
 			}
 			s.calls[x.topic], s.sent[x.topic] = &x.call, s.now
 		case cancelCall:
@@ -69,15 +72,15 @@
 		case logEvent:
 			s.events[x.entry.Number]++
 		case findParent:
-			s.sought = append(s.sought, x)
+			s.searches = append(s.searches, x)
 		case leaveParent:
-			s.left++
+			s.parentsLeft++
 			s.step(parentLost{searchID: x.searchID, cause: &leftError{why: x.why}})
 		case announcement:
-			s.knows, s.reads = x.known, x.reads
-			s.woken++
+			s.announcedPos, s.announcedReads = x.known, x.reads
+			s.wakeUps++
 		case wakeChildren:
-			s.woken++
+			s.wakeUps++
 		}
 	}
 }
@@ -86,7 +89,7 @@
 	s.t.Helper()
 	c := s.calls[t]
 	if c == nil {
-		s.t.Fatalf("%s is not asked", t)
+		s.t.Fatalf("%s has no call in progress", t)
 	}
 	s.calls[t] = nil
 	s.step(callEnded{topic: t, call: *c, sent: s.sent[t], result: r, changes: changes})
@@ -102,8 +105,8 @@
 	s.end(t, stoatfeed.Result{Outcome: stoatfeed.Failed})
 }
 
-// pass lets time pass, with ticks.
-func (s *session) pass(d time.Duration) {
+// advance lets time pass, with ticks.
+func (s *session) advance(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(tickInterval)
 		s.step(ticked{})
@@ -124,13 +127,13 @@
 	}}
 }
 
-func ended1(id string, revision stoatpaddle.Version) change {
+func deletedUpstream(id string, revision stoatpaddle.Version) change {
 	return change{name: id, revision: revision, deleted: true}
 }
 
-// tell has the parent of the latest search say that.
-func (s *session) tell(x parentUpdate, changes ...change) {
-	x.searchID = s.k.follower.searchID
+// receiveUpdate delivers a message of the parent that the latest search found.
+func (s *session) receiveUpdate(x parentUpdate, changes ...change) {
+	x.searchID = s.ctl.follower.searchID
 	for i := range changes {
 		c := &changes[i]
 		if c.declaration != nil {
@@ -142,8 +145,8 @@
 	s.step(x)
 }
 
-// running returns a session that serves version 1 and two upstreams, as of revision 10.
-func running(t *testing.T) *session {
+// newRunningSession returns a session that serves version 1 and two upstreams, as of revision 10.
+func newRunningSession(t *testing.T) *session {
 	s := newSession(t)
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6), registered("i-2", 2, 7))
@@ -153,7 +156,7 @@
 	return s
 }
 
-// An entry starts: it serves once it has both, and says so once.
+// An entry that starts is ready once it has both the configuration and the upstreams, and logs that once.
 func TestStart(t *testing.T) {
 	s := newSession(t)
 	s.answer(upstreams, 10, registered("i-1", 1, 6))
@@ -169,45 +172,46 @@
 	}
 }
 
-// Guards against flows cut at an entry that started after their route moved to another service: what the
-// parent says of the version in force has the service before, and children are told it in turn.
-func TestEarlierServicesAreTold(t *testing.T) {
+// Guards against flows cut at an entry that started after their route moved to another service: the parent's
+// message about the version in force has the former service, and children get it in turn.
+func TestFormerServicesFromParent(t *testing.T) {
 	s := startSession(t, true, true)
 	s.answer(declarations, 10, declared(2, 8))
 	s.answer(upstreams, 10, registered("i-1", 1, 6))
 	child := stoatrelay.HoldsOf(s.table)
 	c := declared(2, 8)
 	c.declaration.Routes[0].Earlier = []stoatpaddle.ServiceID{"before"}
-	s.tell(parentUpdate{parent: "10.0.0.2:1", whole: true, known: at(10)}, c, registered("i-1", 1, 6))
+	s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", whole: true, known: position(10)}, c, registered("i-1", 1, 6))
 	r := s.table.Route(listen)
 	if !r.Had("before") || !r.Had("app") || r.Had("other") {
-		t.Error("the services that the route had are not known")
+		t.Error("the former services of the route are not known")
 	}
 	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declared == nil || len(body.Declared.Routes) != 1 || len(body.Declared.Routes[0].Earlier) != 1 {
-		t.Errorf("children are not told: %+v", body)
+		t.Errorf("children get no update: %+v", body)
 	}
 }
 
-// Guards against seeds that a thousand entries ask several times a second while these read what all wait for: an
-// entry that is refused asks ever more rarely, and no more rarely than every few seconds.
+// Guards against seeds that have no time left to read the platform, because a thousand entries that wait for
+// them ask several times a second: an entry that is refused asks less and less often, up to every few
+// seconds.
 func TestSearchesAtAStartBackOff(t *testing.T) {
 	s := startSession(t, true, true)
 	for range 200 {
-		if n := len(s.sought); n > 0 && s.k.follower.searching {
-			s.step(parentLost{searchID: s.sought[n-1].searchID, cause: &leftError{why: "nothing to tell"}})
+		if n := len(s.searches); n > 0 && s.ctl.follower.searching {
+			s.step(parentLost{searchID: s.searches[n-1].searchID, cause: &leftError{why: "nothing to send"}})
 		}
-		s.pass(tickInterval)
+		s.advance(tickInterval)
 	}
-	if n := len(s.sought); n < 6 || n > 14 {
+	if n := len(s.searches); n < 6 || n > 14 {
 		t.Error(n, "searches in 20 s")
 	}
 }
 
-// Guards against a fleet in which each entry that starts reads all pages of a long list, each of them paid for:
-// after a few it waits for a parent, which sends the rest, and reads on if none comes.
+// Guards against a fleet in which each entry that starts reads all pages of a long list, each of them paid
+// for: after a few pages it waits for a parent, which sends the rest, and reads on if it finds none.
 func TestLongListWaitsForAParent(t *testing.T) {
 	page := func(s *session, i int) {
-		s.end(upstreams, stoatfeed.Result{AsOf: at(10), More: true, Last: string(rune('a' + i))}, registered(stoatpaddle.UpstreamID(rune('a'+i)), stoatpaddle.Target(i+1), 6))
+		s.end(upstreams, stoatfeed.Result{AsOf: position(10), More: true, Last: string(rune('a' + i))}, registered(stoatpaddle.UpstreamID(rune('a'+i)), stoatpaddle.Target(i+1), 6))
 	}
 	for name, c := range map[string]struct {
 		follows bool
@@ -215,8 +219,8 @@
 		waits   bool
 	}{
 		"a short list":          {true, pagesWithoutParent - 1, false},
-		"a long one":            {true, pagesWithoutParent, true},
-		"a long one, of a seed": {false, pagesWithoutParent, false},
+		"a long list":           {true, pagesWithoutParent, true},
+		"a long list of a seed": {false, pagesWithoutParent, false},
 	} {
 		s := startSession(t, true, c.follows)
 		s.answer(declarations, 10, declared(1, 5))
@@ -230,41 +234,41 @@
 		if !c.waits {
 			continue
 		}
-		s.tell(parentUpdate{parent: "10.0.0.2:1", whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
+		s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", whole: true, known: position(10)}, declared(1, 5), registered("i-1", 1, 6))
 		if !s.table.Ready() || s.calls[upstreams] != nil && s.calls[upstreams].List {
-			t.Error(name, "is read on though a parent has told all")
+			t.Error(name, "reads on although a parent has sent everything")
 		}
 	}
 }
 
-// The platform is away. Afterwards the watch of upstreams would say that both ended: their
-// registrations lapsed meanwhile. Neither may be taken for gone; one comes back, the other
-// does not and is gone two seconds later.
+// In an outage of the platform both registrations lapse, and afterwards the watch of upstreams would report
+// the end of both. Neither may count as gone: one registers again, and the other does not and is gone two
+// seconds later.
 func TestOutageWithLapse(t *testing.T) {
-	s := running(t)
+	s := newRunningSession(t)
 	for range 3 {
 		s.fail(upstreams)
 		s.fail(declarations)
-		s.pass(time.Second)
+		s.advance(time.Second)
 	}
 	if s.events[EventPlatformLost.Number] != 2 || s.calls[upstreams] != nil || s.calls[declarations] == nil {
-		t.Error("each outage is said once a topic, and one question finds its end:", s.events, s.calls)
+		t.Error("an outage is not logged once for each topic, or not one call looks for its end:", s.events, s.calls)
 	}
 	s.answer(declarations, 30)
-	s.answer(upstreams, 30, ended1("i-1", 20), ended1("i-2", 21))
+	s.answer(upstreams, 30, deletedUpstream("i-1", 20), deletedUpstream("i-2", 21))
 	if len(s.table.Service("app")) != 2 {
-		t.Fatal("a lapse was taken for an end")
+		t.Fatal("an upstream whose registration lapsed counts as gone")
 	}
 	if !s.calls[upstreams].List {
 		t.Fatal("no list after an outage")
 	}
 	s.answer(upstreams, 30)
 	if len(s.table.Service("app")) != 2 {
-		t.Fatal("a lapse was taken for an end, in the list")
+		t.Fatal("an upstream whose registration lapsed counts as gone after the list")
 	}
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.answer(upstreams, 32, registered("i-1", 1, 32))
-	s.pass(1500 * ms)
+	s.advance(1500 * ms)
 	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-1" {
 		t.Error(len(list))
 	}
@@ -273,39 +277,39 @@
 	}
 }
 
-// The replica that the upstreams' watch asks is seconds behind: the platform has said a
-// later revision to the other watch. The replica is asked at once, then the platform itself,
-// so that a leaving upstream is known of within the bound.
-func TestLaggingReplicaIsFoundOut(t *testing.T) {
-	s := running(t)
-	s.pass(time.Second)
+// The replica that the watch of upstreams asks is seconds behind: the platform has reported a later revision
+// to the watch of the configuration. The replica is asked again at once, then the platform itself, so that a
+// leaving upstream is known within the bound.
+func TestLaggingReplicaIsDetected(t *testing.T) {
+	s := newRunningSession(t)
+	s.advance(time.Second)
 	s.answer(declarations, 15) // i-1 was marked as leaving at 12
-	s.pass(200 * ms)
+	s.advance(200 * ms)
 	c := s.calls[upstreams]
 	if c == nil || !c.Stale || c.Wait > ms {
-		t.Fatalf("the replica is not hurried: %+v", c)
+		t.Fatalf("the replica is not asked again: %+v", c)
 	}
 	s.answer(upstreams, 10)
 	if c = s.calls[upstreams]; c == nil || c.Stale || c.Wait > ms {
-		t.Fatalf("the platform itself is not asked: %+v", c)
+		t.Fatalf("no call to the platform itself: %+v", c)
 	}
 	leaving := registered("i-1", 1, 12)
 	leaving.registration.Leaving = true
 	s.answer(upstreams, 15, leaving)
 	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-2" {
-		t.Error("the leaving one still takes flows")
+		t.Error("the leaving upstream still gets flows")
 	}
 	if c = s.calls[upstreams]; !c.Stale || c.Wait < time.Second {
 		t.Errorf("%+v", c)
 	}
 }
 
-// A quiet hour: the replica keeps up, and no call but the two watches is paid for.
+// While nothing changes and the replica keeps up, only the two watches are paid for.
 func TestQuietTimeCostsTwoWatches(t *testing.T) {
-	s := running(t)
+	s := newRunningSession(t)
 	calls := 0
 	for range 20 {
-		s.pass(s.calls[declarations].Wait)
+		s.advance(s.calls[declarations].Wait)
 		s.answer(upstreams, 10)
 		s.answer(declarations, 10)
 		calls += 2
@@ -318,11 +322,11 @@
 	}
 }
 
-// A cookie is not known here: the upstreams are asked at once, and not at a replica. What
-// proves the upstream gone is an answer to a question sent after the packet came.
-func TestDoubt(t *testing.T) {
-	s := running(t)
-	s.pass(time.Second)
+// A packet has an unknown cookie: the platform itself is asked about upstreams at once. Only an answer to a
+// call that was sent after the packet came proves that the upstream is gone.
+func TestUnknownCookie(t *testing.T) {
+	s := newRunningSession(t)
+	s.advance(time.Second)
 	s.step(unknownCookie{})
 	if c := s.calls[upstreams]; c.Stale || c.Wait > ms {
 		t.Fatalf("%+v", c)
@@ -335,90 +339,91 @@
 	}
 }
 
-// An entry starts behind a cut. It has nothing to serve by, so others are asked soon and
-// again; what one tells makes it serve. The platform's own word replaces it later.
-func TestOthersAtTheStart(t *testing.T) {
+// An entry that is cut off from the platform starts. It is not ready, so it searches for a parent soon and
+// repeatedly, and becomes ready with the parent's state. The platform's own answer replaces that state later.
+func TestParentAtStart(t *testing.T) {
 	s := startSession(t, true, false)
-	s.pass(300 * ms)
-	if len(s.sought) == 0 || s.sought[0].known != at(0) {
-		t.Fatal("nobody is asked:", s.sought)
+	s.advance(300 * ms)
+	if len(s.searches) == 0 || s.searches[0].known != position(0) {
+		t.Fatal("no search for a parent:", s.searches)
 	}
 	s.step(parentLost{searchID: 1, cause: &stoatpaddle.UnavailableError{Op: "x"}})
-	s.pass(400 * ms)
-	s.tell(parentUpdate{parent: "10.0.0.2:1", age: -1, whole: true, known: at(6)}, declared(3, 5), registered("i-1", 1, 6))
+	s.advance(400 * ms)
+	s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", age: -1, whole: true, known: position(6)}, declared(3, 5), registered("i-1", 1, 6))
 	if !s.table.Ready() || s.table.Declaration.Version != 3 || !s.table.Proven.IsZero() {
 		t.Error(s.table.Ready(), s.table.Declaration.Version, s.table.Proven)
 	}
-	asked := len(s.sought)
+	asked := len(s.searches)
 	s.fail(declarations)
 	s.fail(upstreams)
-	s.pass(2 * time.Second)
-	if len(s.sought) != asked {
-		t.Error("others are asked though one tells")
+	s.advance(2 * time.Second)
+	if len(s.searches) != asked {
+		t.Error("a search although there is a parent")
 	}
 }
 
-// An entry starts and lists three thousand upstreams, page by page. The platform answers all
-// the while, so that nobody is asked to tell everything.
-func TestLongListNeedsNobody(t *testing.T) {
+// An entry starts and lists three thousand upstreams, page by page. The platform answers all the time, so
+// that no other entry is asked for the whole state.
+func TestLongListNeedsNoParent(t *testing.T) {
 	s := startSession(t, true, false)
 	for range 6 {
-		s.pass(100 * ms)
-		s.end(upstreams, stoatfeed.Result{AsOf: at(10), More: true, Last: "m"})
+		s.advance(100 * ms)
+		s.end(upstreams, stoatfeed.Result{AsOf: position(10), More: true, Last: "m"})
 	}
-	if len(s.sought) != 0 {
-		t.Error("asked", len(s.sought), "times")
+	if len(s.searches) != 0 {
+		t.Error("asked", len(s.searches), "times")
 	}
 }
 
-// Three hundred entries search in an outage of the store. One that knows everything up to a
-// revision says so, and that is what both topics know: with one alone it would be told less
-// than it lacks.
-func TestSearchSaysWhatIsKnown(t *testing.T) {
+// Guards against a parent that sends too little: in an outage three hundred entries search for a parent. The
+// position that an entry sends is the one up to which it knows both topics; with that of one topic alone, it
+// would get less than it lacks.
+func TestSearchSendsKnownPosition(t *testing.T) {
 	s := startSession(t, true, false)
-	s.pass(300 * ms)
-	s.tell(parentUpdate{parent: "10.0.0.2:1", age: -1, whole: true, known: at(42)}, declared(3, 5), registered("i-1", 1, 6))
-	if s.knows != at(42) {
-		t.Error(s.knows)
+	s.advance(300 * ms)
+	s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", age: -1, whole: true, known: position(42)}, declared(3, 5), registered("i-1", 1, 6))
+	if s.announcedPos != position(42) {
+		t.Error(s.announcedPos)
 	}
 	s.answer(declarations, 50)
-	if s.knows != at(42) {
-		t.Error("one topic alone is not everything:", s.knows)
+	if s.announcedPos != position(42) {
+		t.Error("the position of one topic counts for both:", s.announcedPos)
 	}
-	s.step(parentLost{searchID: s.k.follower.searchID, cause: &silentError{}})
+	s.step(parentLost{searchID: s.ctl.follower.searchID, cause: &silentError{}})
 	s.fail(declarations)
 	s.fail(upstreams)
-	s.pass(2 * time.Second)
-	if last := s.sought[len(s.sought)-1]; last.known != at(42) || last.maxAge != 0 {
+	s.advance(2 * time.Second)
+	if last := s.searches[len(s.searches)-1]; last.known != position(42) || last.maxAge != 0 {
 		t.Errorf("%+v", last)
 	}
 }
 
-// One that is cut off tells old news while this entry is in touch: nothing changes.
+// A parent that is cut off sends outdated state to an entry that is in touch with the platform: nothing
+// changes.
 func TestParentThatIsBehind(t *testing.T) {
 	s := startSession(t, true, true)
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	gone := registered("i-2", 2, 7)
-	s.tell(parentUpdate{parent: "10.0.0.2:1", whole: true, known: at(9)}, declared(0, 1), registered("i-1", 1, 1), gone)
-	s.step(parentUpdate{searchID: s.k.follower.searchID, known: at(9), upstreams: []stoatroute.RemoteUpstream{{Registration: *gone.registration, Revision: 7, Standing: stoatroute.Gone}}})
+	s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", whole: true, known: position(9)}, declared(0, 1), registered("i-1", 1, 1), gone)
+	s.step(parentUpdate{searchID: s.ctl.follower.searchID, known: position(9), upstreams: []stoatroute.RemoteUpstream{{Registration: *gone.registration, Revision: 7, Standing: stoatroute.Gone}}})
 	if s.table.Declaration.Version != 1 || len(s.table.Service("app")) != 2 {
 		t.Error(s.table.Declaration.Version, len(s.table.Service("app")))
 	}
 }
 
-// Somebody writes an object that does not parse: the last good one stays, an event says why.
+// An object cannot be decoded: the last valid one stays in force, and an event says why.
 func TestFaultyObject(t *testing.T) {
-	s := running(t)
+	s := newRunningSession(t)
 	s.answer(declarations, 12, change{name: "main", revision: 12, fault: &stoatpaddle.DecodeError{What: "configuration"}})
 	if s.table.Declaration.Version != 1 || s.events[EventInvalid.Number] != 1 {
 		t.Error(s.table.Declaration.Version, s.events)
 	}
 }
 
-// Changed bounds are in force for the next call.
-func TestRebound(t *testing.T) {
-	s := running(t)
+// Changed bounds apply to the next call.
+func TestChangedBounds(t *testing.T) {
+	s := newRunningSession(t)
 	s.step(settingsChanged{apply: time.Second, returnTimeout: time.Second, flowLifetime: time.Minute})
 	s.answer(declarations, 10)
 	if w := s.calls[declarations].Wait; w != 650*ms {
@@ -426,23 +431,23 @@
 	}
 }
 
-// bad is an object of that name which cannot be read.
-func bad(name string, revision stoatpaddle.Version) change {
+// unreadable returns an object of that name that cannot be read.
+func unreadable(name string, revision stoatpaddle.Version) change {
 	return change{name: name, revision: revision, target: platform.TargetOf(name), fault: &stoatpaddle.DecodeError{What: "upstream " + name}}
 }
 
-// Another writer writes over the entries of servers that live: in a watch first, in the middle,
-// last and alone. Each time the others are taken in, the server gets no new flows, and its next
-// own write makes it good. A cookie of it is still known: its open flows go on.
-func TestBadEntryAmongOthers(t *testing.T) {
+// Another writer overwrites the registrations of running upstreams: the first, a middle, the last or the only
+// one of a watch's answer. The others are applied, the upstream gets no new flows until its next own write,
+// and its cookie stays known so that its open flows continue.
+func TestUnreadableRegistrationAmongOthers(t *testing.T) {
 	good := func() []change { return []change{registered("i-3", 3, 12), registered("i-4", 4, 13)} }
 	for name, changes := range map[string][]change{
-		"first":  append([]change{bad("i-1", 11)}, good()...),
-		"middle": {good()[0], bad("i-1", 14), good()[1]},
-		"last":   append(good(), bad("i-1", 14)),
-		"alone":  {bad("i-1", 11)},
+		"first":  append([]change{unreadable("i-1", 11)}, good()...),
+		"middle": {good()[0], unreadable("i-1", 14), good()[1]},
+		"last":   append(good(), unreadable("i-1", 14)),
+		"alone":  {unreadable("i-1", 11)},
 	} {
-		s := running(t)
+		s := newRunningSession(t)
 		s.answer(upstreams, 14, changes...)
 		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.Standing != stoatroute.Leaving || got.Addr != (netip.AddrPort{}) {
 			t.Errorf("%s: %+v", name, got)
@@ -460,19 +465,20 @@
 	}
 }
 
-// The same in a list, after the history was lost. A bad entry there is no sign that its server
-// ended; one without a name may be any that the list lacks, which is given time to come back.
-func TestBadEntryInAList(t *testing.T) {
+// The same in a list, after the history was lost. An unreadable registration there does not mean that its
+// upstream ended. One without a readable name may be any upstream that the list lacks, which gets time to
+// come back.
+func TestUnreadableRegistrationInList(t *testing.T) {
 	for name, c := range map[string]struct {
 		object change
 		want   stoatroute.Standing
 	}{
-		"named":    {bad("i-1", 11), stoatroute.Leaving},
-		"nameless": {bad("", 0), stoatroute.Missing},
+		"named":    {unreadable("i-1", 11), stoatroute.Leaving},
+		"nameless": {unreadable("", 0), stoatroute.Missing},
 	} {
-		s := running(t)
+		s := newRunningSession(t)
 		s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
-		s.end(upstreams, stoatfeed.Result{AsOf: at(12), More: true, Last: "i-1", Changes: 1}, c.object)
+		s.end(upstreams, stoatfeed.Result{AsOf: position(12), More: true, Last: "i-1", Changes: 1}, c.object)
 		s.answer(upstreams, 12, registered("i-2", 2, 7))
 		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.Standing != c.want {
 			t.Errorf("%s: %+v", name, got)
@@ -483,11 +489,11 @@
 	}
 }
 
-// The configuration is written over with something else: the last good one stays in force, and
-// the next good one is adopted.
+// The configuration is overwritten with something else: the last valid one stays in force, and the next valid
+// one is applied.
 func TestBadConfiguration(t *testing.T) {
-	s := running(t)
-	s.answer(declarations, 11, bad("main", 11))
+	s := newRunningSession(t)
+	s.answer(declarations, 11, unreadable("main", 11))
 	if s.table.Declaration.Version != 1 || s.events[EventInvalid.Number] != 1 {
 		t.Error(s.table.Declaration.Version, s.events)
 	}
@@ -497,10 +503,10 @@
 	}
 }
 
-// A server starts again under its id: a line says so, and names both lives. A write of the
-// earlier life that took effect late is named too, and ignored.
+// An upstream starts again under its id: a log line names both incarnations. A write of the earlier
+// incarnation that takes effect late is logged too, and ignored.
 func TestRestartIsLogged(t *testing.T) {
-	s := running(t)
+	s := newRunningSession(t)
 	born := func(life stoatpaddle.Incarnation, revision stoatpaddle.Version) change {
 		c := registered("i-1", 1, revision)
 		c.registration.Incarnation = life
@@ -514,18 +520,18 @@
 	}
 }
 
-// Answers are older than what is known, one after the other, and a configuration in them is put aside.
-// Who reads the log has to see which revision was known, which one came and of which history it was:
-// without it, a store that went back looks like one that answers well. Each is said once.
-func TestOldAnswersAreSaid(t *testing.T) {
-	s := running(t)
-	s.k.book.Declare(stoatpaddle.Declaration{Version: 6}, 40)
-	s.k.feeds[declarations].Heard(at(40))
+// Guards against a platform that went back in its history and seems to work: several answers are older than
+// what is known, and a configuration in them is rejected. The log has to show the known revision, the
+// answered one and their eras; each is logged once.
+func TestOldAnswersAreLogged(t *testing.T) {
+	s := newRunningSession(t)
+	s.ctl.state.Declare(stoatpaddle.Declaration{Version: 6}, 40)
+	s.ctl.feeds[declarations].Heard(position(40))
 	for range 3 {
 		s.answer(declarations, 30, declared(7, 25))
 	}
 	if s.events[EventBehind.Number] != 1 {
-		t.Error("older answers were said so often:", s.events[EventBehind.Number])
+		t.Error("number of lines about older answers:", s.events[EventBehind.Number])
 	}
 	s.answer(declarations, 41, declared(8, 39))
 	s.answer(declarations, 41, declared(8, 39))
@@ -535,28 +541,24 @@
 	}
 }
 
-// Another writer has written over an upstream's entry, and an entry starts in that moment. The upstream
-// serves, and packets of its open flows come here. Its object stands in the list, but cannot be read: taken
-// for a list that lacks it, the platform's own answer said that the upstream is gone, and the flow was reset:
-//
-//	38.008 s SP1406 object cannot be used, i-50000002 (entry-3, started 0.1 s before)
-//	38.380 s SP1412 packet dropped, unproven, cookie 50000002
-//	38.554 s SP1411 flow reset, gone, cookie 50000002
-func TestUnreadableEntryIsNoAbsence(t *testing.T) {
+// Guards against a reset of an open flow: another writer has overwritten an upstream's registration when an
+// entry starts. The object is in the list but cannot be read. If it counted as missing from the list, the
+// platform's own answer would prove that the upstream is gone.
+func TestUnreadableRegistrationIsNotMissing(t *testing.T) {
 	s := newSession(t)
 	s.answer(declarations, 10, declared(1, 5))
-	s.answer(upstreams, 10, registered("i-1", 1, 6), bad("i-2", 7))
+	s.answer(upstreams, 10, registered("i-1", 1, 6), unreadable("i-2", 7))
 	u := s.table.Upstream(stoatroute.KeyOf(2))
 	if u == nil || u.Standing == stoatroute.Gone || u.Opens() || s.table.Route(listen).Had(u.Service) {
-		t.Fatalf("what stands in the list counts as absent, or as an upstream of a service: %+v", u)
+		t.Fatalf("an upstream in the list counts as missing, or as one of a service: %+v", u)
 	}
 	s.answer(upstreams, 12, registered("i-2", 2, 12))
 	if list := s.table.Service("app"); len(list) != 2 {
-		t.Error("it wrote again, and gets no flows:", len(list))
+		t.Error("it registered again, and gets no flows:", len(list))
 	}
-	s.answer(upstreams, 14, bad("i-3", 13))
-	s.answer(upstreams, 15, ended1("i-3", 15))
+	s.answer(upstreams, 14, unreadable("i-3", 13))
+	s.answer(upstreams, 15, deletedUpstream("i-3", 15))
 	if u := s.table.Upstream(stoatroute.KeyOf(3)); u == nil || u.Standing != stoatroute.Gone {
-		t.Errorf("an unreadable entry that was taken out: %+v", u)
+		t.Errorf("an unreadable registration that was deleted: %+v", u)
 	}
 }
--- a/stoatedge/parts_test.go
+++ b/stoatedge/parts_test.go
@@ -17,21 +17,21 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattree"
 )
 
-// A planned stop: the fabric needs two checks to see that the entry is not ready, and
-// callers' packets come until then. It ends when none came for a while, or just before the
-// deadline at which it would be killed.
+// In a planned stop, the fabric needs two checks to see that the entry is not ready, and packets of callers
+// come until then. The stop ends when no packet has come for a while, or just before the deadline at which
+// the process would be killed.
 func TestPlannedStop(t *testing.T) {
 	var s stopState
 	now := time.Unix(1000, 0)
-	s.packet(now)
+	s.notePacket(now)
 	if _, done := s.done(now.Add(time.Hour)); done {
-		t.Error("done before it was asked")
+		t.Error("complete before it was requested")
 	}
 	if !s.begin(now, 6*time.Second) || s.begin(now, 9*time.Second) {
-		t.Error("begun twice, or never")
+		t.Error("the stop began twice, or never")
 	}
 	for at := time.Duration(0); at <= 2*time.Second; at += 100 * ms {
-		s.packet(now.Add(at))
+		s.notePacket(now.Add(at))
 		if _, done := s.done(now.Add(at + 50*ms)); done {
 			t.Fatal("ends while packets come, after", at)
 		}
@@ -39,17 +39,17 @@
 	if quiet, done := s.done(now.Add(2400 * ms)); !done || quiet != 400*ms {
 		t.Error(quiet, done)
 	}
-	s.packet(now.Add(4999 * ms))
+	s.notePacket(now.Add(4999 * ms))
 	if _, done := s.done(now.Add(5 * time.Second)); !done {
-		t.Error("it would be killed")
+		t.Error("not complete before the deadline")
 	}
 }
 
-// A machine stands still, or is suspended, for three seconds: what it knows of the platform is older
-// by that. A slow machine whose ticks come late is not paused.
+// A machine does not run, or is suspended, for three seconds: what it knows of the platform is older by that.
+// A slow machine whose ticks come late does not count as paused.
 func TestPause(t *testing.T) {
-	var w pauseWatch
-	w.ticked.Store(int64(time.Hour))
+	var w pauseDetector
+	w.lastTick.Store(int64(time.Hour))
 	if gap := w.tick(time.Hour + time.Second); gap != 0 {
 		t.Error(gap)
 	}
@@ -57,7 +57,7 @@
 		t.Error(gap)
 	}
 	if gap := w.tick(time.Hour + 4100*ms); gap != 0 {
-		t.Error("said twice")
+		t.Error("a pause is reported twice")
 	}
 	if gap := w.tick(time.Hour + 8100*ms); gap != 4*time.Second {
 		t.Error("a second pause is missed:", gap)
@@ -67,7 +67,7 @@
 	}
 }
 
-// A changed settings file: bounds are in force at once, addresses need a start.
+// Changed settings: bounds are in force at once, and addresses need a restart.
 func TestMergeSettings(t *testing.T) {
 	old := stoatsetting.Settings{Instance: "a", Level: "info", Apply: time.Second}
 	next := stoatsetting.Settings{Instance: "b", Level: "debug", Apply: 2 * time.Second, Stop: time.Second}
@@ -83,18 +83,18 @@
 	}
 }
 
-// How soon evacuations have to be in force is changed at once. Whether they are followed at all needs a
-// start: an entry that came to follow them would know none yet, and send flows where none may go. Regions
+// A changed bound for evacuations is in force at once. Whether evacuations are followed at all needs a
+// restart: an entry that began to follow them would know none yet, and send flows where none may go. Regions
 // are in force at once.
 func TestMergeEvacuations(t *testing.T) {
 	for name, c := range map[string]struct {
 		old, next, want time.Duration
 		applied, kept   int
 	}{
-		"sooner":            {old: 5 * time.Second, next: time.Second, want: time.Second, applied: 1},
-		"followed from now": {next: time.Second, kept: 1},
-		"not any more":      {old: time.Second, want: time.Second, kept: 1},
-		"as before":         {old: time.Second, next: time.Second, want: time.Second},
+		"sooner":             {old: 5 * time.Second, next: time.Second, want: time.Second, applied: 1},
+		"followed from now":  {next: time.Second, kept: 1},
+		"no longer followed": {old: time.Second, want: time.Second, kept: 1},
+		"as before":          {old: time.Second, next: time.Second, want: time.Second},
 	} {
 		got, applied, kept := merge(stoatsetting.Settings{Evacuate: c.old}, stoatsetting.Settings{Evacuate: c.next})
 		if got.Evacuate != c.want || len(applied) != c.applied || len(kept) != c.kept {
@@ -108,49 +108,50 @@
 	}
 }
 
-// A flood meets an entry that has nothing to serve by yet: what finds no room is counted.
-func TestFullHoldIsCounted(t *testing.T) {
+// A flood of packets reaches an entry that has no table yet: packets that find no room in the hold are
+// counted.
+func TestDropsAreCountedWhenHoldIsFull(t *testing.T) {
 	e := &Edge{engine: stoatecho.New(stoatecho.Config{Start: clock()}), log: newEventLog(io.Discard, stoatsetting.Settings{})}
 	defer e.log.close()
 	e.table.Store(&stoatroute.Table{})
-	e.place = newPlace(stoattree.Config{})
-	m := newMover()
+	e.relay = newRelayState(stoattree.Config{})
+	m := newPacketBuffers()
 	const packets = 3000
 	for i := range packets {
 		p := stoatpacket.Packet{Opens: true, Seq: uint32(i)}
 		e.handle(clock(), m, 31, &p)
 	}
-	if held, dropped := len(e.hold.Take()), e.counts.malformed[stoatpacket.DropYoung].Load(); int64(held)+dropped != packets || dropped == 0 {
+	if held, dropped := len(e.held.Take()), e.counts.dropped[stoatpacket.DropYoung].Load(); int64(held)+dropped != packets || dropped == 0 {
 		t.Error(held, dropped)
 	}
 }
 
-// What an entry says when it asks arrives as it was meant; what nobody says is refused.
-func TestAskCodec(t *testing.T) {
+// A request for updates survives its encoding, and a faulty one is refused.
+func TestRequestCodec(t *testing.T) {
 	want := stoattree.Ask{
-		From: listen, Centre: "here & there", Known: at(42), Near: true, Within: 1500 * ms,
+		From: listen, Centre: "here & there", Known: position(42), Near: true, Within: 1500 * ms,
 		Skip: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:2")},
 	}
-	q, err := url.ParseQuery(writeAsk(want))
+	q, err := url.ParseQuery(encodeRequest(want))
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := readAsk(q)
+	got, err := parseRequest(q)
 	if diff := cmp.Diff(want, got, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
-	for _, key := range []string{askFrom, askKnown, askWithin, askSkip} {
-		broken, _ := url.ParseQuery(writeAsk(want))
+	for _, key := range []string{paramFrom, paramKnown, paramWithin, paramSkip} {
+		broken, _ := url.ParseQuery(encodeRequest(want))
 		broken.Set(key, "x")
-		if _, err := readAsk(broken); err == nil {
-			t.Error("taken with a faulty", key)
+		if _, err := parseRequest(broken); err == nil {
+			t.Error("accepted with a faulty", key)
 		}
 	}
 }
 
-// Guards against a heap that grows to five times what lives on a machine that has no room for it, and against
-// one that is collected all the time.
-func TestCollector(t *testing.T) {
+// Guards against a heap that grows to five times its live size on a machine that has no memory for it, and
+// against one that is collected all the time.
+func TestGCPercent(t *testing.T) {
 	for _, c := range []struct {
 		live, memory uint64
 		want         int
@@ -165,7 +166,7 @@
 		{20 << 20, 120 << 20, 40},
 		{20 << 20, 280 << 20, 75},
 	} {
-		if got := collectAt(c.live, c.memory); got != c.want {
+		if got := gcPercent(c.live, c.memory); got != c.want {
 			t.Errorf("%d of %d MB: %d", c.live>>20, c.memory>>20, got)
 		}
 	}
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -13,61 +13,62 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// following returns a session that serves by what a parent tells, as of revision 10.
-func following(t *testing.T) *session {
+// newFollowerSession returns a session that serves with the state of a parent, as of revision 10.
+func newFollowerSession(t *testing.T) *session {
 	s := startSession(t, true, true)
-	s.tell(parentUpdate{parent: "parent", age: 500 * ms, whole: true, known: at(10)},
+	s.receiveUpdate(parentUpdate{parent: "parent", age: 500 * ms, whole: true, known: position(10)},
 		declared(1, 5), registered("i-1", 1, 6), registered("i-2", 2, 7))
 	for topic := range topicCount {
 		if s.calls[topic] != nil {
-			t.Fatalf("%s is still asked", topic)
+			t.Fatalf("%s still has a call in progress", topic)
 		}
 	}
 	return s
 }
 
-// quiet fails the test if the platform is asked.
-func (s *session) quiet(what string) {
+// wantNoCalls fails the test if a call to the platform is in progress.
+func (s *session) wantNoCalls(what string) {
 	s.t.Helper()
 	for topic, c := range s.calls {
 		if c != nil {
-			s.t.Errorf("%s: asks the platform about %d: %+v", what, topic, *c)
+			s.t.Errorf("%s: call to the platform about topic %d: %+v", what, topic, *c)
 		}
 	}
 }
 
-// Twelve entries, and a store that takes eight reads a second. One that is told asks nothing
-// as long as the parent's word is young, and what it holds is as old as that word.
-func TestFollowerAsksNothing(t *testing.T) {
-	s := following(t)
+// Guards against a fleet that uses up the platform's rate limits, as twelve entries do at eight reads a
+// second: an entry with a parent makes no calls while the parent's state is recent, and its own state is as
+// old as the parent's.
+func TestChildMakesNoCalls(t *testing.T) {
+	s := newFollowerSession(t)
 	for range 10 {
-		s.pass(1300 * ms)
-		s.tell(parentUpdate{parent: "parent", age: 100 * ms, known: at(10)})
+		s.advance(1300 * ms)
+		s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, known: position(10)})
 	}
-	s.quiet("a quiet time")
-	if got := s.k.asOf(); !got.Equal(s.now.Add(-100 * ms)) {
+	s.wantNoCalls("a quiet time")
+	if got := s.ctl.asOf(); !got.Equal(s.now.Add(-100 * ms)) {
 		t.Error(s.now.Sub(got))
 	}
 	if s.events[EventFollows.Number] != 1 || s.events[EventReads.Number] != 0 {
 		t.Error(s.events)
 	}
 	if !s.table.Proven.IsZero() {
-		t.Error("the parent's word counts as a proof that cookies not known here are of upstreams that are gone")
+		t.Error("the parent's state counts as a proof that unknown cookies belong to upstreams that are gone")
 	}
 }
 
-// The parent stands still, or is cut off from the platform, and an upstream is marked as
-// leaving the moment after. The entry notices by the age of the word and asks the platform
-// itself, exactly and at once, both topics in turn, with a quarter of the bound left.
-func TestOldWordIsFoundOut(t *testing.T) {
-	s := following(t)
-	s.tell(parentUpdate{parent: "parent", age: 0, known: at(10)})
+// The parent does not run, or is cut off from the platform, and an upstream is marked as leaving just after
+// that. The entry notices by the age of the parent's state, and asks the platform itself at once about both
+// topics in turn, with a quarter of the bound left.
+func TestOutdatedParentIsDetected(t *testing.T) {
+	s := newFollowerSession(t)
+	s.receiveUpdate(parentUpdate{parent: "parent", age: 0, known: position(10)})
 	began := s.now
 	for s.calls[declarations] == nil && s.now.Sub(began) < 3*time.Second {
-		s.pass(100 * ms)
+		s.advance(100 * ms)
 	}
 	if after := s.now.Sub(began); after > 2300*ms {
-		t.Error("asked after", after)
+		t.Error("called after", after)
 	}
 	for _, topic := range []topic{declarations, upstreams} {
 		if c := s.calls[topic]; c == nil || c.Stale || c.List || c.Wait > ms || c.From != 10 {
@@ -81,39 +82,39 @@
 	leaving.registration.Leaving = true
 	s.answer(upstreams, 12, leaving)
 	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-2" {
-		t.Error("the leaving one still takes flows")
+		t.Error("the leaving upstream still gets flows")
 	}
-	if s.left == 0 {
-		t.Error("a parent that is out of touch is kept though the platform answers")
+	if s.parentsLeft == 0 {
+		t.Error("a parent with outdated state is kept although the platform answers")
 	}
 }
 
-// The parent ends. Until its word is old there is time to find another one, and nothing is
-// asked; found in time, the platform never hears of it.
+// The parent ends. Until its state is too old, there is time to find another parent without a call to the
+// platform.
 func TestParentEnds(t *testing.T) {
-	s := following(t)
+	s := newFollowerSession(t)
 	s.step(parentLost{searchID: 1, cause: &stoatpaddle.UnavailableError{Op: "news"}})
-	s.pass(500 * ms)
-	s.quiet("just after the parent's end")
-	if len(s.sought) != 2 || s.sought[1].known != at(10) {
-		t.Fatal("no search, or not for what is new:", s.sought)
-	}
-	s.tell(parentUpdate{parent: "other", age: 50 * ms, whole: true, known: at(11)}, registered("i-1", 1, 6), registered("i-2", 2, 7))
-	s.pass(time.Second)
-	s.quiet("told by another one")
+	s.advance(500 * ms)
+	s.wantNoCalls("just after the parent's end")
+	if len(s.searches) != 2 || s.searches[1].known != position(10) {
+		t.Fatal("no search, or not from the known position:", s.searches)
+	}
+	s.receiveUpdate(parentUpdate{parent: "other", age: 50 * ms, whole: true, known: position(11)}, registered("i-1", 1, 6), registered("i-2", 2, 7))
+	s.advance(time.Second)
+	s.wantNoCalls("updates from another parent")
 	if s.events[EventFollowsNobody.Number] != 1 || s.events[EventFollows.Number] != 2 {
 		t.Error(s.events)
 	}
 }
 
-// No other parent is found: the entry reads the platform when the last word is old, and goes
-// on to search.
-func TestNobodyTells(t *testing.T) {
-	s := following(t)
+// No other parent is found: the entry reads the platform when the last parent's state is too old, and keeps
+// searching.
+func TestNoParentFound(t *testing.T) {
+	s := newFollowerSession(t)
 	s.step(parentLost{searchID: 1, cause: &silentError{}})
 	for range 5 {
-		s.pass(time.Second)
-		s.step(parentLost{searchID: s.k.follower.searchID, cause: &refusedError{}})
+		s.advance(time.Second)
+		s.step(parentLost{searchID: s.ctl.follower.searchID, cause: &refusedError{}})
 	}
 	if s.calls[declarations] == nil || s.events[EventReads.Number] != 1 {
 		t.Fatal(s.calls, s.events)
@@ -123,74 +124,74 @@
 	if c := s.calls[declarations]; c.Stale || c.Wait < time.Second {
 		t.Errorf("%+v", c)
 	}
-	if len(s.sought) < 3 {
-		t.Error(s.sought)
+	if len(s.searches) < 3 {
+		t.Error(s.searches)
 	}
-	if !s.reads {
-		t.Error("others are not told that it reads")
+	if !s.announcedReads {
+		t.Error("it does not announce that it reads")
 	}
 }
 
-// What the parent said before it was left comes late, and is not taken in.
-func TestLateWordOfAFormerParent(t *testing.T) {
-	s := following(t)
+// A message of a parent that was left comes late and is ignored.
+func TestLateUpdateOfFormerParent(t *testing.T) {
+	s := newFollowerSession(t)
 	s.step(parentLost{searchID: 1, cause: &silentError{}})
-	s.pass(500 * ms)
-	s.step(parentUpdate{searchID: 1, parent: "parent", known: at(20), delta: &stoatrelay.Delta{Revision: 15, Declaration: *declared(2, 15).declaration}})
+	s.advance(500 * ms)
+	s.step(parentUpdate{searchID: 1, parent: "parent", known: position(20), delta: &stoatrelay.Delta{Revision: 15, Declaration: *declared(2, 15).declaration}})
 	if s.table.Declaration.Version != 1 {
-		t.Error("taken in")
+		t.Error("a late update was applied")
 	}
 }
 
-// The parent is behind what this entry read by itself meanwhile, but its table is ahead of
-// the revision up to which it knows everything. A registration in between is said once: not
-// taken in, it would never be known here.
-func TestNothingToldIsLost(t *testing.T) {
+// Guards against a registration that is never known here. The parent is behind what this entry has read
+// itself, but its table is ahead of the position up to which it knows everything. It sends a registration in
+// between only once.
+func TestUpdateFromParentThatIsBehind(t *testing.T) {
 	s := startSession(t, true, true)
 	s.answer(declarations, 20, declared(1, 5))
 	s.answer(upstreams, 20, registered("i-1", 1, 6))
-	s.tell(parentUpdate{parent: "parent", known: at(19), whole: true}, registered("i-1", 1, 6), registered("i-2", 2, 25))
+	s.receiveUpdate(parentUpdate{parent: "parent", known: position(19), whole: true}, registered("i-1", 1, 6), registered("i-2", 2, 25))
 	if len(s.table.Service("app")) != 2 {
 		t.Error("lost")
 	}
 	if s.calls[upstreams] == nil {
-		t.Error("it relies on one that is behind")
+		t.Error("it relies on a parent that is behind")
 	}
 }
 
-// The parent tells how the configuration differs from the version that it told before, but
-// this entry read a later one by itself: a route that was changed and changed back would
-// stay as it was in between. The difference is not taken in; everything is told anew.
-func TestDifferenceThatDoesNotFit(t *testing.T) {
-	s := following(t)
+// Guards against a configuration that stays outdated. The parent sends the difference from the version that
+// it sent before, but this entry has read a later one itself: a route that was changed and changed back would
+// stay as it was in between. The difference is ignored, and the next parent sends everything.
+func TestDeltaThatDoesNotApply(t *testing.T) {
+	s := newFollowerSession(t)
 	d := declared(4, 30)
-	s.step(parentUpdate{searchID: 1, parent: "parent", known: at(30), delta: &stoatrelay.Delta{Revision: 30, Base: 2, Declaration: *d.declaration}})
-	if s.table.Declaration.Version != 1 || s.left != 1 {
-		t.Error(s.table.Declaration.Version, s.left)
+	s.step(parentUpdate{searchID: 1, parent: "parent", known: position(30), delta: &stoatrelay.Delta{Revision: 30, Base: 2, Declaration: *d.declaration}})
+	if s.table.Declaration.Version != 1 || s.parentsLeft != 1 {
+		t.Error(s.table.Declaration.Version, s.parentsLeft)
 	}
-	// Nothing of the message counts as known: the configuration would not be asked for again
-	// until the next change, and upstreams that the message does not name would seem told.
-	if got := s.k.feeds[declarations].Position(); got != at(10) || s.k.known != at(10) {
-		t.Error("the configuration counts as known up to", got, s.k.known)
+	// Nothing of the message counts as known. Otherwise the configuration would not be requested until its
+	// next change, and upstreams that the message does not name would seem to be known.
+	if got := s.ctl.feeds[declarations].Position(); got != position(10) || s.ctl.known != position(10) {
+		t.Error("the configuration counts as known up to", got, s.ctl.known)
 	}
 	began := s.now
 	for s.calls[declarations] == nil && s.now.Sub(began) < 3*time.Second {
-		s.pass(100 * ms)
+		s.advance(100 * ms)
 	}
 	if c := s.calls[declarations]; c == nil || c.From != 10 {
 		t.Errorf("not read: %+v", c)
 	}
-	s = following(t)
-	s.step(parentUpdate{searchID: 1, parent: "parent", known: at(30), delta: &stoatrelay.Delta{Revision: 30, Base: 1, Declaration: *d.declaration}})
-	if s.table.Declaration.Version != 4 || s.left != 0 {
-		t.Error(s.table.Declaration.Version, s.left)
+	s = newFollowerSession(t)
+	s.step(parentUpdate{searchID: 1, parent: "parent", known: position(30), delta: &stoatrelay.Delta{Revision: 30, Base: 1, Declaration: *d.declaration}})
+	if s.table.Declaration.Version != 4 || s.parentsLeft != 0 {
+		t.Error(s.table.Declaration.Version, s.parentsLeft)
 	}
 }
 
-// The store was away and registrations lapsed. A seed's list after the outage is under way
-// when another entry, which is out of touch like it, tells it something: the list must still
-// count as one after an outage, or upstreams that are about to come back count as gone.
-func TestWordDuringAnOutage(t *testing.T) {
+// Guards against upstreams that count as gone although they are about to register again. Registrations lapsed
+// in an outage, and a seed's list after it is in progress when another entry, which has no contact either,
+// sends an update. The list must still count as the first one after an outage.
+func TestUpdateDuringOutage(t *testing.T) {
 	s := startSession(t, true, false)
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6), registered("i-2", 2, 7))
@@ -199,65 +200,65 @@
 		if s.calls[upstreams] != nil {
 			s.fail(upstreams)
 		}
-		s.pass(time.Second)
+		s.advance(time.Second)
 	}
 	s.answer(declarations, 30)
-	s.answer(upstreams, 30, ended1("i-1", 20))
+	s.answer(upstreams, 30, deletedUpstream("i-1", 20))
 	if c := s.calls[upstreams]; c == nil || !c.List {
 		t.Fatalf("no list after the outage: %+v", c)
 	}
-	s.tell(parentUpdate{parent: "seed", age: 6 * time.Second, known: at(30)}, registered("i-2", 2, 7))
+	s.receiveUpdate(parentUpdate{parent: "seed", age: 6 * time.Second, known: position(30)}, registered("i-2", 2, 7))
 	s.answer(upstreams, 30, registered("i-2", 2, 7))
-	if u, _ := s.k.book.Registered("i-1"); u.Standing != stoatroute.Missing {
+	if u, _ := s.ctl.state.Registered("i-1"); u.Standing != stoatroute.Missing {
 		t.Error(u.Standing)
 	}
 }
 
-// The parent dies while the store is away for two seconds, and registrations lapse. The entry
-// reads the store when it is back, so that it noticed no outage: what ended meanwhile is
-// missing, not gone, and comes back with its next registration. What ends later is gone.
-func TestLapseWhileNobodyWatched(t *testing.T) {
-	s := following(t)
-	s.pass(2500 * ms)
+// The parent dies while the platform is down for two seconds and registrations lapse. The entry reads the
+// platform only when it is back and has noticed no outage. Registrations that ended meanwhile are missing,
+// not gone, and come back when renewed; one that ends later is gone.
+func TestLapseWhileUnwatched(t *testing.T) {
+	s := newFollowerSession(t)
+	s.advance(2500 * ms)
 	s.answer(declarations, 30)
-	s.answer(upstreams, 30, ended1("i-1", 20), ended1("i-2", 21))
+	s.answer(upstreams, 30, deletedUpstream("i-1", 20), deletedUpstream("i-2", 21))
 	if list := s.table.Service("app"); len(list) != 2 {
-		t.Fatal("a lapse was taken for an end")
+		t.Fatal("an upstream whose registration lapsed counts as gone")
 	}
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.answer(upstreams, 32, registered("i-1", 1, 32))
-	s.pass(1500 * ms)
+	s.advance(1500 * ms)
 	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-1" {
 		t.Error(len(list))
 	}
-	s.answer(upstreams, 40, ended1("i-1", 40))
+	s.answer(upstreams, 40, deletedUpstream("i-1", 40))
 	if list := s.table.Service("app"); len(list) != 0 {
-		t.Error("an end is taken for a lapse")
+		t.Error("an upstream that ended does not count as gone")
 	}
 }
 
-// The same, and the store's history is gone too: the list that follows says what is missing.
+// The same, but the platform's history is lost too: the list that follows shows what is missing.
 func TestLapseBeforeAList(t *testing.T) {
-	s := following(t)
-	s.pass(2500 * ms)
+	s := newFollowerSession(t)
+	s.advance(2500 * ms)
 	s.answer(declarations, 30)
 	s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
-	s.end(upstreams, stoatfeed.Result{AsOf: at(30), More: true, Last: "i-1"})
+	s.end(upstreams, stoatfeed.Result{AsOf: position(30), More: true, Last: "i-1"})
 	s.answer(upstreams, 30, registered("i-2", 2, 7))
-	if u, _ := s.k.book.Registered("i-1"); u.Standing != stoatroute.Missing {
+	if u, _ := s.ctl.state.Registered("i-1"); u.Standing != stoatroute.Missing {
 		t.Error(u.Standing)
 	}
 }
 
-// The store is away for all. An entry whose parent goes on telling how old its word is asks
-// the store at once when that is old, twice, and then rarely: seeds ask every second, and the
-// parent tells when they are answered.
+// The platform is down for all entries. An entry whose parent keeps sending its age asks the platform at once
+// when the state is too old, twice, and then rarely: the seeds ask every second, and the parent sends their
+// answers on.
 func TestOutageIsLeftToSeeds(t *testing.T) {
-	s := following(t)
+	s := newFollowerSession(t)
 	asked := 0
 	for age := 500 * ms; age < 30*time.Second; age += 500 * ms {
-		s.pass(500 * ms)
-		s.tell(parentUpdate{parent: "parent", age: age, known: at(10)})
+		s.advance(500 * ms)
+		s.receiveUpdate(parentUpdate{parent: "parent", age: age, known: position(10)})
 		for topic := range topicCount {
 			if c := s.calls[topic]; c != nil && c.Pause < 2*time.Second {
 				s.fail(topic)
@@ -272,91 +273,91 @@
 	if asked < 6 || asked > 18 {
 		t.Error("asked", asked, "times in 30 s")
 	}
-	s.tell(parentUpdate{parent: "parent", age: 50 * ms, known: at(12)})
-	s.quiet("the parent's word is young again")
+	s.receiveUpdate(parentUpdate{parent: "parent", age: 50 * ms, known: position(12)})
+	s.wantNoCalls("the parent's state is recent again")
 }
 
-// A seed cannot reach the store. Another one tells it meanwhile; it goes on asking, and
-// leaves the other one once the store answers.
-func TestSeedIsHelped(t *testing.T) {
+// A seed cannot reach the platform and gets updates from another one. It keeps asking the platform, and
+// leaves the other one once the platform answers.
+func TestSeedFindsParentInOutage(t *testing.T) {
 	s := startSession(t, true, false)
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6))
-	if len(s.sought) != 0 {
-		t.Fatal("a seed in touch searches")
+	if len(s.searches) != 0 {
+		t.Fatal("a seed that the platform answers searches for a parent")
 	}
 	for range 3 {
 		s.fail(declarations)
 		if s.calls[upstreams] != nil {
 			s.fail(upstreams)
 		}
-		s.pass(500 * ms)
+		s.advance(500 * ms)
 	}
-	if len(s.sought) == 0 || s.sought[0].maxAge != 0 {
-		t.Fatal(s.sought)
+	if len(s.searches) == 0 || s.searches[0].maxAge != 0 {
+		t.Fatal(s.searches)
 	}
-	s.tell(parentUpdate{parent: "seed", age: 50 * ms, known: at(15), whole: true}, declared(2, 12), registered("i-1", 1, 6))
+	s.receiveUpdate(parentUpdate{parent: "seed", age: 50 * ms, known: position(15), whole: true}, declared(2, 12), registered("i-1", 1, 6))
 	if s.table.Declaration.Version != 2 || s.calls[declarations] == nil {
 		t.Error(s.table.Declaration.Version, s.calls)
 	}
 	s.answer(declarations, 16)
 	s.answer(declarations, 16)
-	if s.left != 1 {
-		t.Error("left", s.left, "times")
+	if s.parentsLeft != 1 {
+		t.Error("left", s.parentsLeft, "times")
 	}
 }
 
-// A deployment whose settings name one seed alone. Others wait for its proofs like for those
-// of three: it proves as often.
+// The settings name a single seed. Other entries wait for its proofs, so it proves its state as often as one
+// of three seeds.
 func TestLoneSeedProvesForOthers(t *testing.T) {
-	set := stoatsetting.Settings{Admin: above, Seeds: []netip.AddrPort{above}}
+	set := stoatsetting.Settings{Admin: seedAdmin, Seeds: []netip.AddrPort{seedAdmin}}
 	if got := seedRoleOf(set); got != (seedRole{isSeed: true}) || got.reliesOnOthers() {
 		t.Error(got)
 	}
 	k := newController(controllerConfig{Apply: 3 * time.Second, Seeds: seedRoleOf(set), Seed: 1})
-	s := &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, k: k}
+	s := &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, ctl: k}
 	s.step(started{})
 	s.answer(declarations, 10, declared(1, 5))
 	if c := s.calls[declarations]; c.Wait > 1350*ms {
-		t.Error("others wait for", c.Wait)
+		t.Error("others wait as long as", c.Wait)
 	}
-	set.Admin = belowA
+	set.Admin = childAdmin
 	if got := seedRoleOf(set); !got.reliesOnOthers() {
 		t.Error(got)
 	}
-	if got := seedRoleOf(stoatsetting.Settings{Admin: above}); got != (seedRole{}) {
+	if got := seedRoleOf(stoatsetting.Settings{Admin: seedAdmin}); got != (seedRole{}) {
 		t.Error(got)
 	}
 }
 
-// The settings change and name nobody any more: the entry reads the platform by itself.
+// Changed settings name no other entry any more: the entry reads the platform itself.
 func TestSeedsTakenAway(t *testing.T) {
-	s := following(t)
+	s := newFollowerSession(t)
 	s.step(settingsChanged{apply: 3 * time.Second, returnTimeout: 2 * time.Second, flowLifetime: time.Minute})
 	if c := s.calls[declarations]; c == nil || c.Stale {
 		t.Errorf("%+v", c)
 	}
-	s.tell(parentUpdate{parent: "parent", known: at(10)})
-	if s.calls[declarations] == nil || s.left == 0 {
-		t.Error("a late word is relied on")
+	s.receiveUpdate(parentUpdate{parent: "parent", known: position(10)})
+	if s.calls[declarations] == nil || s.parentsLeft == 0 {
+		t.Error("a late update is relied on")
 	}
 }
 
-// The machine is suspended for four seconds, which the steady clock does not count. The
-// parent's word is that much older.
-func TestSuspendedFollower(t *testing.T) {
-	s := following(t)
+// The machine is suspended for four seconds, which the monotonic clock does not count. The parent's state is
+// older by that.
+func TestSuspendedChild(t *testing.T) {
+	s := newFollowerSession(t)
 	s.step(resumed{gap: 4 * time.Second})
-	s.pass(100 * ms)
+	s.advance(100 * ms)
 	if c := s.calls[declarations]; c == nil || c.Stale || c.Wait > ms {
 		t.Errorf("%+v", c)
 	}
 }
 
-// A cookie is not known at an entry that is told. The platform itself is asked once; what
-// answers proves, and afterwards nothing is asked again.
-func TestDoubtOfAFollower(t *testing.T) {
-	s := following(t)
+// An entry with a parent gets an unknown cookie. It asks the platform itself once; the answer is a proof, and
+// no further call is made.
+func TestUnknownCookieAtChild(t *testing.T) {
+	s := newFollowerSession(t)
 	s.step(unknownCookie{})
 	c := s.calls[upstreams]
 	if c == nil || c.Stale || c.Wait > ms || s.calls[declarations] != nil {
@@ -366,41 +367,41 @@
 	if s.table.Proven.IsZero() {
 		t.Error("nothing is proven")
 	}
-	s.quiet("after the answer")
+	s.wantNoCalls("after the answer")
 }
 
-// What was under way when a parent was found comes back: it is older than what was told, and
-// must not start a new list.
+// A call that was in progress when a parent was found ends late. Its result is older than the parent's state
+// and must not start a new list.
 func TestLateAnswerIsDropped(t *testing.T) {
 	s := startSession(t, true, true)
 	list := *s.calls[upstreams]
 	sent := s.now
-	s.tell(parentUpdate{parent: "parent", whole: true, known: at(10)}, declared(1, 5), registered("i-1", 1, 6))
-	s.step(callEnded{topic: upstreams, call: list, sent: sent, result: stoatfeed.Result{AsOf: at(8)}})
-	s.quiet("after a late answer")
+	s.receiveUpdate(parentUpdate{parent: "parent", whole: true, known: position(10)}, declared(1, 5), registered("i-1", 1, 6))
+	s.step(callEnded{topic: upstreams, call: list, sent: sent, result: stoatfeed.Result{AsOf: position(8)}})
+	s.wantNoCalls("after a late answer")
 	if len(s.table.Service("app")) != 1 {
-		t.Error("the late list took the upstream out")
+		t.Error("the late list removed the upstream")
 	}
 }
 
-// Others wait for news and get it as soon as there is some.
-func TestBell(t *testing.T) {
-	b := newBell()
+// All that wait for a change are woken when there is one.
+func TestNotifier(t *testing.T) {
+	b := newNotifier()
 	next := b.wait()
 	select {
 	case <-next:
-		t.Error("rung by nobody")
+		t.Error("woken without a change")
 	default:
 	}
-	b.ring()
+	b.notify()
 	select {
 	case <-next:
 	default:
-		t.Error("nobody is told")
+		t.Error("waiters are not woken")
 	}
 }
 
 var (
-	above  = netip.MustParseAddrPort("10.0.0.1:8166")
-	belowA = netip.MustParseAddrPort("10.0.0.2:8166")
+	seedAdmin  = netip.MustParseAddrPort("10.0.0.1:8166")
+	childAdmin = netip.MustParseAddrPort("10.0.0.2:8166")
 )
--- a/stoatedge/reader_test.go
+++ b/stoatedge/reader_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Packets come faster than they are read. While one waits, the socket does not count as empty;
-// once all are read, and after a wait for the next one, it does.
-func TestReaderKnowsWhenItIsBehind(t *testing.T) {
+// Packets come faster than they are read. While one waits, the socket does not count as empty. It does once
+// all are read, and after a wait for the next one.
+func TestReaderTracksDrainedSocket(t *testing.T) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
@@ -40,9 +40,9 @@
 			t.Fatal(i, n, err, r.drained)
 		}
 	}
-	// find has the reader look at the empty socket.
+	// find makes the reader look at the empty socket.
 	find := func() {
-		for !r.waits {
+		for !r.empty {
 			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			if n, err := r.read(buf); err == nil {
 				t.Fatal("read", n)
@@ -53,22 +53,22 @@
 	find()
 	r.drained = time.Unix(2000, 0)
 	send()
-	if n, err := r.read(buf); n != 1 || err != nil || r.drained.Equal(time.Unix(2000, 0)) || r.waits {
+	if n, err := r.read(buf); n != 1 || err != nil || r.drained.Equal(time.Unix(2000, 0)) || r.empty {
 		t.Error("it was empty until the packet came:", n, err, r.drained)
 	}
-	// The process did not run while it waited: the packet may have been there for long.
+	// The process did not run while the reader waited: the packet may have been there for long.
 	find()
 	starved, r.drained = true, time.Unix(3000, 0)
 	send()
-	if n, err := r.read(buf); n != 1 || err != nil || !r.drained.Equal(time.Unix(3000, 0)) || r.waits {
-		t.Error("what came while the process did not run counts as new:", n, err, r.drained)
+	if n, err := r.read(buf); n != 1 || err != nil || !r.drained.Equal(time.Unix(3000, 0)) || r.empty {
+		t.Error("a packet that came while the process did not run counts as new:", n, err, r.drained)
 	}
 }
 
-// The machine has no time for the process, between two ticks or since the last one. Either way
-// it counts as starved until the next tick is on time.
+// The machine has no time for the process, between two ticks or since the last one. In both cases the process
+// counts as starved until the next tick is on time.
 func TestStarved(t *testing.T) {
-	var w pauseWatch
+	var w pauseDetector
 	at := time.Hour
 	w.tick(at)
 	for _, c := range []struct {
--- a/stoatedge/restore_test.go
+++ b/stoatedge/restore_test.go
@@ -6,26 +6,16 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-// A route had been taken out and the change confirmed, and callers went on being served by it for longer
-// than the bound. The store had been away for three seconds and had come back from a copy some seconds
-// old, which gives its revisions out again. Entries compared them with those of before: each list was
-// taken for that of a replica that is behind and asked for again at once, 150 to 220 calls a second, and
-// the configuration in it was refused since its revision was not above the one in force. When the store
-// had counted up to that one, a watch went on from there, and what had been written below it was never
-// read:
-//
-//	13.03 s SP1405 configuration in force, version 21, revision 26, at all entries
-//	19.29 s SP1409 platform answers again, away 3.27 s
-//	20.03 s platform_call_seconds_count{topic="configuration",kind="list"} 60, two before
-//	22.82 s SP1407 an upstream is leaving, written at 22.80 s: the lists are not old
-//	22.84 s version 24 confirmed; no SP1405 at any entry
-//	25.52 s version 32 is written, the calls stop at all entries within 10 ms
-//	30.02 s stoatpaddle_config_version 21
+// Guards against a restored platform whose changes never come into force. The platform comes back from a copy
+// some seconds old and assigns revisions again. Entries that compared them with earlier ones took each list
+// for that of a lagging replica and repeated it at once, at 150 to 220 calls a second, and rejected its
+// configuration. Once the revisions had caught up, a watch went on from there and missed what had been
+// written below.
 func TestConfigurationAfterARestore(t *testing.T) {
 	r := newRig(t)
 	seed, set, _ := r.start("127.0.0.11")
 	follower, second, _ := r.start("127.0.0.12", set.Admin)
-	r.wait("both serve", func() bool { return isReady(set) && isReady(second) })
+	r.wait("both are ready", func() bool { return isReady(set) && isReady(second) })
 	copied := r.store.Save()
 	for version := 2; version <= 9; version++ {
 		r.configure(version, "app")
--- a/stoatedge/share_test.go
+++ b/stoatedge/share_test.go
@@ -14,23 +14,23 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Two entries somewhere below the seed wait for an upstream in vain, and say so to the entry that
-// is last in the tree. The seed, which is told by way of two others, and each of these takes the
-// upstream out, though none of them ever sent it a packet.
+// Two entries somewhere below the seed wait for an upstream without an answer and report that to the last
+// entry of the tree. The seed, which hears of it through two others, and each of these exclude the upstream,
+// although none of them ever sent it a packet.
 func TestSilenceReachesAll(t *testing.T) {
 	r := newRig(t)
-	// A third of the group may be avoided on others' word, so there must be three.
+	// A third of the group may be excluded because of others' reports, so there must be three upstreams.
 	third := r.listen("127.0.0.1:0")
 	r.store.Write(platform.KindUpstream, "i-00000033", map[string]any{
 		"service": "app", "address": third.LocalAddr().String(), "zone": "here", "version": "v1", "slots": 3, "state": "ready",
 		"cold_remaining_ms": 0, "seq": 1,
 	})
 	_, setSeed, logSeed := r.start("127.0.0.21")
-	r.wait("the seed serves", func() bool { return isReady(setSeed) })
+	r.wait("the seed is ready", func() bool { return isReady(setSeed) })
 	b, setB, logB := r.start("127.0.0.22", setSeed.Admin)
-	r.wait("the second is told", func() bool { return told(b) == 1 })
+	r.wait("the second has a parent", func() bool { return depth(b) == 1 })
 	c, setC, logC := r.start("127.0.0.23", setB.Admin)
-	r.wait("the third is told through the second", func() bool { return told(c) == 2 })
+	r.wait("the third gets updates through the second", func() bool { return depth(c) == 2 })
 	r.wait("all upstreams are known", func() bool { return len(c.Table().Service("app")) == 3 })
 
 	now := time.Now()
@@ -51,7 +51,7 @@
 	if res.StatusCode != http.StatusNoContent {
 		t.Fatal(res.Status)
 	}
-	for name, l := range map[string]*log{"the last": logC, "the second": logB, "the seed": logSeed} {
-		r.wait(name+" takes the upstream out", func() bool { return l.has(`"SP1430"`) })
+	for name, l := range map[string]*logBuffer{"the last": logC, "the second": logB, "the seed": logSeed} {
+		r.wait(name+" excludes the upstream", func() bool { return l.has(`"SP1430"`) })
 	}
 }
