--- a/stoatedge/evacuation_test.go
+++ b/stoatedge/evacuation_test.go
@@ -67,7 +67,7 @@
 	s := newEvacuationSession(t, false, false).answerFirstLists()
 	s.wantEvacuated("nothing was requested", false)
 	s.answer(evacuations, 12, evacuated("here", 12))
-	s.wantEvacuated("requested", true)
+	s.wantEvacuated("evacuation requested", true)
 	// The deleted object has the revision of its last change.
 	s.answer(evacuations, 14, withdrawn("here", 12))
 	s.wantEvacuated("withdrawn", false)
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -91,7 +91,7 @@
 		// A long list comes in pages. As long as they come, no other entry has to be asked.
 		return now.Sub(ctl.lastAnswer) > answerWait
 	}
-	failing := ctl.failing()
+	failing := ctl.failingSince()
 	return !failing.IsZero() && now.Sub(failing) > answerWait
 }
 
@@ -109,7 +109,7 @@
 	}
 	f.nextSearch = now.Add(pause)
 	x := findParent{searchID: f.searchID, known: ctl.known}
-	if ctl.ready && ctl.failing().IsZero() {
+	if ctl.ready && ctl.failingSince().IsZero() {
 		// The platform answers this entry, so a parent's state that is too old is of no use.
 		x.maxAge = stoatfeed.Share(ctl.applyBound, maxParentAgeShare)
 	}
--- a/stoatedge/keeper.go
+++ b/stoatedge/keeper.go
@@ -196,8 +196,8 @@
 	ctl.checkParent(now)
 }
 
-// failing returns since when one of the feeds has got no answer; zero: all get answers.
-func (ctl *controller) failing() time.Time {
+// failingSince returns since when one of the feeds has got no answer; zero: all get answers.
+func (ctl *controller) failingSince() time.Time {
 	for _, t := range ctl.topics {
 		if f := ctl.feeds[t]; !f.Failing().IsZero() {
 			return f.Failing()
--- a/stoatedge/keeper_test.go
+++ b/stoatedge/keeper_test.go
@@ -25,11 +25,11 @@
 	table          *stoatroute.Table
 	events         map[stoatevent.Number]int
 	searches       []findParent
-	parentsLeft    int                  // how often a parent was left
-	announcedPos   stoatpaddle.Position // as last announced
-	era            stoatpaddle.Era      // of the answers to come
-	announcedReads bool                 // as last announced
-	wakeUps        int                  // how often children were woken
+	parentsLeft    int // how often a parent was left
+	announcedPos   stoatpaddle.Position
+	era            stoatpaddle.Era // of the answers to come
+	announcedReads bool
+	wakeUps        int // how often children were woken
 }
 
 // position returns a position of a platform that gives no era.
--- a/stoatedge/lists.go
+++ b/stoatedge/lists.go
@@ -81,7 +81,7 @@
 
 // expireEvacuations withdraws evacuations that were not written again after a restore.
 func (ctl *controller) expireEvacuations(now time.Time) {
-	if !ctl.failing().IsZero() {
+	if !ctl.failingSince().IsZero() {
 		ctl.state.HoldEvacuations(now)
 		return
 	}
--- a/stoatedge/parts_test.go
+++ b/stoatedge/parts_test.go
@@ -24,7 +24,7 @@
 	var s stopState
 	now := time.Unix(1000, 0)
 	s.notePacket(now)
-	if _, done := s.done(now.Add(time.Hour)); done {
+	if _, done := s.complete(now.Add(time.Hour)); done {
 		t.Error("complete before it was requested")
 	}
 	if !s.begin(now, 6*time.Second) || s.begin(now, 9*time.Second) {
@@ -32,15 +32,15 @@
 	}
 	for at := time.Duration(0); at <= 2*time.Second; at += 100 * ms {
 		s.notePacket(now.Add(at))
-		if _, done := s.done(now.Add(at + 50*ms)); done {
+		if _, done := s.complete(now.Add(at + 50*ms)); done {
 			t.Fatal("ends while packets come, after", at)
 		}
 	}
-	if quiet, done := s.done(now.Add(2400 * ms)); !done || quiet != 400*ms {
+	if quiet, done := s.complete(now.Add(2400 * ms)); !done || quiet != 400*ms {
 		t.Error(quiet, done)
 	}
 	s.notePacket(now.Add(4999 * ms))
-	if _, done := s.done(now.Add(5 * time.Second)); !done {
+	if _, done := s.complete(now.Add(5 * time.Second)); !done {
 		t.Error("not complete before the deadline")
 	}
 }
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -98,13 +98,13 @@
 	e.relay.mu.Unlock()
 	for ctx.Err() == nil {
 		e.relay.mu.Lock()
-		addr, ask, ok := e.relay.tree.Next()
+		addr, join, ok := e.relay.tree.Next()
 		e.relay.mu.Unlock()
 		if !ok {
 			break
 		}
-		ask.Known, ask.Within = x.known, x.maxAge
-		accepted, err := e.receiveUpdates(ctx, x.searchID, addr, ask)
+		join.Known, join.Within = x.known, x.maxAge
+		accepted, err := e.receiveUpdates(ctx, x.searchID, addr, join)
 		cause = err
 		if accepted {
 			break
@@ -123,19 +123,19 @@
 
 // receiveUpdates asks one entry for updates, and processes them until they end. Accepted reports whether it
 // sent any.
-func (e *Edge) receiveUpdates(parentCtx context.Context, searchID int, addr netip.AddrPort, ask stoattree.Ask) (accepted bool, err error) {
+func (e *Edge) receiveUpdates(parentCtx context.Context, searchID int, addr netip.AddrPort, join stoattree.Ask) (accepted bool, err error) {
 	ctx, cancel := context.WithCancelCause(parentCtx)
 	defer cancel(nil)
 	watchdog := time.AfterFunc(peerTimeout, func() { cancel(&silentError{after: peerTimeout}) })
 	defer watchdog.Stop()
-	res, err := e.askEntry(ctx, addr, ask)
+	res, err := e.requestUpdates(ctx, addr, join)
 	if err != nil {
 		return false, err
 	}
 	defer func() { _ = res.Body.Close() }()
 	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, N: &e.relay.received}))
 	if res.StatusCode != http.StatusOK {
-		return false, e.refused(addr, dec)
+		return false, e.handleRefusal(addr, dec)
 	}
 	for {
 		h, body, err := stoatrelay.Read(dec)
@@ -155,8 +155,8 @@
 	}
 }
 
-func (e *Edge) askEntry(ctx context.Context, addr netip.AddrPort, ask stoattree.Ask) (*http.Response, error) {
-	url := "http://" + addr.String() + pathUpdates + "?" + encodeRequest(ask)
+func (e *Edge) requestUpdates(ctx context.Context, addr netip.AddrPort, join stoattree.Ask) (*http.Response, error) {
+	url := "http://" + addr.String() + pathUpdates + "?" + encodeRequest(join)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return nil, &unreachableError{addr: addr, cause: err}
@@ -168,8 +168,8 @@
 	return res, nil
 }
 
-// refused learns which entries a refusal names instead.
-func (e *Edge) refused(addr netip.AddrPort, dec *msgpack.Decoder) error {
+// handleRefusal learns which entries a refusal names instead.
+func (e *Edge) handleRefusal(addr netip.AddrPort, dec *msgpack.Decoder) error {
 	var w stoatrelay.Refusal
 	if err := dec.Decode(&w); err != nil {
 		return &stoatpaddle.DecodeError{What: "a refusal of " + addr.String(), Cause: err}
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -116,13 +116,13 @@
 }
 
 func writeFormer(ctx context.Context, p stoatpaddle.Platform, x saveFormer) error {
-	standing, err := p.Get(ctx, formerRef)
+	stored, err := p.Get(ctx, formerRef)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
 		return err
 	}
 	if err == nil {
-		if kept, err := decodeFormer(standing.Value); err == nil && kept.version >= x.version {
+		if kept, err := decodeFormer(stored.Value); err == nil && kept.version >= x.version {
 			return nil
 		}
 	}
@@ -130,6 +130,6 @@
 	if err != nil {
 		return err
 	}
-	_, err = p.Put(ctx, stoatpaddle.Object{Ref: formerRef, Version: standing.Version, Value: value})
+	_, err = p.Put(ctx, stoatpaddle.Object{Ref: formerRef, Version: stored.Version, Value: value})
 	return err
 }
--- a/stoatedge/run_seen.go
+++ b/stoatedge/run_seen.go
@@ -108,15 +108,15 @@
 	e.engineMu.Lock()
 	e.engine.SetPlace(now, place)
 	e.engine.TakeSum(now, sum)
-	marked := e.engine.Judge(now, t)
+	failing := e.engine.Judge(now, t)
 	var silent []stoatecho.Silent
 	if steady {
 		silent = e.engine.JudgeSilence(now, t, delay)
 	}
 	e.engineMu.Unlock()
-	for _, m := range marked {
-		e.log.emit(now, EventFailing, stoatevent.F("upstream", string(m.Upstream.ID)), stoatevent.F("service", string(m.Upstream.Service)),
-			stoatevent.F("answered", strconv.Itoa(m.Answered)), stoatevent.F("failed", strconv.Itoa(m.Failed)), stoatevent.F("hold", m.Hold.String()))
+	for _, f := range failing {
+		e.log.emit(now, EventFailing, stoatevent.F("upstream", string(f.Upstream.ID)), stoatevent.F("service", string(f.Upstream.Service)),
+			stoatevent.F("answered", strconv.Itoa(f.Answered)), stoatevent.F("failed", strconv.Itoa(f.Failed)), stoatevent.F("hold", f.Hold.String()))
 	}
 	e.logSilent(now, silent)
 	e.relay.observedSum.Store(&sum)
--- a/stoatedge/run_tell.go
+++ b/stoatedge/run_tell.go
@@ -81,9 +81,9 @@
 }
 
 func newRelayState(cfg stoattree.Config) *relayState {
-	p := &relayState{tree: stoattree.New(cfg), notifier: newNotifier()}
-	p.announced.Store(&announcement{})
-	return p
+	s := &relayState{tree: stoattree.New(cfg), notifier: newNotifier()}
+	s.announced.Store(&announcement{})
+	return s
 }
 
 // state returns what decides whether this entry can be a parent.
@@ -106,25 +106,25 @@
 // serveUpdates answers an entry that asks for updates: with a refusal, or with messages until either side
 // ends the connection.
 func (e *Edge) serveUpdates(w http.ResponseWriter, r *http.Request) {
-	ask, err := parseRequest(r.URL.Query())
+	join, err := parseRequest(r.URL.Query())
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	e.relay.mu.Lock()
-	a := e.relay.tree.Admit(e.state(), ask)
+	a := e.relay.tree.Admit(e.state(), join)
 	e.relay.mu.Unlock()
 	if a.Refusal != stoattree.Accepted {
 		refuseRequest(w, a)
 		return
 	}
-	e.log.emit(clock(), EventChild, stoatevent.F("child", ask.From.String()), stoatevent.F("centre", string(ask.Centre)), stoatevent.F("known", ask.Known.String()))
-	cause := e.streamUpdates(w, r, ask)
+	e.log.emit(clock(), EventChild, stoatevent.F("child", join.From.String()), stoatevent.F("centre", string(join.Centre)), stoatevent.F("known", join.Known.String()))
+	cause := e.streamUpdates(w, r, join)
 	e.relay.mu.Lock()
-	e.relay.tree.Part(ask.From, a.Ticket)
+	e.relay.tree.Part(join.From, a.Ticket)
 	e.relay.mu.Unlock()
-	e.pool.Forget(ask.From)
-	e.log.emit(clock(), EventChildGone, stoatevent.F("child", ask.From.String()), stoatevent.F("cause", cause))
+	e.pool.Forget(join.From)
+	e.log.emit(clock(), EventChildGone, stoatevent.F("child", join.From.String()), stoatevent.F("cause", cause))
 }
 
 func refuseRequest(w http.ResponseWriter, a stoattree.Answer) {
@@ -134,30 +134,30 @@
 }
 
 // streamUpdates sends messages to a child until something ends the connection, and returns what did.
-func (e *Edge) streamUpdates(w http.ResponseWriter, r *http.Request, ask stoattree.Ask) string {
+func (e *Edge) streamUpdates(w http.ResponseWriter, r *http.Request, join stoattree.Ask) string {
 	rc := http.NewResponseController(w)
 	out := &stoatcount.Writer{W: w, N: &e.relay.sent}
 	var child stoatrelay.Holds
-	var seen stoatoutlier.Stream
+	var reports stoatoutlier.Stream
 	for {
 		next := e.relay.notifier.wait()
 		if e.stop.requested() {
 			return "this entry stops"
 		}
 		now, bound := clock(), e.settings().Bound()
-		text, told, err := e.message(now, ask, child, &seen)
+		msg, held, err := e.message(now, join, child, &reports)
 		if err != nil {
 			return err.Error()
 		}
 		// A child that does not read must not block this goroutine.
 		_ = rc.SetWriteDeadline(now.Add(stoatfeed.Share(bound, silenceShare)))
-		if _, err := out.Write(text); err != nil {
+		if _, err := out.Write(msg); err != nil {
 			return err.Error()
 		}
 		if err := rc.Flush(); err != nil {
 			return err.Error()
 		}
-		child = told
+		child = held
 		if cause := e.waitForUpdate(r, next, stoatfeed.Share(bound, keepaliveShare)); cause != "" {
 			return cause
 		}
@@ -165,14 +165,14 @@
 }
 
 // message returns the next message for a child, encoded, and what the child holds after it.
-func (e *Edge) message(now time.Time, ask stoattree.Ask, child stoatrelay.Holds, seen *stoatoutlier.Stream) ([]byte, stoatrelay.Holds, error) {
+func (e *Edge) message(now time.Time, join stoattree.Ask, child stoatrelay.Holds, reports *stoatoutlier.Stream) ([]byte, stoatrelay.Holds, error) {
 	// The announcement is loaded before the table, so that the table has at least what is announced.
 	s, t := e.relay.announced.Load(), e.table.Load()
 	body, err := e.relay.bodyCache.get(now, t, child)
 	if err != nil {
 		return nil, child, err
 	}
-	head, err := e.headFor(now, s, ask, len(body) > 0, seen, t.Era)
+	head, err := e.headFor(now, s, join, len(body) > 0, reports, t.Era)
 	if err != nil {
 		return nil, child, err
 	}
@@ -196,21 +196,21 @@
 }
 
 // headFor returns the head of a message to one child, encoded.
-func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.Ask, body bool, stream *stoatoutlier.Stream, era stoatpaddle.Era) ([]byte, error) {
+func (e *Edge) headFor(now time.Time, s *announcement, join stoattree.Ask, body bool, reports *stoatoutlier.Stream, era stoatpaddle.Era) ([]byte, error) {
 	h := stoatrelay.Head{
 		Known: uint64(s.known.Revision), KnownEra: uint64(s.known.Era), Era: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), Body: body,
 		Path: stoatrelay.AddrTexts(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
 	}
 	h.Centre = string(e.settings().DataCentre)
-	if seen := e.relay.observedSum.Load(); seen != nil && ask.Centre == e.settings().DataCentre {
-		if u, due := stream.Next(now, *seen, stoatoutlier.SinceFirst); due {
+	if sum := e.relay.observedSum.Load(); sum != nil && join.Centre == e.settings().DataCentre {
+		if u, due := reports.Next(now, *sum, stoatoutlier.SinceFirst); due {
 			h.Seen, h.Whole = stoatoutlier.Encode(now, u.Reports), u.Whole
 		}
 	}
 	e.relay.mu.Lock()
-	h.Relatives = stoatrelay.AddrTexts(e.relay.tree.Relatives(ask.From, ask.Centre))
-	if own := e.ownPlace(); ask.Centre == e.settings().DataCentre && own.Entries > 0 {
-		h.Rank, h.Entries = e.relay.tree.RankOf(ask.From, own.Rank), own.Entries
+	h.Relatives = stoatrelay.AddrTexts(e.relay.tree.Relatives(join.From, join.Centre))
+	if own := e.ownPlace(); join.Centre == e.settings().DataCentre && own.Entries > 0 {
+		h.Rank, h.Entries = e.relay.tree.RankOf(join.From, own.Rank), own.Entries
 	}
 	e.relay.mu.Unlock()
 	return stoatrelay.Encode(&h)
@@ -225,7 +225,8 @@
 	encoded   []byte
 }
 
-// bodyCacheTTL is how long a body is reused: it says for how much longer upstreams are cold.
+// bodyCacheTTL is how long a body is reused. It is short since a body has the remaining time for which upstreams
+// are cold.
 const bodyCacheTTL = 200 * time.Millisecond
 
 // get returns what t has that a child does not, encoded; nil if there is nothing.
@@ -235,15 +236,15 @@
 	if b.source == stoatrelay.HoldsOf(t) && b.child == child && now.Sub(b.encodedAt) < bodyCacheTTL {
 		return b.encoded, nil
 	}
-	var text []byte
+	var data []byte
 	if w := stoatrelay.EncodeBody(now, t, child); w != nil {
 		var err error
-		if text, err = stoatrelay.Encode(w); err != nil {
+		if data, err = stoatrelay.Encode(w); err != nil {
 			return nil, err
 		}
 	}
-	b.source, b.child, b.encodedAt, b.encoded = stoatrelay.HoldsOf(t), child, now, text
-	return text, nil
+	b.source, b.child, b.encodedAt, b.encoded = stoatrelay.HoldsOf(t), child, now, data
+	return data, nil
 }
 
 // parseRequest decodes the query of a request for updates, or returns *stoatpaddle.DecodeError.
@@ -283,16 +284,16 @@
 	return a, nil
 }
 
-func encodeRequest(a stoattree.Ask) string {
+func encodeRequest(join stoattree.Ask) string {
 	q := url.Values{}
-	q.Set(paramFrom, a.From.String())
-	q.Set(paramCentre, string(a.Centre))
-	q.Set(paramKnown, a.Known.Revision.String())
-	q.Set(paramEra, a.Known.Era.String())
-	q.Set(paramWithin, strconv.FormatInt(a.Within.Milliseconds(), 10))
-	if a.Near {
+	q.Set(paramFrom, join.From.String())
+	q.Set(paramCentre, string(join.Centre))
+	q.Set(paramKnown, join.Known.Revision.String())
+	q.Set(paramEra, join.Known.Era.String())
+	q.Set(paramWithin, strconv.FormatInt(join.Within.Milliseconds(), 10))
+	if join.Near {
 		q.Set(paramNear, "1")
 	}
-	q.Set(paramSkip, strings.Join(stoatrelay.AddrTexts(a.Skip), ","))
+	q.Set(paramSkip, strings.Join(stoatrelay.AddrTexts(join.Skip), ","))
 	return q.Encode()
 }
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -34,13 +34,13 @@
 	}
 }
 
-// handleTraffic handles packets, one at a time: an entry has a part of one core, and a second goroutine would
+// handleTraffic handles packets, one at a time: an entry has a share of one core, and a second goroutine would
 // only wait for the engine's lock.
 func (e *Edge) handleTraffic() error {
-	m := newPacketBuffers()
+	bufs := newPacketBuffers()
 	var p stoatpacket.Packet
 	for {
-		n, err := e.reader.read(m.buf[platform.TargetSize:])
+		n, err := e.reader.read(bufs.buf[platform.TargetSize:])
 		if err != nil {
 			if e.ctx.Err() != nil {
 				return nil
@@ -49,8 +49,8 @@
 		}
 		now := clock()
 		e.stop.notePacket(now)
-		m.drained = e.reader.drained
-		reason := platform.ReadPacket(m.buf[platform.TargetSize:platform.TargetSize+n], &p)
+		bufs.drained = e.reader.drained
+		reason := platform.ReadPacket(bufs.buf[platform.TargetSize:platform.TargetSize+n], &p)
 		// Resets towards this entry itself would come back as packets.
 		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.ownAddr {
 			reason = stoatpacket.DropOwn
@@ -60,19 +60,19 @@
 			e.logDrop(now, &p, reason)
 			continue
 		}
-		e.handle(now, m, n, &p)
+		e.handle(now, bufs, n, &p)
 	}
 }
 
 // handle decides about the packet in m and applies the decision.
-func (e *Edge) handle(now time.Time, m *packetBuffers, n int, p *stoatpacket.Packet) {
+func (e *Edge) handle(now time.Time, bufs *packetBuffers, n int, p *stoatpacket.Packet) {
 	e.engineMu.Lock()
 	t := e.table.Load()
-	if !m.drained.IsZero() {
-		e.engine.Drained(m.drained)
+	if !bufs.drained.IsZero() {
+		e.engine.Drained(bufs.drained)
 	}
 	a := e.engine.Handle(now, t, p)
-	if a.Verdict == stoatecho.Wait && !e.held.Add(now, p, m.buf[platform.TargetSize:platform.TargetSize+n]) {
+	if a.Verdict == stoatecho.Wait && !e.held.Add(now, p, bufs.buf[platform.TargetSize:platform.TargetSize+n]) {
 		a.Verdict = stoatecho.Drop
 		e.counts.dropped[a.Reason].Add(1)
 	}
@@ -81,7 +81,7 @@
 	if observed {
 		e.notifyObserved()
 	}
-	e.apply(now, t, a, p, m, n)
+	e.apply(now, t, a, p, bufs, n)
 }
 
 // releaseHeld handles the packets that were held until the first table.
@@ -108,16 +108,16 @@
 	if len(held) == 0 {
 		return
 	}
-	m := newPacketBuffers()
+	bufs := newPacketBuffers()
 	for i := range held {
-		n := copy(m.buf[platform.TargetSize:], held[i].Data)
-		e.handle(now, m, n, &held[i].Packet)
+		n := copy(bufs.buf[platform.TargetSize:], held[i].Data)
+		e.handle(now, bufs, n, &held[i].Packet)
 	}
 }
 
 // apply carries out a decision. A datagram that cannot be sent is lost like any other.
-func (e *Edge) apply(now time.Time, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, m *packetBuffers, n int) {
-	buf := m.buf[:platform.TargetSize+n]
+func (e *Edge) apply(now time.Time, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, bufs *packetBuffers, n int) {
+	buf := bufs.buf[:platform.TargetSize+n]
 	switch a.Verdict {
 	case stoatecho.Forward:
 		platform.PutTarget(buf, a.Upstream.Target)
@@ -130,7 +130,7 @@
 				stoatevent.F("copies", strconv.Itoa(p.Copies)), stoatevent.F("moved", strconv.FormatBool(a.Moved)))...)
 		}
 	case stoatecho.Reset:
-		e.sendReset(m, p)
+		e.sendReset(bufs, p)
 		fields := []stoatevent.Field{stoatevent.F("reason", a.Reason.String()), stoatevent.F("opens", strconv.FormatBool(p.Opens))}
 		if a.Reason == stoatpacket.DropOverload {
 			fields = append(fields, append(loadFields(a), stoatevent.F("bound", a.Bound.Round(time.Millisecond).String()))...)
@@ -179,9 +179,9 @@
 }
 
 // sendReset tells the caller of the packet that its flow cannot go on.
-func (e *Edge) sendReset(m *packetBuffers, p *stoatpacket.Packet) {
-	platform.PutReset(m.reset, p)
-	_, _ = e.conn.WriteToUDPAddrPort(m.reset, netip.AddrPortFrom(p.Tuple.Src.Addr(), e.callerPort))
+func (e *Edge) sendReset(bufs *packetBuffers, p *stoatpacket.Packet) {
+	platform.PutReset(bufs.reset, p)
+	_, _ = e.conn.WriteToUDPAddrPort(bufs.reset, netip.AddrPortFrom(p.Tuple.Src.Addr(), e.callerPort))
 }
 
 // resetEnded resets the flows that wait for an answer of upstreams that have ended.
@@ -189,10 +189,10 @@
 	if len(list) == 0 {
 		return
 	}
-	m := newPacketBuffers()
+	bufs := newPacketBuffers()
 	for _, x := range list {
 		p := stoatpacket.Packet{Tuple: x.Tuple, Ack: x.Ack}
-		e.sendReset(m, &p)
+		e.sendReset(bufs, &p)
 		e.logFlow(now, EventReset, t, stoatecho.Action{Upstream: x.Upstream}, &p,
 			stoatevent.F("reason", stoatpacket.DropGone.String()), stoatevent.F("opens", "false"), stoatevent.F("waited", "true"))
 	}
@@ -256,7 +256,7 @@
 		if e.log.reportOmitted(now) {
 			tuneGC(e.settings().MemoryBytes())
 		}
-		if quiet, done := e.stop.done(now); done {
+		if quiet, done := e.stop.complete(now); done {
 			e.log.emit(now, EventStopped, stoatevent.F("quiet", quiet.String()))
 			e.cancel()
 			return nil
--- a/stoatedge/stop.go
+++ b/stoatedge/stop.go
@@ -47,8 +47,8 @@
 	s.lastPacket = now
 }
 
-// done reports whether the entry may exit, and for how long no packet has come.
-func (s *stopState) done(now time.Time) (time.Duration, bool) {
+// complete reports whether the entry may exit, and for how long no packet has come.
+func (s *stopState) complete(now time.Time) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.startedAt.IsZero() {
--- a/stoatedge/wake.go
+++ b/stoatedge/wake.go
@@ -32,7 +32,7 @@
 
 // announce emits which state children may rely on, if it changed, after that state is published.
 func (ctl *controller) announce() {
-	reads := ctl.reading && ctl.ready && ctl.failing().IsZero()
+	reads := ctl.reading && ctl.ready && ctl.failingSince().IsZero()
 	if answers := ctl.ready && (reads || !ctl.reading); answers != ctl.platformAnswers {
 		ctl.platformAnswers = answers
 		ctl.emit(platformStatus{answers: answers})
