--- a/stoatedge/answer_test.go
+++ b/stoatedge/answer_test.go
@@ -53,16 +53,16 @@
 // Events reach the control goroutine in order, including those that it sends itself, and a late event does
 // not block its sender.
 func TestEventQueue(t *testing.T) {
-	m := newEventQueue()
-	m.post(1)
-	m.post(2)
-	if list := m.take(); len(list) != 2 || list[0] != 1 || list[1] != 2 {
+	q := newEventQueue()
+	q.post(1)
+	q.post(2)
+	if list := q.take(); len(list) != 2 || list[0] != 1 || list[1] != 2 {
 		t.Error(list)
 	}
-	m.post(3)
-	m.close()
-	m.post(4)
-	if list := m.take(); len(list) != 0 {
+	q.post(3)
+	q.close()
+	q.post(4)
+	if list := q.take(); len(list) != 0 {
 		t.Error("taken after close:", list)
 	}
 }
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -214,15 +214,15 @@
 		s.end(upstreams, stoatfeed.Result{AsOf: position(10), More: true, Last: string(rune('a' + i))}, registered(stoatpaddle.UpstreamID(rune('a'+i)), stoatpaddle.Target(i+1), 6))
 	}
 	for name, c := range map[string]struct {
-		follows bool
-		pages   int
-		waits   bool
+		reliesOnOthers bool
+		pages          int
+		waits          bool
 	}{
 		"a short list":          {true, pagesWithoutParent - 1, false},
 		"a long list":           {true, pagesWithoutParent, true},
 		"a long list of a seed": {false, pagesWithoutParent, false},
 	} {
-		s := startSession(t, true, c.follows)
+		s := startSession(t, true, c.reliesOnOthers)
 		s.answer(declarations, 10, declared(1, 5))
 		for i := range c.pages {
 			page(s, i)
--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// omittedInterval is the time between two reports of omitted lines.
 const omittedInterval = 5 * time.Second
 
 // reportOmitted logs which lines were omitted, and reports whether that was due.
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -36,9 +36,9 @@
 	}
 }
 
-// Guards against a fleet that uses up the platform's rate limits, as twelve entries do at eight reads a
-// second: an entry with a parent makes no calls while the parent's state is recent, and its own state is as
-// old as the parent's.
+// Guards against entries that use up the platform's rate limits, such as twelve entries at a platform that
+// takes eight reads a second. An entry with a parent makes no calls while the parent's state is recent, and its
+// own state is as old as the parent's.
 func TestChildMakesNoCalls(t *testing.T) {
 	s := newFollowerSession(t)
 	for range 10 {
@@ -189,8 +189,8 @@
 }
 
 // Guards against upstreams that count as gone although they are about to register again. Registrations lapsed
-// in an outage, and a seed's list after it is in progress when another entry, which has no contact either,
-// sends an update. The list must still count as the first one after an outage.
+// in an outage, and a seed's list after it is in progress when another entry, which cannot reach the platform
+// either, sends an update. The list must still count as the first one after an outage.
 func TestUpdateDuringOutage(t *testing.T) {
 	s := startSession(t, true, false)
 	s.answer(declarations, 10, declared(1, 5))
@@ -250,9 +250,9 @@
 	}
 }
 
-// The platform is down for all entries. An entry whose parent keeps sending its age asks the platform at once
-// when the state is too old, twice, and then rarely: the seeds ask every second, and the parent sends their
-// answers on.
+// The platform is down for all entries. An entry whose parent keeps sending how old its state is asks the
+// platform at once when that state is too old, twice, and then rarely: the seeds ask every second, and the
+// parent passes on what they learn.
 func TestOutageIsLeftToSeeds(t *testing.T) {
 	s := newFollowerSession(t)
 	asked := 0
@@ -314,8 +314,8 @@
 	if got := seedRoleOf(set); got != (seedRole{isSeed: true}) || got.reliesOnOthers() {
 		t.Error(got)
 	}
-	k := newController(controllerConfig{Apply: 3 * time.Second, Seeds: seedRoleOf(set), Seed: 1})
-	s := &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, ctl: k}
+	ctl := newController(controllerConfig{Apply: 3 * time.Second, Seeds: seedRoleOf(set), Seed: 1})
+	s := &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, ctl: ctl}
 	s.step(started{})
 	s.answer(declarations, 10, declared(1, 5))
 	if c := s.calls[declarations]; c.Wait > 1350*ms {
@@ -386,14 +386,14 @@
 
 // All that wait for a change are woken when there is one.
 func TestNotifier(t *testing.T) {
-	b := newNotifier()
-	next := b.wait()
+	n := newNotifier()
+	next := n.wait()
 	select {
 	case <-next:
 		t.Error("woken without a change")
 	default:
 	}
-	b.notify()
+	n.notify()
 	select {
 	case <-next:
 	default:
--- a/stoatedge/queue.go
+++ b/stoatedge/queue.go
@@ -16,9 +16,9 @@
 }
 
 func newEventQueue() *eventQueue {
-	m := &eventQueue{}
-	m.notEmpty.L = &m.mu
-	return m
+	q := &eventQueue{}
+	q.notEmpty.L = &q.mu
+	return q
 }
 
 // post appends an event; after close it does nothing.
--- a/stoatedge/reader.go
+++ b/stoatedge/reader.go
@@ -19,7 +19,7 @@
 	empty   bool                  // the socket was empty at the last attempt
 	starved func() bool           // whether the process recently did not run for a while
 
-	// Of the read in progress.
+	// State of the read in progress.
 	buf []byte
 	n   int
 	err error
@@ -47,7 +47,7 @@
 // tryRead reads once, and reports whether that completed the read.
 func (r *reader) tryRead(fd uintptr) bool {
 	if r.empty && !r.starved() {
-		// The socket was empty until the packet came that woke this goroutine.
+		// The socket was empty until the event that woke this goroutine.
 		r.drained = clock()
 	}
 	r.empty = false
--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -155,7 +155,7 @@
 type pendingReport struct {
 	to     netip.AddrPort
 	update stoatoutlier.Update
-	size   int // how many entries are below this one
+	size   int // how many entries are below this one, itself included
 }
 
 // sendReports sends reports one after the other, so that none overtakes a later one.
--- a/stoatedge/stop.go
+++ b/stoatedge/stop.go
@@ -47,7 +47,7 @@
 	s.lastPacket = now
 }
 
-// complete reports whether the entry may exit, and for how long no packet has come.
+// complete returns for how long no packet has come, and whether the entry may exit.
 func (s *stopState) complete(now time.Time) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
