--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -110,7 +110,7 @@
 		h.refuse(w, ProblemNotReady, http.StatusServiceUnavailable, "")
 		return
 	}
-	svc := v.Host(hostOf(r))
+	svc := v.CallService(hostOf(r))
 	if svc == nil {
 		h.stats.Refused.Add(1)
 		refuse(w, ProblemNoService, http.StatusMisdirectedRequest, 0, r.Host)
@@ -140,7 +140,7 @@
 // admit counts the call against this entry's equal part of the customer's limits.
 func (h *Handler) admit(v *stoatview.View, svc *stoatview.Service) bool {
 	now := h.cfg.Clock()
-	entries := max(1, len(v.Ring.Members))
+	entries := max(1, len(v.Entries.Members))
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.customers[svc.Ref.Customer]
--- a/stoatcontract/validate.go
+++ b/stoatcontract/validate.go
@@ -56,7 +56,7 @@
 	keys map[stoatpaddle.UpstreamKey]stoatpaddle.UpstreamID,
 ) {
 	section := "upstream " + string(u.ID)
-	key := stoatview.KeyOf(stoatpaddle.ServiceRef{Customer: c.Customer, Service: s.ID}, u.ID)
+	key := stoatview.UpstreamKeyOf(stoatpaddle.ServiceRef{Customer: c.Customer, Service: s.ID}, u.ID)
 	// Records between entries name an upstream by this key alone: with two alike, a
 	// flow handed over would be sent to the wrong one.
 	if other, taken := keys[key]; taken && other != u.ID {
--- a/stoatecho/admit.go
+++ b/stoatecho/admit.go
@@ -84,7 +84,7 @@
 // admitBound is what an answer may take for one more flow of the route to be admitted.
 func admitBound(h *health, r *stoatroute.Route) time.Duration {
 	most, least := admitShare, admitLeast
-	if r.Urgent {
+	if r.HasPrecedence {
 		most, least = urgentShare, urgentLeast
 	}
 	share := most - (most-least)*min(1, h.group.refused/refusedMost)
--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -14,7 +14,7 @@
 func (w *world) objectives(d time.Duration) {
 	w.rev++
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: feed, Backends: to, Idempotent: true, Objective: d, Priority: 2},
 		{Listen: pledge, Backends: to, Objective: d, Priority: 1},
 	}}, w.rev)
@@ -23,8 +23,8 @@
 // leaveOne takes the second upstream of this data centre away, and makes the first one anew; a
 // new one may be slow at first.
 func (w *world) leaveOne(cold time.Duration) {
-	w.book.Remove(w.now, "i-2", w.rev+1)
-	w.book.Remove(w.now, "i-1", w.rev+2)
+	w.book.MarkGone(w.now, "i-2", w.rev+1)
+	w.book.MarkGone(w.now, "i-1", w.rev+2)
 	w.rev += 3
 	w.book.Register(w.now, stoatpaddle.Registration{
 		ID: "i-7", Target: 7, Service: "app", DataCentre: "here", Slots: 3, Created: w.rev, Cold: cold,
@@ -160,13 +160,13 @@
 	for _, f := range away {
 		f.seq += 600 // of requests that other entries saw
 		f.ack += 6000
-		if a := f.ask(); a.Late || a.Took > 500*ms {
-			t.Errorf("an answer is said to have taken %s", a.Took)
+		if a := f.ask(); a.Late || a.AnswerTime > 500*ms {
+			t.Errorf("an answer is said to have taken %s", a.AnswerTime)
 		}
 	}
 	w.after(20 * ms)
 	if a := w.caller(feed).syn(0); a.Verdict != stoatecho.Forward {
-		t.Fatalf("refused: mean %s, bound %s, busy %d", a.Mean, a.Bound, a.Busy)
+		t.Fatalf("refused: mean %s, bound %s, busy %d", a.ExpectedAnswer, a.AnswerBound, a.InProgress)
 	}
 }
 
@@ -181,7 +181,7 @@
 	w.after(60 * ms)
 	f.ack += 500
 	a := f.send(stoatpacket.Packet{Seq: f.seq + 101, Ack: f.ack})
-	if s := w.e.Stats(); a.Took != 60*ms || s.Answered != 1 || s.Elsewhere != 0 {
-		t.Errorf("took %s, answered %d, elsewhere %d", a.Took, s.Answered, s.Elsewhere)
+	if s := w.e.Stats(); a.AnswerTime != 60*ms || s.Answered != 1 || s.AnsweredElsewhere != 0 {
+		t.Errorf("took %s, answered %d, elsewhere %d", a.AnswerTime, s.Answered, s.AnsweredElsewhere)
 	}
 }
--- a/stoatecho/behind_test.go
+++ b/stoatecho/behind_test.go
@@ -44,7 +44,7 @@
 				f.done()
 				f.ask()
 			}
-			w.e.Drained(w.now.Add(-c.behind))
+			w.e.NoteQueueEmpty(w.now.Add(-c.behind))
 			for _, f := range there {
 				a := f.again()
 				ejected = ejected || a.Ejected != nil
--- a/stoatecho/bench_test.go
+++ b/stoatecho/bench_test.go
@@ -13,15 +13,15 @@
 )
 
 func benchTable(n int) *stoatroute.Table {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}}}, 1)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}}}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
 	for i := range n {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		names[id] = true
 		b.Register(start, stoatpaddle.Registration{ID: id, Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "here", Slots: 3, Created: stoatpaddle.Version(i + 2)}, stoatpaddle.Version(i+2))
 	}
-	b.Listed(start, names, false)
+	b.ApplyList(start, names, false)
 	return b.Table()
 }
 
@@ -68,7 +68,7 @@
 // the health of every upstream was looked at, 0.08 ms where those in shards that changed are.
 func BenchmarkRetain(b *testing.B) {
 	const services, each = 4000, 11
-	book := stoatroute.NewBook(stoatroute.Config{})
+	book := stoatroute.NewBuilder(stoatroute.Config{})
 	d := stoatpaddle.Declaration{Version: 1}
 	names := map[stoatpaddle.UpstreamID]bool{}
 	upstream := func(i int) stoatpaddle.Registration {
@@ -84,11 +84,11 @@
 	for i := range services {
 		d.Routes = append(d.Routes, stoatpaddle.Route{Listen: listen(i), Backends: []stoatpaddle.Backend{{Service: upstream(i).Service, Weight: 1}}})
 	}
-	book.Declare(d, 1)
+	book.ApplyDeclaration(d, 1)
 	for i := range services * each {
 		book.Register(start, upstream(i), stoatpaddle.Version(i+2))
 	}
-	book.Listed(start, names, false)
+	book.ApplyList(start, names, false)
 	e := stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start, Seed: 1})
 	now := start.Add(time.Minute)
 	for i := range services {
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -56,12 +56,12 @@
 	patience := e.handshake.patience()
 	c := candidate{now: now, route: r, patience: patience, except: except, again: again}
 	service := e.backend(r)
-	if all := t.Service(service); len(all) <= candidates {
+	if all := t.Candidates(service); len(all) <= candidates {
 		for _, u := range all {
 			e.offer(t, &c, u, &o, &excluded)
 		}
 	} else {
-		e.sampleGroups(t.Groups(service), len(all), func(u *stoatroute.Upstream) { e.offer(t, &c, u, &o, &excluded) })
+		e.sampleGroups(t.CandidateGroups(service), len(all), func(u *stoatroute.Upstream) { e.offer(t, &c, u, &o, &excluded) })
 	}
 	up, admitted := o.best(now, patience)
 	return up, admitted, excluded
@@ -82,10 +82,10 @@
 	if h == nil {
 		h = &e.groupOf(u).unmet
 	}
-	if u.Cap > 0 && h.flows >= u.Cap {
+	if u.MaxFlows > 0 && h.flows >= u.MaxFlows {
 		return
 	}
-	v := e.filter.Open(c.now, t, c.route, u, h.coldLoad(c.now, u))
+	v := e.filter.CheckNewFlow(c.now, t, c.route, u, h.coldLoad(c.now, u))
 	if v > stoatfilter.Spare {
 		excluded[v]++
 		return
@@ -119,7 +119,7 @@
 
 // sampleGroups calls do with some upstreams of the own data centre and some of the others, of each of these as
 // many as its part in the others.
-func (e *Engine) sampleGroups(groups []stoatroute.Group, all int, do func(u *stoatroute.Upstream)) {
+func (e *Engine) sampleGroups(groups []stoatroute.CandidateGroup, all int, do func(u *stoatroute.Upstream)) {
 	others := all
 	for _, g := range groups {
 		if g.DataCentre == e.cfg.DataCentre {
--- a/stoatecho/ended.go
+++ b/stoatecho/ended.go
@@ -16,8 +16,8 @@
 // No evidence of an entry's own tells a queue from a death, and what two entries see is one queue. So
 // silence keeps new flows away (ejection), which costs nothing if it is wrong, and nothing else.
 
-// Unanswered is a flow to reset of which no packet is at hand: its caller waits for an answer.
-type Unanswered struct {
+// OrphanedFlow is a flow to reset of which no packet is at hand: its caller waits for an answer.
+type OrphanedFlow struct {
 	Tuple    stoatpacket.Tuple
 	Ack      uint32 // what its caller acknowledged last
 	Upstream *stoatroute.Upstream
@@ -27,14 +27,14 @@
 // upstream alone cannot reach the platform: one that has answered since keeps its open flows, and
 // gets no new ones.
 func (e *Engine) hasEnded(u *stoatroute.Upstream) bool {
-	if u.Standing != stoatroute.Gone {
+	if u.State != stoatroute.Gone {
 		return false
 	}
 	h := e.health[u.Key]
-	return h == nil || !h.answer.After(u.Ended)
+	return h == nil || !h.answer.After(u.EndedAt)
 }
 
-// TakeEnded returns the flows that wait for an answer of upstreams which ended since the last call.
+// TakeOrphanedFlows returns the flows that wait for an answer of upstreams which ended since the last call.
 //
 // The failure: an upstream takes a request and dies. Its caller has nothing to repeat and waits until
 // it gives up, or its next repeat is 1.6 s away; told now, it is served elsewhere in time.
@@ -42,16 +42,16 @@
 // A registration ends too when its upstream alone cannot reach the platform. One that lives is at work
 // on what it was asked a moment ago, and its answers must reach their callers: so only requests are given
 // up that wait for longer than callers wait until they repeat, at an upstream that gave no sign for as long.
-func (e *Engine) TakeEnded(now time.Time, t *stoatroute.Table) []Unanswered {
-	var out []Unanswered
+func (e *Engine) TakeOrphanedFlows(now time.Time, t *stoatroute.Table) []OrphanedFlow {
+	var out []OrphanedFlow
 	ended := map[*stoatroute.Upstream]bool{}
-	for _, u := range t.Since(e.endedUpTo) {
+	for _, u := range t.UpstreamsSince(e.endedUpTo) {
 		h := e.health[u.Key]
-		if u.Standing == stoatroute.Gone && h != nil && h.busy > 0 && now.Sub(h.sign) >= repeatLeast && t.Upstream(u.Key) == u {
+		if u.State == stoatroute.Gone && h != nil && h.busy > 0 && now.Sub(h.sign) >= repeatLeast && t.Upstream(u.Key) == u {
 			ended[u] = e.hasEnded(u)
 		}
 	}
-	e.endedUpTo = t.Change
+	e.endedUpTo = t.ChangeSeq
 	if len(ended) == 0 {
 		return nil
 	}
@@ -60,9 +60,9 @@
 		if f.asked.IsZero() || now.Sub(f.asked) < repeatLeast || !ended[u] || t.Route(tuple.Dst) == nil {
 			continue
 		}
-		out = append(out, Unanswered{Tuple: tuple, Ack: f.ack, Upstream: u})
+		out = append(out, OrphanedFlow{Tuple: tuple, Ack: f.ack, Upstream: u})
 		e.forget(tuple)
 	}
-	e.stats.Resets[stoatpacket.DropGone] += int64(len(out))
+	e.stats.Resets[stoatpacket.DropUpstreamGone] += int64(len(out))
 	return out
 }
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -12,7 +12,7 @@
 // end has the platform say that the upstream's registration has ended.
 func (w *world) end(id stoatpaddle.UpstreamID) {
 	w.rev++
-	w.book.Remove(w.now, id, w.rev)
+	w.book.MarkGone(w.now, id, w.rev)
 }
 
 // flows opens so many flows to the upstream.
@@ -121,7 +121,7 @@
 func TestWaitingFlowsAreToldOfTheEnd(t *testing.T) {
 	w := newWorld(t)
 	waiting, idle, other := w.flowsTo(1, 3), w.flowTo(1), w.flowTo(2)
-	if list := w.e.TakeEnded(w.now, w.book.Table()); len(list) != 0 {
+	if list := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(list) != 0 {
 		t.Errorf("nothing has ended: %+v", list)
 	}
 	for _, c := range append(waiting, other) {
@@ -129,7 +129,7 @@
 	}
 	w.after(200 * ms).end("i-1")
 	told := map[stoatpacket.Tuple]bool{}
-	for _, x := range w.e.TakeEnded(w.now, w.book.Table()) {
+	for _, x := range w.e.TakeOrphanedFlows(w.now, w.book.Table()) {
 		if x.Upstream.ID != "i-1" || x.Ack != 1 {
 			t.Errorf("%+v", x)
 		}
@@ -138,10 +138,10 @@
 	if len(told) != 3 || told[other.tuple] || told[idle.tuple] {
 		t.Errorf("told: %v", told)
 	}
-	if again := w.e.TakeEnded(w.now, w.book.Table()); len(again) != 0 {
+	if again := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(again) != 0 {
 		t.Errorf("told twice: %+v", again)
 	}
-	wantReset(t, idle.ask(), stoatpacket.DropGone)
+	wantReset(t, idle.ask(), stoatpacket.DropUpstreamGone)
 	mustGoOn(t, "elsewhere", other.again())
 }
 
@@ -155,7 +155,7 @@
 	w.after(10 * ms)
 	one.done()
 	two.ask()
-	if list := w.e.TakeEnded(w.now, w.book.Table()); len(list) != 0 {
+	if list := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(list) != 0 {
 		t.Errorf("told although it answers: %+v", list)
 	}
 	mustGoOn(t, "after the end", two.again())
@@ -172,7 +172,7 @@
 		w.after(20 * ms)
 	}
 	w.end("i-1")
-	if list := w.e.TakeEnded(w.now, w.book.Table()); len(list) != 0 {
+	if list := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(list) != 0 {
 		t.Errorf("told while their upstream is at work: %+v", list)
 	}
 	w.after(10 * ms)
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -43,29 +43,29 @@
 
 // Action is the decision about one packet.
 type Action struct {
-	Verdict  Verdict
-	Upstream *stoatroute.Upstream // also of a flow that is reset, where it is known
-	Reason   stoatpacket.DropReason
-	Opened   bool // a flow was placed
-	Moved    bool // its opening went elsewhere before and got no answer
-	Repeats  int  // how often the packet's flow repeated itself, where known
-	// Took is how long the answer took that the packet acknowledges; Late says that this is
+	Verdict         Verdict
+	Upstream        *stoatroute.Upstream // also of a flow that is reset, where it is known
+	Reason          stoatpacket.DropReason
+	Opened          bool // a flow was placed
+	Moved           bool // its opening went elsewhere before and got no answer
+	Retransmissions int  // how often the packet's flow repeated itself, where known
+	// AnswerTime is how long the answer took that the packet acknowledges; Late says that this is
 	// more than its route's objective.
-	Took time.Duration
-	Late bool
-	// Busy and Mean are what the upstream had in progress from here and the answer time that was
+	AnswerTime time.Duration
+	Late       bool
+	// InProgress and Mean are what the upstream had in progress from here and the answer time that was
 	// expected of it (0: not known), where they decided; Bound is what Mean may be for the flow to be admitted.
-	Busy  int
-	Mean  time.Duration
-	Bound time.Duration
-	// TurnedAway is which part of their requests of late the upstreams refused, where the flow gave way for it.
-	TurnedAway float64
+	InProgress     int
+	ExpectedAnswer time.Duration
+	AnswerBound    time.Duration
+	// RejectedShare is which part of their requests of late the upstreams refused, where the flow gave way for it.
+	RejectedShare float64
 	// Excluded counts the upstreams that might not get the flow, where it was refused.
 	Excluded Excluded
 	// Ejected is the upstream that gets no flows for a while, on the packet's evidence, or nil.
-	Ejected *stoatroute.Upstream
-	Silence time.Duration // of Ejected
-	Waiting int           // requests from here that wait at Ejected
+	Ejected         *stoatroute.Upstream
+	Silence         time.Duration // of Ejected
+	PendingRequests int           // requests from here that wait at Ejected
 }
 
 // flow is what is remembered of a flow, to judge its upstream.
@@ -88,10 +88,10 @@
 // Stats counts what the engine did since its start.
 type Stats struct {
 	Opened, Moved, Ejected, Refused int64
-	Together                        int64 // ejections by what the data centre saw together
+	EjectedJointly                  int64 // ejections by what the data centre saw together
 	Answered, Late                  int64 // requests; late: over their route's objective
-	TurnedAway                      int64 // of those answered: upstreams refused them, as far as can be told
-	Elsewhere                       int64 // requests noted here whose answer another entry saw
+	Rejected                        int64 // of those answered: upstreams refused them, as far as can be told
+	AnsweredElsewhere               int64 // requests noted here whose answer another entry saw
 	Resets, Drops                   [stoatpacket.DropCount]int64
 	Forwarded                       int64
 	Flows                           int
@@ -101,7 +101,7 @@
 type Engine struct {
 	cfg     Config
 	filter  stoatfilter.Filter
-	placing stoatfilter.Placing
+	placing stoatfilter.RankTracker
 	health  map[stoatpaddle.UpstreamKey]*health // of upstreams that this entry met
 	// unsettled are those of them to look at with the next table whatever changes in it: they are new, perhaps
 	// by a packet that came with the table before, or have something in progress though they are in none.
@@ -144,9 +144,9 @@
 }
 
 // SetPlace takes in this entry's place among those of its data centre.
-func (e *Engine) SetPlace(now time.Time, p stoatfilter.Place) {
-	e.placing.Set(now, p)
-	e.filter.Place = e.placing.At(now)
+func (e *Engine) SetPlace(now time.Time, p stoatfilter.EntryRank) {
+	e.placing.Update(now, p)
+	e.filter.EntryRank = e.placing.At(now)
 }
 
 // SetRegions replaces the regions of data centres.
@@ -159,29 +159,29 @@
 	return s
 }
 
-// InProgress is what this entry has in progress at one upstream.
-type InProgress struct {
-	Upstream stoatpaddle.UpstreamKey
-	Flows    int
-	Requests int
-	Mean     time.Duration // of answers
-	Ejected  bool
-	Failing  bool // it gets no new flows since it fails requests
-	Avoided  bool // new flows prefer others, on what this entry or another one saw
+// UpstreamState is what this entry has in progress at one upstream.
+type UpstreamState struct {
+	Upstream        stoatpaddle.UpstreamKey
+	Flows           int
+	PendingRequests int
+	MeanAnswer      time.Duration // of answers
+	Ejected         bool
+	Failing         bool // it gets no new flows since it fails requests
+	Avoided         bool // new flows prefer others, on what this entry or another one saw
 }
 
-// InProgress returns what is in progress at each upstream that this entry met, in any order.
-func (e *Engine) InProgress(now time.Time) []InProgress {
-	out := make([]InProgress, 0, len(e.health))
+// UpstreamStates returns what is in progress at each upstream that this entry met, in any order.
+func (e *Engine) UpstreamStates(now time.Time) []UpstreamState {
+	out := make([]UpstreamState, 0, len(e.health))
 	for k, h := range e.health {
-		out = append(out, InProgress{Upstream: k, Flows: h.flows, Requests: h.busy, Mean: h.usual.mean, Ejected: h.isEjected(now), Failing: now.Before(h.mark.until), Avoided: h.avoidance.active(now) || now.Before(h.preferOthers)})
+		out = append(out, UpstreamState{Upstream: k, Flows: h.flows, PendingRequests: h.busy, MeanAnswer: h.usual.mean, Ejected: h.isEjected(now), Failing: now.Before(h.mark.until), Avoided: h.avoidance.active(now) || now.Before(h.preferOthers)})
 	}
 	return out
 }
 
-// Drained takes in when everything that had come to this entry was handled: what has come since
+// NoteQueueEmpty takes in when everything that had come to this entry was handled: what has come since
 // may be waiting for it.
-func (e *Engine) Drained(at time.Time) { e.drained = at }
+func (e *Engine) NoteQueueEmpty(at time.Time) { e.drained = at }
 
 // behind tells whether this entry handles packets so late that the silence of an upstream may be
 // its own: an answer's acknowledgement may be among what waits.
@@ -229,11 +229,11 @@
 func (e *Engine) early(now time.Time, p *stoatpacket.Packet) Action {
 	switch {
 	case now.Sub(e.cfg.Start) <= young:
-		return Action{Verdict: Wait, Reason: stoatpacket.DropYoung}
+		return Action{Verdict: Wait, Reason: stoatpacket.DropUnconfigured}
 	case p.Opens:
-		return Action{Verdict: Reset, Reason: stoatpacket.DropYoung}
+		return Action{Verdict: Reset, Reason: stoatpacket.DropUnconfigured}
 	}
-	return Action{Reason: stoatpacket.DropYoung}
+	return Action{Reason: stoatpacket.DropUnconfigured}
 }
 
 // follow forwards a packet of an open flow to the upstream that its cookie names.
@@ -243,7 +243,7 @@
 		return e.unknown(now, t, p)
 	}
 	// A caller can write any cookie; one of another service must not bring its packets there.
-	if !r.Had(u.Service) {
+	if !r.EverUsed(u.Service) {
 		return Action{Reason: stoatpacket.DropForged}
 	}
 	a := e.track(now, r, u, p)
@@ -252,7 +252,7 @@
 	}
 	if e.hasEnded(u) {
 		e.forget(p.Tuple)
-		return Action{Verdict: Reset, Upstream: u, Reason: stoatpacket.DropGone}
+		return Action{Verdict: Reset, Upstream: u, Reason: stoatpacket.DropUpstreamGone}
 	}
 	return a
 }
@@ -267,12 +267,12 @@
 		if len(e.unproven) < maxUnproven {
 			e.unproven[p.Cookie] = now
 		}
-		return Action{Reason: stoatpacket.DropUnproven}
+		return Action{Reason: stoatpacket.DropUnverified}
 	}
-	if !t.Proven.After(since) || p.Reset {
-		return Action{Reason: stoatpacket.DropUnproven}
+	if !t.CompleteAsOf.After(since) || p.Reset {
+		return Action{Reason: stoatpacket.DropUnverified}
 	}
-	return Action{Verdict: Reset, Reason: stoatpacket.DropGone}
+	return Action{Verdict: Reset, Reason: stoatpacket.DropUpstreamGone}
 }
 
 // maxUnproven bounds the cookies that are waited for: a flood of forged ones must not fill the memory.
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -25,7 +25,7 @@
 type world struct {
 	t    *testing.T
 	now  time.Time
-	book *stoatroute.Book
+	book *stoatroute.Builder
 	e    *stoatecho.Engine
 	rev  stoatpaddle.Version
 	port uint16
@@ -33,15 +33,15 @@
 
 // newWorld has upstreams 1 and 2 of service app here, 3 elsewhere, and 9 of service intake here.
 func newWorld(t *testing.T) *world {
-	w := &world{t: t, now: start, book: stoatroute.NewBook(stoatroute.Config{}), port: 40000}
+	w := &world{t: t, now: start, book: stoatroute.NewBuilder(stoatroute.Config{}), port: 40000}
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start.Add(-time.Minute), Seed: 1})
 	w.declare("app")
 	w.register(1, "app", "here")
 	w.register(2, "app", "here")
 	w.register(3, "app", "there")
 	w.register(9, "intake", "here")
-	w.book.Listed(w.now, map[stoatpaddle.UpstreamID]bool{"i-1": true, "i-2": true, "i-3": true, "i-9": true}, false)
-	w.book.Prove(w.now)
+	w.book.ApplyList(w.now, map[stoatpaddle.UpstreamID]bool{"i-1": true, "i-2": true, "i-3": true, "i-9": true}, false)
+	w.book.MarkCurrent(w.now)
 	return w
 }
 
@@ -50,7 +50,7 @@
 	to := func(s stoatpaddle.ServiceID) []stoatpaddle.Backend {
 		return []stoatpaddle.Backend{{Service: s, Weight: 1}}
 	}
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: feed, Backends: to(service), Idempotent: true}, {Listen: pledge, Backends: to(service)}, {Listen: upload, Backends: to("intake")},
 	}}, w.rev)
 }
@@ -88,7 +88,7 @@
 }
 
 func (c *caller) syn(copies int) stoatecho.Action {
-	return c.send(stoatpacket.Packet{Opens: true, Copies: copies})
+	return c.send(stoatpacket.Packet{Opens: true, Retransmits: copies})
 }
 
 // open sends a SYN and the packet that completes the handshake, 10 ms later.
@@ -190,7 +190,7 @@
 	c := w.caller(feed)
 	c.open()
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev}, w.rev)
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev}, w.rev)
 	wantReset(t, c.ask(), stoatpacket.DropNoRoute)
 	wantReset(t, w.caller(feed).syn(0), stoatpacket.DropNoRoute)
 	wantDrop(t, c.send(stoatpacket.Packet{Reset: true, Ends: true}), stoatpacket.DropNoRoute)
@@ -202,13 +202,13 @@
 	w := newWorld(t)
 	c := w.caller(feed)
 	c.cookie = stoatroute.KeyOf(77)
-	wantDrop(t, c.ask(), stoatpacket.DropUnproven)
-	wantDrop(t, c.again(), stoatpacket.DropUnproven)
-	w.book.Prove(w.now) // sent at the same moment: it may have been first
-	wantDrop(t, c.again(), stoatpacket.DropUnproven)
+	wantDrop(t, c.ask(), stoatpacket.DropUnverified)
+	wantDrop(t, c.again(), stoatpacket.DropUnverified)
+	w.book.MarkCurrent(w.now) // sent at the same moment: it may have been first
+	wantDrop(t, c.again(), stoatpacket.DropUnverified)
 	w.after(ms)
-	w.book.Prove(w.now)
-	wantReset(t, c.again(), stoatpacket.DropGone)
+	w.book.MarkCurrent(w.now)
+	wantReset(t, c.again(), stoatpacket.DropUpstreamGone)
 }
 
 // An upstream ended: its caller is told at once. One that leaves keeps its open flows and
@@ -221,8 +221,8 @@
 		callers[c.open().ID] = c
 	}
 	w.rev++
-	w.book.Remove(w.now, "i-1", w.rev)
-	wantReset(t, callers["i-1"].ask(), stoatpacket.DropGone)
+	w.book.MarkGone(w.now, "i-1", w.rev)
+	wantReset(t, callers["i-1"].ask(), stoatpacket.DropUpstreamGone)
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{ID: "i-2", Target: 2, Service: "app", DataCentre: "here", Slots: 3, Leaving: true}, w.rev)
 	if a := callers["i-2"].ask(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-2" {
@@ -231,7 +231,7 @@
 	if up := w.caller(feed).open(); up.ID != "i-3" {
 		t.Error(up.ID)
 	}
-	w.book.Listed(w.now, nil, true)
+	w.book.ApplyList(w.now, nil, true)
 	if up := w.caller(feed).open(); up.ID != "i-3" {
 		t.Error(up.ID)
 	}
@@ -250,8 +250,8 @@
 	list[0].ask()
 	w.after(20 * ms)
 	w.rev++
-	w.book.Remove(w.now, "i-1", w.rev)
-	wantReset(t, list[1].ask(), stoatpacket.DropGone)
+	w.book.MarkGone(w.now, "i-1", w.rev)
+	wantReset(t, list[1].ask(), stoatpacket.DropUpstreamGone)
 	w.after(20 * ms)
 	if a := list[0].done(); a.Verdict != stoatecho.Forward {
 		t.Errorf("%+v", a)
@@ -267,7 +267,7 @@
 // No upstream can take the flow: the caller is told at once, not left until its patience ends.
 func TestNobodyAble(t *testing.T) {
 	w := newWorld(t)
-	w.book.Remove(w.now, "i-9", 99)
+	w.book.MarkGone(w.now, "i-9", 99)
 	wantReset(t, w.caller(upload).syn(0), stoatpacket.DropNoUpstream)
 }
 
@@ -276,14 +276,14 @@
 func TestYoungEntry(t *testing.T) {
 	w := newWorld(t)
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now, Seed: 1})
-	w.book = stoatroute.NewBook(stoatroute.Config{})
+	w.book = stoatroute.NewBuilder(stoatroute.Config{})
 	c := w.caller(feed)
 	if a := c.syn(0); a.Verdict != stoatecho.Wait {
 		t.Errorf("%+v", a)
 	}
 	w.after(1100 * ms)
-	wantReset(t, c.syn(2), stoatpacket.DropYoung)
-	wantDrop(t, c.ask(), stoatpacket.DropYoung)
+	wantReset(t, c.syn(2), stoatpacket.DropUnconfigured)
+	wantDrop(t, c.ask(), stoatpacket.DropUnconfigured)
 }
 
 // An opening is lost on the way; its upstream answers others meanwhile. The copy goes to
@@ -354,8 +354,8 @@
 	if a.Ejected == nil || a.Ejected.ID != "i-1" {
 		t.Fatalf("%+v", a)
 	}
-	if a.Waiting != 3 {
-		t.Errorf("%d requests wait there, of 3", a.Waiting)
+	if a.PendingRequests != 3 {
+		t.Errorf("%d requests wait there, of 3", a.PendingRequests)
 	}
 	for _, a := range []stoatecho.Action{a, feeds[1].again(), feeds[2].ask(), sworn.again()} {
 		if a.Verdict != stoatecho.Forward {
@@ -547,27 +547,27 @@
 func TestLateAnswerIsSaid(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Objective: 200 * ms},
 	}}, w.rev)
 	c := w.caller(feed)
 	c.open()
 	c.ask()
 	w.after(199 * ms)
-	if a := c.done(); a.Late || a.Took != 199*ms {
+	if a := c.done(); a.Late || a.AnswerTime != 199*ms {
 		t.Errorf("%+v", a)
 	}
 	c.ask()
 	w.after(250 * ms)
-	if a := c.done(); !a.Late || a.Took != 250*ms || a.Busy != 0 {
+	if a := c.done(); !a.Late || a.AnswerTime != 250*ms || a.InProgress != 0 {
 		t.Errorf("%+v", a)
 	}
 	if s := w.e.Stats(); s.Answered != 2 || s.Late != 1 {
 		t.Errorf("%+v", s)
 	}
 	c.ask()
-	for _, x := range w.e.InProgress(w.now) {
-		if x.Upstream == c.cookie && (x.Requests != 1 || x.Flows != 1 || x.Mean < 199*ms || x.Ejected) {
+	for _, x := range w.e.UpstreamStates(w.now) {
+		if x.Upstream == c.cookie && (x.PendingRequests != 1 || x.Flows != 1 || x.MeanAnswer < 199*ms || x.Ejected) {
 			t.Errorf("%+v", x)
 		}
 	}
@@ -688,7 +688,7 @@
 func TestCap(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{
 		Version: w.rev, Caps: map[stoatpaddle.ServiceID]int{"app": 2},
 		Routes: []stoatpaddle.Route{{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}},
 	}, w.rev)
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -50,8 +50,8 @@
 	shareDelay = 700 * time.Millisecond
 )
 
-// JudgeEvery is how often Judge has something new to say.
-const JudgeEvery = 250 * time.Millisecond
+// CheckInterval is how often Judge has something new to say.
+const CheckInterval = 250 * time.Millisecond
 
 // window counts over evidenceSpan.
 type window struct {
@@ -93,14 +93,14 @@
 	hold  time.Duration // the last one
 }
 
-// Observed returns what this entry saw of upstreams that failed requests of late, here or, as
+// Reports returns what this entry saw of upstreams that failed requests of late, here or, as
 // suspects names them, elsewhere: those that saw no failure count too. Ascending by key.
-func (e *Engine) Observed(now time.Time, suspects map[stoatpaddle.UpstreamKey]bool) []stoatoutlier.Report {
+func (e *Engine) Reports(now time.Time, suspects map[stoatpaddle.UpstreamKey]bool) []stoatoutlier.Report {
 	var out []stoatoutlier.Report
 	for k, h := range e.health {
 		named := suspects[k]
 		r := stoatoutlier.Report{Key: k, Counts: h.window.sum(now), Silence: h.silenceSeen(now, named)}
-		if r.Failed > 0 || r.Entries > 0 || named && (r.Answered > 0 || !r.Heard.IsZero()) {
+		if r.Failed > 0 || r.WaitingEntries > 0 || named && (r.Answered > 0 || !r.LastHeard.IsZero()) {
 			out = append(out, r)
 		}
 	}
@@ -115,8 +115,8 @@
 	since time.Time // it has been named for its failures
 }
 
-// TakeSum replaces what the entries of this data centre saw together.
-func (e *Engine) TakeSum(now time.Time, list []stoatoutlier.Report) {
+// SetSums replaces what the entries of this data centre saw together.
+func (e *Engine) SetSums(now time.Time, list []stoatoutlier.Report) {
 	if len(list) == 0 && len(e.together) == 0 {
 		return
 	}
@@ -131,23 +131,23 @@
 	e.together = next
 }
 
-// Marked is an upstream that gets no new flows for a while, since it fails requests.
-type Marked struct {
+// FailingUpstream is an upstream that gets no new flows for a while, since it fails requests.
+type FailingUpstream struct {
 	Upstream *stoatroute.Upstream
 	stoatoutlier.Counts
-	Hold time.Duration
+	Backoff time.Duration
 }
 
-// Judge looks for upstreams that fail requests, and returns those that are marked now. Upstreams of this data
+// EjectFailing looks for upstreams that fail requests, and returns those that are marked now. Upstreams of this data
 // centre are judged: others are seen too rarely.
-func (e *Engine) Judge(now time.Time, t *stoatroute.Table) []Marked {
-	named := map[stoatpaddle.ServiceID][]Marked{}
+func (e *Engine) EjectFailing(now time.Time, t *stoatroute.Table) []FailingUpstream {
+	named := map[stoatpaddle.ServiceID][]FailingUpstream{}
 	for k, s := range e.together {
-		if u := t.Upstream(k); s.Failed > 0 && u != nil && u.Opens() && u.DataCentre == e.cfg.DataCentre {
-			named[u.Service] = append(named[u.Service], Marked{Upstream: u, Counts: s.Counts})
+		if u := t.Upstream(k); s.Failed > 0 && u != nil && u.AcceptsFlows() && u.DataCentre == e.cfg.DataCentre {
+			named[u.Service] = append(named[u.Service], FailingUpstream{Upstream: u, Counts: s.Counts})
 		}
 	}
-	var out []Marked
+	var out []FailingUpstream
 	for _, service := range slices.Sorted(maps.Keys(named)) {
 		out = append(out, e.judge(now, t, named[service])...)
 	}
@@ -160,15 +160,15 @@
 		if h.group != g {
 			continue
 		}
-		if u := t.Upstream(k); u != nil && u.Opens() {
+		if u := t.Upstream(k); u != nil && u.AcceptsFlows() {
 			do(h)
 		}
 	}
 }
 
 // judge looks at those of one service that failed requests.
-func (e *Engine) judge(now time.Time, t *stoatroute.Table, own []Marked) []Marked {
-	all := len(t.Group(own[0].Upstream.Service, e.cfg.DataCentre))
+func (e *Engine) judge(now time.Time, t *stoatroute.Table, own []FailingUpstream) []FailingUpstream {
+	all := len(t.CandidatesIn(own[0].Upstream.Service, e.cfg.DataCentre))
 	if all < failCap {
 		return nil
 	}
@@ -178,11 +178,11 @@
 			marked++
 		}
 	})
-	slices.SortFunc(own, func(a, b Marked) int {
+	slices.SortFunc(own, func(a, b FailingUpstream) int {
 		return cmp.Or(cmp.Compare(b.Failed, a.Failed), cmp.Compare(a.Upstream.Key, b.Upstream.Key))
 	})
 	bound := failLeast + failRatio*usualFailures(own, all)
-	var out []Marked
+	var out []FailingUpstream
 	for _, m := range own {
 		if marked >= all/failCap || float64(m.Failed) < bound {
 			break
@@ -190,22 +190,22 @@
 		h := e.healthOf(m.Upstream)
 		// One that has just started is slow, and says so: its requests owe their answers for a
 		// while, in each release at a third of a service.
-		if m.Upstream.Started && now.Before(m.Upstream.Warm.Add(evidenceSpan)) {
+		if m.Upstream.StartedCold && now.Before(m.Upstream.WarmAt.Add(evidenceSpan)) {
 			continue
 		}
 		// What entries saw of the life before is in the counts for so long.
-		if since := m.Upstream.Renewed; !since.IsZero() && now.Sub(since) < evidenceSpan+shareDelay {
+		if since := m.Upstream.RestartedAt; !since.IsZero() && now.Sub(since) < evidenceSpan+shareDelay {
 			continue
 		}
 		// Once an upstream is named, those entries that saw no failure need a moment to say so;
 		// until then it would seem to fail most requests.
-		if m.Share() < failShare || now.Sub(e.together[m.Upstream.Key].since) < shareDelay {
+		if m.FailureRatio() < failShare || now.Sub(e.together[m.Upstream.Key].since) < shareDelay {
 			continue
 		}
 		if now.Before(h.mark.until) {
 			continue
 		}
-		m.Hold = h.mark.set(now)
+		m.Backoff = h.mark.set(now)
 		marked++
 		out = append(out, m)
 	}
@@ -214,7 +214,7 @@
 
 // usualFailures is the mean of failures at the upstreams that cannot be marked, since they are not among the
 // worst of all; list has those that failed any, in descending order.
-func usualFailures(list []Marked, all int) float64 {
+func usualFailures(list []FailingUpstream, all int) float64 {
 	worst := all / failCap
 	sum := 0
 	for _, m := range list[min(worst, len(list)):] {
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -30,11 +30,11 @@
 	}
 	var marked []stoatpaddle.UpstreamID
 	for range 4 {
-		w.e.TakeSum(w.now, list)
-		for _, m := range w.e.Judge(w.now, w.book.Table()) {
+		w.e.SetSums(w.now, list)
+		for _, m := range w.e.EjectFailing(w.now, w.book.Table()) {
 			marked = append(marked, m.Upstream.ID)
 		}
-		w.after(stoatecho.JudgeEvery)
+		w.after(stoatecho.CheckInterval)
 	}
 	return marked
 }
@@ -134,7 +134,7 @@
 	}
 	for _, id := range []stoatpaddle.UpstreamID{"i-1", "i-2"} {
 		w.rev++
-		w.book.Remove(w.now, id, w.rev)
+		w.book.MarkGone(w.now, id, w.rev)
 	}
 	w.e.Retain(w.now, w.book.Table())
 	got := w.told(map[stoatpaddle.Target]stoatoutlier.Counts{4: bad, 5: good, 6: good, 7: good})
@@ -147,8 +147,8 @@
 // yet that they saw answers, so that it seems to fail most of its requests.
 func TestFirstCountsAreNotEnough(t *testing.T) {
 	w := six(t)
-	w.e.TakeSum(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
-	if got := w.e.Judge(w.now, w.book.Table()); len(got) != 0 {
+	w.e.SetSums(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
+	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 0 {
 		t.Error(got)
 	}
 	if got := w.told(map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 60, Failed: 6}}); len(got) != 0 {
@@ -173,7 +173,7 @@
 		sends.ask()
 	}
 	w.caller(upload).syn(0) // time passes with packets only
-	seen := w.e.Observed(w.now, map[stoatpaddle.UpstreamKey]bool{key[answered]: true, key[sends]: true})
+	seen := w.e.Reports(w.now, map[stoatpaddle.UpstreamKey]bool{key[answered]: true, key[sends]: true})
 	got := map[stoatpaddle.UpstreamKey]stoatoutlier.Counts{}
 	for _, s := range seen {
 		got[s.Key] = s.Counts
@@ -185,11 +185,11 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
-	if seen := w.e.Observed(w.now, nil); len(seen) != 1 {
+	if seen := w.e.Reports(w.now, nil); len(seen) != 1 {
 		t.Error("upstreams without failures are reported, and nobody named them:", seen)
 	}
 	w.after(5 * time.Second)
-	if seen := w.e.Observed(w.now, nil); len(seen) != 0 {
+	if seen := w.e.Reports(w.now, nil); len(seen) != 0 {
 		t.Error(seen)
 	}
 }
--- a/stoatecho/expect_test.go
+++ b/stoatecho/expect_test.go
@@ -15,10 +15,10 @@
 func TestBusyFlowIsAwaitedOnce(t *testing.T) {
 	start := time.Unix(1000, 0)
 	listen := netip.MustParseAddrPort("198.18.0.1:443")
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{{Listen: listen, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}}}, 1)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{{Listen: listen, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}}}, 1)
 	b.Register(start, stoatpaddle.Registration{ID: "i-1", Target: 1, Service: "app", Slots: 3}, 2)
-	b.Listed(start, map[stoatpaddle.UpstreamID]bool{"i-1": true}, false)
+	b.ApplyList(start, map[stoatpaddle.UpstreamID]bool{"i-1": true}, false)
 	e := New(Config{Start: start, Seed: 1})
 	p := stoatpacket.Packet{Cookie: stoatroute.KeyOf(1), Size: 100}
 	p.Tuple = stoatpacket.Tuple{Src: netip.MustParseAddrPort("100.64.0.7:4000"), Dst: listen, Protocol: stoatpaddle.ProtocolTCP}
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -13,13 +13,13 @@
 // evacuate has operators evacuate a data centre, or take it back.
 func (w *world) evacuate(d stoatpaddle.DataCentreID, withdrawn bool) {
 	w.rev++
-	w.book.Evacuate(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
+	w.book.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
 }
 
 // only declares one route, to flows of which those regions are open.
 func (w *world) only(regions ...stoatpaddle.RegionID) {
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true, Regions: regions},
 	}}, w.rev)
 }
@@ -145,7 +145,7 @@
 func TestColdUpstreamsAreSpared(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.Declare(stoatpaddle.Declaration{
+	w.book.ApplyDeclaration(stoatpaddle.Declaration{
 		Version: w.rev, ColdRates: map[stoatpaddle.ServiceID]float64{"app": 3},
 		Routes: []stoatpaddle.Route{{Listen: feed, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true}},
 	}, w.rev)
--- a/stoatecho/fleet_test.go
+++ b/stoatecho/fleet_test.go
@@ -31,14 +31,14 @@
 	if len(met) < flows/2 || most > 8 {
 		t.Errorf("%d flows went to %d upstreams, %d of them to one", flows, len(met), most)
 	}
-	if known := len(e.InProgress(now)); known > flows {
+	if known := len(e.UpstreamStates(now)); known > flows {
 		t.Error(known, "upstreams are remembered")
 	}
 	for range 3 {
 		now = now.Add(time.Minute)
 		e.Handle(now, table, &stoatpacket.Packet{Tuple: benchTuple(7), Opens: true})
 	}
-	if known := len(e.InProgress(now)); known > 3 {
+	if known := len(e.UpstreamStates(now)); known > 3 {
 		t.Error(known, "upstreams are remembered minutes later")
 	}
 }
--- a/stoatecho/health.go
+++ b/stoatecho/health.go
@@ -67,7 +67,7 @@
 	avoidance    backoff   // it gets no flows while others can take them
 	window       window    // requests of late
 	mark         mark      // it fails requests
-	life         stoatroute.Life
+	life         stoatroute.Identity
 	waitFrom     time.Time // since when this entry waits for it in vain, as it reports; zero: it does not
 	waitSeen     time.Time // when the latest unanswered packet was noted
 	preferOthers time.Time // until when new flows prefer others, since another entry waits for it
@@ -183,7 +183,7 @@
 // ejected, and get no new flows.
 func (e *Engine) silenceOf(now time.Time, u *stoatroute.Upstream) time.Duration {
 	silence := ejectSilence
-	if now.Before(u.Warm) {
+	if now.Before(u.WarmAt) {
 		silence *= coldSilence
 	}
 	if g := e.groupOf(u); g.answers.weightAt(now) >= knownLeast {
@@ -253,11 +253,11 @@
 }
 
 // coldLoad is what a new flow would ask of the upstream, where a limit asks for it.
-func (h *health) coldLoad(now time.Time, u *stoatroute.Upstream) stoatfilter.Load {
-	if u.ColdRate == 0 || !now.Before(u.Warm) {
-		return stoatfilter.Load{}
+func (h *health) coldLoad(now time.Time, u *stoatroute.Upstream) stoatfilter.ColdLoad {
+	if u.ColdRate == 0 || !now.Before(u.WarmAt) {
+		return stoatfilter.ColdLoad{}
 	}
-	return stoatfilter.Load{Requests: h.group.load.perFlow(now), Taken: h.taken}
+	return stoatfilter.ColdLoad{RequestsPerFlow: h.group.load.perFlow(now), LastSent: h.taken}
 }
 
 // load is the part of the upstream's slots that this entry has taken.
@@ -281,7 +281,7 @@
 	if h.usual.mean > latencyFloor {
 		c *= float64(h.usual.mean) / float64(latencyFloor)
 	}
-	if now.Before(u.Warm) {
+	if now.Before(u.WarmAt) {
 		c *= coldPenalty
 	}
 	c *= h.full.penalty(now)
@@ -303,7 +303,7 @@
 }
 
 func (e *Engine) newHealth(u *stoatroute.Upstream) *health {
-	return &health{life: stoatroute.LifeOf(&u.Registration), group: e.groupOf(u)}
+	return &health{life: stoatroute.IdentityOf(&u.Registration), group: e.groupOf(u)}
 }
 
 // groupOf returns the group of an upstream.
--- a/stoatecho/hold.go
+++ b/stoatecho/hold.go
@@ -7,20 +7,20 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// Held is a packet that waits until this entry has something to decide by.
-type Held struct {
+// HeldPacket is a packet that waits until this entry has something to decide by.
+type HeldPacket struct {
 	Packet stoatpacket.Packet
 	Data   []byte
-	At     time.Time
+	Since  time.Time
 }
 
-// Hold keeps packets while an entry is young.
+// HoldQueue keeps packets while an entry is young.
 //
 // The load: after a power loss all entries start at once, and callers have repeated
 // themselves for seconds. A packet dropped in the 40 ms before the first table waits for
 // its caller's next try, which by then is 1.6 s away and past most deadlines.
-type Hold struct {
-	list  []Held
+type HoldQueue struct {
+	list  []HeldPacket
 	index map[heldKey]int
 }
 
@@ -40,7 +40,7 @@
 )
 
 // Add keeps a copy of the packet, and tells whether there was room.
-func (h *Hold) Add(now time.Time, p *stoatpacket.Packet, data []byte) bool {
+func (h *HoldQueue) Add(now time.Time, p *stoatpacket.Packet, data []byte) bool {
 	if h.index == nil {
 		h.index = map[heldKey]int{}
 	}
@@ -53,21 +53,21 @@
 		return false
 	}
 	h.index[k] = len(h.list)
-	h.list = append(h.list, Held{Packet: *p, Data: slices.Clone(data), At: now})
+	h.list = append(h.list, HeldPacket{Packet: *p, Data: slices.Clone(data), Since: now})
 	return true
 }
 
 // Take returns what is held, oldest first, and keeps nothing.
-func (h *Hold) Take() []Held {
+func (h *HoldQueue) Take() []HeldPacket {
 	list := h.list
 	h.list, h.index = nil, nil
 	return list
 }
 
-// Overdue returns what has waited too long, and keeps the rest.
-func (h *Hold) Overdue(now time.Time) []Held {
+// TakeExpired returns what has waited too long, and keeps the rest.
+func (h *HoldQueue) TakeExpired(now time.Time) []HeldPacket {
 	n := 0
-	for n < len(h.list) && now.Sub(h.list[n].At) >= heldFor {
+	for n < len(h.list) && now.Sub(h.list[n].Since) >= heldFor {
 		n++
 	}
 	if n == 0 {
--- a/stoatecho/open.go
+++ b/stoatecho/open.go
@@ -14,7 +14,7 @@
 func (e *Engine) open(now time.Time, t *stoatroute.Table, r *stoatroute.Route, p *stoatpacket.Packet) Action {
 	a := Action{Verdict: Forward, Opened: true}
 	var except stoatpaddle.UpstreamKey
-	if f := e.flows[p.Tuple]; f != nil && f.opening && p.Copies > 0 {
+	if f := e.flows[p.Tuple]; f != nil && f.opening && p.Retransmits > 0 {
 		u := t.Upstream(f.key)
 		if e.sameAgain(now, t, r, u, f, &a) {
 			return Action{Verdict: Forward, Upstream: u}
@@ -22,7 +22,7 @@
 		except, a.Moved = f.key, true
 	}
 	e.forget(p.Tuple)
-	if p.Copies == 0 {
+	if p.Retransmits == 0 {
 		except = e.refusedBefore(now, p)
 	}
 	u, admitted, excluded := e.choose(now, t, r, except, a.Moved)
@@ -31,13 +31,13 @@
 		return e.refuse(a, stoatpacket.DropNoUpstream)
 	}
 	h := e.healthOf(u)
-	a.Busy, a.Mean, a.Bound = h.busy+h.opening, expectedAnswer(now, h), admitBound(h, r)
+	a.InProgress, a.ExpectedAnswer, a.AnswerBound = h.busy+h.opening, expectedAnswer(now, h), admitBound(h, r)
 	h.group.decided(admitted)
 	if !admitted {
 		return e.refuse(a, stoatpacket.DropOverload)
 	}
 	if e.yields(r, h.group) {
-		a.TurnedAway = h.group.turnedAway
+		a.RejectedShare = h.group.turnedAway
 		return e.refuse(a, stoatpacket.DropOverload)
 	}
 	a.Moved = a.Moved && a.Upstream.Key != except
@@ -92,7 +92,7 @@
 // life since then says that the packet was lost, not the upstream: at another one the flow
 // would be open twice, and the caller's packets would bring either cookie.
 func (e *Engine) sameAgain(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, f *flow, a *Action) bool {
-	if u == nil || !u.Opens() || e.filter.Allowed(t, r, u) != stoatfilter.Eligible {
+	if u == nil || !u.AcceptsFlows() || e.filter.CheckPolicy(t, r, u) != stoatfilter.Eligible {
 		return false
 	}
 	if now.Sub(f.seen) < repeatLeast {
@@ -110,7 +110,7 @@
 		return
 	}
 	if h.repeated(now, e.silenceOf(now, u)) {
-		a.Ejected, a.Silence, a.Waiting = u, silence, h.busy
+		a.Ejected, a.Silence, a.PendingRequests = u, silence, h.busy
 		e.stats.Ejected++
 	}
 }
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -30,13 +30,13 @@
 	w.e.Retain(w.now, w.book.Table())
 }
 
-func (w *world) inProgress(target stoatpaddle.Target) stoatecho.InProgress {
-	for _, x := range w.e.InProgress(w.now) {
+func (w *world) inProgress(target stoatpaddle.Target) stoatecho.UpstreamState {
+	for _, x := range w.e.UpstreamStates(w.now) {
 		if x.Upstream == stoatroute.KeyOf(target) {
 			return x
 		}
 	}
-	return stoatecho.InProgress{}
+	return stoatecho.UpstreamState{}
 }
 
 // An upstream crashes with requests in progress, is ejected for its silence, and starts again
@@ -59,7 +59,7 @@
 		t.Fatalf("%+v of %d", x, len(there))
 	}
 	w.restarted(1, 6)
-	if x := w.inProgress(1); x.Ejected || x.Requests != 0 || x.Flows != 0 || x.Mean != 0 {
+	if x := w.inProgress(1); x.Ejected || x.PendingRequests != 0 || x.Flows != 0 || x.MeanAnswer != 0 {
 		t.Errorf("%+v", x)
 	}
 	got := map[stoatpaddle.Target]int{}
@@ -140,7 +140,7 @@
 	}
 	c.cookie = stoatroute.KeyOf(1)
 	c.send(stoatpacket.Packet{Ack: 1})
-	if x := w.inProgress(1); x.Flows != 1 || x.Requests != 0 {
+	if x := w.inProgress(1); x.Flows != 1 || x.PendingRequests != 0 {
 		t.Errorf("%+v", x)
 	}
 }
@@ -154,16 +154,16 @@
 	w.restarted(1, 5)
 	w.caller(feed).open()
 	bad := []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 4, Failed: 20}}}
-	w.e.TakeSum(w.now, bad)
+	w.e.SetSums(w.now, bad)
 	w.after(time.Second)
 	w.restarted(1, 6)
-	w.e.TakeSum(w.now, bad)
-	if got := w.e.Judge(w.now, w.book.Table()); len(got) != 0 {
+	w.e.SetSums(w.now, bad)
+	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
 	w.after(6 * time.Second)
-	w.e.TakeSum(w.now, bad)
-	if got := w.e.Judge(w.now, w.book.Table()); len(got) != 1 {
+	w.e.SetSums(w.now, bad)
+	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 1 {
 		t.Error("failures of the new life do not count either")
 	}
 }
--- a/stoatecho/retain_test.go
+++ b/stoatecho/retain_test.go
@@ -29,9 +29,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		listen := netip.MustParseAddrPort("198.18.0.1:443")
 		now := time.Unix(1000, 0)
-		b := stoatroute.NewBook(stoatroute.Config{Keep: 2 * time.Second})
-		b.Declare(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{{Listen: listen, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}}}, 1)
-		b.Listed(now, map[stoatpaddle.UpstreamID]bool{}, false)
+		b := stoatroute.NewBuilder(stoatroute.Config{Retention: 2 * time.Second})
+		b.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{{Listen: listen, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}}}, 1)
+		b.ApplyList(now, map[stoatpaddle.UpstreamID]bool{}, false)
 		e := New(Config{DataCentre: "here", Start: now.Add(-time.Minute), Seed: 1})
 		last := b.Table()
 		before := last
@@ -47,7 +47,7 @@
 					Incarnation: stoatpaddle.Incarnation(rapid.IntRange(1, 3).Draw(t, "life")),
 				}, revision)
 			case 2:
-				b.Remove(now, id, revision)
+				b.MarkGone(now, id, revision)
 			case 3:
 				b.Expire(now)
 			default:
@@ -68,8 +68,8 @@
 				if u == nil && h.flows+h.opening+h.busy == 0 {
 					t.Fatalf("kept of %d, which is in no table and has nothing in progress", k)
 				}
-				if u != nil && !h.life.Same(stoatroute.LifeOf(&u.Registration)) {
-					t.Fatalf("kept of %d: life %+v, the table has %+v", k, h.life, stoatroute.LifeOf(&u.Registration))
+				if u != nil && !h.life.Same(stoatroute.IdentityOf(&u.Registration)) {
+					t.Fatalf("kept of %d: life %+v, the table has %+v", k, h.life, stoatroute.IdentityOf(&u.Registration))
 				}
 			}
 		}
--- a/stoatecho/shed_test.go
+++ b/stoatecho/shed_test.go
@@ -26,7 +26,7 @@
 	} {
 		w := newLoneWorld(t, 0)
 		w.rev++
-		w.book.Remove(w.now, "i-3", w.rev)
+		w.book.MarkGone(w.now, "i-3", w.rev)
 		for range 20 {
 			w.request(feed, 30*ms)
 		}
@@ -71,13 +71,13 @@
 		w.after(5 * ms)
 		f.answer(150)
 	}
-	before := w.e.Stats().TurnedAway
+	before := w.e.Stats().Rejected
 	for range 100 {
 		f.ask()
 		w.after(5 * ms)
 		f.answer(150)
 	}
-	if after := w.e.Stats().TurnedAway; after != before || before == 0 {
+	if after := w.e.Stats().Rejected; after != before || before == 0 {
 		t.Error(before, "refusals at first,", after-before, "of the last hundred answers")
 	}
 }
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -112,45 +112,45 @@
 func (h *health) silenceSeen(now time.Time, named bool) stoatoutlier.Silence {
 	var s stoatoutlier.Silence
 	if h.claims(now) {
-		s.Entries, s.First = 1, h.waitFrom
+		s.WaitingEntries, s.FirstWaitSince = 1, h.waitFrom
 	}
-	if (named || s.Entries > 0) && now.Sub(h.sign) < heardKept {
-		s.Heard = h.sign
+	if (named || s.WaitingEntries > 0) && now.Sub(h.sign) < heardKept {
+		s.LastHeard = h.sign
 	}
 	return s
 }
 
-// TakeObserved tells whether what this entry says of upstreams changed since the last call.
-func (e *Engine) TakeObserved() bool {
+// TakeReportChange tells whether what this entry says of upstreams changed since the last call.
+func (e *Engine) TakeReportChange() bool {
 	changed := e.observed
 	e.observed = false
 	return changed
 }
 
-// Silent is an upstream that gets no flows for a while, since nobody in the data centre hears of it.
-type Silent struct {
-	Upstream *stoatroute.Upstream
-	Entries  int // that wait for it
-	Silence  time.Duration
-	Waiting  int // requests from here that wait there
+// SilentUpstream is an upstream that gets no flows for a while, since nobody in the data centre hears of it.
+type SilentUpstream struct {
+	Upstream        *stoatroute.Upstream
+	WaitingEntries  int // that wait for it
+	Silence         time.Duration
+	PendingRequests int // requests from here that wait there
 }
 
-// JudgeSilence looks for upstreams that answer nobody, by what the entries of this data centre saw
+// EjectSilent looks for upstreams that answer nobody, by what the entries of this data centre saw
 // together, and returns those that are ejected now. What is not heard of within the delay did not
 // happen. Upstreams of other data centres are judged too: while the own one is evacuated, all of its
 // flows go there.
-func (e *Engine) JudgeSilence(now time.Time, t *stoatroute.Table, delay time.Duration) []Silent {
+func (e *Engine) EjectSilent(now time.Time, t *stoatroute.Table, delay time.Duration) []SilentUpstream {
 	if len(e.together) == 0 {
 		return nil
 	}
 	named := map[groupKey][]*stoatroute.Upstream{}
 	for k, s := range e.together {
-		if u := t.Upstream(k); s.Entries > 0 && u != nil && u.Opens() {
+		if u := t.Upstream(k); s.WaitingEntries > 0 && u != nil && u.AcceptsFlows() {
 			key := groupKey{service: u.Service, centre: u.DataCentre}
 			named[key] = append(named[key], u)
 		}
 	}
-	var out []Silent
+	var out []SilentUpstream
 	for _, k := range slices.SortedFunc(maps.Keys(named), groupKey.compare) {
 		out = append(out, e.judgeSilence(now, t, named[k], delay)...)
 	}
@@ -159,25 +159,25 @@
 
 // judgeSilence judges upstreams of one service in one data centre for which entries wait, those first for which
 // most do.
-func (e *Engine) judgeSilence(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []Silent {
-	var out []Silent
+func (e *Engine) judgeSilence(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []SilentUpstream {
+	var out []SilentUpstream
 	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
-		return cmp.Or(cmp.Compare(e.together[b.Key].Entries, e.together[a.Key].Entries), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(e.together[b.Key].WaitingEntries, e.together[a.Key].WaitingEntries), cmp.Compare(a.Key, b.Key))
 	})
-	quota := silentQuota{upstreams: len(t.Group(named[0].Service, named[0].DataCentre))}
+	quota := silentQuota{upstreams: len(t.CandidatesIn(named[0].Service, named[0].DataCentre))}
 	e.eachMet(t, e.groupOf(named[0]), func(h *health) { quota.count(now, h) })
 	for _, u := range named {
 		h, s := e.healthOf(u), e.together[u.Key].Silence
 		if s.Ended() {
-			h.ended(s.Heard)
+			h.ended(s.LastHeard)
 			continue
 		}
 		// What others waited for was the life before, or this entry knows better.
-		if u.Renewed.After(s.First) || h.sign.After(s.First) {
+		if u.RestartedAt.After(s.FirstWaitSince) || h.sign.After(s.FirstWaitSince) {
 			continue
 		}
 		quota.prefer(now, h)
-		if !h.isEjected(now) && s.Together(now) >= e.silenceOf(now, u)+delay && quota.eject() {
+		if !h.isEjected(now) && s.SharedWait(now) >= e.silenceOf(now, u)+delay && quota.eject() {
 			out = append(out, e.ejectTogether(now, u, h, s))
 		}
 	}
@@ -219,12 +219,12 @@
 }
 
 // ejectTogether keeps new flows from the upstream on what the data centre saw.
-func (e *Engine) ejectTogether(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) Silent {
+func (e *Engine) ejectTogether(now time.Time, u *stoatroute.Upstream, h *health, s stoatoutlier.Silence) SilentUpstream {
 	h.eject(now)
 	h.together = true
 	e.stats.Ejected++
-	e.stats.Together++
-	return Silent{Upstream: u, Entries: s.Entries, Silence: s.Together(now), Waiting: h.busy}
+	e.stats.EjectedJointly++
+	return SilentUpstream{Upstream: u, WaitingEntries: s.WaitingEntries, Silence: s.SharedWait(now), PendingRequests: h.busy}
 }
 
 // ended takes in that another entry had a sign of the upstream at that time. What this entry saw
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -50,7 +50,7 @@
 }
 
 // pool adds up what all entries saw and has each judge by it; it returns what each ejects.
-func (x *entries) pool() [][]stoatecho.Silent {
+func (x *entries) pool() [][]stoatecho.SilentUpstream {
 	x.level()
 	sums := map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
 	// Once to learn who is waited for, once more with what the others heard of them.
@@ -61,7 +61,7 @@
 		}
 		sums = map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
 		for _, w := range x.list {
-			for _, r := range w.e.Observed(w.now, named) {
+			for _, r := range w.e.Reports(w.now, named) {
 				s := sums[r.Key]
 				sums[r.Key] = stoatoutlier.Report{Key: r.Key, Counts: s.Counts.Add(r.Counts), Silence: s.Silence.Add(r.Silence)}
 			}
@@ -69,14 +69,14 @@
 	}
 	var sum []stoatoutlier.Report
 	for _, r := range sums {
-		if r.Failed > 0 || r.Entries > 0 {
+		if r.Failed > 0 || r.WaitingEntries > 0 {
 			sum = append(sum, r)
 		}
 	}
-	var out [][]stoatecho.Silent
+	var out [][]stoatecho.SilentUpstream
 	for _, w := range x.list {
-		w.e.TakeSum(w.now, sum)
-		out = append(out, w.e.JudgeSilence(w.now, w.book.Table(), 150*ms))
+		w.e.SetSums(w.now, sum)
+		out = append(out, w.e.EjectSilent(w.now, w.book.Table(), 150*ms))
 	}
 	return out
 }
@@ -146,11 +146,11 @@
 	x.wait()
 	all := x.pool()
 	for i, silent := range all {
-		if len(silent) != 1 || silent[0].Upstream.Target != 1 || silent[0].Entries < 2 {
+		if len(silent) != 1 || silent[0].Upstream.Target != 1 || silent[0].WaitingEntries < 2 {
 			t.Fatalf("entry %d: %+v", i, silent)
 		}
 	}
-	if n := all[2][0].Waiting; n != 1 {
+	if n := all[2][0].PendingRequests; n != 1 {
 		t.Errorf("%d requests wait at the third entry, expected one", n)
 	}
 	if a := waiting.again(); a.Verdict != stoatecho.Forward {
@@ -201,7 +201,7 @@
 	open.ask()
 	x.after(30 * ms)
 	open.done()
-	if !x.list[2].e.TakeObserved() {
+	if !x.list[2].e.TakeReportChange() {
 		t.Error("a sign of life is not passed on")
 	}
 	x.pool()
@@ -221,7 +221,7 @@
 	}
 	w.after(250 * ms)
 	w.caller(pledge).syn(0)
-	if got := w.e.Observed(w.now, nil); len(got) != 0 {
+	if got := w.e.Reports(w.now, nil); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
 }
@@ -234,15 +234,15 @@
 	var sum []stoatoutlier.Report
 	for _, target := range []stoatpaddle.Target{1, 2, 4, 5, 6, 7} {
 		sum = append(sum, stoatoutlier.Report{Key: stoatroute.KeyOf(target), Silence: stoatoutlier.Silence{
-			Entries: 9, First: w.now.Add(-900 * ms), Second: w.now.Add(-800 * ms),
+			WaitingEntries: 9, FirstWaitSince: w.now.Add(-900 * ms), SecondWaitSince: w.now.Add(-800 * ms),
 		}})
 	}
 	for range 5 {
-		w.e.TakeSum(w.now, sum)
-		w.e.JudgeSilence(w.now, w.book.Table(), 150*ms)
+		w.e.SetSums(w.now, sum)
+		w.e.EjectSilent(w.now, w.book.Table(), 150*ms)
 	}
 	avoided := 0
-	for _, p := range w.e.InProgress(w.now) {
+	for _, p := range w.e.UpstreamStates(w.now) {
 		if p.Ejected {
 			avoided++
 		}
@@ -276,7 +276,7 @@
 		}
 		w.after(20 * ms)
 		x.sign()
-		if got := w.e.Observed(w.now, nil); len(got) != c.want {
+		if got := w.e.Reports(w.now, nil); len(got) != c.want {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -297,7 +297,7 @@
 	x.after(20 * ms)
 	x.sign()
 	for _, w := range x.list[:2] {
-		if got := w.e.Observed(w.now, nil); len(got) != 1 {
+		if got := w.e.Reports(w.now, nil); len(got) != 1 {
 			t.Fatalf("they do not wait: %+v", got)
 		}
 		w.e.Handle(w.now, w.book.Table(), &stoatpacket.Packet{Tuple: moved.tuple, Cookie: moved.cookie, Seq: 100, Ack: 1, Size: 100})
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -72,13 +72,13 @@
 		h.refused(now)
 		h.group.replied(true)
 		h.full.replied(now, true)
-		e.stats.TurnedAway++
+		e.stats.Rejected++
 	default:
 		h.group.replied(false)
 		h.full.replied(now, false)
 		h.answered(now, took, f.beside)
 		// One that has just started is slow without a queue.
-		if !now.Before(u.Warm) {
+		if !now.Before(u.WarmAt) {
 			h.recent.add(now, took)
 			h.group.answered(now, took)
 		}
@@ -86,7 +86,7 @@
 	e.heard(now, h)
 	f.asked = time.Time{}
 	e.stats.Answered++
-	a.Took, a.Busy = took, h.busy
+	a.AnswerTime, a.InProgress = took, h.busy
 	if r.Objective > 0 && took > r.Objective {
 		e.stats.Late++
 		a.Late = true
@@ -107,7 +107,7 @@
 	h.requestEnded()
 	e.heard(now, h)
 	f.asked = time.Time{}
-	e.stats.Elsewhere++
+	e.stats.AnsweredElsewhere++
 }
 
 // adopt remembers a flow that another entry placed.
@@ -145,7 +145,7 @@
 		return
 	}
 	f.repeats++
-	a.Repeats = f.repeats
+	a.Retransmissions = f.repeats
 	e.waits(now, h, f.progress)
 	e.suspect(now, a.Upstream, h, a)
 }
@@ -238,7 +238,7 @@
 			return
 		}
 		delete(e.unsettled, k)
-		life := stoatroute.LifeOf(&u.Registration)
+		life := stoatroute.IdentityOf(&u.Registration)
 		if h.life.Same(life) {
 			h.life = life
 			return
@@ -248,7 +248,7 @@
 		e.health[k].group.silence.ended(now)
 		renewed[k] = true
 	}
-	t.Differing(e.retained, retain)
+	t.EachChangedKey(e.retained, retain)
 	for k := range e.unsettled {
 		retain(k)
 	}
--- a/stoatecho/yield_test.go
+++ b/stoatecho/yield_test.go
@@ -68,7 +68,7 @@
 		// The objective is far: it is not the time of answers that decides here.
 		w.objectives(20 * time.Second)
 		w.rev++
-		w.book.Remove(w.now, "i-3", w.rev)
+		w.book.MarkGone(w.now, "i-3", w.rev)
 		for range 40 {
 			w.after(100 * ms)
 			f := w.caller(feed)
@@ -100,7 +100,7 @@
 		w.after(48 * ms)
 		f.answer([]uint32{4800, 1200}[i%2])
 	}
-	if n := w.e.Stats().TurnedAway; n > 0 {
+	if n := w.e.Stats().Rejected; n > 0 {
 		t.Error(n, "answers were taken for refusals")
 	}
 }
--- a/stoatedge/apply.go
+++ b/stoatedge/apply.go
@@ -21,11 +21,11 @@
 				// The object's name is the whole request, so a value that cannot be read does not matter.
 				ctl.evacuate(stoatpaddle.Evacuation{DataCentre: stoatpaddle.DataCentreID(c.name), Revision: c.revision}, source)
 			}
-			if t == upstreams && ctl.state.Spoil(now, stoatpaddle.UpstreamID(c.name), c.target, c.revision) {
+			if t == upstreams && ctl.state.MarkInvalid(now, stoatpaddle.UpstreamID(c.name), c.target, c.revision) {
 				ctl.noteStanding(stoatpaddle.UpstreamID(c.name), "its registration cannot be read")
 			}
 		case c.declaration != nil:
-			if ctl.state.Declare(*c.declaration, c.revision) {
+			if ctl.state.ApplyDeclaration(*c.declaration, c.revision) {
 				ctl.log(EventDeclared, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
 					stoatevent.F("routes", countText(len(c.declaration.Routes))), stoatevent.F("source", source))
 				ctl.updateFormer(now)
@@ -40,7 +40,7 @@
 			// The lease from before the outage may have ended before the upstream could renew it.
 			ctl.lapse(now, c, "registration ended after a restore")
 		case c.deleted && t == upstreams:
-			if ctl.state.Remove(now, stoatpaddle.UpstreamID(c.name), c.revision) {
+			if ctl.state.MarkGone(now, stoatpaddle.UpstreamID(c.name), c.revision) {
 				ctl.noteStanding(stoatpaddle.UpstreamID(c.name), "registration ended")
 			}
 		case c.registration != nil:
@@ -52,8 +52,8 @@
 // updateFormer merges the former services that were loaded at the start into a new configuration, and has
 // them saved if a route has lost a service. Only seeds save them, since they read the platform in any case.
 func (ctl *controller) updateFormer(now time.Time) {
-	ctl.state.RecallFormer(now, ctl.former)
-	former, changed := ctl.state.Former(now)
+	ctl.state.RestoreFormerServices(now, ctl.former)
+	former, changed := ctl.state.FormerServices(now)
 	if changed && !ctl.follower.mayRely {
 		ctl.emit(saveFormer{version: ctl.state.Declaration().Version, former: former})
 	}
@@ -61,7 +61,7 @@
 
 // lapse marks an upstream as missing: its registration ended, but may come back.
 func (ctl *controller) lapse(now time.Time, c *change, why string) {
-	if ctl.state.Lapse(now, stoatpaddle.UpstreamID(c.name), c.revision) {
+	if ctl.state.MarkMissing(now, stoatpaddle.UpstreamID(c.name), c.revision) {
 		ctl.noteStanding(stoatpaddle.UpstreamID(c.name), why)
 	}
 }
@@ -79,7 +79,7 @@
 
 // evacuate applies an operator's request about a data centre.
 func (ctl *controller) evacuate(e stoatpaddle.Evacuation, source string) {
-	if ctl.state.Evacuate(e) {
+	if ctl.state.ApplyEvacuation(e) {
 		ctl.logEvacuation(e, source)
 	}
 }
@@ -94,7 +94,7 @@
 
 // register applies an upstream's registration.
 func (ctl *controller) register(now time.Time, c *change, source string) {
-	before, _ := ctl.state.Registered(c.registration.ID)
+	before, _ := ctl.state.Lookup(c.registration.ID)
 	switch outcome := ctl.state.Register(now, *c.registration, c.revision); outcome {
 	case stoatroute.Unchanged:
 	case stoatroute.Changed:
@@ -132,14 +132,14 @@
 // standingChange is the new standing of an upstream and its cause.
 type standingChange struct {
 	id       stoatpaddle.UpstreamID
-	standing stoatroute.Standing
+	standing stoatroute.State
 	why      string
 }
 
 // noteStanding records a change of an upstream's standing for the log.
 func (ctl *controller) noteStanding(id stoatpaddle.UpstreamID, why string) {
-	u, _ := ctl.state.Registered(id)
-	ctl.changes = append(ctl.changes, standingChange{id: id, standing: u.Standing, why: why})
+	u, _ := ctl.state.Lookup(id)
+	ctl.changes = append(ctl.changes, standingChange{id: id, standing: u.State, why: why})
 }
 
 // logStandings logs the standing changes of this step: a line for each of them if they are few, otherwise a
@@ -154,7 +154,7 @@
 		return
 	}
 	type kind struct {
-		standing stoatroute.Standing
+		standing stoatroute.State
 		why      string
 	}
 	var kinds []kind
@@ -173,7 +173,7 @@
 }
 
 func (ctl *controller) logStanding(c *standingChange) {
-	u, _ := ctl.state.Registered(c.id)
+	u, _ := ctl.state.Lookup(c.id)
 	ctl.log(EventUpstream, stoatevent.F("upstream", string(c.id)), stoatevent.F("service", string(u.Service)),
 		stoatevent.F("centre", string(u.DataCentre)), stoatevent.F("addr", u.Addr.String()),
 		stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why))
@@ -181,7 +181,7 @@
 
 // logClash logs that an upstream gets no flows because another one has the same cookie.
 func (ctl *controller) logClash(id stoatpaddle.UpstreamID) {
-	if other, ok := ctl.state.Clash(id); ok {
+	if other, ok := ctl.state.KeyConflict(id); ok {
 		ctl.log(EventClash, stoatevent.F("upstream", string(id)), stoatevent.F("holder", string(other)))
 	}
 }
--- a/stoatedge/controller.go
+++ b/stoatedge/controller.go
@@ -36,7 +36,7 @@
 // controller computes the state of routes and upstreams from what the platform and the parent report. It does
 // no I/O: step takes an event and returns effects. One goroutine uses it.
 type controller struct {
-	state  *stoatroute.Book
+	state  *stoatroute.Builder
 	topics []topic // the kinds of objects that are followed
 	// evacuations is set if evacuations are among the topics.
 	evacuations bool
@@ -67,11 +67,11 @@
 	table           *stoatroute.Table
 	announced       announcement // as last emitted
 	lastWake        wakeState
-	pagesRead       [topicCount]int     // pages of the list in progress, read so far
-	pagesHeldUntil  time.Time           // until when further pages wait for a parent
-	former          []stoatroute.Former // as saved at the platform when this entry started
-	changes         []standingChange    // of the present step, to be logged
-	effects         []any               // of the present step
+	pagesRead       [topicCount]int            // pages of the list in progress, read so far
+	pagesHeldUntil  time.Time                  // until when further pages wait for a parent
+	former          []stoatroute.FormerService // as saved at the platform when this entry started
+	changes         []standingChange           // of the present step, to be logged
+	effects         []any                      // of the present step
 }
 
 type controllerConfig struct {
@@ -89,15 +89,15 @@
 	ctl := &controller{
 		applyBound: cfg.Apply, rand: rnd, reading: true, topics: []topic{declarations, upstreams},
 		returnTimeout: cfg.Return,
-		state:         stoatroute.NewBook(stoatroute.Config{Return: cfg.Return, Keep: cfg.Life, Evacuations: cfg.Evacuations}),
+		state:         stoatroute.NewBuilder(stoatroute.Config{GracePeriod: cfg.Return, Retention: cfg.Life, RequireEvacuations: cfg.Evacuations}),
 		evacuations:   cfg.Evacuations,
 	}
 	if cfg.Evacuations {
 		ctl.topics = append(ctl.topics, evacuations)
 	}
-	ctl.feeds[declarations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd})
-	ctl.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
-	ctl.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{Bound: cfg.Apply, Rand: rnd, Stale: true})
+	ctl.feeds[declarations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd})
+	ctl.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd, AllowStale: true})
+	ctl.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd, AllowStale: true})
 	ctl.setSeedRole(time.Time{}, cfg.Seeds)
 	return ctl
 }
@@ -118,7 +118,7 @@
 		}
 	case formerLoaded:
 		ctl.former = x.former
-		ctl.state.RecallFormer(now, ctl.former)
+		ctl.state.RestoreFormerServices(now, ctl.former)
 	case ticked:
 		ctl.tick(now)
 	case callEnded:
@@ -134,9 +134,9 @@
 	case settingsChanged:
 		ctl.applyBound, ctl.returnTimeout = x.apply, x.returnTimeout
 		ctl.setSeedRole(now, x.seeds)
-		ctl.state.SetBounds(stoatroute.Config{Return: x.returnTimeout, Keep: x.flowLifetime, Evacuations: ctl.evacuations})
+		ctl.state.SetConfig(stoatroute.Config{GracePeriod: x.returnTimeout, Retention: x.flowLifetime, RequireEvacuations: ctl.evacuations})
 		for _, t := range ctl.topics {
-			ctl.feeds[t].SetBound(x.apply)
+			ctl.feeds[t].SetMaxDelay(x.apply)
 		}
 	}
 	ctl.logStandings()
@@ -153,7 +153,7 @@
 }
 
 func (ctl *controller) startCall(now time.Time, t topic) {
-	ctl.feeds[t].SetRelayed(ctl.follower.mayRely && ctl.follower.parent != "")
+	ctl.feeds[t].SetRecoveryRelayed(ctl.follower.mayRely && ctl.follower.parent != "")
 	c := ctl.feeds[t].Next()
 	if !c.List && c.Wait > time.Millisecond && ctl.follower.mayRely && ctl.follower.parent == "" {
 		c.Pause = max(c.Pause, ctl.startedAt.Add(firstWatchDelay).Sub(now))
@@ -172,7 +172,7 @@
 
 // verify asks the platform itself about a topic, at once.
 func (ctl *controller) verify(now time.Time, t topic) {
-	ctl.feeds[t].Doubt()
+	ctl.feeds[t].RequestExact()
 	if !ctl.reading && !ctl.pending[t] {
 		ctl.startCall(now, t)
 		return
@@ -199,8 +199,8 @@
 // failingSince returns since when one of the feeds has got no answer; zero: all get answers.
 func (ctl *controller) failingSince() time.Time {
 	for _, t := range ctl.topics {
-		if f := ctl.feeds[t]; !f.Failing().IsZero() {
-			return f.Failing()
+		if f := ctl.feeds[t]; !f.FailingSince().IsZero() {
+			return f.FailingSince()
 		}
 	}
 	return time.Time{}
@@ -218,24 +218,24 @@
 		ctl.countPage(&x)
 	}
 	f := ctl.feeds[x.topic]
-	failing := f.Failing()
+	failing := f.FailingSince()
 	v := f.Done(now, x.sent, x.call, x.result)
 	if era := f.Era(); era > ctl.state.Era() {
 		ctl.handleRestore(now, era, "platform")
 	}
 	ctl.noteBehind(x, v)
-	if v.Lost {
+	if v.OutageBegan {
 		cause := "refused by the rate limit"
 		if x.cause != nil {
 			cause = x.cause.Error()
 		}
 		ctl.log(EventPlatformLost, stoatevent.F("topic", x.topic.String()), stoatevent.F("cause", cause))
 	}
-	if v.Back {
+	if v.OutageEnded {
 		ctl.log(EventPlatformBack, stoatevent.F("topic", x.topic.String()), stoatevent.F("away", now.Sub(failing).String()))
 	}
 	if x.result.Outcome == stoatfeed.Failed && x.topic == upstreams {
-		ctl.state.Hold(now)
+		ctl.state.RestartGracePeriod(now)
 	}
 	if v.Apply {
 		ctl.apply(now, x.topic, x.changes, "platform")
@@ -244,7 +244,7 @@
 			ctl.unwatched = false
 		}
 		ctl.updateProof(now, x, v)
-		if v.Proof {
+		if v.Current {
 			ctl.reviewParent(now)
 		}
 	}
@@ -252,15 +252,15 @@
 }
 
 // noteBehind logs once that answers are older than what is known.
-func (ctl *controller) noteBehind(x callEnded, v stoatfeed.Verdict) {
-	if x.result.Outcome != stoatfeed.Answered || v.Behind == ctl.behind[x.topic] || x.result.More {
+func (ctl *controller) noteBehind(x callEnded, v stoatfeed.Decision) {
+	if x.result.Outcome != stoatfeed.Answered || v.Outdated == ctl.behind[x.topic] || x.result.More {
 		return
 	}
-	ctl.behind[x.topic] = v.Behind
-	if v.Behind {
+	ctl.behind[x.topic] = v.Outdated
+	if v.Outdated {
 		ctl.log(EventBehind, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", ctl.feeds[x.topic].Position().String()),
 			stoatevent.F("answered", x.result.AsOf.String()),
-			stoatevent.F("list", strconv.FormatBool(x.call.List)), stoatevent.F("exact", strconv.FormatBool(!x.call.Stale)))
+			stoatevent.F("list", strconv.FormatBool(x.call.List)), stoatevent.F("exact", strconv.FormatBool(!x.call.AllowStale)))
 	}
 }
 
@@ -275,7 +275,7 @@
 		return
 	}
 	ctl.startCall(now, t)
-	if !ctl.feeds[declarations].Failing().IsZero() {
+	if !ctl.feeds[declarations].FailingSince().IsZero() {
 		return
 	}
 	for _, t := range ctl.topics {
@@ -289,22 +289,22 @@
 	}
 }
 
-func (ctl *controller) outage(t topic) bool { return ctl.feeds[t].Lost() }
+func (ctl *controller) outage(t topic) bool { return ctl.feeds[t].Unreachable() }
 
 // updateProof records up to when the state is proven current: by an exact answer about the upstreams, or by
 // replicas' answers that are as recent as an exact one.
-func (ctl *controller) updateProof(now time.Time, x callEnded, v stoatfeed.Verdict) {
+func (ctl *controller) updateProof(now time.Time, x callEnded, v stoatfeed.Decision) {
 	asOf := x.call.AsOf(x.sent, now, x.result)
 	switch {
-	case x.topic == upstreams && v.Proof:
-		ctl.state.Prove(asOf)
-	case x.topic == declarations && v.Proof:
+	case x.topic == upstreams && v.Current:
+		ctl.state.MarkCurrent(asOf)
+	case x.topic == declarations && v.Current:
 		ctl.setProof(proof{asOf: asOf, pos: x.result.AsOf, receivedAt: now})
 	}
 	ctl.matchProof()
 	if ctl.openProof != nil && ctl.openProof.retried && ctl.feeds[x.topic].Position().Before(ctl.openProof.pos) {
 		// The replica is behind a position that the platform has already reported.
-		ctl.feeds[x.topic].Doubt()
+		ctl.feeds[x.topic].RequestExact()
 	}
 }
 
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -150,7 +150,7 @@
 	s := newSession(t)
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6), registered("i-2", 2, 7))
-	if !s.table.Ready() || len(s.table.Service("app")) != 2 {
+	if !s.table.Ready() || len(s.table.Candidates("app")) != 2 {
 		t.Fatal("not ready")
 	}
 	return s
@@ -167,7 +167,7 @@
 	if !s.table.Ready() || s.events[EventReady.Number] != 1 {
 		t.Error(s.table.Ready(), s.events)
 	}
-	if s.calls[declarations].Stale || !s.calls[upstreams].Stale {
+	if s.calls[declarations].AllowStale || !s.calls[upstreams].AllowStale {
 		t.Error("the exact feed asks a replica, or the other does not")
 	}
 }
@@ -178,15 +178,15 @@
 	s := startSession(t, true, true)
 	s.answer(declarations, 10, declared(2, 8))
 	s.answer(upstreams, 10, registered("i-1", 1, 6))
-	child := stoatrelay.HoldsOf(s.table)
+	child := stoatrelay.ChildStateOf(s.table)
 	c := declared(2, 8)
 	c.declaration.Routes[0].Earlier = []stoatpaddle.ServiceID{"before"}
 	s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", whole: true, known: position(10)}, c, registered("i-1", 1, 6))
 	r := s.table.Route(listen)
-	if !r.Had("before") || !r.Had("app") || r.Had("other") {
+	if !r.EverUsed("before") || !r.EverUsed("app") || r.EverUsed("other") {
 		t.Error("the former services of the route are not known")
 	}
-	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declared == nil || len(body.Declared.Routes) != 1 || len(body.Declared.Routes[0].Earlier) != 1 {
+	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declaration == nil || len(body.Declaration.Routes) != 1 || len(body.Declaration.Routes[0].Earlier) != 1 {
 		t.Errorf("children get no update: %+v", body)
 	}
 }
@@ -256,24 +256,24 @@
 	}
 	s.answer(declarations, 30)
 	s.answer(upstreams, 30, deletedUpstream("i-1", 20), deletedUpstream("i-2", 21))
-	if len(s.table.Service("app")) != 2 {
+	if len(s.table.Candidates("app")) != 2 {
 		t.Fatal("an upstream whose registration lapsed counts as gone")
 	}
 	if !s.calls[upstreams].List {
 		t.Fatal("no list after an outage")
 	}
 	s.answer(upstreams, 30)
-	if len(s.table.Service("app")) != 2 {
+	if len(s.table.Candidates("app")) != 2 {
 		t.Fatal("an upstream whose registration lapsed counts as gone after the list")
 	}
 	s.advance(time.Second)
 	s.answer(upstreams, 32, registered("i-1", 1, 32))
 	s.advance(1500 * ms)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-1" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-1" {
 		t.Error(len(list))
 	}
-	if u := s.table.Upstream(stoatroute.KeyOf(2)); u.Standing != stoatroute.Gone {
-		t.Error(u.Standing)
+	if u := s.table.Upstream(stoatroute.KeyOf(2)); u.State != stoatroute.Gone {
+		t.Error(u.State)
 	}
 }
 
@@ -286,20 +286,20 @@
 	s.answer(declarations, 15) // i-1 was marked as leaving at 12
 	s.advance(200 * ms)
 	c := s.calls[upstreams]
-	if c == nil || !c.Stale || c.Wait > ms {
+	if c == nil || !c.AllowStale || c.Wait > ms {
 		t.Fatalf("the replica is not asked again: %+v", c)
 	}
 	s.answer(upstreams, 10)
-	if c = s.calls[upstreams]; c == nil || c.Stale || c.Wait > ms {
+	if c = s.calls[upstreams]; c == nil || c.AllowStale || c.Wait > ms {
 		t.Fatalf("no call to the platform itself: %+v", c)
 	}
 	leaving := registered("i-1", 1, 12)
 	leaving.registration.Leaving = true
 	s.answer(upstreams, 15, leaving)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-2" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-2" {
 		t.Error("the leaving upstream still gets flows")
 	}
-	if c = s.calls[upstreams]; !c.Stale || c.Wait < time.Second {
+	if c = s.calls[upstreams]; !c.AllowStale || c.Wait < time.Second {
 		t.Errorf("%+v", c)
 	}
 }
@@ -317,7 +317,7 @@
 			t.Fatalf("%+v %+v", s.calls[upstreams], s.calls[declarations])
 		}
 	}
-	if age := s.now.Sub(s.table.Proven); age > 4*time.Second {
+	if age := s.now.Sub(s.table.CompleteAsOf); age > 4*time.Second {
 		t.Error("the upstreams were proven", age, "ago")
 	}
 }
@@ -328,14 +328,14 @@
 	s := newRunningSession(t)
 	s.advance(time.Second)
 	s.step(unknownCookie{})
-	if c := s.calls[upstreams]; c.Stale || c.Wait > ms {
+	if c := s.calls[upstreams]; c.AllowStale || c.Wait > ms {
 		t.Fatalf("%+v", c)
 	}
 	at := s.now
 	s.now = s.now.Add(10 * ms)
 	s.answer(upstreams, 11)
-	if !s.table.Proven.Equal(at) {
-		t.Error(s.table.Proven.Sub(at))
+	if !s.table.CompleteAsOf.Equal(at) {
+		t.Error(s.table.CompleteAsOf.Sub(at))
 	}
 }
 
@@ -350,8 +350,8 @@
 	s.step(parentLost{searchID: 1, cause: &stoatpaddle.UnavailableError{Op: "x"}})
 	s.advance(400 * ms)
 	s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", age: -1, whole: true, known: position(6)}, declared(3, 5), registered("i-1", 1, 6))
-	if !s.table.Ready() || s.table.Declaration.Version != 3 || !s.table.Proven.IsZero() {
-		t.Error(s.table.Ready(), s.table.Declaration.Version, s.table.Proven)
+	if !s.table.Ready() || s.table.Declaration.Version != 3 || !s.table.CompleteAsOf.IsZero() {
+		t.Error(s.table.Ready(), s.table.Declaration.Version, s.table.CompleteAsOf)
 	}
 	asked := len(s.searches)
 	s.fail(declarations)
@@ -406,9 +406,9 @@
 	s.answer(upstreams, 10, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	gone := registered("i-2", 2, 7)
 	s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", whole: true, known: position(9)}, declared(0, 1), registered("i-1", 1, 1), gone)
-	s.step(parentUpdate{searchID: s.ctl.follower.searchID, known: position(9), upstreams: []stoatroute.RemoteUpstream{{Registration: *gone.registration, Revision: 7, Standing: stoatroute.Gone}}})
-	if s.table.Declaration.Version != 1 || len(s.table.Service("app")) != 2 {
-		t.Error(s.table.Declaration.Version, len(s.table.Service("app")))
+	s.step(parentUpdate{searchID: s.ctl.follower.searchID, known: position(9), upstreams: []stoatroute.RemoteUpstream{{Registration: *gone.registration, Revision: 7, State: stoatroute.Gone}}})
+	if s.table.Declaration.Version != 1 || len(s.table.Candidates("app")) != 2 {
+		t.Error(s.table.Declaration.Version, len(s.table.Candidates("app")))
 	}
 }
 
@@ -449,17 +449,17 @@
 	} {
 		s := newRunningSession(t)
 		s.answer(upstreams, 14, changes...)
-		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.Standing != stoatroute.Leaving || got.Addr != (netip.AddrPort{}) {
+		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.State != stoatroute.Leaving || got.Addr != (netip.AddrPort{}) {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if got := len(s.table.Service("app")); got != len(changes) {
+		if got := len(s.table.Candidates("app")); got != len(changes) {
 			t.Error(name, got, "take new flows")
 		}
 		if s.events[EventInvalid.Number] != 1 {
 			t.Error(name, s.events)
 		}
 		s.answer(upstreams, 15, registered("i-1", 1, 15))
-		if got := s.table.Upstream(stoatroute.KeyOf(1)); got.Standing != stoatroute.Serving {
+		if got := s.table.Upstream(stoatroute.KeyOf(1)); got.State != stoatroute.Serving {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -471,7 +471,7 @@
 func TestUnreadableRegistrationInList(t *testing.T) {
 	for name, c := range map[string]struct {
 		object change
-		want   stoatroute.Standing
+		want   stoatroute.State
 	}{
 		"named":    {unreadable("i-1", 11), stoatroute.Leaving},
 		"nameless": {unreadable("", 0), stoatroute.Missing},
@@ -480,10 +480,10 @@
 		s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
 		s.end(upstreams, stoatfeed.Result{AsOf: position(12), More: true, Last: "i-1", Changes: 1}, c.object)
 		s.answer(upstreams, 12, registered("i-2", 2, 7))
-		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.Standing != c.want {
+		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.State != c.want {
 			t.Errorf("%s: %+v", name, got)
 		}
-		if got := s.table.Upstream(stoatroute.KeyOf(2)); got == nil || got.Standing != stoatroute.Serving {
+		if got := s.table.Upstream(stoatroute.KeyOf(2)); got == nil || got.State != stoatroute.Serving {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
@@ -525,8 +525,8 @@
 // answered one and their eras; each is logged once.
 func TestOldAnswersAreLogged(t *testing.T) {
 	s := newRunningSession(t)
-	s.ctl.state.Declare(stoatpaddle.Declaration{Version: 6}, 40)
-	s.ctl.feeds[declarations].Heard(position(40))
+	s.ctl.state.ApplyDeclaration(stoatpaddle.Declaration{Version: 6}, 40)
+	s.ctl.feeds[declarations].Advance(position(40))
 	for range 3 {
 		s.answer(declarations, 30, declared(7, 25))
 	}
@@ -549,16 +549,16 @@
 	s.answer(declarations, 10, declared(1, 5))
 	s.answer(upstreams, 10, registered("i-1", 1, 6), unreadable("i-2", 7))
 	u := s.table.Upstream(stoatroute.KeyOf(2))
-	if u == nil || u.Standing == stoatroute.Gone || u.Opens() || s.table.Route(listen).Had(u.Service) {
+	if u == nil || u.State == stoatroute.Gone || u.AcceptsFlows() || s.table.Route(listen).EverUsed(u.Service) {
 		t.Fatalf("an upstream in the list counts as missing, or as one of a service: %+v", u)
 	}
 	s.answer(upstreams, 12, registered("i-2", 2, 12))
-	if list := s.table.Service("app"); len(list) != 2 {
+	if list := s.table.Candidates("app"); len(list) != 2 {
 		t.Error("it registered again, and gets no flows:", len(list))
 	}
 	s.answer(upstreams, 14, unreadable("i-3", 13))
 	s.answer(upstreams, 15, deletedUpstream("i-3", 15))
-	if u := s.table.Upstream(stoatroute.KeyOf(3)); u == nil || u.Standing != stoatroute.Gone {
+	if u := s.table.Upstream(stoatroute.KeyOf(3)); u == nil || u.State != stoatroute.Gone {
 		t.Errorf("an unreadable registration that was deleted: %+v", u)
 	}
 }
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -38,7 +38,7 @@
 	store           *platform.Store
 	engine          *stoatecho.Engine
 	engineMu        sync.Mutex // guards engine and held
-	held            stoatecho.Hold
+	held            stoatecho.HoldQueue
 	table           atomic.Pointer[stoatroute.Table]
 	events          *eventQueue
 	cancels         [topicCount]callCancel
@@ -55,11 +55,11 @@
 	tableReady      chan struct{} // closed when the first table that is enough to place flows is in force
 	tableReadyOnce  sync.Once     // closes tableReady
 	relay           *relayState
-	pool            stoatoutlier.Pool
-	observed        chan struct{}       // what entries observed of upstreams changed
-	reports         chan pendingReport  // to the parent
-	reportPending   atomic.Bool         // a report is in progress
-	wakeStream      stoatoutlier.Stream // what children were last woken for; used by shareObservations only
+	pool            stoatoutlier.Aggregator
+	observed        chan struct{}             // what entries observed of upstreams changed
+	reports         chan pendingReport        // to the parent
+	reportPending   atomic.Bool               // a report is in progress
+	wakeStream      stoatoutlier.DeltaTracker // what children were last woken for; used by shareObservations only
 	group           *errgroup.Group
 	ctx             context.Context
 	cancel          context.CancelFunc
@@ -85,7 +85,7 @@
 		observed:   make(chan struct{}, 1),
 		reports:    make(chan pendingReport, 1),
 		relay: newRelayState(stoattree.Config{
-			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, Share: cfg.Settings.Share, Link: cfg.Settings.Link,
+			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, CPUShare: cfg.Settings.Share, LinkMbps: cfg.Settings.Link,
 			Rand: rand.New(rand.NewPCG(seed, 2)),
 		}),
 	}
--- a/stoatedge/edge_test.go
+++ b/stoatedge/edge_test.go
@@ -223,7 +223,7 @@
 		return strings.Contains(string(text), `stoatpaddle_upstream_flows{upstream="`+names[i]+`",service="app"} 1`)
 	})
 	r.store.Remove(platform.KindUpstream, names[i])
-	r.wait("the end of the upstream is known", func() bool { return len(a.Table().Service("app")) == 1 })
+	r.wait("the end of the upstream is known", func() bool { return len(a.Table().Candidates("app")) == 1 })
 	r.send(setA, packet(flagACK, 40001, 443, cookie))
 	reset := r.receive(r.caller)
 	if reset[0] != flagRST || binary.LittleEndian.Uint32(reset[19:]) != 4242 || binary.LittleEndian.Uint16(reset[5:]) != 40001 {
@@ -305,7 +305,7 @@
 		r.register(version-2, "draining")
 		for _, e := range []*stoatedge.Edge{b, c} {
 			r.wait("the change is in force", func() bool {
-				return int(e.Table().Declaration.Version) == version && len(e.Table().Service("app")) == 3-version
+				return int(e.Table().Declaration.Version) == version && len(e.Table().Candidates("app")) == 3-version
 			})
 		}
 	}
@@ -455,7 +455,7 @@
 	r.register(0, "draining")
 	r.store.Forget()
 	r.store.Set(stoatfake.Trouble{})
-	r.wait("both are known", func() bool { return e.Table().Declaration.Version == 2 && len(e.Table().Service("app")) == 1 })
+	r.wait("both are known", func() bool { return e.Table().Declaration.Version == 2 && len(e.Table().Candidates("app")) == 1 })
 }
 
 // A replica lags behind for good. What the platform itself answers comes into force nevertheless.
@@ -465,7 +465,7 @@
 	r.wait("it is ready", func() bool { return isReady(set) })
 	r.store.Set(stoatfake.Trouble{Lagging: true})
 	r.register(0, "draining")
-	r.wait("the leaving upstream is known", func() bool { return len(e.Table().Service("app")) == 1 })
+	r.wait("the leaving upstream is known", func() bool { return len(e.Table().Candidates("app")) == 1 })
 }
 
 // In a planned stop, the entry is not ready at once, forwards the packets that still come, and then exits by
--- a/stoatedge/evacuation_test.go
+++ b/stoatedge/evacuation_test.go
@@ -139,7 +139,7 @@
 		t.Fatalf("the replica is not asked again: %+v", c)
 	}
 	s.answer(evacuations, 12)
-	if c := s.calls[evacuations]; c == nil || c.Stale {
+	if c := s.calls[evacuations]; c == nil || c.AllowStale {
 		t.Fatalf("the platform is not asked itself: %+v", c)
 	}
 	s.answer(evacuations, 30, evacuated("here", 25))
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -78,7 +78,7 @@
 	// unknownCookie reports that a packet had a cookie that is not known here.
 	unknownCookie struct{}
 	// formerLoaded carries the former services of routes, as saved at the platform.
-	formerLoaded struct{ former []stoatroute.Former }
+	formerLoaded struct{ former []stoatroute.FormerService }
 	// settingsChanged carries changed settings.
 	settingsChanged struct {
 		apply, returnTimeout, flowLifetime time.Duration
@@ -121,7 +121,7 @@
 	// saveFormer saves the former services of routes at the platform, as of a version of the configuration.
 	saveFormer struct {
 		version stoatpaddle.Version
-		former  []stoatroute.Former
+		former  []stoatroute.FormerService
 	}
 	// platformStatus reports whether the platform answers.
 	platformStatus struct{ answers bool }
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -67,7 +67,7 @@
 func (ctl *controller) setSeedRole(now time.Time, role seedRole) {
 	ctl.follower.hasOthers, ctl.follower.mayRely = role.otherSeeds, role.reliesOnOthers()
 	for _, t := range ctl.topics {
-		ctl.feeds[t].SetStart(role.reliesOnOthers(), role.isSeed)
+		ctl.feeds[t].SetStartOptions(role.reliesOnOthers(), role.isSeed)
 	}
 	if !role.reliesOnOthers() && !ctl.reading {
 		ctl.startReading(now, "the settings changed")
@@ -111,7 +111,7 @@
 	x := findParent{searchID: f.searchID, known: ctl.known}
 	if ctl.ready && ctl.failingSince().IsZero() {
 		// The platform answers this entry, so a parent's state that is too old is of no use.
-		x.maxAge = stoatfeed.Share(ctl.applyBound, maxParentAgeShare)
+		x.maxAge = stoatfeed.Fraction(ctl.applyBound, maxParentAgeShare)
 	}
 	ctl.emit(x)
 }
@@ -133,7 +133,7 @@
 	}
 	if f.parent == "" {
 		f.parent = x.parent
-		ctl.state.Follow(now, true)
+		ctl.state.SetMirroring(now, true)
 		ctl.log(EventFollows, stoatevent.F("parent", x.parent), stoatevent.F("depth", countText(len(x.path))),
 			stoatevent.F("revision", x.known.String()), stoatevent.F("age", ageText(x.age)))
 	}
@@ -141,7 +141,7 @@
 	if !ctl.sameHistory(now, &x) {
 		return
 	}
-	if current := ctl.state.Declaration().Version; !x.delta.Fits(current) {
+	if current := ctl.state.Declaration().Version; !x.delta.AppliesTo(current) {
 		// This entry has read another version itself since. Nothing of the message counts as known: otherwise
 		// the configuration would stay as it is until its next change. A new search brings the whole state.
 		ctl.leaveParent("its configuration change does not apply to version " + current.String())
@@ -159,7 +159,7 @@
 		if enough {
 			ctl.feeds[t].Adopt(x.known)
 		} else {
-			ctl.feeds[t].Heard(x.known)
+			ctl.feeds[t].Advance(x.known)
 		}
 	}
 	if enough && ctl.reading {
@@ -195,7 +195,7 @@
 	for _, ev := range x.evacuations {
 		ctl.evacuate(ev, x.parent)
 	}
-	for _, id := range ctl.state.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Whole: x.whole, Later: later}) {
+	for _, id := range ctl.state.Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.upstreams, Complete: x.whole, UpToDate: later}) {
 		ctl.noteUpdate(id, x.parent)
 	}
 }
@@ -204,10 +204,10 @@
 func (ctl *controller) applyDelta(now time.Time, x parentUpdate) {
 	current := ctl.state.Declaration()
 	if x.delta.Declaration.Version <= current.Version {
-		ctl.state.Recall(x.delta.Declaration.Routes)
+		ctl.state.AddFormerServices(x.delta.Declaration.Routes)
 		return
 	}
-	d := x.delta.Onto(&current)
+	d := x.delta.ApplyTo(&current)
 	ctl.apply(now, declarations, []change{{revision: x.delta.Revision, declaration: &d}}, x.parent)
 }
 
@@ -221,7 +221,7 @@
 // parentIsCurrent reports whether the parent's state is recent enough to be relied on. That may hold for some
 // time after the parent has ended, which is time to find another one.
 func (ctl *controller) parentIsCurrent(now time.Time) bool {
-	return now.Sub(ctl.follower.currentAt) <= stoatfeed.Share(ctl.applyBound, maxParentAgeShare)
+	return now.Sub(ctl.follower.currentAt) <= stoatfeed.Fraction(ctl.applyBound, maxParentAgeShare)
 }
 
 // stopReading ends reading the platform. The calls in progress are cancelled, since their results are older
@@ -243,7 +243,7 @@
 		// A replica's answer about evacuations has to reach the position of the exact answer about the
 		// configuration.
 		if t != evacuations {
-			ctl.feeds[t].Doubt()
+			ctl.feeds[t].RequestExact()
 		}
 	}
 	if !ctl.pending[declarations] {
@@ -290,7 +290,7 @@
 		ctl.log(EventSought, stoatevent.F("cause", x.cause.Error()))
 	}
 	f.searching, f.parent, f.path = false, "", nil
-	ctl.state.Follow(now, false)
+	ctl.state.SetMirroring(now, false)
 }
 
 // handleResumed processes a pause of this process, which the monotonic clock may not have counted: the state
@@ -308,7 +308,7 @@
 
 // asOf returns when the state was last known to be current; zero: never.
 func (ctl *controller) asOf() time.Time {
-	if own := ctl.state.Proven(); own.After(ctl.follower.currentAt) {
+	if own := ctl.state.CurrentAsOf(); own.After(ctl.follower.currentAt) {
 		return own
 	}
 	return ctl.follower.currentAt
--- a/stoatedge/former_test.go
+++ b/stoatedge/former_test.go
@@ -20,7 +20,7 @@
 	b, setB, _ := r.start("127.0.0.12")
 	r.wait("another entry is ready", func() bool { return isReady(setB) })
 	route := b.Table().Declaration.Routes[0].Listen
-	r.wait("it knows the former service", func() bool { return b.Table().Route(route).Had("app") })
+	r.wait("it knows the former service", func() bool { return b.Table().Route(route).EverUsed("app") })
 	r.send(setB, packet(flagACK, 40001, 443, cookie))
 	if j, _, again := r.receiveAtUpstream(); j != i || again != cookie {
 		t.Error("the flow went to", j)
--- a/stoatedge/lists.go
+++ b/stoatedge/lists.go
@@ -37,7 +37,7 @@
 }
 
 // compareList collects the pages of a list, and compares the complete list with the known state.
-func (ctl *controller) compareList(now time.Time, x callEnded, v stoatfeed.Verdict) {
+func (ctl *controller) compareList(now time.Time, x callEnded, v stoatfeed.Decision) {
 	if !x.call.List {
 		return
 	}
@@ -55,11 +55,11 @@
 	}
 }
 
-func (ctl *controller) finishUpstreamList(now time.Time, v stoatfeed.Verdict) {
+func (ctl *controller) finishUpstreamList(now time.Time, v stoatfeed.Decision) {
 	p := ctl.upstreamPages
 	ctl.upstreamPages = pages[stoatpaddle.UpstreamID]{}
 	// An upstream that the list lacks may be the object whose name cannot be read: it gets time to return.
-	for _, id := range ctl.state.Listed(now, p.names, v.Away || ctl.unwatched || p.unnamed) {
+	for _, id := range ctl.state.ApplyList(now, p.names, v.AfterOutage || ctl.unwatched || p.unnamed) {
 		ctl.noteStanding(id, "missing from the list")
 	}
 }
@@ -76,13 +76,13 @@
 	}
 	// The list is as of the revision of its first page, which is the feed's position by now.
 	asOf := ctl.feeds[evacuations].Position().Revision
-	ctl.logWithdrawn(ctl.state.EvacuationsListed(now, p.names, asOf), asOf, "missing from the list")
+	ctl.logWithdrawn(ctl.state.ApplyEvacuationList(now, p.names, asOf), asOf, "missing from the list")
 }
 
 // expireEvacuations withdraws evacuations that were not written again after a restore.
 func (ctl *controller) expireEvacuations(now time.Time) {
 	if !ctl.failingSince().IsZero() {
-		ctl.state.HoldEvacuations(now)
+		ctl.state.RestartEvacuationGracePeriod(now)
 		return
 	}
 	asOf := ctl.feeds[evacuations].Position().Revision
--- a/stoatedge/metrics.go
+++ b/stoatedge/metrics.go
@@ -32,7 +32,7 @@
 	switch {
 	case x.call.List:
 		kind = "list"
-	case x.call.Stale:
+	case x.call.AllowStale:
 		kind = "replica"
 	}
 	c.set.GetOrCreateCounter(fmt.Sprintf("stoatpaddle_platform_calls_total{topic=%q,kind=%q,outcome=%q}", x.topic, kind, r.Outcome)).Inc()
@@ -62,11 +62,11 @@
 	stat("stoatpaddle_flow_refused_total", func(s *stoatecho.Stats) int64 { return s.Refused })
 	stat("stoatpaddle_request_answered_total", func(s *stoatecho.Stats) int64 { return s.Answered })
 	stat("stoatpaddle_request_late_total", func(s *stoatecho.Stats) int64 { return s.Late })
-	stat("stoatpaddle_request_turned_away_total", func(s *stoatecho.Stats) int64 { return s.TurnedAway })
-	stat("stoatpaddle_request_elsewhere_total", func(s *stoatecho.Stats) int64 { return s.Elsewhere })
+	stat("stoatpaddle_request_turned_away_total", func(s *stoatecho.Stats) int64 { return s.Rejected })
+	stat("stoatpaddle_request_elsewhere_total", func(s *stoatecho.Stats) int64 { return s.AnsweredElsewhere })
 	stat("stoatpaddle_flow_open", func(s *stoatecho.Stats) int64 { return int64(s.Flows) })
 	stat("stoatpaddle_upstream_ejected_total", func(s *stoatecho.Stats) int64 { return s.Ejected })
-	stat("stoatpaddle_upstream_silent_total", func(s *stoatecho.Stats) int64 { return s.Together })
+	stat("stoatpaddle_upstream_silent_total", func(s *stoatecho.Stats) int64 { return s.EjectedJointly })
 	stat("stoatpaddle_packet_forwarded_total", func(s *stoatecho.Stats) int64 { return s.Forwarded })
 	for r := stoatpacket.DropShort; r < stoatpacket.DropCount; r++ {
 		set.NewGauge(fmt.Sprintf("stoatpaddle_packet_dropped_total{reason=%q}", r), func() float64 {
@@ -84,7 +84,7 @@
 	set.NewGauge("stoatpaddle_tree_children", func() float64 {
 		e.relay.mu.Lock()
 		defer e.relay.mu.Unlock()
-		return float64(e.relay.tree.Children())
+		return float64(e.relay.tree.ChildCount())
 	})
 	set.NewGauge("stoatpaddle_tree_depth", func() float64 { return float64(e.Depth()) })
 	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="sent"}`, func() float64 { return float64(e.relay.sent.Load()) })
@@ -110,7 +110,7 @@
 func (e *Edge) writeInProgress(w io.Writer) {
 	t := e.table.Load()
 	e.engineMu.Lock()
-	list := e.engine.InProgress(clock())
+	list := e.engine.UpstreamStates(clock())
 	e.engineMu.Unlock()
 	flows := map[stoatpaddle.DataCentreID]int{}
 	for _, x := range list {
@@ -123,7 +123,7 @@
 		// A client that has closed the connection needs no answer.
 		_, _ = fmt.Fprintf(w, "stoatpaddle_upstream_flows%s %d\nstoatpaddle_upstream_requests%s %d\n"+
 			"stoatpaddle_upstream_answer_mean_seconds%s %g\nstoatpaddle_upstream_ejected%s %d\nstoatpaddle_upstream_failing%s %d\n",
-			label, x.Flows, label, x.Requests, label, x.Mean.Seconds(), label, oneIf(x.Ejected), label, oneIf(x.Failing))
+			label, x.Flows, label, x.PendingRequests, label, x.MeanAnswer.Seconds(), label, oneIf(x.Ejected), label, oneIf(x.Failing))
 	}
 	for _, d := range slices.Sorted(maps.Keys(flows)) {
 		_, _ = fmt.Fprintf(w, "stoatpaddle_centre_flows{centre=%q} %d\nstoatpaddle_centre_evacuated{centre=%q} %d\n", d, flows[d], d, oneIf(t.Evacuated(d)))
--- a/stoatedge/parts_test.go
+++ b/stoatedge/parts_test.go
@@ -121,16 +121,16 @@
 		p := stoatpacket.Packet{Opens: true, Seq: uint32(i)}
 		e.handle(clock(), m, 31, &p)
 	}
-	if held, dropped := len(e.held.Take()), e.counts.dropped[stoatpacket.DropYoung].Load(); int64(held)+dropped != packets || dropped == 0 {
+	if held, dropped := len(e.held.Take()), e.counts.dropped[stoatpacket.DropUnconfigured].Load(); int64(held)+dropped != packets || dropped == 0 {
 		t.Error(held, dropped)
 	}
 }
 
 // A request for updates survives its encoding, and a faulty one is refused.
 func TestRequestCodec(t *testing.T) {
-	want := stoattree.Ask{
-		From: listen, Centre: "here & there", Known: position(42), Near: true, Within: 1500 * ms,
-		Skip: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:2")},
+	want := stoattree.JoinRequest{
+		From: listen, Centre: "here & there", Position: position(42), LocalOnly: true, MaxAge: 1500 * ms,
+		Tried: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:2")},
 	}
 	q, err := url.ParseQuery(encodeRequest(want))
 	if err != nil {
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -38,7 +38,7 @@
 			return
 		}
 	}
-	ctl.state.Prove(ctl.openProof.asOf)
+	ctl.state.MarkCurrent(ctl.openProof.asOf)
 	ctl.openProof = nil
 }
 
@@ -51,7 +51,7 @@
 	ctl.openProof.retried = true
 	for _, t := range ctl.topics {
 		if f := ctl.feeds[t]; f.Position().Before(ctl.openProof.pos) {
-			f.Hurry()
+			f.RequestNow()
 			ctl.interruptWatch(t)
 		}
 	}
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -52,7 +52,7 @@
 	if s.events[EventFollows.Number] != 1 || s.events[EventReads.Number] != 0 {
 		t.Error(s.events)
 	}
-	if !s.table.Proven.IsZero() {
+	if !s.table.CompleteAsOf.IsZero() {
 		t.Error("the parent's state counts as a proof that unknown cookies belong to upstreams that are gone")
 	}
 }
@@ -71,7 +71,7 @@
 		t.Error("called after", after)
 	}
 	for _, topic := range []topic{declarations, upstreams} {
-		if c := s.calls[topic]; c == nil || c.Stale || c.List || c.Wait > ms || c.From != 10 {
+		if c := s.calls[topic]; c == nil || c.AllowStale || c.List || c.Wait > ms || c.From != 10 {
 			t.Fatalf("%s: %+v", topic, c)
 		}
 		if topic == declarations {
@@ -81,7 +81,7 @@
 	leaving := registered("i-1", 1, 12)
 	leaving.registration.Leaving = true
 	s.answer(upstreams, 12, leaving)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-2" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-2" {
 		t.Error("the leaving upstream still gets flows")
 	}
 	if s.parentsLeft == 0 {
@@ -121,7 +121,7 @@
 	}
 	s.answer(declarations, 10)
 	s.answer(upstreams, 10)
-	if c := s.calls[declarations]; c.Stale || c.Wait < time.Second {
+	if c := s.calls[declarations]; c.AllowStale || c.Wait < time.Second {
 		t.Errorf("%+v", c)
 	}
 	if len(s.searches) < 3 {
@@ -151,7 +151,7 @@
 	s.answer(declarations, 20, declared(1, 5))
 	s.answer(upstreams, 20, registered("i-1", 1, 6))
 	s.receiveUpdate(parentUpdate{parent: "parent", known: position(19), whole: true}, registered("i-1", 1, 6), registered("i-2", 2, 25))
-	if len(s.table.Service("app")) != 2 {
+	if len(s.table.Candidates("app")) != 2 {
 		t.Error("lost")
 	}
 	if s.calls[upstreams] == nil {
@@ -209,8 +209,8 @@
 	}
 	s.receiveUpdate(parentUpdate{parent: "seed", age: 6 * time.Second, known: position(30)}, registered("i-2", 2, 7))
 	s.answer(upstreams, 30, registered("i-2", 2, 7))
-	if u, _ := s.ctl.state.Registered("i-1"); u.Standing != stoatroute.Missing {
-		t.Error(u.Standing)
+	if u, _ := s.ctl.state.Lookup("i-1"); u.State != stoatroute.Missing {
+		t.Error(u.State)
 	}
 }
 
@@ -222,17 +222,17 @@
 	s.advance(2500 * ms)
 	s.answer(declarations, 30)
 	s.answer(upstreams, 30, deletedUpstream("i-1", 20), deletedUpstream("i-2", 21))
-	if list := s.table.Service("app"); len(list) != 2 {
+	if list := s.table.Candidates("app"); len(list) != 2 {
 		t.Fatal("an upstream whose registration lapsed counts as gone")
 	}
 	s.advance(time.Second)
 	s.answer(upstreams, 32, registered("i-1", 1, 32))
 	s.advance(1500 * ms)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-1" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-1" {
 		t.Error(len(list))
 	}
 	s.answer(upstreams, 40, deletedUpstream("i-1", 40))
-	if list := s.table.Service("app"); len(list) != 0 {
+	if list := s.table.Candidates("app"); len(list) != 0 {
 		t.Error("an upstream that ended does not count as gone")
 	}
 }
@@ -245,8 +245,8 @@
 	s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
 	s.end(upstreams, stoatfeed.Result{AsOf: position(30), More: true, Last: "i-1"})
 	s.answer(upstreams, 30, registered("i-2", 2, 7))
-	if u, _ := s.ctl.state.Registered("i-1"); u.Standing != stoatroute.Missing {
-		t.Error(u.Standing)
+	if u, _ := s.ctl.state.Lookup("i-1"); u.State != stoatroute.Missing {
+		t.Error(u.State)
 	}
 }
 
@@ -334,7 +334,7 @@
 func TestSeedsTakenAway(t *testing.T) {
 	s := newFollowerSession(t)
 	s.step(settingsChanged{apply: 3 * time.Second, returnTimeout: 2 * time.Second, flowLifetime: time.Minute})
-	if c := s.calls[declarations]; c == nil || c.Stale {
+	if c := s.calls[declarations]; c == nil || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 	s.receiveUpdate(parentUpdate{parent: "parent", known: position(10)})
@@ -349,7 +349,7 @@
 	s := newFollowerSession(t)
 	s.step(resumed{gap: 4 * time.Second})
 	s.advance(100 * ms)
-	if c := s.calls[declarations]; c == nil || c.Stale || c.Wait > ms {
+	if c := s.calls[declarations]; c == nil || c.AllowStale || c.Wait > ms {
 		t.Errorf("%+v", c)
 	}
 }
@@ -360,11 +360,11 @@
 	s := newFollowerSession(t)
 	s.step(unknownCookie{})
 	c := s.calls[upstreams]
-	if c == nil || c.Stale || c.Wait > ms || s.calls[declarations] != nil {
+	if c == nil || c.AllowStale || c.Wait > ms || s.calls[declarations] != nil {
 		t.Fatalf("%+v", c)
 	}
 	s.answer(upstreams, 11)
-	if s.table.Proven.IsZero() {
+	if s.table.CompleteAsOf.IsZero() {
 		t.Error("nothing is proven")
 	}
 	s.wantNoCalls("after the answer")
@@ -379,7 +379,7 @@
 	s.receiveUpdate(parentUpdate{parent: "parent", whole: true, known: position(10)}, declared(1, 5), registered("i-1", 1, 6))
 	s.step(callEnded{topic: upstreams, call: list, sent: sent, result: stoatfeed.Result{AsOf: position(8)}})
 	s.wantNoCalls("after a late answer")
-	if len(s.table.Service("app")) != 1 {
+	if len(s.table.Candidates("app")) != 1 {
 		t.Error("the late list removed the upstream")
 	}
 }
--- a/stoatedge/restored.go
+++ b/stoatedge/restored.go
@@ -11,9 +11,9 @@
 // reported. Every topic is listed anew, since calls in progress use revisions of before the restore.
 func (ctl *controller) handleRestore(now time.Time, era stoatpaddle.Era, source string) {
 	before := ctl.state.Era()
-	ctl.state.Restore(now, era)
+	ctl.state.BeginEra(now, era)
 	for _, t := range ctl.topics {
-		if ctl.feeds[t].Restored(era) {
+		if ctl.feeds[t].BeginEra(era) {
 			ctl.discardCall(t)
 		}
 	}
--- a/stoatedge/restored_test.go
+++ b/stoatedge/restored_test.go
@@ -35,8 +35,8 @@
 	}
 	s.answer(declarations, 24, declared(19, 22))
 	s.answer(upstreams, 24, registered("i-1", 1, 6))
-	if s.table.Declaration.Version != 21 || len(s.table.Service("app")) != 2 {
-		t.Fatal("the copy reverted what is in force:", s.table.Declaration.Version, len(s.table.Service("app")))
+	if s.table.Declaration.Version != 21 || len(s.table.Candidates("app")) != 2 {
+		t.Fatal("the copy reverted what is in force:", s.table.Declaration.Version, len(s.table.Candidates("app")))
 	}
 	s.answer(declarations, 25, declared(24, 25))
 	s.answer(upstreams, 26, registered("i-2", 2, 26))
@@ -44,7 +44,7 @@
 		t.Error("the configuration confirmed after the restore is not in force:", s.table.Declaration.Version)
 	}
 	s.advance(3 * time.Second)
-	if len(s.table.Service("app")) != 2 || s.events[EventRestored.Number] != 1 {
+	if len(s.table.Candidates("app")) != 2 || s.events[EventRestored.Number] != 1 {
 		t.Error("an upstream that registered again is gone, or a restore is logged twice:", s.events)
 	}
 }
@@ -54,20 +54,20 @@
 // it does not prove that it has ended.
 func TestUnknownUpstreamAfterARestore(t *testing.T) {
 	s := newRunningSessionWithEra(t)
-	before := s.table.Proven
+	before := s.table.CompleteAsOf
 	s.era = 2
 	for range 3 {
 		s.step(unknownCookie{})
 		s.answer(upstreams, 24, registered("i-1", 1, 6), registered("i-2", 2, 7))
 		s.advance(300 * ms)
 	}
-	if !s.table.Proven.Equal(before) {
-		t.Error("a restored platform's answer counts as complete after", s.table.Proven.Sub(before))
+	if !s.table.CompleteAsOf.Equal(before) {
+		t.Error("a restored platform's answer counts as complete after", s.table.CompleteAsOf.Sub(before))
 	}
 	s.advance(2 * time.Second)
 	s.step(unknownCookie{})
 	s.answer(upstreams, 24)
-	if s.table.Proven.Equal(before) {
+	if s.table.CompleteAsOf.Equal(before) {
 		t.Error("an upstream that has ended never counts as gone")
 	}
 }
@@ -82,18 +82,18 @@
 	s.answer(upstreams, 24, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	s.answer(upstreams, 26, deletedUpstream("i-1", 25), deletedUpstream("i-2", 26))
 	for _, target := range []stoatpaddle.Target{1, 2} {
-		if u := s.table.Upstream(stoatroute.KeyOf(target)); u.Standing != stoatroute.Missing {
-			t.Error(target, u.Standing)
+		if u := s.table.Upstream(stoatroute.KeyOf(target)); u.State != stoatroute.Missing {
+			t.Error(target, u.State)
 		}
 	}
 	s.answer(upstreams, 27, registered("i-1", 1, 27))
 	s.advance(2 * time.Second)
-	if list := s.table.Service("app"); len(list) != 1 || list[0].ID != "i-1" {
+	if list := s.table.Candidates("app"); len(list) != 1 || list[0].ID != "i-1" {
 		t.Error(len(list))
 	}
 	s.answer(upstreams, 28, deletedUpstream("i-1", 28))
-	if u := s.table.Upstream(stoatroute.KeyOf(1)); u.Standing != stoatroute.Gone {
-		t.Error("an upstream that ended long after the restore does not count as gone:", u.Standing)
+	if u := s.table.Upstream(stoatroute.KeyOf(1)); u.State != stoatroute.Gone {
+		t.Error("an upstream that ended long after the restore does not count as gone:", u.State)
 	}
 }
 
@@ -108,7 +108,7 @@
 	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: in(1, 30), era: 1}, declared(21, 26), registered("i-1", 1, 6), registered("i-2", 2, 28))
 	s.receiveUpdate(parentUpdate{parent: "parent", age: 300 * ms, known: in(1, 30), era: 2})
 	s.wantNoCalls("the parent lists for its children")
-	if s.events[EventRestored.Number] != 1 || s.parentsLeft != 0 || s.announcedPos != in(1, 30) || len(s.table.Service("app")) != 2 {
+	if s.events[EventRestored.Number] != 1 || s.parentsLeft != 0 || s.announcedPos != in(1, 30) || len(s.table.Candidates("app")) != 2 {
 		t.Fatal(s.events, s.parentsLeft, s.announcedPos)
 	}
 	d := declared(24, 25)
@@ -116,10 +116,10 @@
 	if s.table.Declaration.Version != 24 || s.announcedPos != in(2, 25) || s.parentsLeft != 0 {
 		t.Error(s.table.Declaration.Version, s.announcedPos, s.parentsLeft)
 	}
-	gone := stoatroute.RemoteUpstream{Registration: *registered("i-2", 2, 28).registration, Revision: 40, Standing: stoatroute.Gone}
+	gone := stoatroute.RemoteUpstream{Registration: *registered("i-2", 2, 28).registration, Revision: 40, State: stoatroute.Gone}
 	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, known: in(1, 41), era: 1, upstreams: []stoatroute.RemoteUpstream{gone}})
-	if s.parentsLeft != 1 || len(s.table.Service("app")) != 2 {
-		t.Error("an update of an earlier era is applied:", s.parentsLeft, len(s.table.Service("app")))
+	if s.parentsLeft != 1 || len(s.table.Candidates("app")) != 2 {
+		t.Error("an update of an earlier era is applied:", s.parentsLeft, len(s.table.Candidates("app")))
 	}
 }
 
@@ -129,7 +129,7 @@
 	s := startSession(t, true, true)
 	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: position(30)}, declared(21, 26), registered("i-1", 1, 6))
 	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, known: position(31)}, registered("i-2", 2, 31))
-	if s.parentsLeft != 0 || s.events[EventRestored.Number] != 0 || len(s.table.Service("app")) != 2 || s.announcedPos != position(31) {
+	if s.parentsLeft != 0 || s.events[EventRestored.Number] != 0 || len(s.table.Candidates("app")) != 2 || s.announcedPos != position(31) {
 		t.Error(s.parentsLeft, s.events, s.announcedPos)
 	}
 }
--- a/stoatedge/run_admin.go
+++ b/stoatedge/run_admin.go
@@ -68,7 +68,7 @@
 	s := e.Stats()
 	return stoatstatus.Report{
 		Instance: string(e.settings().Instance), Opened: s.Opened,
-		Reset:   s.Resets[stoatpacket.DropGone],
+		Reset:   s.Resets[stoatpacket.DropUpstreamGone],
 		Limited: s.Refused,
 	}
 }
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -97,7 +97,7 @@
 	}
 	ctx, cancel := context.WithTimeout(callCtx, x.call.Timeout)
 	defer cancel()
-	q := platform.Query{Kind: kindOf(x.topic), Stale: x.call.Stale}
+	q := platform.Query{Kind: kindOf(x.topic), Stale: x.call.AllowStale}
 	if x.call.List {
 		q.After = x.call.After
 	} else {
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			return saveFormer{}, &stoatpaddle.DecodeError{What: formerRef.String(), Cause: err}
 		}
-		x.former = append(x.former, stoatroute.Former{Listen: listen, Service: stoatpaddle.ServiceID(r.Service), Until: time.UnixMilli(r.UntilMS)})
+		x.former = append(x.former, stoatroute.FormerService{Listen: listen, Service: stoatpaddle.ServiceID(r.Service), Until: time.UnixMilli(r.UntilMS)})
 	}
 	return x, nil
 }
--- a/stoatedge/run_parent.go
+++ b/stoatedge/run_parent.go
@@ -94,16 +94,16 @@
 	var cause error = &refusedError{reason: "no entry to ask"}
 	e.relay.mu.Lock()
 	e.relay.tree.SetSeeds(e.settings().Seeds)
-	e.relay.tree.Begin()
+	e.relay.tree.StartSearch()
 	e.relay.mu.Unlock()
 	for ctx.Err() == nil {
 		e.relay.mu.Lock()
-		addr, join, ok := e.relay.tree.Next()
+		addr, join, ok := e.relay.tree.NextCandidate()
 		e.relay.mu.Unlock()
 		if !ok {
 			break
 		}
-		join.Known, join.Within = x.known, x.maxAge
+		join.Position, join.MaxAge = x.known, x.maxAge
 		accepted, err := e.receiveUpdates(ctx, x.searchID, addr, join)
 		cause = err
 		if accepted {
@@ -113,8 +113,8 @@
 	if e.ctx.Err() != nil {
 		return
 	}
-	e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
-	e.setPlace(netip.AddrPort{}, stoatfilter.Place{})
+	e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
+	e.setPlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	if left := context.Cause(ctx); left != nil {
 		cause = left
 	}
@@ -123,7 +123,7 @@
 
 // receiveUpdates asks one entry for updates, and processes them until they end. Accepted reports whether it
 // sent any.
-func (e *Edge) receiveUpdates(parentCtx context.Context, searchID int, addr netip.AddrPort, join stoattree.Ask) (accepted bool, err error) {
+func (e *Edge) receiveUpdates(parentCtx context.Context, searchID int, addr netip.AddrPort, join stoattree.JoinRequest) (accepted bool, err error) {
 	ctx, cancel := context.WithCancelCause(parentCtx)
 	defer cancel(nil)
 	watchdog := time.AfterFunc(peerTimeout, func() { cancel(&silentError{after: peerTimeout}) })
@@ -145,7 +145,7 @@
 			}
 			return accepted, &unreachableError{addr: addr, cause: err}
 		}
-		silence := stoatfeed.Share(e.settings().Bound(), silenceShare)
+		silence := stoatfeed.Fraction(e.settings().Bound(), silenceShare)
 		watchdog.Stop()
 		watchdog = time.AfterFunc(silence, func() { cancel(&silentError{after: silence}) })
 		accepted = true
@@ -155,7 +155,7 @@
 	}
 }
 
-func (e *Edge) requestUpdates(ctx context.Context, addr netip.AddrPort, join stoattree.Ask) (*http.Response, error) {
+func (e *Edge) requestUpdates(ctx context.Context, addr netip.AddrPort, join stoattree.JoinRequest) (*http.Response, error) {
 	url := "http://" + addr.String() + pathUpdates + "?" + encodeRequest(join)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -174,12 +174,12 @@
 	if err := dec.Decode(&w); err != nil {
 		return &stoatpaddle.DecodeError{What: "a refusal of " + addr.String(), Cause: err}
 	}
-	try, err := stoatrelay.ParseAddrs(w.Try)
+	try, err := stoatrelay.ParseAddrs(w.Alternatives)
 	if err != nil {
 		return err
 	}
 	e.relay.mu.Lock()
-	e.relay.tree.Refused(try)
+	e.relay.tree.AddCandidates(try)
 	e.relay.mu.Unlock()
 	return &refusedError{addr: addr, reason: w.Reason}
 }
@@ -191,28 +191,28 @@
 		return err
 	}
 	x := parentUpdate{
-		searchID: searchID, parent: addr.String(), path: m.Path, known: m.Known, era: m.Era, age: m.Age, whole: m.Whole, delta: m.Delta,
+		searchID: searchID, parent: addr.String(), path: m.Path, known: m.Position, era: m.Era, age: m.Age, whole: m.Full, delta: m.Delta,
 		upstreams: m.Upstreams, evacuations: m.Evacuations,
 	}
-	relatives, err := stoatrelay.ParseAddrs(h.Relatives)
+	relatives, err := stoatrelay.ParseAddrs(h.Siblings)
 	if err != nil {
 		return err
 	}
 	e.relay.mu.Lock()
-	e.relay.tree.Learn(relatives)
-	looped := e.relay.tree.Looped(x.path)
+	e.relay.tree.SetSiblings(relatives)
+	looped := e.relay.tree.FormsLoop(x.path)
 	e.relay.mu.Unlock()
 	if looped {
 		return &refusedError{addr: addr, reason: string(stoattree.Loop)}
 	}
 	if stoatpaddle.DataCentreID(h.Centre) == e.settings().DataCentre {
 		now := clock()
-		e.pool.Follow(now, addr, stoatoutlier.Update{Whole: h.Whole, Reports: stoatoutlier.Decode(now, h.Seen)})
-		e.setPlace(addr, stoatfilter.Place{Rank: h.Rank, Entries: h.Entries})
+		e.pool.HandleParentUpdate(now, addr, stoatoutlier.Update{Full: h.FullReports, Reports: stoatoutlier.Decode(now, h.Reports)})
+		e.setPlace(addr, stoatfilter.EntryRank{Rank: h.Rank, Entries: h.DataCentreEntries})
 		e.notifyObserved()
 	} else {
-		e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
-		e.setPlace(netip.AddrPort{}, stoatfilter.Place{})
+		e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
+		e.setPlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	}
 	e.post(x)
 	return nil
--- a/stoatedge/run_place.go
+++ b/stoatedge/run_place.go
@@ -12,28 +12,28 @@
 // assignedPlace is the place that the parent assigned to this entry.
 type assignedPlace struct {
 	parent netip.AddrPort
-	place  stoatfilter.Place
+	place  stoatfilter.EntryRank
 }
 
 // ownPlace returns this entry's place as the tree has it now; the caller holds relay.mu. The first entry of a
 // data centre is a seed, or has a parent in another data centre. Any other entry without a parent knows of no
 // other entries, and has no place.
-func (e *Edge) ownPlace() stoatfilter.Place {
+func (e *Edge) ownPlace() stoatfilter.EntryRank {
 	if g := e.relay.assigned.Load(); g != nil {
 		return g.place
 	}
 	if len(e.relay.announced.Load().path) == 0 && !e.relay.tree.IsSeed() {
-		return stoatfilter.Place{}
+		return stoatfilter.EntryRank{}
 	}
-	return stoatfilter.Place{Entries: e.relay.tree.Size()}
+	return stoatfilter.EntryRank{Entries: e.relay.tree.SubtreeSize()}
 }
 
 // currentPlace returns this entry's place and the number of entries below it, itself included. To is the parent
 // that has to be told of that number; an invalid address means none.
-func (e *Edge) currentPlace() (own stoatfilter.Place, size int, to netip.AddrPort) {
+func (e *Edge) currentPlace() (own stoatfilter.EntryRank, size int, to netip.AddrPort) {
 	e.relay.mu.Lock()
 	defer e.relay.mu.Unlock()
-	own, size = e.ownPlace(), e.relay.tree.Size()
+	own, size = e.ownPlace(), e.relay.tree.SubtreeSize()
 	if g := e.relay.assigned.Load(); g != nil && e.relay.reportedSize.Load() != int64(size) {
 		to = g.parent
 	}
@@ -42,7 +42,7 @@
 
 // setPlace records the place that a parent assigned; an invalid address means that there is no parent in this
 // data centre.
-func (e *Edge) setPlace(parent netip.AddrPort, p stoatfilter.Place) {
+func (e *Edge) setPlace(parent netip.AddrPort, p stoatfilter.EntryRank) {
 	if !parent.IsValid() {
 		e.relay.assigned.Store(nil)
 		return
--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -43,16 +43,16 @@
 	now := clock()
 	if size, err := strconv.Atoi(r.URL.Query().Get(paramSize)); err == nil {
 		e.relay.mu.Lock()
-		e.relay.tree.SetSize(from, size)
+		e.relay.tree.SetSubtreeSize(from, size)
 		e.relay.mu.Unlock()
 		e.notifyObserved()
 	}
-	u := stoatoutlier.Update{Whole: r.URL.Query().Get(paramWhole) != "", Reports: stoatoutlier.Decode(now, list)}
-	if len(list) == 0 && !u.Whole {
+	u := stoatoutlier.Update{Full: r.URL.Query().Get(paramWhole) != "", Reports: stoatoutlier.Decode(now, list)}
+	if len(list) == 0 && !u.Full {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if !e.pool.Take(now, from, u) {
+	if !e.pool.HandleChildUpdate(now, from, u) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -63,7 +63,7 @@
 // shareObservations adds up the observations of entries, and judges upstreams by them: at each change, and
 // periodically.
 func (e *Edge) shareObservations() error {
-	t := time.NewTicker(stoatecho.JudgeEvery)
+	t := time.NewTicker(stoatecho.CheckInterval)
 	defer t.Stop()
 	pause := time.NewTimer(0)
 	defer pause.Stop()
@@ -77,7 +77,7 @@
 		}
 		now := clock()
 		e.judge(now)
-		pause.Reset(pacer.Took(now))
+		pause.Reset(pacer.RecordRound(now))
 		select {
 		case <-e.ctx.Done():
 			return nil
@@ -100,27 +100,27 @@
 	t := e.table.Load()
 	suspects := e.pool.Suspects(now)
 	e.engineMu.Lock()
-	own := e.engine.Observed(now, suspects)
+	own := e.engine.Reports(now, suspects)
 	e.engineMu.Unlock()
-	sum, report, to := e.pool.Turn(now, own, e.reportPending.Load())
-	delay, steady := e.pool.Delay(), e.pool.Steady(now)
+	sum, report, to := e.pool.Aggregate(now, own, e.reportPending.Load())
+	delay, steady := e.pool.PropagationDelay(), e.pool.Stable(now)
 	place, size, parent := e.currentPlace()
 	e.engineMu.Lock()
 	e.engine.SetPlace(now, place)
-	e.engine.TakeSum(now, sum)
-	failing := e.engine.Judge(now, t)
-	var silent []stoatecho.Silent
+	e.engine.SetSums(now, sum)
+	failing := e.engine.EjectFailing(now, t)
+	var silent []stoatecho.SilentUpstream
 	if steady {
-		silent = e.engine.JudgeSilence(now, t, delay)
+		silent = e.engine.EjectSilent(now, t, delay)
 	}
 	e.engineMu.Unlock()
 	for _, f := range failing {
 		e.log.emit(now, EventFailing, stoatevent.F("upstream", string(f.Upstream.ID)), stoatevent.F("service", string(f.Upstream.Service)),
-			stoatevent.F("answered", strconv.Itoa(f.Answered)), stoatevent.F("failed", strconv.Itoa(f.Failed)), stoatevent.F("hold", f.Hold.String()))
+			stoatevent.F("answered", strconv.Itoa(f.Answered)), stoatevent.F("failed", strconv.Itoa(f.Failed)), stoatevent.F("hold", f.Backoff.String()))
 	}
 	e.logSilent(now, silent)
 	e.relay.observedSum.Store(&sum)
-	if _, due := e.wakeStream.Next(now, sum, stoatoutlier.SinceFirst); due {
+	if _, due := e.wakeStream.Next(now, sum, stoatoutlier.FirstWait); due {
 		e.relay.notifier.notify()
 	}
 	// The count is needed only if entries share a limit.
@@ -135,7 +135,7 @@
 
 // logSilent logs which upstreams get no flows because they answer no entry. Many of them share a single line,
 // since every entry logs them all when a data centre is lost.
-func (e *Edge) logSilent(now time.Time, silent []stoatecho.Silent) {
+func (e *Edge) logSilent(now time.Time, silent []stoatecho.SilentUpstream) {
 	if len(silent) > maxStandingLines {
 		var names []string
 		for _, s := range silent {
@@ -146,8 +146,8 @@
 	}
 	for _, s := range silent {
 		e.log.emit(now, EventSilent, stoatevent.F("upstream", string(s.Upstream.ID)), stoatevent.F("service", string(s.Upstream.Service)),
-			stoatevent.F("entries", strconv.Itoa(s.Entries)), stoatevent.F("silence", s.Silence.Round(time.Millisecond).String()),
-			stoatevent.F("waiting", strconv.Itoa(s.Waiting)))
+			stoatevent.F("entries", strconv.Itoa(s.WaitingEntries)), stoatevent.F("silence", s.Silence.Round(time.Millisecond).String()),
+			stoatevent.F("waiting", strconv.Itoa(s.PendingRequests)))
 	}
 }
 
@@ -167,7 +167,7 @@
 		case x := <-e.reports:
 			e.relay.reportedSize.Store(int64(x.size))
 			if !e.sendReport(x) {
-				e.pool.Lost()
+				e.pool.ResetParentStream()
 				e.relay.reportedSize.Store(0)
 			}
 			e.reportPending.Store(false)
@@ -197,7 +197,7 @@
 	ctx, cancel := context.WithTimeout(e.ctx, peerTimeout)
 	defer cancel()
 	url := "http://" + x.to.String() + pathReports + "?" + paramFrom + "=" + e.settings().Admin.String() + "&" + paramSize + "=" + strconv.Itoa(x.size)
-	if x.update.Whole {
+	if x.update.Full {
 		url += "&" + paramWhole + "=1"
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -53,7 +53,7 @@
 		reason := platform.ReadPacket(bufs.buf[platform.TargetSize:platform.TargetSize+n], &p)
 		// Resets towards this entry itself would come back as packets.
 		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.ownAddr {
-			reason = stoatpacket.DropOwn
+			reason = stoatpacket.DropOwnSource
 		}
 		if reason != stoatpacket.DropNone {
 			e.counts.dropped[reason].Add(1)
@@ -69,14 +69,14 @@
 	e.engineMu.Lock()
 	t := e.table.Load()
 	if !bufs.drained.IsZero() {
-		e.engine.Drained(bufs.drained)
+		e.engine.NoteQueueEmpty(bufs.drained)
 	}
 	a := e.engine.Handle(now, t, p)
 	if a.Verdict == stoatecho.Wait && !e.held.Add(now, p, bufs.buf[platform.TargetSize:platform.TargetSize+n]) {
 		a.Verdict = stoatecho.Drop
 		e.counts.dropped[a.Reason].Add(1)
 	}
-	observed := e.engine.TakeObserved()
+	observed := e.engine.TakeReportChange()
 	e.engineMu.Unlock()
 	if observed {
 		e.notifyObserved()
@@ -90,7 +90,7 @@
 	held := e.held.Take()
 	t := e.table.Load()
 	e.engine.Retain(now, t)
-	ended := e.engine.TakeEnded(now, t)
+	ended := e.engine.TakeOrphanedFlows(now, t)
 	e.engineMu.Unlock()
 	e.resetEnded(now, t, ended)
 	e.replay(now, held)
@@ -99,12 +99,12 @@
 // rejectOverdue refuses packets that have been held for too long.
 func (e *Edge) rejectOverdue(now time.Time) {
 	e.engineMu.Lock()
-	held := e.held.Overdue(now)
+	held := e.held.TakeExpired(now)
 	e.engineMu.Unlock()
 	e.replay(now, held)
 }
 
-func (e *Edge) replay(now time.Time, held []stoatecho.Held) {
+func (e *Edge) replay(now time.Time, held []stoatecho.HeldPacket) {
 	if len(held) == 0 {
 		return
 	}
@@ -127,16 +127,16 @@
 		_, _ = e.conn.WriteToUDPAddrPort(buf, a.Upstream.Addr)
 		if a.Opened {
 			e.logFlow(now, EventOpened, t, a, p, append(loadFields(a),
-				stoatevent.F("copies", strconv.Itoa(p.Copies)), stoatevent.F("moved", strconv.FormatBool(a.Moved)))...)
+				stoatevent.F("copies", strconv.Itoa(p.Retransmits)), stoatevent.F("moved", strconv.FormatBool(a.Moved)))...)
 		}
 	case stoatecho.Reset:
 		e.sendReset(bufs, p)
 		fields := []stoatevent.Field{stoatevent.F("reason", a.Reason.String()), stoatevent.F("opens", strconv.FormatBool(p.Opens))}
 		if a.Reason == stoatpacket.DropOverload {
-			fields = append(fields, append(loadFields(a), stoatevent.F("bound", a.Bound.Round(time.Millisecond).String()))...)
+			fields = append(fields, append(loadFields(a), stoatevent.F("bound", a.AnswerBound.Round(time.Millisecond).String()))...)
 		}
-		if a.TurnedAway > 0 {
-			fields = append(fields, stoatevent.F("turned", strconv.FormatFloat(a.TurnedAway, 'f', 2, 64)))
+		if a.RejectedShare > 0 {
+			fields = append(fields, stoatevent.F("turned", strconv.FormatFloat(a.RejectedShare, 'f', 2, 64)))
 		}
 		if a.Reason == stoatpacket.DropNoUpstream {
 			fields = append(fields, excludedFields(&a.Excluded)...)
@@ -144,21 +144,21 @@
 		e.logFlow(now, EventReset, t, a, p, fields...)
 	case stoatecho.Drop:
 		e.logDrop(now, p, a.Reason)
-		if a.Reason == stoatpacket.DropUnproven {
+		if a.Reason == stoatpacket.DropUnverified {
 			e.reportUnknownCookie(now)
 		}
 	}
-	if a.Took > 0 {
-		e.counts.answerTime.Update(a.Took.Seconds())
+	if a.AnswerTime > 0 {
+		e.counts.answerTime.Update(a.AnswerTime.Seconds())
 	}
 	if a.Late {
-		e.logFlow(now, EventLate, t, a, p, stoatevent.F("took", a.Took.Round(time.Millisecond).String()), stoatevent.F("busy", strconv.Itoa(a.Busy)))
+		e.logFlow(now, EventLate, t, a, p, stoatevent.F("took", a.AnswerTime.Round(time.Millisecond).String()), stoatevent.F("busy", strconv.Itoa(a.InProgress)))
 	}
 	if a.Ejected != nil {
 		// The packet itself may have gone to another upstream.
-		of := stoatecho.Action{Upstream: a.Ejected, Repeats: a.Repeats}
+		of := stoatecho.Action{Upstream: a.Ejected, Retransmissions: a.Retransmissions}
 		e.logFlow(now, EventEjected, t, of, p, stoatevent.F("centre", string(a.Ejected.DataCentre)),
-			stoatevent.F("silence", a.Silence.Round(time.Millisecond).String()), stoatevent.F("waiting", strconv.Itoa(a.Waiting)))
+			stoatevent.F("silence", a.Silence.Round(time.Millisecond).String()), stoatevent.F("waiting", strconv.Itoa(a.PendingRequests)))
 	}
 }
 
@@ -175,7 +175,7 @@
 
 // loadFields returns log fields with the load that decided a placement or refusal.
 func loadFields(a stoatecho.Action) []stoatevent.Field {
-	return []stoatevent.Field{stoatevent.F("busy", strconv.Itoa(a.Busy)), stoatevent.F("mean", a.Mean.Round(time.Millisecond).String())}
+	return []stoatevent.Field{stoatevent.F("busy", strconv.Itoa(a.InProgress)), stoatevent.F("mean", a.ExpectedAnswer.Round(time.Millisecond).String())}
 }
 
 // sendReset tells the caller of the packet that its flow cannot go on.
@@ -185,7 +185,7 @@
 }
 
 // resetEnded resets the flows that wait for an answer of upstreams that have ended.
-func (e *Edge) resetEnded(now time.Time, t *stoatroute.Table, list []stoatecho.Unanswered) {
+func (e *Edge) resetEnded(now time.Time, t *stoatroute.Table, list []stoatecho.OrphanedFlow) {
 	if len(list) == 0 {
 		return
 	}
@@ -194,7 +194,7 @@
 		p := stoatpacket.Packet{Tuple: x.Tuple, Ack: x.Ack}
 		e.sendReset(bufs, &p)
 		e.logFlow(now, EventReset, t, stoatecho.Action{Upstream: x.Upstream}, &p,
-			stoatevent.F("reason", stoatpacket.DropGone.String()), stoatevent.F("opens", "false"), stoatevent.F("waited", "true"))
+			stoatevent.F("reason", stoatpacket.DropUpstreamGone.String()), stoatevent.F("opens", "false"), stoatevent.F("waited", "true"))
 	}
 }
 
@@ -206,10 +206,10 @@
 	}
 	fields := append(more, stoatevent.F("flow", p.Tuple.Src.String()+">"+p.Tuple.Dst.String()))
 	if a.Upstream != nil {
-		fields = append(fields, stoatevent.F("upstream", string(a.Upstream.ID)), stoatevent.F("standing", a.Upstream.Standing.String()))
+		fields = append(fields, stoatevent.F("upstream", string(a.Upstream.ID)), stoatevent.F("standing", a.Upstream.State.String()))
 	}
-	if a.Repeats > 0 {
-		fields = append(fields, stoatevent.F("repeats", strconv.Itoa(a.Repeats)))
+	if a.Retransmissions > 0 {
+		fields = append(fields, stoatevent.F("repeats", strconv.Itoa(a.Retransmissions)))
 	}
 	fields = append(fields, stoatevent.F("version", t.Declaration.Version.String()), stoatevent.F("proven", ageText(e.ViewAge(now))))
 	e.log.write(entry, fields...)
--- a/stoatedge/run_updates.go
+++ b/stoatedge/run_updates.go
@@ -90,7 +90,7 @@
 func (e *Edge) state() stoattree.State {
 	s := e.relay.announced.Load()
 	return stoattree.State{
-		Ready: e.table.Load().Ready() && !e.stop.requested(), Known: s.known, Path: s.path, Reads: s.reads,
+		Ready: e.table.Load().Ready() && !e.stop.requested(), Position: s.known, Path: s.path, ReadsPlatform: s.reads,
 		Age: ageAt(clock(), s.asOf),
 	}
 }
@@ -118,27 +118,27 @@
 		refuseRequest(w, a)
 		return
 	}
-	e.log.emit(clock(), EventChild, stoatevent.F("child", join.From.String()), stoatevent.F("centre", string(join.Centre)), stoatevent.F("known", join.Known.String()))
+	e.log.emit(clock(), EventChild, stoatevent.F("child", join.From.String()), stoatevent.F("centre", string(join.Centre)), stoatevent.F("known", join.Position.String()))
 	cause := e.streamUpdates(w, r, join)
 	e.relay.mu.Lock()
-	e.relay.tree.Part(join.From, a.Ticket)
+	e.relay.tree.RemoveChild(join.From, a.Admission)
 	e.relay.mu.Unlock()
-	e.pool.Forget(join.From)
+	e.pool.RemoveChild(join.From)
 	e.log.emit(clock(), EventChildGone, stoatevent.F("child", join.From.String()), stoatevent.F("cause", cause))
 }
 
-func refuseRequest(w http.ResponseWriter, a stoattree.Answer) {
+func refuseRequest(w http.ResponseWriter, a stoattree.JoinResponse) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	// A client that has closed the connection asks another entry.
-	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Try: stoatrelay.AddrTexts(a.Try)})
+	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Alternatives: stoatrelay.FormatAddrs(a.Alternatives)})
 }
 
 // streamUpdates sends messages to a child until something ends the connection, and returns what did.
-func (e *Edge) streamUpdates(w http.ResponseWriter, r *http.Request, join stoattree.Ask) string {
+func (e *Edge) streamUpdates(w http.ResponseWriter, r *http.Request, join stoattree.JoinRequest) string {
 	rc := http.NewResponseController(w)
 	out := &stoatcount.Writer{W: w, N: &e.relay.sent}
-	var child stoatrelay.Holds
-	var reports stoatoutlier.Stream
+	var child stoatrelay.ChildState
+	var reports stoatoutlier.DeltaTracker
 	for {
 		next := e.relay.notifier.wait()
 		if e.stop.requested() {
@@ -150,7 +150,7 @@
 			return err.Error()
 		}
 		// A child that does not read must not block this goroutine.
-		_ = rc.SetWriteDeadline(now.Add(stoatfeed.Share(bound, silenceShare)))
+		_ = rc.SetWriteDeadline(now.Add(stoatfeed.Fraction(bound, silenceShare)))
 		if _, err := out.Write(msg); err != nil {
 			return err.Error()
 		}
@@ -158,14 +158,14 @@
 			return err.Error()
 		}
 		child = held
-		if cause := e.waitForUpdate(r, next, stoatfeed.Share(bound, keepaliveShare)); cause != "" {
+		if cause := e.waitForUpdate(r, next, stoatfeed.Fraction(bound, keepaliveShare)); cause != "" {
 			return cause
 		}
 	}
 }
 
 // message returns the next message for a child, encoded, and what the child holds after it.
-func (e *Edge) message(now time.Time, join stoattree.Ask, child stoatrelay.Holds, reports *stoatoutlier.Stream) ([]byte, stoatrelay.Holds, error) {
+func (e *Edge) message(now time.Time, join stoattree.JoinRequest, child stoatrelay.ChildState, reports *stoatoutlier.DeltaTracker) ([]byte, stoatrelay.ChildState, error) {
 	// The announcement is loaded before the table, so that the table has at least what is announced.
 	s, t := e.relay.announced.Load(), e.table.Load()
 	body, err := e.relay.bodyCache.get(now, t, child)
@@ -176,7 +176,7 @@
 	if err != nil {
 		return nil, child, err
 	}
-	return append(head, body...), stoatrelay.HoldsOf(t), nil
+	return append(head, body...), stoatrelay.ChildStateOf(t), nil
 }
 
 // waitForUpdate returns an empty string when there is a change or a message is due anyway, or else what ended
@@ -196,21 +196,21 @@
 }
 
 // headFor returns the head of a message to one child, encoded.
-func (e *Edge) headFor(now time.Time, s *announcement, join stoattree.Ask, body bool, reports *stoatoutlier.Stream, era stoatpaddle.Era) ([]byte, error) {
+func (e *Edge) headFor(now time.Time, s *announcement, join stoattree.JoinRequest, body bool, reports *stoatoutlier.DeltaTracker, era stoatpaddle.Era) ([]byte, error) {
 	h := stoatrelay.Head{
-		Known: uint64(s.known.Revision), KnownEra: uint64(s.known.Era), Era: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), Body: body,
-		Path: stoatrelay.AddrTexts(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
+		PositionRevision: uint64(s.known.Revision), PositionEra: uint64(s.known.Era), BodyEra: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), HasBody: body,
+		Path: stoatrelay.FormatAddrs(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
 	}
 	h.Centre = string(e.settings().DataCentre)
 	if sum := e.relay.observedSum.Load(); sum != nil && join.Centre == e.settings().DataCentre {
-		if u, due := reports.Next(now, *sum, stoatoutlier.SinceFirst); due {
-			h.Seen, h.Whole = stoatoutlier.Encode(now, u.Reports), u.Whole
+		if u, due := reports.Next(now, *sum, stoatoutlier.FirstWait); due {
+			h.Reports, h.FullReports = stoatoutlier.Encode(now, u.Reports), u.Full
 		}
 	}
 	e.relay.mu.Lock()
-	h.Relatives = stoatrelay.AddrTexts(e.relay.tree.Relatives(join.From, join.Centre))
+	h.Siblings = stoatrelay.FormatAddrs(e.relay.tree.Siblings(join.From, join.Centre))
 	if own := e.ownPlace(); join.Centre == e.settings().DataCentre && own.Entries > 0 {
-		h.Rank, h.Entries = e.relay.tree.RankOf(join.From, own.Rank), own.Entries
+		h.Rank, h.DataCentreEntries = e.relay.tree.ChildRank(join.From, own.Rank), own.Entries
 	}
 	e.relay.mu.Unlock()
 	return stoatrelay.Encode(&h)
@@ -219,8 +219,8 @@
 // bodyCache keeps the last body, since children that hold the same state get the same body next.
 type bodyCache struct {
 	mu        sync.Mutex
-	source    stoatrelay.Holds // the table from which the body was encoded
-	child     stoatrelay.Holds
+	source    stoatrelay.ChildState // the table from which the body was encoded
+	child     stoatrelay.ChildState
 	encodedAt time.Time
 	encoded   []byte
 }
@@ -230,10 +230,10 @@
 const bodyCacheTTL = 200 * time.Millisecond
 
 // get returns what t has that a child does not, encoded; nil if there is nothing.
-func (b *bodyCache) get(now time.Time, t *stoatroute.Table, child stoatrelay.Holds) ([]byte, error) {
+func (b *bodyCache) get(now time.Time, t *stoatroute.Table, child stoatrelay.ChildState) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.source == stoatrelay.HoldsOf(t) && b.child == child && now.Sub(b.encodedAt) < bodyCacheTTL {
+	if b.source == stoatrelay.ChildStateOf(t) && b.child == child && now.Sub(b.encodedAt) < bodyCacheTTL {
 		return b.encoded, nil
 	}
 	var data []byte
@@ -243,14 +243,14 @@
 			return nil, err
 		}
 	}
-	b.source, b.child, b.encodedAt, b.encoded = stoatrelay.HoldsOf(t), child, now, data
+	b.source, b.child, b.encodedAt, b.encoded = stoatrelay.ChildStateOf(t), child, now, data
 	return data, nil
 }
 
 // parseRequest decodes the query of a request for updates, or returns *stoatpaddle.DecodeError.
-func parseRequest(q url.Values) (stoattree.Ask, error) {
-	fail := func(what string, err error) (stoattree.Ask, error) {
-		return stoattree.Ask{}, &stoatpaddle.DecodeError{What: what, Cause: err}
+func parseRequest(q url.Values) (stoattree.JoinRequest, error) {
+	fail := func(what string, err error) (stoattree.JoinRequest, error) {
+		return stoattree.JoinRequest{}, &stoatpaddle.DecodeError{What: what, Cause: err}
 	}
 	from, err := netip.ParseAddrPort(q.Get(paramFrom))
 	if err != nil {
@@ -271,29 +271,29 @@
 	if err != nil {
 		return fail(paramWithin, err)
 	}
-	a := stoattree.Ask{
+	a := stoattree.JoinRequest{
 		From: from, Centre: stoatpaddle.DataCentreID(q.Get(paramCentre)),
-		Known: stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(known)},
-		Near:  q.Get(paramNear) != "", Within: time.Duration(within) * time.Millisecond,
+		Position:  stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(known)},
+		LocalOnly: q.Get(paramNear) != "", MaxAge: time.Duration(within) * time.Millisecond,
 	}
 	if skip := q.Get(paramSkip); skip != "" {
-		if a.Skip, err = stoatrelay.ParseAddrs(strings.Split(skip, ",")); err != nil {
+		if a.Tried, err = stoatrelay.ParseAddrs(strings.Split(skip, ",")); err != nil {
 			return fail(paramSkip, err)
 		}
 	}
 	return a, nil
 }
 
-func encodeRequest(join stoattree.Ask) string {
+func encodeRequest(join stoattree.JoinRequest) string {
 	q := url.Values{}
 	q.Set(paramFrom, join.From.String())
 	q.Set(paramCentre, string(join.Centre))
-	q.Set(paramKnown, join.Known.Revision.String())
-	q.Set(paramEra, join.Known.Era.String())
-	q.Set(paramWithin, strconv.FormatInt(join.Within.Milliseconds(), 10))
-	if join.Near {
+	q.Set(paramKnown, join.Position.Revision.String())
+	q.Set(paramEra, join.Position.Era.String())
+	q.Set(paramWithin, strconv.FormatInt(join.MaxAge.Milliseconds(), 10))
+	if join.LocalOnly {
 		q.Set(paramNear, "1")
 	}
-	q.Set(paramSkip, strings.Join(stoatrelay.AddrTexts(join.Skip), ","))
+	q.Set(paramSkip, strings.Join(stoatrelay.FormatAddrs(join.Tried), ","))
 	return q.Encode()
 }
--- a/stoatedge/share_test.go
+++ b/stoatedge/share_test.go
@@ -31,13 +31,13 @@
 	r.wait("the second has a parent", func() bool { return depth(b) == 1 })
 	c, setC, logC := r.start("127.0.0.23", setB.Admin)
 	r.wait("the third gets updates through the second", func() bool { return depth(c) == 2 })
-	r.wait("all upstreams are known", func() bool { return len(c.Table().Service("app")) == 3 })
+	r.wait("all upstreams are known", func() bool { return len(c.Table().Candidates("app")) == 3 })
 
 	now := time.Now()
 	body, err := msgpack.Marshal(stoatoutlier.Encode(now, []stoatoutlier.Report{{
 		Key: stoatroute.KeyOf(stoatpaddle.Target(0x11)),
 		Silence: stoatoutlier.Silence{
-			Entries: 2, First: now.Add(-800 * time.Millisecond), Second: now.Add(-700 * time.Millisecond),
+			WaitingEntries: 2, FirstWaitSince: now.Add(-800 * time.Millisecond), SecondWaitSince: now.Add(-700 * time.Millisecond),
 		},
 	}}))
 	if err != nil {
--- a/stoatedge/wake.go
+++ b/stoatedge/wake.go
@@ -20,13 +20,13 @@
 // 1.4 s at most. An evacuation does not wait.
 func (ctl *controller) wakeChildrenIfDue(now time.Time) {
 	t := ctl.table
-	if t == nil || !ctl.ready || t.Change == ctl.lastWake.change {
+	if t == nil || !ctl.ready || t.ChangeSeq == ctl.lastWake.change {
 		return
 	}
-	if t.EvacuationChange() == ctl.lastWake.evacuation && now.Sub(ctl.lastWake.at) < wakeInterval {
+	if t.EvacuationSeq() == ctl.lastWake.evacuation && now.Sub(ctl.lastWake.at) < wakeInterval {
 		return // the next tick is near
 	}
-	ctl.lastWake = wakeState{at: now, change: t.Change, evacuation: t.EvacuationChange()}
+	ctl.lastWake = wakeState{at: now, change: t.ChangeSeq, evacuation: t.EvacuationSeq()}
 	ctl.emit(wakeChildren{})
 }
 
@@ -51,7 +51,7 @@
 		ctl.emit(next)
 		if ctl.table != nil {
 			// This wakes children too, and the table is published by then.
-			ctl.lastWake.change, ctl.lastWake.evacuation = ctl.table.Change, ctl.table.EvacuationChange()
+			ctl.lastWake.change, ctl.lastWake.evacuation = ctl.table.ChangeSeq, ctl.table.EvacuationSeq()
 		}
 	}
 }
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -153,14 +153,14 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	segment, err := stoattunnel.Build(stoattunnel.Segment{
+	segment, err := stoattunnel.BuildSegment(stoattunnel.Segment{
 		Src: netip.MustParseAddrPort("198.18.0.1:1"), Dst: netip.MustParseAddrPort("203.0.113.1:1"), SYN: true,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	forged := append(make([]byte, stoatflow.HeaderSize), segment...)
-	stoatflow.Header{Kind: stoatflow.Relayed}.Put(forged, stoatpacket.Seed{}, 0)
+	stoatflow.Header{Kind: stoatflow.KindRelay}.Encode(forged, stoatpacket.Seed{}, 0)
 	for _, c := range []struct {
 		to     netip.AddrPort
 		data   []byte
@@ -169,7 +169,7 @@
 		{set.Tunnel, []byte{0x45, 0}, stoatpacket.DropShort},
 		{set.Tunnel, []byte{0x15}, stoatpacket.DropNotIP},
 		{set.Tunnel, segment, stoatpacket.DropUnknownService},
-		{set.Relay, segment, stoatpacket.DropForeignRelay},
+		{set.Relay, segment, stoatpacket.DropUnauthenticated},
 	} {
 		before := e.Dropped(c.reason)
 		until(func() bool {
--- a/stoatentry/metrics.go
+++ b/stoatentry/metrics.go
@@ -21,7 +21,7 @@
 	gauge("stoatpaddle_flow_adopted_total", st.Adopted.Load)
 	gauge("stoatpaddle_flow_tracked_total", st.Tracked.Load)
 	gauge("stoatpaddle_flow_relayed_total", st.Relayed.Load)
-	gauge("stoatpaddle_flow_asked_total", st.Asked.Load)
+	gauge("stoatpaddle_flow_asked_total", st.Lookups.Load)
 	gauge("stoatpaddle_flow_refused_total", st.Refused.Load)
 	gauge("stoatpaddle_flow_silent_total", st.Silent.Load)
 	gauge("stoatpaddle_flow_flooded_total", st.Flooded.Load)
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -53,7 +53,7 @@
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
 	case stoatnode.Hangup:
-		e.transport.Hangup(x.Peer)
+		e.transport.Disconnect(x.Peer)
 	case stoatnode.Send:
 		e.transport.Send(x.To, x.Message)
 	case stoatnode.Deliver:
@@ -214,7 +214,7 @@
 // drained tells whether a leaving entry has nothing left to hand over; one that never
 // served has nothing.
 func (e *Entry) drained(v *stoatview.View) bool {
-	return v == nil || v.Ring.Find(e.self.ID) == nil && e.engine.Drained(v)
+	return v == nil || v.Entries.Find(e.self.ID) == nil && e.engine.Drained(v)
 }
 
 // advance does the flow engine's periodic work and the control reducer's ticks.
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -72,12 +72,12 @@
 			continue
 		}
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
-		h, err := stoatflow.ReadHeader(w.buf[:n])
+		h, err := stoatflow.DecodeHeader(w.buf[:n])
 		if err != nil {
-			e.drop(stoatpacket.DropForeignRelay)
+			e.drop(stoatpacket.DropUnauthenticated)
 			continue
 		}
-		if h.Kind == stoatflow.Known {
+		if h.Kind == stoatflow.KindNotice {
 			e.learn(w.buf[:n])
 			continue
 		}
@@ -91,12 +91,12 @@
 	if v == nil {
 		return
 	}
-	r, ok := stoatflow.ReadNotice(data, v.Seed)
+	r, ok := stoatflow.DecodeNotice(data, v.Seed)
 	if !ok {
-		e.drop(stoatpacket.DropForeignRelay)
+		e.drop(stoatpacket.DropUnauthenticated)
 		return
 	}
-	e.engine.Learn(clock(), v, r)
+	e.engine.ReceiveNotice(clock(), v, r)
 }
 
 func (e *Entry) drop(r stoatpacket.DropReason) { e.drops[r].Add(1) }
@@ -113,7 +113,7 @@
 		e.drop(reason)
 		return
 	}
-	svc := v.Flow(w.packet.Tuple.Dst, w.packet.Tuple.Protocol)
+	svc := v.FlowService(w.packet.Tuple.Dst, w.packet.Tuple.Protocol)
 	if svc == nil {
 		e.drop(stoatpacket.DropUnknownService)
 		return
@@ -121,8 +121,8 @@
 	k := v.Seed.Hash(w.packet.Tuple)
 	// Only entries may say what a packet is: a stranger's header could make this entry
 	// decide for flows that others own.
-	if h.Kind != stoatflow.FromFabric && !stoatflow.Genuine(w.buf, v.Seed, k) {
-		e.drop(stoatpacket.DropForeignRelay)
+	if h.Kind != stoatflow.KindFabric && !stoatflow.VerifyTag(w.buf, v.Seed, k) {
+		e.drop(stoatpacket.DropUnauthenticated)
 		return
 	}
 	in := stoatflow.Inbound{Packet: &w.packet, Key: k, Service: svc, Header: h, From: from}
@@ -131,12 +131,12 @@
 	case stoatflow.Forward:
 		e.forwarded.Add(1)
 		e.send(e.tunnel, data, a.Upstream.Addr)
-		if a.Tell.IsValid() {
-			n := stoatflow.PutNotice(w.buf, v.Seed, k, a.Upstream.Key)
-			e.send(e.relay, w.buf[:n], a.Tell)
+		if a.NotifyAddr.IsValid() {
+			n := stoatflow.EncodeNotice(w.buf, v.Seed, k, a.Upstream.Key)
+			e.send(e.relay, w.buf[:n], a.NotifyAddr)
 		}
 	case stoatflow.Relay:
-		a.Header.Put(w.buf, v.Seed, k)
+		a.Header.Encode(w.buf, v.Seed, k)
 		e.send(e.relay, w.buf[:stoatflow.HeaderSize+n], a.To)
 	case stoatflow.Reset:
 		e.drop(a.Reason)
@@ -152,18 +152,18 @@
 		return
 	}
 	if w.packet.Tuple.Protocol == stoatpaddle.ProtocolUDP {
-		if data, err := stoattunnel.Unreachable(&w.packet, packet); err == nil {
+		if data, err := stoattunnel.PortUnreachable(&w.packet, packet); err == nil {
 			e.send(e.tunnel, data, e.set.Egress)
 		}
 		return
 	}
-	if data, err := stoattunnel.ResetFor(&w.packet); err == nil {
+	if data, err := stoattunnel.ResetToCaller(&w.packet); err == nil {
 		e.send(e.tunnel, data, e.set.Egress)
 	}
 	if a.Upstream == nil {
 		return
 	}
-	if data, err := stoattunnel.ResetTo(&w.packet); err == nil {
+	if data, err := stoattunnel.ResetToUpstream(&w.packet); err == nil {
 		e.send(e.tunnel, data, a.Upstream.Addr)
 	}
 }
--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -9,19 +9,19 @@
 
 // Config configures a Feed.
 type Config struct {
-	// Bound is how soon a change has to be in force. A watch can go silent without a word;
+	// MaxDelay is how soon a change has to be in force. A watch can go silent without a word;
 	// a change that it hid is found by the next one, which has to be asked and answered
 	// within the bound.
-	Bound time.Duration
-	// Stale lets watches be answered from a replica: it costs a tenth and counts toward no
+	MaxDelay time.Duration
+	// AllowStale lets watches be answered from a replica: it costs a tenth and counts toward no
 	// rate. Only for a feed that is checked against another feed's proof.
-	Stale bool
-	// StaleStart lets the first list come from a replica: when all entries start at once,
+	AllowStale bool
+	// AllowStaleStart lets the first list come from a replica: when all entries start at once,
 	// exact lists would use up the platform's reads for as long as there are entries.
-	StaleStart bool
-	// Prompt is set where others wait for this feed's proofs.
-	Prompt bool
-	Rand   *rand.Rand // of the pauses
+	AllowStaleStart bool
+	// HasFollowers is set where others wait for this feed's proofs.
+	HasFollowers bool
+	Rand         *rand.Rand // of the pauses
 }
 
 const (
@@ -55,13 +55,13 @@
 
 // Call is one question to the platform.
 type Call struct {
-	List    bool
-	After   string // list: go on after this name
-	From    stoatpaddle.Version
-	Wait    time.Duration // watch: for the first change
-	Timeout time.Duration
-	Stale   bool
-	Pause   time.Duration // before the call
+	List       bool
+	After      string // list: go on after this name
+	From       stoatpaddle.Version
+	Wait       time.Duration // watch: for the first change
+	Timeout    time.Duration
+	AllowStale bool
+	Pause      time.Duration // before the call
 }
 
 // Outcome is how a call ended.
@@ -90,15 +90,15 @@
 	Changes int // watch: how many came
 }
 
-// Verdict tells what an answer is worth.
-type Verdict struct {
-	Apply    bool // its objects may be taken in
-	Complete bool // a list is complete with it
-	Away     bool // the list follows an outage in which registrations may have lapsed
-	Proof    bool // whatever was in force when the call was sent is known now
-	Behind   bool // it is older than what is known, and was put aside
-	Lost     bool // the platform does not answer any more; said once
-	Back     bool // it answers again; said once
+// Decision tells what an answer is worth.
+type Decision struct {
+	Apply       bool // its objects may be taken in
+	Complete    bool // a list is complete with it
+	AfterOutage bool // the list follows an outage in which registrations may have lapsed
+	Current     bool // whatever was in force when the call was sent is known now
+	Outdated    bool // it is older than what is known, and was put aside
+	OutageBegan bool // the platform does not answer any more; said once
+	OutageEnded bool // it answers again; said once
 }
 
 // Feed follows one kind of object.
@@ -128,8 +128,8 @@
 // New returns a Feed that has heard nothing.
 func New(cfg Config) *Feed { return &Feed{cfg: cfg} }
 
-// SetBound changes the bound for the calls to come.
-func (f *Feed) SetBound(d time.Duration) { f.cfg.Bound = d }
+// SetMaxDelay changes the bound for the calls to come.
+func (f *Feed) SetMaxDelay(d time.Duration) { f.cfg.MaxDelay = d }
 
 // Position returns the position up to which everything is known.
 func (f *Feed) Position() stoatpaddle.Position { return f.pos }
@@ -137,11 +137,11 @@
 // Era returns the latest era that is known to have begun.
 func (f *Feed) Era() stoatpaddle.Era { return f.era }
 
-// Restored takes in that the platform came back from an older copy of itself, and tells whether that
+// BeginEra takes in that the platform came back from an older copy of itself, and tells whether that
 // is news. A watch from a revision of before would leave out what is written under revisions that are
 // given out again: only a list tells what there is. What it lacks may have been lost with the copy, and
 // is given the same time to come back as after an outage.
-func (f *Feed) Restored(era stoatpaddle.Era) bool {
+func (f *Feed) BeginEra(era stoatpaddle.Era) bool {
 	if era <= f.era {
 		return false
 	}
@@ -157,17 +157,17 @@
 	return true
 }
 
-// Heard takes in that everything up to the position is known from elsewhere, by somebody
+// Advance takes in that everything up to the position is known from elsewhere, by somebody
 // who may be out of touch: the platform is asked as before.
-func (f *Feed) Heard(pos stoatpaddle.Position) {
-	f.Restored(pos.Era)
+func (f *Feed) Advance(pos stoatpaddle.Position) {
+	f.BeginEra(pos.Era)
 	f.pos = f.pos.Later(pos)
 }
 
 // Adopt takes in that everything up to the position is known from elsewhere, and that
 // whoever told it answers for what happened before.
 func (f *Feed) Adopt(pos stoatpaddle.Position) {
-	f.Restored(pos.Era)
+	f.BeginEra(pos.Era)
 	f.pos = f.pos.Later(pos)
 	if pos.Era < f.era {
 		// Whoever told it is about to list what the present era has: a watch from here would skip that.
@@ -177,28 +177,28 @@
 	f.failures, f.failing, f.down = 0, time.Time{}, time.Time{}
 }
 
-// Lost tells whether the platform counts as not answering.
-func (f *Feed) Lost() bool { return f.lost }
+// Unreachable tells whether the platform counts as not answering.
+func (f *Feed) Unreachable() bool { return f.lost }
 
-// Failing tells since when the platform has not answered; zero: it answers.
-func (f *Feed) Failing() time.Time { return f.failing }
+// FailingSince tells since when the platform has not answered; zero: it answers.
+func (f *Feed) FailingSince() time.Time { return f.failing }
 
 // Next returns the call to do now.
 func (f *Feed) Next() Call {
 	c := Call{Timeout: listTimeout, Pause: f.pause()}
 	if !f.listed {
-		c.List, c.After, c.Stale = true, f.after, f.relief || f.cfg.StaleStart && !f.begun && !f.exact
+		c.List, c.After, c.AllowStale = true, f.after, f.relief || f.cfg.AllowStaleStart && !f.begun && !f.exact
 		return c
 	}
 	c.From = f.pos.Revision
 	c.Wait = f.wait()
-	c.Timeout = c.Wait + Share(f.cfg.Bound, hangShare)
+	c.Timeout = c.Wait + Fraction(f.cfg.MaxDelay, hangShare)
 	// A replica that is behind may not have the revision yet that it is asked to go on from.
-	c.Stale = f.cfg.Stale && !f.exact && f.goneRow < 2
+	c.AllowStale = f.cfg.AllowStale && !f.exact && f.goneRow < 2
 	switch {
 	case f.relief:
 		// News goes on while the exact question waits its turn.
-		c.Stale, c.Wait = true, Share(f.cfg.Bound, reliefShare)
+		c.AllowStale, c.Wait = true, Fraction(f.cfg.MaxDelay, reliefShare)
 	case f.exact || f.hurry || f.failures > 0:
 		// It is wanted now, not when something changes.
 		c.Wait = time.Millisecond
@@ -211,16 +211,16 @@
 // takes may have gone silent while it was idle, and the next try gets a new one. A slow
 // platform is given more time each time.
 func (f *Feed) answerWithin(most time.Duration) time.Duration {
-	return min(most, time.Duration(1+f.failures)*Share(f.cfg.Bound, hangShare))
+	return min(most, time.Duration(1+f.failures)*Fraction(f.cfg.MaxDelay, hangShare))
 }
 
 // wait is how long a watch waits for a change. Where others wait for proofs, one that was
 // old when it came, since its watch was ended by news, is followed by the next one sooner.
 func (f *Feed) wait() time.Duration {
-	if !f.cfg.Prompt {
-		return Share(f.cfg.Bound, waitShare)
+	if !f.cfg.HasFollowers {
+		return Fraction(f.cfg.MaxDelay, waitShare)
 	}
-	return max(Share(f.cfg.Bound, promptShare)-f.age, Share(f.cfg.Bound, gatherShare)).Truncate(time.Millisecond)
+	return max(Fraction(f.cfg.MaxDelay, promptShare)-f.age, Fraction(f.cfg.MaxDelay, gatherShare)).Truncate(time.Millisecond)
 }
 
 // AsOf returns the time as of which an answer, which came at now to a question sent at sent,
@@ -233,8 +233,8 @@
 	return sent
 }
 
-// Share returns a part of a bound, in whole milliseconds.
-func Share(d time.Duration, part float64) time.Duration {
+// Fraction returns a part of a bound, in whole milliseconds.
+func Fraction(d time.Duration, part float64) time.Duration {
 	return time.Duration(float64(d) * part).Truncate(time.Millisecond)
 }
 
@@ -246,7 +246,7 @@
 		// the next within milliseconds, and a few entries use up what the platform answers a second.
 		return f.backoff(max(f.oldRow, f.goneRow))
 	case f.failures == 0 && f.gather && !f.exact && !f.hurry:
-		return Share(f.cfg.Bound, gatherShare)
+		return Fraction(f.cfg.MaxDelay, gatherShare)
 	case f.failures == 0:
 		return 0
 	}
@@ -266,7 +266,7 @@
 }
 
 // Done takes the end of a call in that was sent at that time.
-func (f *Feed) Done(now, sent time.Time, c Call, r Result) Verdict {
+func (f *Feed) Done(now, sent time.Time, c Call, r Result) Decision {
 	f.relief, f.gather = false, r.Outcome == Answered && !c.List && r.Changes > 0
 	if r.AsOf.Era == 0 {
 		r.AsOf.Era = f.era
@@ -274,12 +274,12 @@
 	switch r.Outcome {
 	case Forgotten:
 		f.goneRow++
-		if !f.Restored(r.AsOf.Era) {
+		if !f.BeginEra(r.AsOf.Era) {
 			f.relist()
 		}
-		return Verdict{}
+		return Decision{}
 	case Refused:
-		f.relief = !c.Stale
+		f.relief = !c.AllowStale
 		return f.failed(now)
 	case Failed:
 		if f.down.IsZero() {
@@ -287,7 +287,7 @@
 		}
 		return f.failed(now)
 	case Interrupted:
-		return Verdict{}
+		return Decision{}
 	case Answered:
 	}
 	if !c.List {
@@ -295,22 +295,22 @@
 	}
 	v := f.answered(now, sent, c, r)
 	f.oldRow++
-	if !v.Behind {
+	if !v.Outdated {
 		f.oldRow = 0
 	}
 	return v
 }
 
 // answered takes in an answer.
-func (f *Feed) answered(now, sent time.Time, c Call, r Result) Verdict {
-	v := Verdict{Back: f.lost}
+func (f *Feed) answered(now, sent time.Time, c Call, r Result) Decision {
+	v := Decision{OutageEnded: f.lost}
 	// A platform that refuses by rate is there: nothing lapses meanwhile.
 	outage := !f.down.IsZero() && now.Sub(f.down) >= awayAfter
 	f.failures, f.failing, f.down, f.lost, f.hurry = 0, time.Time{}, time.Time{}, false, false
 	if outage {
 		f.away = true
 	}
-	if f.Restored(r.AsOf.Era) {
+	if f.BeginEra(r.AsOf.Era) {
 		return v
 	}
 	if outage && !c.List {
@@ -324,12 +324,12 @@
 	}
 	if f.behind(r.AsOf) {
 		// A replica that is behind this entry: nothing in it is news.
-		f.exact, v.Behind = true, true
+		f.exact, v.Outdated = true, true
 		return v
 	}
 	f.pos = r.AsOf
-	v.Apply, v.Proof = true, !c.Stale
-	if !c.Stale {
+	v.Apply, v.Current = true, !c.AllowStale
+	if !c.AllowStale {
 		f.exact, f.age = false, now.Sub(c.AsOf(sent, now, r))
 	}
 	return v
@@ -340,24 +340,24 @@
 // behind tells whether an answer as of that position is older than what is known.
 func (f *Feed) behind(asOf stoatpaddle.Position) bool { return asOf.Era < f.era || asOf.Before(f.pos) }
 
-func (f *Feed) failed(now time.Time) Verdict {
+func (f *Feed) failed(now time.Time) Decision {
 	f.failures++
 	if f.failing.IsZero() {
 		f.failing = now
 	}
 	// One failure is a connection that broke; two are an outage.
 	if f.failures < 2 || f.lost {
-		return Verdict{}
+		return Decision{}
 	}
 	f.lost = true
-	return Verdict{Lost: true}
+	return Decision{OutageBegan: true}
 }
 
-func (f *Feed) page(v Verdict, c Call, r Result) Verdict {
+func (f *Feed) page(v Decision, c Call, r Result) Decision {
 	if r.AsOf.Era < f.era {
 		// Of a replica that has not heard of the restore.
 		f.relist()
-		f.exact, v.Behind = true, true
+		f.exact, v.Outdated = true, true
 		return v
 	}
 	v.Apply = true
@@ -371,28 +371,30 @@
 	if f.listFrom.Before(f.pos) {
 		// A replica that is behind: what its list lacks may be younger than the list.
 		f.relist()
-		f.exact, v.Behind = true, true
+		f.exact, v.Outdated = true, true
 		return v
 	}
 	// Pages are read one after the other: what changed meanwhile is in the watch from the
 	// first page's revision on.
-	v.Complete, v.Proof, v.Away = true, !c.Stale, f.away
+	v.Complete, v.Current, v.AfterOutage = true, !c.AllowStale, f.away
 	f.pos = f.listFrom
 	f.listed, f.begun, f.after, f.away, f.exact = true, true, "", false, false
 	return v
 }
 
-// SetStart tells whether the first list may come from a replica, and whether others wait
+// SetStartOptions tells whether the first list may come from a replica, and whether others wait
 // for what this feed learns.
-func (f *Feed) SetStart(stale, prompt bool) { f.cfg.StaleStart, f.cfg.Prompt = stale, prompt }
+func (f *Feed) SetStartOptions(stale, prompt bool) {
+	f.cfg.AllowStaleStart, f.cfg.HasFollowers = stale, prompt
+}
 
-// SetRelayed tells whether another entry tells when the platform is back.
-func (f *Feed) SetRelayed(relayed bool) { f.relayed = relayed }
+// SetRecoveryRelayed tells whether another entry tells when the platform is back.
+func (f *Feed) SetRecoveryRelayed(relayed bool) { f.relayed = relayed }
 
-// Hurry has the next call answered at once: another feed has proof of a later revision
+// RequestNow has the next call answered at once: another feed has proof of a later revision
 // than this one has heard of.
-func (f *Feed) Hurry() { f.hurry = true }
+func (f *Feed) RequestNow() { f.hurry = true }
 
-// Doubt has the next call answered at once and not by a replica: the replica is behind, or
+// RequestExact has the next call answered at once and not by a replica: the replica is behind, or
 // traffic met something that is not known here.
-func (f *Feed) Doubt() { f.exact = true }
+func (f *Feed) RequestExact() { f.exact = true }
--- a/stoatfeed/feed_test.go
+++ b/stoatfeed/feed_test.go
@@ -16,7 +16,7 @@
 func at(rev stoatpaddle.Version) stoatpaddle.Position { return stoatpaddle.Position{Revision: rev} }
 
 func newFeed(stale bool) *stoatfeed.Feed {
-	return stoatfeed.New(stoatfeed.Config{Bound: bound, Stale: stale, Rand: rand.New(rand.NewPCG(1, 1))})
+	return stoatfeed.New(stoatfeed.Config{MaxDelay: bound, AllowStale: stale, Rand: rand.New(rand.NewPCG(1, 1))})
 }
 
 // listed returns a feed that has its first list.
@@ -24,10 +24,10 @@
 	t.Helper()
 	f := newFeed(stale)
 	c := f.Next()
-	if !c.List || c.Stale {
+	if !c.List || c.AllowStale {
 		t.Fatalf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10)}); !v.Complete || !v.Proof || v.Away {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10)}); !v.Complete || !v.Current || v.AfterOutage {
 		t.Fatalf("%+v", v)
 	}
 	return f
@@ -38,7 +38,7 @@
 func TestPages(t *testing.T) {
 	f := newFeed(false)
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10), More: true, Last: "m"}); v.Complete || !v.Apply || v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10), More: true, Last: "m"}); v.Complete || !v.Apply || v.Current {
 		t.Errorf("%+v", v)
 	}
 	c = f.Next()
@@ -63,7 +63,7 @@
 // by a list, at once.
 func TestForgottenHistory(t *testing.T) {
 	f := listed(t, false)
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten}); v.Apply || v.Lost {
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten}); v.Apply || v.OutageBegan {
 		t.Errorf("%+v", v)
 	}
 	if c := f.Next(); !c.List || c.Pause != 0 {
@@ -79,23 +79,23 @@
 	now := start
 	lost := 0
 	for range 5 {
-		if f.Done(now, now, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}).Lost {
+		if f.Done(now, now, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}).OutageBegan {
 			lost++
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
-	if lost != 1 || !f.Lost() || !f.Failing().Equal(start) {
-		t.Error(lost, f.Lost(), f.Failing())
+	if lost != 1 || !f.Unreachable() || !f.FailingSince().Equal(start) {
+		t.Error(lost, f.Unreachable(), f.FailingSince())
 	}
 	if c := f.Next(); c.Pause <= 0 || c.Pause > 1100*time.Millisecond || c.Wait > time.Millisecond {
 		t.Errorf("%+v", c)
 	}
 	v := f.Done(now, now, f.Next(), stoatfeed.Result{AsOf: at(20), Changes: 3})
-	if v.Apply || !v.Back || f.Lost() {
+	if v.Apply || !v.OutageEnded || f.Unreachable() {
 		t.Errorf("%+v", v)
 	}
 	c := f.Next()
-	if v = f.Done(now, now, c, stoatfeed.Result{AsOf: at(20)}); !c.List || !v.Complete || !v.Away || v.Back {
+	if v = f.Done(now, now, c, stoatfeed.Result{AsOf: at(20)}); !c.List || !v.Complete || !v.AfterOutage || v.OutageEnded {
 		t.Errorf("%+v %+v", c, v)
 	}
 }
@@ -104,11 +104,11 @@
 // in a moment, and a list of everything is not needed.
 func TestOneFailure(t *testing.T) {
 	f := listed(t, true)
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}); v.Lost {
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}); v.OutageBegan {
 		t.Errorf("%+v", v)
 	}
 	v := f.Done(start.Add(200*time.Millisecond), start.Add(200*time.Millisecond), f.Next(), stoatfeed.Result{AsOf: at(11)})
-	if !v.Apply || v.Back || f.Next().List {
+	if !v.Apply || v.OutageEnded || f.Next().List {
 		t.Errorf("%+v", v)
 	}
 }
@@ -118,16 +118,16 @@
 func TestLaggingReplica(t *testing.T) {
 	f := listed(t, true)
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(7)}); !c.Stale || v.Apply || v.Proof || f.Position() != at(10) {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(7)}); !c.AllowStale || v.Apply || v.Current || f.Position() != at(10) {
 		t.Errorf("%+v", v)
 	}
-	if c = f.Next(); c.Stale || c.Wait > time.Millisecond {
+	if c = f.Next(); c.AllowStale || c.Wait > time.Millisecond {
 		t.Errorf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(12)}); !v.Apply || !v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(12)}); !v.Apply || !v.Current {
 		t.Errorf("%+v", v)
 	}
-	if c = f.Next(); !c.Stale {
+	if c = f.Next(); !c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 }
@@ -136,11 +136,11 @@
 // that was given up for it is no failure.
 func TestHurry(t *testing.T) {
 	f := listed(t, true)
-	f.Hurry()
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Interrupted}); v != (stoatfeed.Verdict{}) || !f.Failing().IsZero() {
+	f.RequestNow()
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Interrupted}); v != (stoatfeed.Decision{}) || !f.FailingSince().IsZero() {
 		t.Errorf("%+v", v)
 	}
-	if c := f.Next(); !c.Stale || c.Wait > time.Millisecond || c.Pause != 0 {
+	if c := f.Next(); !c.AllowStale || c.Wait > time.Millisecond || c.Pause != 0 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -149,7 +149,7 @@
 func TestPausesAreSpread(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(50) {
-		f := stoatfeed.New(stoatfeed.Config{Bound: bound, Rand: rand.New(rand.NewPCG(seed, 1))})
+		f := stoatfeed.New(stoatfeed.Config{MaxDelay: bound, Rand: rand.New(rand.NewPCG(seed, 1))})
 		for range 6 {
 			f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Refused})
 		}
@@ -167,22 +167,22 @@
 	f := newFeed(false)
 	c := f.Next()
 	f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.Refused})
-	if c = f.Next(); !c.List || !c.Stale {
+	if c = f.Next(); !c.List || !c.AllowStale {
 		t.Fatalf("%+v", c)
 	}
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10)}); !v.Complete || v.Proof {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(10)}); !v.Complete || v.Current {
 		t.Errorf("%+v", v)
 	}
-	if c = f.Next(); c.List || c.Stale {
+	if c = f.Next(); c.List || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 	for at := time.Duration(0); at < 3*time.Second; at += time.Second {
 		f.Done(start.Add(at), start.Add(at), c, stoatfeed.Result{Outcome: stoatfeed.Refused})
-		if c = f.Next(); !c.Stale || c.Wait < 500*time.Millisecond {
+		if c = f.Next(); !c.AllowStale || c.Wait < 500*time.Millisecond {
 			t.Errorf("no news meanwhile: %+v", c)
 		}
 		f.Done(start.Add(at), start.Add(at), c, stoatfeed.Result{Outcome: stoatfeed.Interrupted})
-		if c = f.Next(); c.Stale {
+		if c = f.Next(); c.AllowStale {
 			t.Errorf("the exact question is not asked again: %+v", c)
 		}
 	}
@@ -198,10 +198,10 @@
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Refused})
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(8)}); !c.Stale || v.Complete {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: at(8)}); !c.AllowStale || v.Complete {
 		t.Errorf("%+v %+v", c, v)
 	}
-	if c = f.Next(); !c.List || c.Stale {
+	if c = f.Next(); !c.List || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 }
@@ -215,7 +215,7 @@
 	if c := f.Next(); c.Pause != 150*time.Millisecond || c.Pause+c.Timeout > bound*9/10 {
 		t.Errorf("%+v", c)
 	}
-	f.Doubt()
+	f.RequestExact()
 	if c := f.Next(); c.Pause != 0 {
 		t.Errorf("%+v", c)
 	}
@@ -230,7 +230,7 @@
 // never older than a half of the bound when the next one comes.
 func TestPromptProofs(t *testing.T) {
 	f := newFeed(false)
-	f.SetStart(false, true)
+	f.SetStartOptions(false, true)
 	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: at(10)})
 	c := f.Next()
 	if c.Wait != 1350*time.Millisecond {
@@ -263,14 +263,14 @@
 // toward no rate; after an outage they do not, since a replica does not show yet what came back.
 func TestStartFromReplica(t *testing.T) {
 	f := newFeed(true)
-	f.SetStart(true, false)
+	f.SetStartOptions(true, false)
 	c := f.Next()
-	if !c.List || !c.Stale {
+	if !c.List || !c.AllowStale {
 		t.Fatalf("%+v", c)
 	}
 	f.Done(start, start, c, stoatfeed.Result{AsOf: at(10)})
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
-	if c = f.Next(); !c.List || c.Stale {
+	if c = f.Next(); !c.List || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
 }
@@ -280,7 +280,7 @@
 	f := newFeed(true)
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed})
 	f.Adopt(at(20))
-	if c := f.Next(); c.List || c.From != 20 || c.Pause != 0 || !f.Failing().IsZero() {
+	if c := f.Next(); c.List || c.From != 20 || c.Pause != 0 || !f.FailingSince().IsZero() {
 		t.Errorf("%+v", c)
 	}
 	f.Adopt(at(15))
@@ -294,7 +294,7 @@
 // a new connection; a platform that answers slowly gets more time with each try.
 func TestQuestionsAreGivenUpSoon(t *testing.T) {
 	f := listed(t, false)
-	f.Doubt()
+	f.RequestExact()
 	last := time.Duration(0)
 	for range 4 {
 		c := f.Next()
--- a/stoatfeed/restore_test.go
+++ b/stoatfeed/restore_test.go
@@ -16,7 +16,7 @@
 func inEra(t *testing.T, stale bool) *stoatfeed.Feed {
 	t.Helper()
 	f := newFeed(stale)
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: in(1, 10)}); !v.Complete || v.Away || f.Position() != in(1, 10) {
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: in(1, 10)}); !v.Complete || v.AfterOutage || f.Position() != in(1, 10) {
 		t.Fatalf("%+v %s", v, f.Position())
 	}
 	if c := f.Next(); c.List {
@@ -34,14 +34,14 @@
 		"forgotten": {Outcome: stoatfeed.Forgotten, AsOf: in(2, 0)},
 	} {
 		f := inEra(t, true)
-		if v := f.Done(start, start, f.Next(), r); v.Apply || v.Proof {
+		if v := f.Done(start, start, f.Next(), r); v.Apply || v.Current {
 			t.Errorf("%s: taken in: %+v", name, v)
 		}
 		c := f.Next()
-		if !c.List || c.After != "" || c.Stale {
+		if !c.List || c.After != "" || c.AllowStale {
 			t.Errorf("%s: no list: %+v", name, c)
 		}
-		if v := f.Done(start, start, c, stoatfeed.Result{AsOf: in(2, 7)}); !v.Complete || !v.Away || !v.Proof || f.Position() != in(2, 7) {
+		if v := f.Done(start, start, c, stoatfeed.Result{AsOf: in(2, 7)}); !v.Complete || !v.AfterOutage || !v.Current || f.Position() != in(2, 7) {
 			t.Errorf("%s: %+v %s", name, v, f.Position())
 		}
 		if c = f.Next(); c.List || c.From != 7 {
@@ -66,13 +66,13 @@
 // A replica has not heard of the restore. Its revisions are higher than those of the new era, and older.
 func TestReplicaOfAnEarlierEra(t *testing.T) {
 	f := inEra(t, true)
-	f.Restored(2)
+	f.BeginEra(2)
 	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: in(2, 7)})
 	c := f.Next()
-	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: in(1, 40), Changes: 1}); !c.Stale || v.Apply || !v.Behind || f.Position() != in(2, 7) {
+	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: in(1, 40), Changes: 1}); !c.AllowStale || v.Apply || !v.Outdated || f.Position() != in(2, 7) {
 		t.Errorf("%+v %s", v, f.Position())
 	}
-	if c = f.Next(); c.Stale || c.List {
+	if c = f.Next(); c.AllowStale || c.List {
 		t.Errorf("the platform itself is not asked: %+v", c)
 	}
 	// An answer that says no era, as through something that drops headers, is of the era that is known.
@@ -85,7 +85,7 @@
 // list of this entry's own has to come first. The word of one that is in touch is enough.
 func TestRestoreThatOthersTell(t *testing.T) {
 	f := inEra(t, true)
-	f.Heard(in(2, 7))
+	f.Advance(in(2, 7))
 	if c := f.Next(); !c.List {
 		t.Errorf("%+v", c)
 	}
@@ -111,7 +111,7 @@
 		var passed time.Duration
 		for n := range 30 {
 			c := f.Next()
-			if c.List != list || n > 0 && c.Stale {
+			if c.List != list || n > 0 && c.AllowStale {
 				t.Fatalf("%s: %+v", name, c)
 			}
 			if n == 1 && c.Pause > 0 {
@@ -144,7 +144,7 @@
 		case c.List:
 			lists++
 			f.Done(start, start, c, stoatfeed.Result{AsOf: in(1, 10)})
-		case c.Stale:
+		case c.AllowStale:
 			f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.Forgotten, AsOf: in(1, 0)})
 		case lists != 2:
 			t.Fatalf("the platform itself is watched after %d lists, call %d", lists, n)
--- a/stoatfilter/cold.go
+++ b/stoatfilter/cold.go
@@ -28,28 +28,28 @@
 	turnOpen = 0.5
 )
 
-// Load is what one flow asks of its upstream.
-type Load struct {
-	// Requests are how many a flow of the service is seen to carry while an upstream is cold.
-	Requests float64
-	// Taken is when this entry last sent the upstream a flow while it was cold.
-	Taken time.Time
+// ColdLoad is what one flow asks of its upstream.
+type ColdLoad struct {
+	// RequestsPerFlow are how many a flow of the service is seen to carry while an upstream is cold.
+	RequestsPerFlow float64
+	// LastSent is when this entry last sent the upstream a flow while it was cold.
+	LastSent time.Time
 }
 
 // hasTurn tells whether it is this entry's turn to send the upstream a flow, and it has not yet.
-func (p Place) hasTurn(now time.Time, u *stoatroute.Upstream, load Load) bool {
+func (p EntryRank) hasTurn(now time.Time, u *stoatroute.Upstream, load ColdLoad) bool {
 	if p.Entries <= 0 || p.Rank < 0 || p.Rank >= p.Entries {
 		return false
 	}
 	// Whole requests, so that entries which see a little more or less deal out the same turns.
-	requests := math.Ceil(math.Max(1, load.Requests))
+	requests := math.Ceil(math.Max(1, load.RequestsPerFlow))
 	between := time.Duration(float64(time.Second) * requests / (coldShare * u.ColdRate))
 	// Upstreams begin with different entries, or the first one would have a turn at all of them at once.
 	first := (p.Rank + int(uint32(u.Key)*spread>>spreadShift)) % p.Entries
 	period := between * time.Duration(p.Entries)
 	begun := time.Duration(now.UnixNano()-int64(between)*int64(first)) % period
 	open := time.Duration(turnOpen * float64(between))
-	return begun < open && now.Sub(load.Taken) > open
+	return begun < open && now.Sub(load.LastSent) > open
 }
 
 // spread and spreadShift spread upstreams over entries (Knuth's multiplicative hash): their keys may
--- a/stoatfilter/filter.go
+++ b/stoatfilter/filter.go
@@ -34,25 +34,25 @@
 type Filter struct {
 	DataCentre stoatpaddle.DataCentreID // of the entry
 	Regions    Regions
-	Place      Place // among the entries that share what a cold upstream bears
+	EntryRank  EntryRank // among the entries that share what a cold upstream bears
 }
 
-// Open decides about a new flow of the route.
-func (f *Filter) Open(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, load Load) Verdict {
-	if v := f.Allowed(t, r, u); v != Eligible {
+// CheckNewFlow decides about a new flow of the route.
+func (f *Filter) CheckNewFlow(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, load ColdLoad) Verdict {
+	if v := f.CheckPolicy(t, r, u); v != Eligible {
 		return v
 	}
-	if u.ColdRate == 0 || !now.Before(u.Warm) {
+	if u.ColdRate == 0 || !now.Before(u.WarmAt) {
 		return Eligible
 	}
-	if u.DataCentre != f.DataCentre || !f.Place.hasTurn(now, u, load) {
+	if u.DataCentre != f.DataCentre || !f.EntryRank.hasTurn(now, u, load) {
 		return Cold
 	}
 	return Spare
 }
 
-// Allowed decides by what operators wrote alone: also whether a copy of an opening may follow it.
-func (f *Filter) Allowed(t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream) Verdict {
+// CheckPolicy decides by what operators wrote alone: also whether a copy of an opening may follow it.
+func (f *Filter) CheckPolicy(t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream) Verdict {
 	switch {
 	case t.Evacuated(u.DataCentre):
 		return Evacuated
--- a/stoatfilter/filter_test.go
+++ b/stoatfilter/filter_test.go
@@ -17,7 +17,7 @@
 func upstreams(n int, rate float64, warm time.Time) []*stoatroute.Upstream {
 	var out []*stoatroute.Upstream
 	for i := range n {
-		u := &stoatroute.Upstream{Key: stoatpaddle.UpstreamKey(i + 1), ColdRate: rate, Warm: warm}
+		u := &stoatroute.Upstream{Key: stoatpaddle.UpstreamKey(i + 1), ColdRate: rate, WarmAt: warm}
 		u.DataCentre = "here"
 		out = append(out, u)
 	}
@@ -25,8 +25,8 @@
 }
 
 func TestFilter(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "left", Revision: 1})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "left", Revision: 1})
 	table := b.Table()
 	regions := stoatfilter.Regions{"here": "south", "there": "north", "left": "north"}
 	for name, c := range map[string]struct {
@@ -34,7 +34,7 @@
 		regions []stoatpaddle.RegionID
 		rate    float64
 		cold    time.Duration
-		place   stoatfilter.Place
+		place   stoatfilter.EntryRank
 		want    stoatfilter.Verdict
 	}{
 		"anywhere":                    {centre: "there", want: stoatfilter.Eligible},
@@ -46,14 +46,14 @@
 		"cold without a limit":        {centre: "here", cold: time.Second, want: stoatfilter.Eligible},
 		"warm with a limit":           {centre: "here", rate: 3, want: stoatfilter.Eligible},
 		"cold, place not known":       {centre: "here", rate: 3, cold: time.Second, want: stoatfilter.Cold},
-		"cold, elsewhere":             {centre: "there", rate: 3, cold: time.Second, place: stoatfilter.Place{Entries: 1}, want: stoatfilter.Cold},
-		"cold, no place of that rank": {centre: "here", rate: 3, cold: time.Second, place: stoatfilter.Place{Rank: 2, Entries: 2}, want: stoatfilter.Cold},
+		"cold, elsewhere":             {centre: "there", rate: 3, cold: time.Second, place: stoatfilter.EntryRank{Entries: 1}, want: stoatfilter.Cold},
+		"cold, no place of that rank": {centre: "here", rate: 3, cold: time.Second, place: stoatfilter.EntryRank{Rank: 2, Entries: 2}, want: stoatfilter.Cold},
 	} {
-		f := stoatfilter.Filter{DataCentre: "here", Regions: regions, Place: c.place}
-		u := &stoatroute.Upstream{Key: 7, ColdRate: c.rate, Warm: start.Add(c.cold)}
+		f := stoatfilter.Filter{DataCentre: "here", Regions: regions, EntryRank: c.place}
+		u := &stoatroute.Upstream{Key: 7, ColdRate: c.rate, WarmAt: start.Add(c.cold)}
 		u.DataCentre = c.centre
 		r := &stoatroute.Route{Route: stoatpaddle.Route{Regions: c.regions}}
-		if got := f.Open(start, table, r, u, stoatfilter.Load{}); got != c.want {
+		if got := f.CheckNewFlow(start, table, r, u, stoatfilter.ColdLoad{}); got != c.want {
 			t.Errorf("%s: %s, expected %s", name, got, c.want)
 		}
 	}
@@ -62,12 +62,12 @@
 // An entry that is alone in its data centre has a turn at a cold upstream now and then, and between two
 // turns none.
 func TestTurnsComeAndGo(t *testing.T) {
-	f := stoatfilter.Filter{DataCentre: "here", Place: stoatfilter.Place{Entries: 1}}
-	table := stoatroute.NewBook(stoatroute.Config{}).Table()
+	f := stoatfilter.Filter{DataCentre: "here", EntryRank: stoatfilter.EntryRank{Entries: 1}}
+	table := stoatroute.NewBuilder(stoatroute.Config{}).Table()
 	got := map[stoatfilter.Verdict]int{}
 	u := upstreams(1, 3, start.Add(time.Minute))[0]
 	for at := time.Duration(0); at < 4*time.Second; at += 10 * time.Millisecond {
-		got[f.Open(start.Add(at), table, &stoatroute.Route{}, u, stoatfilter.Load{})]++
+		got[f.CheckNewFlow(start.Add(at), table, &stoatroute.Route{}, u, stoatfilter.ColdLoad{})]++
 	}
 	if got[stoatfilter.Spare] < 150 || got[stoatfilter.Cold] < 150 {
 		t.Error(got)
@@ -77,9 +77,9 @@
 // herd plays a data centre whose upstreams come back cold while callers wait at all entries: each entry
 // tries an opening every 10 ms, at any upstream that it may use. It returns the most flows that one
 // upstream got in a second, over all of them, and how many all got.
-func herd(entries []stoatfilter.Place, ups []*stoatroute.Upstream, requests float64, skew time.Duration, seed uint64) (most, all int) {
+func herd(entries []stoatfilter.EntryRank, ups []*stoatroute.Upstream, requests float64, skew time.Duration, seed uint64) (most, all int) {
 	rnd := rand.New(rand.NewPCG(seed, 7))
-	table := stoatroute.NewBook(stoatroute.Config{}).Table()
+	table := stoatroute.NewBuilder(stoatroute.Config{}).Table()
 	route := &stoatroute.Route{}
 	taken := map[[2]int]time.Time{}
 	got := make([][]time.Time, len(ups))
@@ -87,15 +87,15 @@
 	for i := range clocks {
 		clocks[i] = time.Duration(rnd.Int64N(int64(2*skew)+1)) - skew
 	}
-	for now := start; now.Before(ups[0].Warm); now = now.Add(10 * time.Millisecond) {
+	for now := start; now.Before(ups[0].WarmAt); now = now.Add(10 * time.Millisecond) {
 		for i, place := range entries {
-			f := stoatfilter.Filter{DataCentre: "here", Place: place}
+			f := stoatfilter.Filter{DataCentre: "here", EntryRank: place}
 			own := now.Add(clocks[i])
 			for j, u := range ups {
 				x := *u
-				x.Warm = own.Add(time.Second)
-				load := stoatfilter.Load{Requests: requests, Taken: taken[[2]int{i, j}]}
-				if f.Open(own, table, route, &x, load) == stoatfilter.Spare {
+				x.WarmAt = own.Add(time.Second)
+				load := stoatfilter.ColdLoad{RequestsPerFlow: requests, LastSent: taken[[2]int{i, j}]}
+				if f.CheckNewFlow(own, table, route, &x, load) == stoatfilter.Spare {
 					taken[[2]int{i, j}] = own
 					got[j] = append(got[j], now)
 					all++
@@ -118,10 +118,10 @@
 	return most, all
 }
 
-func places(n int) []stoatfilter.Place {
-	var out []stoatfilter.Place
+func places(n int) []stoatfilter.EntryRank {
+	var out []stoatfilter.EntryRank
 	for i := range n {
-		out = append(out, stoatfilter.Place{Rank: i, Entries: n})
+		out = append(out, stoatfilter.EntryRank{Rank: i, Entries: n})
 	}
 	return out
 }
@@ -134,7 +134,7 @@
 		for _, rate := range []float64{2, 5, 20} {
 			ups := upstreams(40, rate, start.Add(4*time.Second))
 			for name, c := range map[string]struct {
-				entries []stoatfilter.Place
+				entries []stoatfilter.EntryRank
 				skew    time.Duration
 				limit   float64 // of the rate
 			}{
--- a/stoatfilter/place.go
+++ b/stoatfilter/place.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Place is an entry's place among those of its data centre.
-type Place struct {
+// EntryRank is an entry's place among those of its data centre.
+type EntryRank struct {
 	Rank    int // from 0
 	Entries int // 0: not known, and nothing is taken
 }
@@ -18,17 +18,17 @@
 	placeKept = time.Minute
 )
 
-// Placing follows the place of one entry.
-type Placing struct {
-	place Place
+// RankTracker follows the place of one entry.
+type RankTracker struct {
+	place EntryRank
 	since time.Time // when it first had one
 	most  int
 	at    time.Time // when so many entries were counted last
 }
 
-// Set takes in the place as the relay tree tells it now. One that is not known leaves the last one in
+// Update takes in the place as the relay tree tells it now. One that is not known leaves the last one in
 // force: the parent may be back in a moment.
-func (p *Placing) Set(now time.Time, x Place) {
+func (p *RankTracker) Update(now time.Time, x EntryRank) {
 	if x.Entries <= 0 {
 		return
 	}
@@ -42,9 +42,9 @@
 }
 
 // At returns the place to go by.
-func (p *Placing) At(now time.Time) Place {
+func (p *RankTracker) At(now time.Time) EntryRank {
 	if p.place.Entries == 0 || now.Sub(p.since) < placeSteady {
-		return Place{}
+		return EntryRank{}
 	}
-	return Place{Rank: p.place.Rank, Entries: max(p.place.Entries, p.most)}
+	return EntryRank{Rank: p.place.Rank, Entries: max(p.place.Entries, p.most)}
 }
--- a/stoatfilter/place_test.go
+++ b/stoatfilter/place_test.go
@@ -11,25 +11,25 @@
 // only after two seconds. Later half of the data centre is cut off from it: it goes on dealing out parts
 // of thirty for a minute, since the other half does too, and of fifteen after that.
 func TestPlacing(t *testing.T) {
-	var p stoatfilter.Placing
+	var p stoatfilter.RankTracker
 	now := start
-	at := func(d time.Duration, x, want stoatfilter.Place) {
+	at := func(d time.Duration, x, want stoatfilter.EntryRank) {
 		t.Helper()
 		now = now.Add(d)
-		p.Set(now, x)
+		p.Update(now, x)
 		if got := p.At(now); got != want {
 			t.Errorf("after %s: %+v, expected %+v", now.Sub(start), got, want)
 		}
 	}
-	none := stoatfilter.Place{}
-	thirty, half := stoatfilter.Place{Rank: 3, Entries: 30}, stoatfilter.Place{Rank: 2, Entries: 15}
+	none := stoatfilter.EntryRank{}
+	thirty, half := stoatfilter.EntryRank{Rank: 3, Entries: 30}, stoatfilter.EntryRank{Rank: 2, Entries: 15}
 	at(0, none, none)
-	at(time.Second, stoatfilter.Place{Entries: 1}, none)
-	at(time.Second, stoatfilter.Place{Entries: 4}, none)
+	at(time.Second, stoatfilter.EntryRank{Entries: 1}, none)
+	at(time.Second, stoatfilter.EntryRank{Entries: 4}, none)
 	at(time.Second, thirty, thirty)
 	at(10*time.Second, none, thirty) // the parent is away for a moment
 	at(10*time.Second, thirty, thirty)
-	at(time.Second, half, stoatfilter.Place{Rank: 2, Entries: 30})
-	at(50*time.Second, half, stoatfilter.Place{Rank: 2, Entries: 30})
+	at(time.Second, half, stoatfilter.EntryRank{Rank: 2, Entries: 30})
+	at(50*time.Second, half, stoatfilter.EntryRank{Rank: 2, Entries: 30})
 	at(20*time.Second, half, half)
 }
--- a/stoatflow/advance.go
+++ b/stoatflow/advance.go
@@ -50,7 +50,7 @@
 	}
 	e.sent = now
 	e.reportLoads(now, v)
-	out := e.out.flush(now, e.cfg.Budget, connected)
+	out := e.out.flush(now, e.cfg.ControlBudget, connected)
 	for i := range out {
 		e.stats.Bytes.Add(int64(out[i].Size()))
 	}
@@ -73,9 +73,9 @@
 
 // HandoverTime estimates how long the budget takes to hand over every tracked flow.
 func (e *Engine) HandoverTime() time.Duration {
-	_, trackedFlows, _ := e.Flows()
+	_, trackedFlows, _ := e.FlowCounts()
 	bytes := e.out.pending() + trackedFlows*RecordSize
-	return time.Duration(bytes) * time.Second / time.Duration(e.cfg.Budget)
+	return time.Duration(bytes) * time.Second / time.Duration(e.cfg.ControlBudget)
 }
 
 // sweepShard removes flows that ended or went idle, and what only mattered while views differed.
@@ -83,7 +83,7 @@
 	sh.mu.Lock()
 	defer sh.mu.Unlock()
 	t := e.tick(now)
-	settled := now.Sub(v.Changed) > e.cfg.Settle
+	settled := now.Sub(v.ChangedAt) > e.cfg.Settle
 	r := e.reg.Load()
 	var late []stoatpaddle.FlowHash
 	for k, f := range sh.flows {
@@ -148,10 +148,10 @@
 
 // holds tells whether this entry keeps the copy of a flow on that upstream.
 func holds(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
-	owner, next := v.OwnerNext(s, k)
+	owner, next := v.OwnerAndNext(s, k)
 	if owner != nil && owner.ID == v.Self || next != nil && next.ID == v.Self {
 		return true
 	}
-	m := v.Ring.Owner(k, sl.up.Load().DataCentre)
+	m := v.Entries.Owner(k, sl.up.Load().DataCentre)
 	return m != nil && m.ID == v.Self
 }
--- a/stoatflow/choose.go
+++ b/stoatflow/choose.go
@@ -23,7 +23,7 @@
 // choice is the loads of one service at the moment a flow opens.
 type choice struct {
 	p     *place
-	set   *stoatview.Set
+	set   *stoatview.UpstreamSet
 	slots []*slot // of the set's upstreams, in its order
 	mean  float64 // load per unit of weight, over the warm ones
 }
@@ -145,5 +145,5 @@
 
 // part is this entry's equal part of a limit per second.
 func (p *place) part(limit int) float64 {
-	return float64(limit) / float64(max(1, len(p.view.Ring.Members)))
+	return float64(limit) / float64(max(1, len(p.view.Entries.Members)))
 }
--- a/stoatflow/engine.go
+++ b/stoatflow/engine.go
@@ -14,21 +14,21 @@
 
 // Config configures an Engine; zero values take the defaults.
 type Config struct {
-	Self    stoatpaddle.InstanceID
-	Start   time.Time     // times in the flow table count from here
-	Settle  time.Duration // how long after a change other entries are asked about unknown flows
-	Budget  int           // control traffic, bytes a second
-	Gain    float64       // of the load difference, under lean = balance
-	MaxOpen int           // opening flows remembered at once, over all shards
-	Seed    uint64        // of the random choices
+	Self          stoatpaddle.InstanceID
+	Start         time.Time     // times in the flow table count from here
+	Settle        time.Duration // how long after a change other entries are asked about unknown flows
+	ControlBudget int           // control traffic, bytes a second
+	Gain          float64       // of the load difference, under lean = balance
+	MaxOpening    int           // opening flows remembered at once, over all shards
+	Seed          uint64        // of the random choices
 }
 
 // The defaults of Config.
 const (
-	DefaultSettle  = 60 * time.Second
-	DefaultBudget  = 1750
-	DefaultGain    = 12.0
-	DefaultMaxOpen = 1 << 16
+	DefaultSettle        = 60 * time.Second
+	DefaultControlBudget = 1750
+	DefaultGain          = 12.0
+	DefaultMaxOpening    = 1 << 16
 )
 
 // leanFlowsGain is the gain for customers who weigh broken flows more than imbalance:
@@ -67,12 +67,12 @@
 
 // Action is the decision about one packet.
 type Action struct {
-	Verdict  Verdict
-	Upstream *stoatview.Upstream
-	To       netip.AddrPort
-	Header   Header
-	Reason   stoatpacket.DropReason
-	Tell     netip.AddrPort // if valid, the entry to send a Known datagram about the flow
+	Verdict    Verdict
+	Upstream   *stoatview.Upstream
+	To         netip.AddrPort
+	Header     Header
+	Reason     stoatpacket.DropReason
+	NotifyAddr netip.AddrPort // if valid, the entry to send a Known datagram about the flow
 }
 
 // Engine owns the flow table of one entry. Its methods may be called concurrently.
@@ -97,7 +97,7 @@
 	Adopted  atomic.Int64 // unknown flows placed by hash
 	Tracked  atomic.Int64 // flows that opened away from their first choice
 	Relayed  atomic.Int64
-	Asked    atomic.Int64
+	Lookups  atomic.Int64
 	Refused  atomic.Int64 // over a limit
 	Silent   atomic.Int64 // reset because nothing answered
 	Flooded  atomic.Int64 // opened without state
@@ -110,14 +110,14 @@
 	if cfg.Settle == 0 {
 		cfg.Settle = DefaultSettle
 	}
-	if cfg.Budget == 0 {
-		cfg.Budget = DefaultBudget
+	if cfg.ControlBudget == 0 {
+		cfg.ControlBudget = DefaultControlBudget
 	}
 	if cfg.Gain == 0 {
 		cfg.Gain = DefaultGain
 	}
-	if cfg.MaxOpen == 0 {
-		cfg.MaxOpen = DefaultMaxOpen
+	if cfg.MaxOpening == 0 {
+		cfg.MaxOpening = DefaultMaxOpening
 	}
 	e := &Engine{cfg: cfg}
 	for i := range e.shards {
--- a/stoatflow/engine_test.go
+++ b/stoatflow/engine_test.go
@@ -105,7 +105,7 @@
 
 func (n *naiveTable) check(t *rapid.T, e *stoatflow.Engine, v *stoatview.View, now time.Time, tuple stoatpacket.Tuple) {
 	ref, claimed := n.owner(tuple)
-	svc := v.Flow(tuple.Dst, tuple.Protocol)
+	svc := v.FlowService(tuple.Dst, tuple.Protocol)
 	if (svc != nil) != claimed || svc != nil && svc.Ref != ref {
 		t.Fatalf("%v belongs to %v, found %v", tuple, ref, svc)
 	}
@@ -148,8 +148,8 @@
 		}
 		p := stoatpacket.Packet{Tuple: stoatpacket.Tuple{Dst: service, Protocol: stoatpaddle.ProtocolTCP}, Opens: opens}
 		a := s.engines["a1"].Handle(epoch, v, &stoatflow.Inbound{
-			Packet: &p, Key: 5, Service: v.Flow(service, stoatpaddle.ProtocolTCP), From: relay("a2"),
-			Header: stoatflow.Header{Kind: stoatflow.Relayed, Hops: 200},
+			Packet: &p, Key: 5, Service: v.FlowService(service, stoatpaddle.ProtocolTCP), From: relay("a2"),
+			Header: stoatflow.Header{Kind: stoatflow.KindRelay, Hops: 200},
 		})
 		if a.Verdict != want {
 			t.Errorf("opens=%t: verdict %d, want %d", opens, a.Verdict, want)
@@ -162,21 +162,21 @@
 func TestForgedHeaders(t *testing.T) {
 	seed := stoatpacket.Seed{K0: 1, K1: 2}
 	var b [64]byte
-	stoatflow.Header{Kind: stoatflow.Relayed, Hops: 1}.Put(b[:], seed, 7)
-	h, err := stoatflow.ReadHeader(b[:])
-	if err != nil || h.Kind != stoatflow.Relayed || !stoatflow.Genuine(b[:], seed, 7) {
+	stoatflow.Header{Kind: stoatflow.KindRelay, Hops: 1}.Encode(b[:], seed, 7)
+	h, err := stoatflow.DecodeHeader(b[:])
+	if err != nil || h.Kind != stoatflow.KindRelay || !stoatflow.VerifyTag(b[:], seed, 7) {
 		t.Fatal("genuine header refused", err)
 	}
-	if stoatflow.Genuine(b[:], seed, 8) || stoatflow.Genuine(b[:], stoatpacket.Seed{K0: 1}, 7) {
+	if stoatflow.VerifyTag(b[:], seed, 8) || stoatflow.VerifyTag(b[:], stoatpacket.Seed{K0: 1}, 7) {
 		t.Fatal("forged header taken")
 	}
-	n := stoatflow.PutNotice(b[:], seed, 7, 9)
-	if r, ok := stoatflow.ReadNotice(b[:n], seed); !ok || r.Key != 7 || r.Upstream != 9 {
+	n := stoatflow.EncodeNotice(b[:], seed, 7, 9)
+	if r, ok := stoatflow.DecodeNotice(b[:n], seed); !ok || r.Key != 7 || r.Upstream != 9 {
 		t.Fatal("genuine notice refused")
 	}
 	b[n-1]++
 	for _, bad := range [][]byte{nil, b[:3], {0x45, 1, 0, 0, 0, 0, 0, 0}, {1, 0, 0, 0, 0, 0, 0, 0}, {1, 9, 0, 0, 0, 0, 0, 0}} {
-		if _, err := stoatflow.ReadHeader(bad); err == nil {
+		if _, err := stoatflow.DecodeHeader(bad); err == nil {
 			t.Fatalf("%v taken", bad)
 		}
 	}
@@ -191,7 +191,7 @@
 		e, _, _, _ := openFlows(n)
 		runtime.GC()
 		runtime.ReadMemStats(&after)
-		own, _, _ := e.Flows()
+		own, _, _ := e.FlowCounts()
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(own), "bytes/flow")
 	}
 }
@@ -210,7 +210,7 @@
 	s.learnAll()
 	v, e := s.views["a1"], s.engines["a1"]
 	p := stoatpacket.Packet{Tuple: stoatpacket.Tuple{Dst: service, Protocol: stoatpaddle.ProtocolTCP}}
-	in := &stoatflow.Inbound{Packet: &p, Service: v.Flow(service, stoatpaddle.ProtocolTCP)}
+	in := &stoatflow.Inbound{Packet: &p, Service: v.FlowService(service, stoatpaddle.ProtocolTCP)}
 	b.ReportAllocs()
 	for i := range b.N {
 		in.Key = stoatpaddle.FlowHash(i) * 0x9e3779b97f4a % (1 << 48)
@@ -233,7 +233,7 @@
 	v, e := s.views["a1"], s.engines["a1"]
 	packets := make([]stoatpacket.Packet, n)
 	keys := make([]stoatpaddle.FlowHash, n)
-	svc := v.Flow(service, stoatpaddle.ProtocolTCP)
+	svc := v.FlowService(service, stoatpaddle.ProtocolTCP)
 	for i := range packets {
 		src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 1024)
 		packets[i] = stoatpacket.Packet{Tuple: stoatpacket.Tuple{Src: src, Dst: service, Protocol: stoatpaddle.ProtocolTCP}, Size: 100}
@@ -250,7 +250,7 @@
 // benchmarkKnown measures a packet of a known flow among n.
 func benchmarkKnown(b *testing.B, n int) {
 	e, v, packets, keys := openFlows(n)
-	svc := v.Flow(service, stoatpaddle.ProtocolTCP)
+	svc := v.FlowService(service, stoatpaddle.ProtocolTCP)
 	in := &stoatflow.Inbound{Service: svc}
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/stoatflow/handle.go
+++ b/stoatflow/handle.go
@@ -37,12 +37,12 @@
 	// opening one is placed here all the same: nobody knows its flow.
 	spent := in.Header.Hops >= maxHops
 	if spent && !in.Packet.Opens {
-		return Action{Verdict: Drop, Reason: stoatpacket.DropHops}
+		return Action{Verdict: Drop, Reason: stoatpacket.DropHopLimit}
 	}
 	if spent {
 		return p.tellOwner(e.decide(&p))
 	}
-	if in.Header.Kind == Asked {
+	if in.Header.Kind == KindLookup {
 		return e.answer(&p)
 	}
 	if a, ok := e.pass(&p); ok {
@@ -63,7 +63,7 @@
 func (p *place) tellOwner(a Action) Action {
 	owner := p.view.Owner(p.in.Service, p.key)
 	if a.Verdict == Forward && owner != nil && owner.ID != p.view.Self {
-		a.Tell = owner.Relay
+		a.NotifyAddr = owner.Relay
 	}
 	return a
 }
@@ -110,7 +110,7 @@
 	if p.in.Packet.Tuple.Protocol != tcp {
 		return false
 	}
-	return f.flags&closing != 0 || f.flags&opening != 0 && !p.in.Service.Set.Has(sl.key)
+	return f.flags&closing != 0 || f.flags&opening != 0 && !p.in.Service.Set.Contains(sl.key)
 }
 
 // forward sends the packet on and, if its owner had to ask, tells it where the flow goes:
@@ -118,8 +118,8 @@
 // within the byte budget take.
 func (p *place) forward(sl *slot) Action {
 	a := Action{Verdict: Forward, Upstream: sl.up.Load()}
-	if p.in.Header.Kind == Asked {
-		a.Tell = p.in.From
+	if p.in.Header.Kind == KindLookup {
+		a.NotifyAddr = p.in.From
 	}
 	return a
 }
@@ -139,7 +139,7 @@
 // point remembers the entry that decides for the flow. A flood of openings while views
 // differ must not fill the memory with claims; beyond the cap a packet is placed by hash.
 func (e *Engine) point(p *place, to netip.AddrPort) {
-	if _, known := p.sh.moved[p.key]; known || len(p.sh.moved) < e.cfg.MaxOpen/shardCount {
+	if _, known := p.sh.moved[p.key]; known || len(p.sh.moved) < e.cfg.MaxOpening/shardCount {
 		p.sh.moved[p.key] = moved{to: to, until: p.tick + ticks(movedFor)}
 	}
 }
@@ -160,19 +160,19 @@
 		return e.relay(p.in.Header, to)
 	}
 	h := p.in.Header
-	if m := p.view.Before(p.key, p.now, e.cfg.Settle); m != nil && m.Relay != p.in.From {
+	if m := p.view.PreviousOwner(p.key, p.now, e.cfg.Settle); m != nil && m.Relay != p.in.From {
 		// That entry may believe that it owns the flow itself, and open it.
 		if p.in.Packet.Opens {
 			e.point(p, m.Relay)
 		}
-		return Action{Verdict: Relay, To: m.Relay, Header: Header{Kind: Asked, Hops: h.Hops + 1, Asked: h.Asked}}
+		return Action{Verdict: Relay, To: m.Relay, Header: Header{Kind: KindLookup, Hops: h.Hops + 1, Queried: h.Queried}}
 	}
 	// An asker that waits for the end of a cut claims nothing, and a packet sent on to
 	// it would go round in a circle.
-	if p.in.Packet.Opens || !p.view.CutLately(p.now) {
+	if p.in.Packet.Opens || !p.view.RecentlyPartitioned(p.now) {
 		e.point(p, p.in.From)
 	}
-	return Action{Verdict: Relay, To: p.in.From, Header: Header{Kind: Unknown, Hops: h.Hops + 1, Asked: h.Asked}}
+	return Action{Verdict: Relay, To: p.in.From, Header: Header{Kind: KindLookupMiss, Hops: h.Hops + 1, Queried: h.Queried}}
 }
 
 // pass relays the packet to the entry that owns the flow, if that is another one.
@@ -180,13 +180,13 @@
 	h := p.in.Header
 	owner := p.view.Owner(p.in.Service, p.key)
 	mine := owner == nil || owner.ID == p.view.Self
-	if h.Kind == Unknown {
+	if h.Kind == KindLookupMiss {
 		// The answer to a question that this entry asked on for the owner.
 		if mine || owner.Relay == p.in.From {
 			return Action{}, false
 		}
 		e.point(p, owner.Relay)
-		return Action{Verdict: Relay, To: owner.Relay, Header: Header{Kind: Unknown, Hops: h.Hops + 1, Asked: h.Asked}}, true
+		return Action{Verdict: Relay, To: owner.Relay, Header: Header{Kind: KindLookupMiss, Hops: h.Hops + 1, Queried: h.Queried}}, true
 	}
 	if h.Hops >= maxRelays {
 		return Action{}, false
@@ -199,7 +199,7 @@
 	}
 	// The sender believes that this entry owns the flow, and this entry that the sender
 	// does. One has to decide; it is the receiver, or the packet would never end.
-	if h.Kind == Relayed && owner.Relay == p.in.From {
+	if h.Kind == KindRelay && owner.Relay == p.in.From {
 		return Action{}, false
 	}
 	return e.relay(h, owner.Relay), true
@@ -211,8 +211,8 @@
 	if !mine {
 		return e.relay(h, to)
 	}
-	e.stats.Asked.Add(1)
-	return Action{Verdict: Relay, To: to, Header: Header{Kind: Asked, Hops: h.Hops + 1}}
+	e.stats.Lookups.Add(1)
+	return Action{Verdict: Relay, To: to, Header: Header{Kind: KindLookup, Hops: h.Hops + 1}}
 }
 
 // claimed returns the entry that claimed the flow here, unless the packet comes from it.
@@ -226,7 +226,7 @@
 
 func (e *Engine) relay(h Header, to netip.AddrPort) Action {
 	e.stats.Relayed.Add(1)
-	return Action{Verdict: Relay, To: to, Header: Header{Kind: Relayed, Hops: h.Hops + 1}}
+	return Action{Verdict: Relay, To: to, Header: Header{Kind: KindRelay, Hops: h.Hops + 1}}
 }
 
 // promote takes a flow over from the copy that its dead owner left here.
@@ -250,13 +250,13 @@
 	var buf [stoatview.MaxCandidates]*stoatview.Member
 	list := p.view.Candidates(buf[:0], p.in.Service, p.key, p.now, e.cfg.Settle)
 	asked := 0
-	if h.Kind == Unknown {
-		asked = int(h.Asked)
+	if h.Kind == KindLookupMiss {
+		asked = int(h.Queried)
 	}
 	if asked >= len(list) {
 		return Action{}, false
 	}
-	e.stats.Asked.Add(1)
-	next := Header{Kind: Asked, Hops: h.Hops + 1, Asked: uint8(asked + 1)}
+	e.stats.Lookups.Add(1)
+	next := Header{Kind: KindLookup, Hops: h.Hops + 1, Queried: uint8(asked + 1)}
 	return Action{Verdict: Relay, To: list[asked].Relay, Header: next}, true
 }
