--- a/stoatflow/header.go
+++ b/stoatflow/header.go
@@ -15,18 +15,18 @@
 
 // The kinds of relayed packet; zero means that the packet came from the fabric.
 const (
-	FromFabric HeaderKind = iota
-	Relayed               // the receiver owns the flow, as the sender sees it
-	Asked                 // the sender owns the flow but does not know it: forward it if you do
-	Unknown               // the answer to Asked: the flow is not known here
-	Known                 // tells the owner, after Asked, where the flow goes; no packet follows
+	KindFabric     HeaderKind = iota
+	KindRelay                 // the receiver owns the flow, as the sender sees it
+	KindLookup                // the sender owns the flow but does not know it: forward it if you do
+	KindLookupMiss            // the answer to Asked: the flow is not known here
+	KindNotice                // tells the owner, after Asked, where the flow goes; no packet follows
 )
 
 // Header precedes the inner packet in a datagram between entries.
 type Header struct {
-	Kind  HeaderKind
-	Hops  uint8 // entries that have handled the packet
-	Asked uint8 // candidates that have been asked
+	Kind    HeaderKind
+	Hops    uint8 // entries that have handled the packet
+	Queried uint8 // candidates that have been asked
 }
 
 // HeaderSize is the length of an encoded header, bytes.
@@ -50,12 +50,12 @@
 	return fmt.Sprintf("relayed datagram: length %d, version %d, kind %d", e.Length, e.Version, e.Kind)
 }
 
-// Put encodes the header of a packet of flow k into b, which has room for HeaderSize bytes.
-func (h Header) Put(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) {
+// Encode encodes the header of a packet of flow k into b, which has room for HeaderSize bytes.
+func (h Header) Encode(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) {
 	b[0] = headerVersion
 	b[1] = byte(h.Kind)
 	b[2] = h.Hops
-	b[3] = h.Asked
+	b[3] = h.Queried
 	binary.BigEndian.PutUint32(b[taggedSize:], tag(b, seed, k))
 }
 
@@ -72,38 +72,38 @@
 // noticeSize is what follows the header of a Known datagram: the flow and its upstream.
 const noticeSize = 12
 
-// PutNotice encodes a Known datagram into b and returns its length.
-func PutNotice(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash, up stoatpaddle.UpstreamKey) int {
-	Header{Kind: Known}.Put(b, seed, k)
+// EncodeNotice encodes a Known datagram into b and returns its length.
+func EncodeNotice(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash, up stoatpaddle.UpstreamKey) int {
+	Header{Kind: KindNotice}.Encode(b, seed, k)
 	binary.BigEndian.PutUint64(b[HeaderSize:], uint64(k))
 	binary.BigEndian.PutUint32(b[HeaderSize+8:], uint32(up))
 	return HeaderSize + noticeSize
 }
 
-// ReadNotice decodes what follows the header of a Known datagram; ok is false unless an
+// DecodeNotice decodes what follows the header of a Known datagram; ok is false unless an
 // entry of the cluster made it.
-func ReadNotice(b []byte, seed stoatpacket.Seed) (r Record, ok bool) {
+func DecodeNotice(b []byte, seed stoatpacket.Seed) (r Record, ok bool) {
 	if len(b) < HeaderSize+noticeSize {
 		return Record{}, false
 	}
 	r.Key = stoatpaddle.FlowHash(binary.BigEndian.Uint64(b[HeaderSize:]))
 	r.Upstream = stoatpaddle.UpstreamKey(binary.BigEndian.Uint32(b[HeaderSize+8:]))
-	return r, Genuine(b, seed, r.Key)
+	return r, VerifyTag(b, seed, r.Key)
 }
 
-// Genuine tells whether the header in b was made for flow k by an entry of the cluster.
-func Genuine(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) bool {
+// VerifyTag tells whether the header in b was made for flow k by an entry of the cluster.
+func VerifyTag(b []byte, seed stoatpacket.Seed, k stoatpaddle.FlowHash) bool {
 	return binary.BigEndian.Uint32(b[taggedSize:]) == tag(b, seed, k)
 }
 
-// ReadHeader decodes the header of a datagram, or returns *HeaderError.
-func ReadHeader(b []byte) (Header, error) {
+// DecodeHeader decodes the header of a datagram, or returns *HeaderError.
+func DecodeHeader(b []byte) (Header, error) {
 	if len(b) < HeaderSize {
 		return Header{}, &HeaderError{Length: len(b)}
 	}
 	kind := HeaderKind(b[1])
-	if b[0] != headerVersion || kind < Relayed || kind > Known {
+	if b[0] != headerVersion || kind < KindRelay || kind > KindNotice {
 		return Header{}, &HeaderError{Length: len(b), Version: b[0], Kind: b[1]}
 	}
-	return Header{Kind: kind, Hops: b[2], Asked: b[3]}, nil
+	return Header{Kind: kind, Hops: b[2], Queried: b[3]}, nil
 }
--- a/stoatflow/outbox.go
+++ b/stoatflow/outbox.go
@@ -39,15 +39,15 @@
 
 // The encoded sizes, bytes; a test of the codec holds them to what it sends.
 const (
-	RecordSize = 10
-	DropSize   = 6
-	BatchSize  = 14 // frame, kind and the lengths of short lists
-	reportSize = 7
+	RecordSize    = 10
+	DropSize      = 6
+	BatchOverhead = 14 // frame, kind and the lengths of short lists
+	reportSize    = 7
 )
 
 // Size returns the encoded size, bytes.
 func (b *Batch) Size() int {
-	n := BatchSize + listSize(len(b.Moves)*RecordSize) + listSize(len(b.Copies)*RecordSize) + listSize(len(b.Drops)*DropSize)
+	n := BatchOverhead + listSize(len(b.Moves)*RecordSize) + listSize(len(b.Copies)*RecordSize) + listSize(len(b.Drops)*DropSize)
 	for _, l := range b.Loads {
 		n += l.size()
 	}
@@ -71,7 +71,7 @@
 }
 
 // leastRoom keeps a batch worth its own overhead.
-const leastRoom = BatchSize + 4*RecordSize
+const leastRoom = BatchOverhead + 4*RecordSize
 
 // queue is what waits for one destination.
 type queue struct {
@@ -233,7 +233,7 @@
 		id := ids[(i+o.turn)%len(ids)]
 		// Each gets its part: a long queue for one must not hold up what is urgent for others.
 		room := 0
-		if o.tokens > BatchSize {
+		if o.tokens > BatchOverhead {
 			room = max(int(o.tokens)/(len(ids)-i), leastRoom)
 		}
 		b := o.queues[id].take(room)
@@ -263,7 +263,7 @@
 // with old ones the owners track more flows and need more room still.
 func (q *queue) take(room int) Batch {
 	var b Batch
-	room -= BatchSize
+	room -= BatchOverhead
 	for _, l := range q.loads {
 		room -= l.size()
 	}
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -23,7 +23,7 @@
 
 // stray forwards a packet to its first choice, without state.
 func (e *Engine) stray(p *place) Action {
-	u := p.in.Service.Set.First(p.key)
+	u := p.in.Service.Set.Preferred(p.key)
 	if u == nil {
 		return Action{Verdict: Drop, Reason: stoatpacket.DropNoUpstream}
 	}
@@ -32,14 +32,14 @@
 
 // open places a new TCP flow.
 func (e *Engine) open(p *place) Action {
-	first := p.in.Service.Set.First(p.key)
+	first := p.in.Service.Set.Preferred(p.key)
 	if first == nil {
 		return Action{Verdict: Reset, Reason: stoatpacket.DropNoUpstream}
 	}
 	// Openings that never proceed must not grow the table without bound. Beyond the
 	// cap a flow goes to its first choice without being remembered: its next packet
 	// finds the same place by hash, so it lives like any other.
-	if p.sh.opening >= e.cfg.MaxOpen/shardCount {
+	if p.sh.opening >= e.cfg.MaxOpening/shardCount {
 		e.stats.Flooded.Add(1)
 		return Action{Verdict: Forward, Upstream: first}
 	}
@@ -48,7 +48,7 @@
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
-	if !sl.use.admit(p.now, p.in.Service.Limits, len(p.view.Ring.Members)) {
+	if !sl.use.admit(p.now, p.in.Service.Limits, len(p.view.Entries.Members)) {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
@@ -68,31 +68,31 @@
 // adopt places a flow that is open already, by the set that it can belong to.
 func (e *Engine) adopt(p *place) Action {
 	s := p.in.Service
-	if p.view.CutLately(p.now) && (p.view.Elsewhere(s, p.key, p.now) || !p.patient()) {
+	if p.view.RecentlyPartitioned(p.now) && (p.view.MayBeBeyondPartition(s, p.key, p.now) || !p.patient()) {
 		return e.wait(p)
 	}
 	set := s.Set
-	if at, ok := p.view.TakenOver(s, p.key); ok {
+	if at, ok := p.view.OwnedSince(s, p.key); ok {
 		set = s.SetAt(at.Add(-copyLag))
 	}
-	u := set.First(p.key)
-	if u == nil || p.view.Upstream(u.Key) == nil || p.in.Packet.Opens && !s.Set.Has(u.Key) {
-		u = s.Set.First(p.key)
+	u := set.Preferred(p.key)
+	if u == nil || p.view.Upstream(u.Key) == nil || p.in.Packet.Opens && !s.Set.Contains(u.Key) {
+		u = s.Set.Preferred(p.key)
 	}
 	if u == nil {
 		return Action{Verdict: Drop, Reason: stoatpacket.DropNoUpstream}
 	}
-	if p.view.Cut[u.DataCentre] {
+	if p.view.Partitioned[u.DataCentre] {
 		return e.wait(p)
 	}
 	sl, i := e.reg.Load().find(u.Key)
 	// Opening packets fill the table to half of this at most, so that a flood of them
 	// leaves room for flows that go on.
-	if sl == nil || p.sh.opening >= 2*e.cfg.MaxOpen/shardCount {
+	if sl == nil || p.sh.opening >= 2*e.cfg.MaxOpening/shardCount {
 		return Action{Verdict: Forward, Upstream: u}
 	}
 	// Every UDP packet may be a flow's first: unknown ones count against the limit.
-	if p.in.Packet.Opens && !sl.use.admit(p.now, s.Limits, len(p.view.Ring.Members)) {
+	if p.in.Packet.Opens && !sl.use.admit(p.now, s.Limits, len(p.view.Entries.Members)) {
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
@@ -104,7 +104,7 @@
 // might know it would have been heard again, were the cut over.
 func (p *place) patient() bool {
 	w, known := p.sh.waiting[p.key]
-	return known && p.tick-w.since >= ticks(stoatview.CutGrace)
+	return known && p.tick-w.since >= ticks(stoatview.PartitionGrace)
 }
 
 // wait drops a packet of a flow that entries beyond a cut may know. Placed by hash, it
@@ -122,10 +122,10 @@
 		e.stats.Silent.Add(1)
 		return Action{Verdict: Reset}
 	}
-	if known || len(p.sh.waiting) < e.cfg.MaxOpen/shardCount {
+	if known || len(p.sh.waiting) < e.cfg.MaxOpening/shardCount {
 		p.sh.waiting[p.key] = w
 	}
-	return Action{Verdict: Drop, Reason: stoatpacket.DropElsewhere}
+	return Action{Verdict: Drop, Reason: stoatpacket.DropPartitioned}
 }
 
 // insert remembers the flow and forwards its packet.
@@ -134,7 +134,7 @@
 	if flags&opening != 0 {
 		p.sh.opening++
 	}
-	first := p.in.Service.Set.First(p.key)
+	first := p.in.Service.Set.Preferred(p.key)
 	if first == nil || first.Key != sl.key {
 		f.flags |= tracked
 	}
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Learn takes in where a flow goes that this entry asked about.
-func (e *Engine) Learn(now time.Time, v *stoatview.View, r Record) {
+// ReceiveNotice takes in where a flow goes that this entry asked about.
+func (e *Engine) ReceiveNotice(now time.Time, v *stoatview.View, r Record) {
 	e.receiveMove(now, v, e.reg.Load(), r)
 }
 
@@ -94,7 +94,7 @@
 		sl.remote.Store(0)
 	}
 	for from, byset := range e.reports {
-		if v.Ring.Find(from) == nil {
+		if v.Entries.Find(from) == nil {
 			delete(e.reports, from)
 			continue
 		}
--- a/stoatflow/report.go
+++ b/stoatflow/report.go
@@ -33,7 +33,7 @@
 
 // reportLoads tells the other owners how loaded each upstream is from here.
 func (e *Engine) reportLoads(now time.Time, v *stoatview.View) {
-	self := v.Ring.Find(v.Self)
+	self := v.Entries.Find(v.Self)
 	if self == nil {
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 // loadsOf returns this entry's load on each upstream of a set.
-func (e *Engine) loadsOf(set *stoatview.Set) LoadReport {
+func (e *Engine) loadsOf(set *stoatview.UpstreamSet) LoadReport {
 	report := LoadReport{Set: digest(set)}
 	for _, sl := range e.reg.Load().sets[set] {
 		report.Open = append(report.Open, uint32(max(0, sl.open.Load())))
@@ -75,7 +75,7 @@
 }
 
 func (e *Engine) tell(v *stoatview.View, self *stoatview.Member, l LoadReport, far bool) {
-	for _, m := range v.Ring.Members {
+	for _, m := range v.Entries.Members {
 		if m != self && far == (m.DataCentre != self.DataCentre) {
 			e.out.load(m.ID, l)
 		}
@@ -97,7 +97,7 @@
 }
 
 // digest names a set by its upstreams' keys.
-func digest(set *stoatview.Set) SetDigest {
+func digest(set *stoatview.UpstreamSet) SetDigest {
 	h := fnv.New32a()
 	for _, u := range set.Upstreams {
 		k := u.Key
--- a/stoatflow/scan.go
+++ b/stoatflow/scan.go
@@ -15,16 +15,16 @@
 }
 
 func standingOf(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) standing {
-	first := s.Set.First(k)
+	first := s.Set.Preferred(k)
 	var st standing
 	home := stoatpaddle.DataCentreID("")
 	if first != nil {
 		home = first.DataCentre
 	}
 	st.tracked = first == nil || first.Key != sl.key
-	st.owner, st.next = v.Ring.OwnerNext(k, home)
+	st.owner, st.next = v.Entries.OwnerAndNext(k, home)
 	if dc := sl.up.Load().DataCentre; dc != home {
-		st.local = v.Ring.Owner(k, dc)
+		st.local = v.Entries.Owner(k, dc)
 	}
 	return st
 }
@@ -38,7 +38,7 @@
 	defer sh.mu.Unlock()
 	before := sh.scanned
 	sh.scanned = v
-	if before != nil && before.Ring == v.Ring && sameSets(before, v) {
+	if before != nil && before.Entries == v.Entries && sameSets(before, v) {
 		return
 	}
 	e.scanCopies(now, v, sh)
@@ -105,10 +105,10 @@
 // not its first choice of the whole set. A newcomer could not tell the flow from one that
 // lives beyond the cut, so it is handed over although its place can be computed.
 func leavesUnclear(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) bool {
-	if len(v.Cut) == 0 || v.Ring.Find(v.Self) != nil {
+	if len(v.Partitioned) == 0 || v.Entries.Find(v.Self) != nil {
 		return false
 	}
-	first := s.Whole.First(k)
+	first := s.FullSet.Preferred(k)
 	return first == nil || first.Key != sl.key
 }
 
@@ -148,7 +148,7 @@
 			delete(sh.copies, k)
 			continue
 		}
-		owner, _ := v.OwnerNext(s, k)
+		owner, _ := v.OwnerAndNext(s, k)
 		if owner == nil || owner.ID != v.Self {
 			continue
 		}
--- a/stoatflow/session_test.go
+++ b/stoatflow/session_test.go
@@ -120,9 +120,9 @@
 	case "advance":
 		s.advance()
 	case "claims":
-		fmt.Fprintf(&s.out, "  > remembers %d claims\n", s.engines[f[1]].Claims())
+		fmt.Fprintf(&s.out, "  > remembers %d claims\n", s.engines[f[1]].ClaimCount())
 	case "flows":
-		own, tracked, copies := s.engines[f[1]].Flows()
+		own, tracked, copies := s.engines[f[1]].FlowCounts()
 		fmt.Fprintf(&s.out, "  > owns %d, tracks %d, holds %d copies\n", own, tracked, copies)
 	default:
 		s.t.Fatal("no such event", f)
@@ -178,7 +178,7 @@
 // learn gives one entry a view of the entries and of the present upstreams.
 func (s *session) learn(id string, entries []string) {
 	if s.engines[id] == nil {
-		s.engines[id] = stoatflow.New(stoatflow.Config{Self: stoatpaddle.InstanceID(id), Start: epoch, MaxOpen: 1024, Seed: 1})
+		s.engines[id] = stoatflow.New(stoatflow.Config{Self: stoatpaddle.InstanceID(id), Start: epoch, MaxOpening: 1024, Seed: 1})
 	}
 	c := stoatpaddle.Contract{Customer: "c", Lean: stoatpaddle.LeanFlows, Limits: s.limits, Services: []stoatpaddle.Service{{
 		ID: "s", Kind: stoatpaddle.KindFlow, Addr: service.Addr(), Protocol: stoatpaddle.ProtocolTCP, Ports: []uint16{service.Port()},
@@ -225,11 +225,11 @@
 			return append(path, "lost")
 		}
 		a := e.Handle(epoch.Add(s.now), v, &stoatflow.Inbound{
-			Packet: &p, Key: v.Seed.Hash(p.Tuple), Service: v.Flow(service, stoatpaddle.ProtocolTCP), Header: h, From: from,
+			Packet: &p, Key: v.Seed.Hash(p.Tuple), Service: v.FlowService(service, stoatpaddle.ProtocolTCP), Header: h, From: from,
 		})
-		if a.Tell.IsValid() {
-			if id := s.at(a.Tell); s.engines[id] != nil {
-				s.engines[id].Learn(epoch.Add(s.now), s.views[id], stoatflow.Record{Key: v.Seed.Hash(p.Tuple), Upstream: a.Upstream.Key})
+		if a.NotifyAddr.IsValid() {
+			if id := s.at(a.NotifyAddr); s.engines[id] != nil {
+				s.engines[id].ReceiveNotice(epoch.Add(s.now), s.views[id], stoatflow.Record{Key: v.Seed.Hash(p.Tuple), Upstream: a.Upstream.Key})
 			}
 		}
 		switch a.Verdict {
--- a/stoatflow/silent.go
+++ b/stoatflow/silent.go
@@ -89,7 +89,7 @@
 func (s *slot) isEjected(now tick) bool { return s.ejected.Load() > int64(now) }
 
 // ejectedIn counts the ejected upstreams, one more than there are, so that the cap holds after the next.
-func (e *Engine) ejectedIn(set *stoatview.Set, now tick) int {
+func (e *Engine) ejectedIn(set *stoatview.UpstreamSet, now tick) int {
 	n := 1
 	r := e.reg.Load()
 	for _, u := range set.Upstreams {
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -98,8 +98,8 @@
 type registry struct {
 	slots []*slot
 	byKey map[stoatpaddle.UpstreamKey]slotIndex
-	sets  map[*stoatview.Set][]*slot // of the present sets, in their order
-	named map[SetDigest]*stoatview.Set
+	sets  map[*stoatview.UpstreamSet][]*slot // of the present sets, in their order
+	named map[SetDigest]*stoatview.UpstreamSet
 }
 
 func (r *registry) find(key stoatpaddle.UpstreamKey) (*slot, slotIndex) {
@@ -131,8 +131,8 @@
 			r.slots = append(r.slots, sl)
 		}
 	}
-	r.sets = make(map[*stoatview.Set][]*slot, len(v.Services))
-	r.named = make(map[SetDigest]*stoatview.Set, len(v.Services))
+	r.sets = make(map[*stoatview.UpstreamSet][]*slot, len(v.Services))
+	r.named = make(map[SetDigest]*stoatview.UpstreamSet, len(v.Services))
 	for _, s := range v.Services {
 		r.named[digest(s.Set)] = s.Set
 		for _, u := range s.Set.Upstreams {
@@ -142,8 +142,8 @@
 	e.reg.Store(r)
 }
 
-// Flows returns how many flows the engine holds, owned ones and others.
-func (e *Engine) Flows() (own, trackedFlows, copies int) {
+// FlowCounts returns how many flows the engine holds, owned ones and others.
+func (e *Engine) FlowCounts() (own, trackedFlows, copies int) {
 	for i := range e.shards {
 		sh := &e.shards[i]
 		sh.mu.Lock()
@@ -161,8 +161,8 @@
 	return own, trackedFlows, copies
 }
 
-// Claims returns how many flows the engine knows to be another entry's by its claim.
-func (e *Engine) Claims() int {
+// ClaimCount returns how many flows the engine knows to be another entry's by its claim.
+func (e *Engine) ClaimCount() int {
 	n := 0
 	for i := range e.shards {
 		sh := &e.shards[i]
@@ -173,19 +173,19 @@
 	return n
 }
 
-// Load is the number of flows that an entry owns on one upstream.
-type Load struct {
+// UpstreamLoad is the number of flows that an entry owns on one upstream.
+type UpstreamLoad struct {
 	Upstream stoatpaddle.UpstreamKey
 	Open     uint32
 }
 
 // Loads returns the engine's own load on each upstream, in the order they were first seen.
-func (e *Engine) Loads() []Load {
+func (e *Engine) Loads() []UpstreamLoad {
 	r := e.reg.Load()
-	out := make([]Load, 0, len(r.slots))
+	out := make([]UpstreamLoad, 0, len(r.slots))
 	for _, s := range r.slots {
 		if n := s.open.Load(); n > 0 {
-			out = append(out, Load{Upstream: s.key, Open: uint32(n)})
+			out = append(out, UpstreamLoad{Upstream: s.key, Open: uint32(n)})
 		}
 	}
 	return out
--- a/stoatmeasure/change.go
+++ b/stoatmeasure/change.go
@@ -173,7 +173,7 @@
 			delete(m, o.inst.ID)
 		}
 		e.input.Dead = m
-		e.input.Cut = cutCentres(e)
+		e.input.Partitioned = cutCentres(e)
 		f.rebuild(e)
 	})
 }
--- a/stoatmeasure/fleet.go
+++ b/stoatmeasure/fleet.go
@@ -153,11 +153,11 @@
 // boot starts an entry that knows everything declared so far.
 func (f *fleet) boot(e *entry) {
 	e.engine = stoatflow.New(stoatflow.Config{
-		Self: e.inst.ID, Start: epoch, Gain: f.cfg.Gain, Budget: f.cfg.Budget, Seed: f.rnd.Uint64(),
+		Self: e.inst.ID, Start: epoch, Gain: f.cfg.Gain, ControlBudget: f.cfg.Budget, Seed: f.rnd.Uint64(),
 	})
 	e.input = stoatview.Input{
 		Self: e.inst.ID, Seed: stoatpacket.Seed{K0: f.cfg.Seed, K1: 1}, Contracts: []stoatpaddle.Contract{f.contract},
-		Dead: map[stoatpaddle.InstanceID]bool{}, Cut: map[stoatpaddle.DataCentreID]bool{}, Leaving: map[stoatpaddle.InstanceID]bool{},
+		Dead: map[stoatpaddle.InstanceID]bool{}, Partitioned: map[stoatpaddle.DataCentreID]bool{}, Leaving: map[stoatpaddle.InstanceID]bool{},
 	}
 	for _, o := range f.entries {
 		e.input.Instances = append(e.input.Instances, f.instance[o.inst.ID])
@@ -265,7 +265,7 @@
 		if _, leaving := f.instance[stoatpaddle.InstanceID(u.ID)]; leaving || u.Weight == 0 {
 			continue
 		}
-		n := f.open[stoatview.KeyOf(service, u.ID)]
+		n := f.open[stoatview.UpstreamKeyOf(service, u.ID)]
 		most = max(most, float64(n)/float64(u.Weight))
 		sum += n
 		weights += int(u.Weight)
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -121,7 +121,7 @@
 	rnd     *rand.Rand
 	q       queue
 	entries []*stoatecho.Engine
-	book    *stoatroute.Book
+	book    *stoatroute.Builder
 	servers map[stoatpaddle.UpstreamID]*overloadServer
 	port    int
 	idle    map[netip.AddrPort][]*longFlow // open flows without a request
@@ -136,11 +136,11 @@
 
 func newOverloadModel(cfg OverloadConfig) *overloadModel {
 	m := &overloadModel{
-		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), book: stoatroute.NewBook(stoatroute.Config{}),
+		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), book: stoatroute.NewBuilder(stoatroute.Config{}),
 		servers: map[stoatpaddle.UpstreamID]*overloadServer{}, idle: map[netip.AddrPort][]*longFlow{},
 	}
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
-	m.book.Declare(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
+	m.book.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
 		{Listen: usualListen, Backends: to, Idempotent: true, Objective: cfg.Objective, Priority: 2},
 		{Listen: urgentListen, Backends: to, Objective: cfg.Objective, Priority: 1},
 	}}, 1)
@@ -152,7 +152,7 @@
 			ID: id, Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "here", Slots: cfg.slots(), Created: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 	}
-	m.book.Listed(overloadEpoch, names, false)
+	m.book.ApplyList(overloadEpoch, names, false)
 	for i := range cfg.Entries {
 		m.entries = append(m.entries, stoatecho.New(stoatecho.Config{
 			DataCentre: "here", Start: overloadEpoch.Add(-time.Minute), Seed: cfg.Seed + uint64(i),
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -85,7 +85,7 @@
 	trouble Trouble
 	q       queue
 	rnd     *rand.Rand
-	book    *stoatroute.Book
+	book    *stoatroute.Builder
 	ups     []*silentUpstream
 	entries []*silentEntry
 	flows   map[stoatpacket.Tuple]*silentFlow
@@ -116,7 +116,7 @@
 func RunSilence(ctx context.Context, cfg SilenceConfig, way Way, trouble Trouble) (Silence, error) {
 	m := &silenceModel{
 		cfg: cfg, way: way, trouble: trouble, rnd: rand.New(rand.NewPCG(cfg.Seed, 11)),
-		book:  stoatroute.NewBook(stoatroute.Config{}),
+		book:  stoatroute.NewBuilder(stoatroute.Config{}),
 		flows: map[stoatpacket.Tuple]*silentFlow{}, known: map[int]time.Duration{},
 		out: Silence{Way: way, Trouble: trouble},
 	}
@@ -138,7 +138,7 @@
 // declare registers the upstreams, and two routes to their one service.
 func (m *silenceModel) declare() {
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
-	m.book.Declare(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
+	m.book.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
 		{Listen: silenceListen[0], Backends: to, Idempotent: true, Objective: silenceGoal, Priority: 2},
 		{Listen: silenceListen[1], Backends: to, Objective: silenceGoal, Priority: 1},
 	}}, 1)
@@ -152,7 +152,7 @@
 		}, stoatpaddle.Version(i+2))
 		m.ups = append(m.ups, &silentUpstream{m: m, fails: i < failing, held: map[stoatpacket.Tuple]uint32{}})
 	}
-	m.book.Listed(m.now(), names, false)
+	m.book.ApplyList(m.now(), names, false)
 }
 
 // fails tells whether an upstream answers nobody now.
@@ -167,7 +167,7 @@
 	}
 	avoid := map[stoatpaddle.UpstreamKey]int{}
 	for _, e := range m.entries {
-		for _, p := range e.engine.InProgress(m.now()) {
+		for _, p := range e.engine.UpstreamStates(m.now()) {
 			if p.Ejected || p.Avoided {
 				avoid[p.Upstream]++
 			}
--- a/stoatmeasure/silence_world.go
+++ b/stoatmeasure/silence_world.go
@@ -86,7 +86,7 @@
 		}
 		m.q.after(wait, func() {
 			if !f.open && !f.ended {
-				m.send(f, stoatpacket.Packet{Opens: true, Copies: copies})
+				m.send(f, stoatpacket.Packet{Opens: true, Retransmits: copies})
 			}
 		})
 	}
--- a/stoatmeasure/spread.go
+++ b/stoatmeasure/spread.go
@@ -238,8 +238,8 @@
 // engines returns what happens to a request at an entry that decides as the product does.
 func (m *spreadModel) engines() func(entry int) {
 	start := time.Unix(1000, 0)
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
 		{Listen: spreadListen, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}},
 	}}, 1)
 	names, at := map[stoatpaddle.UpstreamID]bool{}, map[stoatpaddle.UpstreamKey]int{}
@@ -248,7 +248,7 @@
 		b.Register(start, r, stoatpaddle.Version(i+2))
 		names[r.ID], at[stoatroute.KeyOf(r.Target)] = true, i
 	}
-	b.Listed(start, names, false)
+	b.ApplyList(start, names, false)
 	table := b.Table()
 	var engines []*stoatecho.Engine
 	for i := range m.cfg.Entries {
--- a/stoatmeasure/traffic.go
+++ b/stoatmeasure/traffic.go
@@ -147,7 +147,7 @@
 
 // handle has an entry decide and carries the decision out.
 func (f *fleet) handle(e *entry, c *conn, p stoatpacket.Packet, h stoatflow.Header, from netip.AddrPort) {
-	svc := e.view.Flow(vip, stoatpaddle.ProtocolTCP)
+	svc := e.view.FlowService(vip, stoatpaddle.ProtocolTCP)
 	a := e.engine.Handle(f.now(), e.view, &stoatflow.Inbound{
 		Packet: &p, Key: e.view.Seed.Hash(c.tuple), Service: svc, Header: h, From: from,
 	})
@@ -174,14 +174,14 @@
 
 // tell carries a Known datagram.
 func (f *fleet) tell(e *entry, a stoatflow.Action, k stoatpaddle.FlowHash) {
-	if !a.Tell.IsValid() {
+	if !a.NotifyAddr.IsValid() {
 		return
 	}
-	to := f.byRelay[a.Tell]
+	to := f.byRelay[a.NotifyAddr]
 	f.result.Notices++
 	f.q.after(f.delay(e, to), func() {
 		if to.alive && f.reach(e, to) {
-			to.engine.Learn(f.now(), to.view, stoatflow.Record{Key: k, Upstream: a.Upstream.Key})
+			to.engine.ReceiveNotice(f.now(), to.view, stoatflow.Record{Key: k, Upstream: a.Upstream.Key})
 		}
 	})
 }
@@ -220,7 +220,7 @@
 
 func (f *fleet) centreOf(key stoatpaddle.UpstreamKey) stoatpaddle.DataCentreID {
 	for _, u := range f.contract.Services[0].Upstreams {
-		if stoatview.KeyOf(service, u.ID) == key {
+		if stoatview.UpstreamKeyOf(service, u.ID) == key {
 			return u.DataCentre
 		}
 	}
@@ -246,10 +246,10 @@
 	if c.naiveBad || c.done {
 		return
 	}
-	set := e.view.Flow(vip, stoatpaddle.ProtocolTCP).Set
+	set := e.view.FlowService(vip, stoatpaddle.ProtocolTCP).Set
 	key, known := e.naive[c.id]
 	if !known {
-		u := set.First(e.view.Seed.Hash(c.tuple))
+		u := set.Preferred(e.view.Seed.Hash(c.tuple))
 		if u == nil {
 			return
 		}
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -183,12 +183,12 @@
 
 func (n *Node) input() stoatview.Input {
 	in := stoatview.Input{
-		Self:      n.cfg.Self.ID,
-		Seed:      *n.seed,
-		Contracts: n.servable(),
-		Dead:      map[stoatpaddle.InstanceID]bool{},
-		Cut:       n.cut,
-		Leaving:   map[stoatpaddle.InstanceID]bool{},
+		Self:        n.cfg.Self.ID,
+		Seed:        *n.seed,
+		Contracts:   n.servable(),
+		Dead:        map[stoatpaddle.InstanceID]bool{},
+		Partitioned: n.cut,
+		Leaving:     map[stoatpaddle.InstanceID]bool{},
 	}
 	for _, id := range sortedIDs(n.instances) {
 		i := n.instances[id]
--- a/stoatnode/platform.go
+++ b/stoatnode/platform.go
@@ -99,7 +99,7 @@
 	if n.view == nil || !n.anyPeer() {
 		return true
 	}
-	a, b := n.view.Ring.OwnerNext(watchKey, n.cfg.Self.DataCentre)
+	a, b := n.view.Entries.OwnerAndNext(watchKey, n.cfg.Self.DataCentre)
 	return a != nil && a.ID == n.cfg.Self.ID || b != nil && b.ID == n.cfg.Self.ID
 }
 
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -73,7 +73,7 @@
 	case "have":
 		m := &stoatmessage.Have{}
 		for _, o := range readObjects(t, f[2:]) {
-			m.Objects = append(m.Objects, stoatmessage.Held{Ref: o.Ref, Version: o.Version})
+			m.Objects = append(m.Objects, stoatmessage.ObjectVersion{Ref: o.Ref, Version: o.Version})
 		}
 		return Received{From: stoatpaddle.InstanceID(f[1]), Message: m}
 	case "objects":
@@ -190,7 +190,7 @@
 	switch e := e.(type) {
 	case Publish:
 		text := "publish entries"
-		for _, m := range e.View.Ring.Members {
+		for _, m := range e.View.Entries.Members {
 			text += " " + string(m.ID)
 		}
 		for _, s := range e.View.Services {
--- a/stoatpacket/packet.go
+++ b/stoatpacket/packet.go
@@ -22,19 +22,19 @@
 	DropUnknownService
 	DropLimit
 	DropNoUpstream
-	DropHops
-	DropForeignRelay
-	DropElsewhere // of a flow that entries beyond a cut may know
-	DropLength    // a length that is not the datagram's
-	DropFlags     // flags that no caller sends
-	DropOwn       // an address of this entry as the caller's
-	DropForged    // a cookie of a service that the route never had
-	DropUnproven  // a cookie that this entry cannot judge yet
-	DropYoung     // this entry has no configuration yet
-	DropGone      // the flow's upstream is gone
-	DropNoRoute   // no route has the address
-	DropOverload  // it would be answered late, and make others late
-	DropCount     // number of reasons
+	DropHopLimit
+	DropUnauthenticated
+	DropPartitioned  // of a flow that entries beyond a cut may know
+	DropLength       // a length that is not the datagram's
+	DropFlags        // flags that no caller sends
+	DropOwnSource    // an address of this entry as the caller's
+	DropForged       // a cookie of a service that the route never had
+	DropUnverified   // a cookie that this entry cannot judge yet
+	DropUnconfigured // this entry has no configuration yet
+	DropUpstreamGone // the flow's upstream is gone
+	DropNoRoute      // no route has the address
+	DropOverload     // it would be answered late, and make others late
+	DropCount        // number of reasons
 )
 
 var dropNames = [DropCount]string{
@@ -64,8 +64,8 @@
 	Size  int    // TCP payload, bytes
 
 	// On a fabric whose packets bring back what an entry wrote into them:
-	Cookie stoatpaddle.UpstreamKey // the flow's upstream; 0 while it opens
-	Copies int                     // of an opening packet: how many were sent before
+	Cookie      stoatpaddle.UpstreamKey // the flow's upstream; 0 while it opens
+	Retransmits int                     // of an opening packet: how many were sent before
 }
 
 // Seed is the cluster's secret hash key; without it callers could aim flows at one upstream.
--- a/stoatrelay/codec_test.go
+++ b/stoatrelay/codec_test.go
@@ -53,12 +53,12 @@
 	r.registration.Addr = listen
 	r.registration.Cold = 3 * time.Second
 	now := time.Unix(1000, 0)
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(*c.declaration, c.revision)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(*c.declaration, c.revision)
 	b.Register(now, *r.registration, r.revision)
 	first := b.Table()
-	got, err := Decode(&Head{Known: 12}, overTheWire(t, EncodeBody(now.Add(time.Second), first, Holds{})))
-	if err != nil || got.Delta == nil || len(got.Upstreams) != 1 || !got.Whole || got.Known.Revision != 12 {
+	got, err := Decode(&Head{PositionRevision: 12}, overTheWire(t, EncodeBody(now.Add(time.Second), first, ChildState{})))
+	if err != nil || got.Delta == nil || len(got.Upstreams) != 1 || !got.Full || got.Position.Revision != 12 {
 		t.Fatalf("%+v %v", got, err)
 	}
 	a := got.Delta
@@ -67,15 +67,15 @@
 	}
 	want := *r.registration
 	want.Cold = 2 * time.Second
-	if u := got.Upstreams[0]; u.Registration != want || u.Revision != 7 || u.Standing != stoatroute.Leaving {
+	if u := got.Upstreams[0]; u.Registration != want || u.Revision != 7 || u.State != stoatroute.Leaving {
 		t.Errorf("%+v", u)
 	}
-	b.Remove(now, "i-2", 12)
-	got, err = Decode(&Head{}, overTheWire(t, EncodeBody(now, b.Table(), HoldsOf(first))))
-	if err != nil || got.Delta != nil || len(got.Upstreams) != 1 || got.Upstreams[0].Standing != stoatroute.Gone || got.Upstreams[0].Revision != 12 {
+	b.MarkGone(now, "i-2", 12)
+	got, err = Decode(&Head{}, overTheWire(t, EncodeBody(now, b.Table(), ChildStateOf(first))))
+	if err != nil || got.Delta != nil || len(got.Upstreams) != 1 || got.Upstreams[0].State != stoatroute.Gone || got.Upstreams[0].Revision != 12 {
 		t.Errorf("%+v %v", got, err)
 	}
-	if w := EncodeBody(now, b.Table(), HoldsOf(b.Table())); w != nil {
+	if w := EncodeBody(now, b.Table(), ChildStateOf(b.Table())); w != nil {
 		t.Errorf("told again: %+v", w)
 	}
 	for _, spoil := range []func(w *Body){
@@ -83,9 +83,9 @@
 		func(w *Body) { w.Upstreams[0].Standing = 9 },
 		func(w *Body) { w.Upstreams[0].Service = 99 },
 		func(w *Body) { w.Upstreams[0].Centre = -1 },
-		func(w *Body) { w.Declared.Routes[0].Listen = nil },
+		func(w *Body) { w.Declaration.Routes[0].Listen = nil },
 	} {
-		w := EncodeBody(now, first, Holds{})
+		w := EncodeBody(now, first, ChildState{})
 		spoil(w)
 		if _, err := Decode(&Head{}, w); err == nil {
 			t.Errorf("a faulty parent is believed: %+v", w)
@@ -114,19 +114,19 @@
 // A route moved to another service while flows are open at the one before. An entry that
 // starts afterwards, and is told by one that saw it, forwards their packets too.
 func TestEarlierServicesAreTold(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
 	first, moved := declared(1, 5), declared(2, 9)
 	moved.declaration.Routes[0].Backends[0].Service = "other"
-	b.Declare(*first.declaration, first.revision)
-	b.Declare(*moved.declaration, moved.revision)
-	got, err := Decode(&Head{}, overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), Holds{})))
+	b.ApplyDeclaration(*first.declaration, first.revision)
+	b.ApplyDeclaration(*moved.declaration, moved.revision)
+	got, err := Decode(&Head{}, overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), ChildState{})))
 	if err != nil {
 		t.Fatal(err)
 	}
-	later := stoatroute.NewBook(stoatroute.Config{})
-	later.Declare(got.Delta.Declaration, got.Delta.Revision)
-	if r := later.Table().Route(listen); !r.Had("app") || !r.Had("other") || r.Had("third") {
-		t.Error(r.Earlier())
+	later := stoatroute.NewBuilder(stoatroute.Config{})
+	later.ApplyDeclaration(got.Delta.Declaration, got.Delta.Revision)
+	if r := later.Table().Route(listen); !r.EverUsed("app") || !r.EverUsed("other") || r.EverUsed("third") {
+		t.Error(r.FormerServices())
 	}
 }
 
@@ -141,42 +141,42 @@
 	for i := range 2000 {
 		old.Routes = append(old.Routes, route(i, 1))
 	}
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(old, 10)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(old, 10)
 	before := b.Table()
 	next := old
 	next.Version = 8
 	next.Routes = append([]stoatpaddle.Route{route(0, 5)}, old.Routes[2:]...)
 	next.Routes = append(next.Routes, route(5000, 1))
-	b.Declare(next, 20)
-	w := overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), HoldsOf(before)))
-	if len(w.Declared.Routes) != 2 || len(w.Declared.Removed) != 1 || w.Declared.Base != 3 {
-		t.Fatal(len(w.Declared.Routes), len(w.Declared.Removed), w.Declared.Base)
+	b.ApplyDeclaration(next, 20)
+	w := overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), ChildStateOf(before)))
+	if len(w.Declaration.Routes) != 2 || len(w.Declaration.Removed) != 1 || w.Declaration.Base != 3 {
+		t.Fatal(len(w.Declaration.Routes), len(w.Declaration.Removed), w.Declaration.Base)
 	}
 	got, err := Decode(&Head{}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	made, fits := got.Delta.Onto(&old), got.Delta.Fits(old.Version)
+	made, fits := got.Delta.ApplyTo(&old), got.Delta.AppliesTo(old.Version)
 	byListen := cmpopts.SortSlices(func(a, b stoatpaddle.Route) bool { return a.Listen.Compare(b.Listen) < 0 })
 	if diff := cmp.Diff(next, made, cmp.Comparer(sameAddr), byListen); diff != "" || !fits {
 		t.Error(fits, diff)
 	}
-	if got.Delta.Fits(old.Version + 1) {
+	if got.Delta.AppliesTo(old.Version + 1) {
 		t.Error("fits a version between")
 	}
 }
 
 // What a child lacks of evacuations is told to it, over the wire, and no more.
 func TestEvacuationCodec(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
-	b.Declare(*declared(1, 5).declaration, 5)
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
-	b.EvacuationsListed(time.Unix(1000, 0), map[stoatpaddle.DataCentreID]bool{"here": true}, 8)
+	b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
+	b.ApplyDeclaration(*declared(1, 5).declaration, 5)
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
+	b.ApplyEvacuationList(time.Unix(1000, 0), map[stoatpaddle.DataCentreID]bool{"here": true}, 8)
 	first := b.Table()
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "there", Revision: 9})
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "here", Revision: 10, Withdrawn: true})
-	for child, want := range map[Holds]int{{}: 2, HoldsOf(first): 2, HoldsOf(b.Table()): 0} {
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "there", Revision: 9})
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 10, Withdrawn: true})
+	for child, want := range map[ChildState]int{{}: 2, ChildStateOf(first): 2, ChildStateOf(b.Table()): 0} {
 		got := 0
 		if w := EncodeBody(time.Unix(1000, 0), b.Table(), child); w != nil {
 			x, err := Decode(&Head{}, overTheWire(t, w))
@@ -200,11 +200,11 @@
 // for a heartbeat.
 func TestIncarnationIsTold(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := stoatroute.NewBook(stoatroute.Config{})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
 	r := registered("i-1", 1, 5).registration
 	r.Incarnation, r.Cold, r.Addr = 1_790_000_000_000, 3*time.Second, netip.MustParseAddrPort("10.0.0.1:80")
 	b.Register(now, *r, 5)
-	data, err := Encode(EncodeBody(now, b.Table(), Holds{}))
+	data, err := Encode(EncodeBody(now, b.Table(), ChildState{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	var h Head
-	if err := msgpack.Unmarshal(old, &h); err != nil || h.Known != 7 || h.Centre != "here" || !h.Whole || h.Entries != 0 {
+	if err := msgpack.Unmarshal(old, &h); err != nil || h.PositionRevision != 7 || h.Centre != "here" || !h.FullReports || h.DataCentreEntries != 0 {
 		t.Errorf("%+v %v", h, err)
 	}
 	next, err := Encode(&later{Names: []string{"app", "here"}, Evac: []wireEvacuation{{Centre: 1, Revision: 9}}, New: map[string]int{"x": 1}})
@@ -256,7 +256,7 @@
 		t.Fatal(err)
 	}
 	var w Body
-	if err := msgpack.Unmarshal(next, &w); err != nil || len(w.Names) != 2 || len(w.Evacuated) != 1 || w.Evacuated[0].Revision != 9 {
+	if err := msgpack.Unmarshal(next, &w); err != nil || len(w.Names) != 2 || len(w.Evacuations) != 1 || w.Evacuations[0].Revision != 9 {
 		t.Errorf("%+v %v", w, err)
 	}
 }
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -42,37 +42,37 @@
 	return i
 }
 
-// Holds is what a child has of a table.
-type Holds struct {
+// ChildState is what a child has of a table.
+type ChildState struct {
 	change  uint64              // the table's count; 0: nothing yet
 	version stoatpaddle.Version // of the declaration
 }
 
-// HoldsOf returns what a child has that was sent all of the table.
-func HoldsOf(t *stoatroute.Table) Holds {
-	return Holds{change: t.Change, version: t.Declaration.Version}
+// ChildStateOf returns what a child has that was sent all of the table.
+func ChildStateOf(t *stoatroute.Table) ChildState {
+	return ChildState{change: t.ChangeSeq, version: t.Declaration.Version}
 }
 
 // EncodeBody returns what t has that a child does not, or nil if there is nothing.
-func EncodeBody(now time.Time, t *stoatroute.Table, child Holds) *Body {
-	if child.change == t.Change {
+func EncodeBody(now time.Time, t *stoatroute.Table, child ChildState) *Body {
+	if child.change == t.ChangeSeq {
 		return nil
 	}
 	n := &names{place: map[string]int{}}
-	w := &Body{Whole: child.change == 0}
-	if t.Altered > child.change {
-		w.Declared = encodeConfig(n, t, child)
+	w := &Body{Full: child.change == 0}
+	if t.DeclarationSeq > child.change {
+		w.Declaration = encodeConfig(n, t, child)
 	}
-	for _, u := range t.Since(child.change) {
+	for _, u := range t.UpstreamsSince(child.change) {
 		r := &u.Registration
 		w.Upstreams = append(w.Upstreams, wireHeld{
 			ID: string(r.ID), Target: uint64(r.Target), Service: n.of(string(r.Service)), Centre: n.of(string(r.DataCentre)),
 			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.Created),
-			Standing: uint8(u.Standing), ColdMS: max(0, u.Warm.Sub(now).Milliseconds()), Life: uint64(r.Incarnation),
+			Standing: uint8(u.State), ColdMS: max(0, u.WarmAt.Sub(now).Milliseconds()), Life: uint64(r.Incarnation),
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
-		w.Evacuated = append(w.Evacuated, wireEvacuation{Centre: n.of(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
+		w.Evacuations = append(w.Evacuations, wireEvacuation{Centre: n.of(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
 	}
 	w.Names = n.list
 	return w
@@ -84,7 +84,7 @@
 	return b
 }
 
-func encodeConfig(n *names, t *stoatroute.Table, child Holds) *wireConfig {
+func encodeConfig(n *names, t *stoatroute.Table, child ChildState) *wireConfig {
 	d := &t.Declaration
 	w := &wireConfig{
 		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.Idle.Milliseconds(),
@@ -110,7 +110,7 @@
 			out.Backends = append(out.Backends, wireBackend{Service: n.of(string(b.Service)), Weight: uint32(b.Weight)})
 		}
 		if held := t.Route(r.Listen); held != nil {
-			for _, s := range held.Earlier() {
+			for _, s := range held.FormerServices() {
 				out.Earlier = append(out.Earlier, n.of(string(s)))
 			}
 		}
--- a/stoatrelay/fuzz_test.go
+++ b/stoatrelay/fuzz_test.go
@@ -15,16 +15,16 @@
 // next entry reads the same from it.
 func FuzzMessage(f *testing.F) {
 	at := time.Unix(1000, 0)
-	b := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
-	b.Restore(at, 3)
-	b.Declare(*declared(2, 5).declaration, 5)
-	b.Evacuate(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
-	b.Spoil(at, "i-9", 9, 8)
-	head, err := Encode(&Head{Known: 7, KnownEra: 2, Era: 3, Path: []string{"10.0.0.1:1"}, Body: true})
+	b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
+	b.BeginEra(at, 3)
+	b.ApplyDeclaration(*declared(2, 5).declaration, 5)
+	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
+	b.MarkInvalid(at, "i-9", 9, 8)
+	head, err := Encode(&Head{PositionRevision: 7, PositionEra: 2, BodyEra: 3, Path: []string{"10.0.0.1:1"}, HasBody: true})
 	if err != nil {
 		f.Fatal(err)
 	}
-	body, err := Encode(EncodeBody(at, b.Table(), Holds{}))
+	body, err := Encode(EncodeBody(at, b.Table(), ChildState{}))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -40,13 +40,13 @@
 		if err != nil {
 			return
 		}
-		child := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
-		child.Restore(at, m.Era)
+		child := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
+		child.BeginEra(at, m.Era)
 		if m.Delta != nil {
-			child.Declare(m.Delta.Declaration, m.Delta.Revision)
+			child.ApplyDeclaration(m.Delta.Declaration, m.Delta.Revision)
 		}
-		child.Mirror(at, stoatroute.RemoteUpdate{Upstreams: m.Upstreams, Whole: m.Whole, Later: true})
-		next := EncodeBody(at, child.Table(), Holds{})
+		child.Mirror(at, stoatroute.RemoteUpdate{Upstreams: m.Upstreams, Complete: m.Full, UpToDate: true})
+		next := EncodeBody(at, child.Table(), ChildState{})
 		if next == nil {
 			return
 		}
--- a/stoatroute/bench_test.go
+++ b/stoatroute/bench_test.go
@@ -10,15 +10,15 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-func fullBook(n int) *stoatroute.Book {
-	b := stoatroute.NewBook(stoatroute.Config{})
+func fullBook(n int) *stoatroute.Builder {
+	b := stoatroute.NewBuilder(stoatroute.Config{})
 	d := stoatpaddle.Declaration{Version: 1}
 	for i := range max(1, n/11) {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)}), 443)
 		service := stoatpaddle.ServiceID(fmt.Sprintf("s-%d", i))
 		d.Routes = append(d.Routes, stoatpaddle.Route{Listen: addr, Backends: []stoatpaddle.Backend{{Service: service, Weight: 1}}})
 	}
-	b.Declare(d, 1)
+	b.ApplyDeclaration(d, 1)
 	for i := range n {
 		b.Register(start, upstream(i, n), stoatpaddle.Version(i+2))
 	}
@@ -54,7 +54,7 @@
 // A tenth of a second passes, and of 43,000 upstreams one is gone. 1.0 ms when all were looked at, 0.0002 ms now.
 func BenchmarkTick(b *testing.B) {
 	book := fullBook(43000)
-	book.Remove(start, "i-00000001", 50000)
+	book.MarkGone(start, "i-00000001", 50000)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
@@ -69,7 +69,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		book.Prove(start.Add(time.Duration(i)))
+		book.MarkCurrent(start.Add(time.Duration(i)))
 		book.Table()
 	}
 }
--- a/stoatroute/book.go
+++ b/stoatroute/book.go
@@ -10,27 +10,27 @@
 )
 
 func newEntry(now time.Time, r *stoatpaddle.Registration) *entry {
-	return &entry{up: &Upstream{Key: KeyOf(r.Target), Warm: now.Add(r.Cold), Started: r.Cold > 0}}
+	return &entry{up: &Upstream{Key: KeyOf(r.Target), WarmAt: now.Add(r.Cold), StartedCold: r.Cold > 0}}
 }
 
 // cooled takes in how much longer the upstream says to be cold. One may become cold without a start,
 // as when its data centre was evacuated.
 func (e *entry) cooled(now time.Time, cold time.Duration) {
 	u := e.edit()
-	u.Warm = now.Add(cold)
-	u.Started = u.Started || cold > 0
+	u.WarmAt = now.Add(cold)
+	u.StartedCold = u.StartedCold || cold > 0
 }
 
 // Config configures a Book; zero values take the defaults.
 type Config struct {
-	// Return is how long after the platform's return a registration that lapsed meanwhile
+	// GracePeriod is how long after the platform's return a registration that lapsed meanwhile
 	// may take to come back.
-	Return time.Duration
-	// Keep is how long an upstream that is gone stays known, and a route the services it
+	GracePeriod time.Duration
+	// Retention is how long an upstream that is gone stays known, and a route the services it
 	// had: as long as a flow lives.
-	Keep time.Duration
-	// Evacuations says that evacuations are to be known before flows are placed.
-	Evacuations bool
+	Retention time.Duration
+	// RequireEvacuations says that evacuations are to be known before flows are placed.
+	RequireEvacuations bool
 }
 
 const (
@@ -67,12 +67,12 @@
 func (e *entry) renew(now time.Time, r *stoatpaddle.Registration) {
 	noted := e.noted
 	*e = *newEntry(now, r)
-	e.edit().Renewed = now
+	e.edit().RestartedAt = now
 	e.noted = noted
 }
 
-// Book gathers what the platform says. One goroutine uses it.
-type Book struct {
+// Builder gathers what the platform says. One goroutine uses it.
+type Builder struct {
 	cfg      Config
 	decl     stoatpaddle.Declaration
 	era      stoatpaddle.Era     // of all revisions here; 0: not said
@@ -98,26 +98,26 @@
 	dirty   bool // more than proven changed since table was made
 }
 
-// NewBook returns an empty Book.
-func NewBook(cfg Config) *Book {
-	return &Book{
+// NewBuilder returns an empty Book.
+func NewBuilder(cfg Config) *Builder {
+	return &Builder{
 		cfg: cfg.filled(), routes: map[netip.AddrPort]*Route{}, ups: map[stoatpaddle.UpstreamID]*entry{}, dirty: true,
 		ending: map[stoatpaddle.UpstreamID]*entry{},
 	}
 }
 
 func (c Config) filled() Config {
-	if c.Return == 0 {
-		c.Return = defaultReturn
+	if c.GracePeriod == 0 {
+		c.GracePeriod = defaultReturn
 	}
-	if c.Keep == 0 {
-		c.Keep = defaultKeep
+	if c.Retention == 0 {
+		c.Retention = defaultKeep
 	}
 	return c
 }
 
-// SetBounds changes the bounds for what is taken in from now on.
-func (b *Book) SetBounds(cfg Config) { b.cfg = cfg.filled(); b.dirty = true }
+// SetConfig changes the bounds for what is taken in from now on.
+func (b *Builder) SetConfig(cfg Config) { b.cfg = cfg.filled(); b.dirty = true }
 
 // KeyOf returns the cookie that names the upstream; 0 names none. Targets of 32 bits map one
 // to one; a hash would let two of 43,000 upstreams share a cookie one time in five.
@@ -129,10 +129,10 @@
 	return 1
 }
 
-// Declare adopts a declaration and tells whether it is news. One that was written earlier
+// ApplyDeclaration adopts a declaration and tells whether it is news. One that was written earlier
 // than the one in force is ignored, whoever brings it: what is in force never reverts. Revision 0 is
 // of an earlier era, of which the version alone tells.
-func (b *Book) Declare(d stoatpaddle.Declaration, revision stoatpaddle.Version) bool {
+func (b *Builder) ApplyDeclaration(d stoatpaddle.Declaration, revision stoatpaddle.Version) bool {
 	if b.declared && (revision != 0 && revision <= b.revision || d.Version <= b.decl.Version) {
 		return false
 	}
@@ -140,11 +140,11 @@
 	priorities := prioritiesOf(d.Routes)
 	b.changes++
 	for _, r := range d.Routes {
-		n := &Route{Route: r, Urgent: priorities.urgent(&r), Yields: priorities.yields(&r), Change: b.changes, had: map[stoatpaddle.ServiceID]bool{}}
+		n := &Route{Route: r, HasPrecedence: priorities.urgent(&r), Yields: priorities.yields(&r), ChangeSeq: b.changes, had: map[stoatpaddle.ServiceID]bool{}}
 		// A route that moved to another service keeps the open flows at the one before.
 		if old := b.routes[r.Listen]; old != nil {
 			if sameRoute(&old.Route, &r) {
-				n.Change = old.Change
+				n.ChangeSeq = old.ChangeSeq
 			}
 			for s := range old.had {
 				n.had[s] = true
@@ -165,10 +165,10 @@
 	return true
 }
 
-// Recall takes in which services routes had, by a configuration that is no later than the one in force, and tells
+// AddFormerServices takes in which services routes had, by a configuration that is no later than the one in force, and tells
 // whether that is news. Without it, an entry that starts after a route moved to another service would take the
 // cookies of flows at the service before for forged.
-func (b *Book) Recall(routes []stoatpaddle.Route) bool {
+func (b *Builder) AddFormerServices(routes []stoatpaddle.Route) bool {
 	var recalled []*Route
 	for i := range routes {
 		held := b.routes[routes[i].Listen]
@@ -185,7 +185,7 @@
 	b.changes++
 	b.routes = maps.Clone(b.routes) // tables have the one before
 	for _, n := range recalled {
-		n.Change = b.changes
+		n.ChangeSeq = b.changes
 		b.routes[n.Listen] = n
 	}
 	b.altered, b.dirty = b.changes, true
@@ -202,7 +202,7 @@
 const maxDropped = 4096
 
 // drop notes which routes the declaration with these takes out.
-func (b *Book) drop(routes map[netip.AddrPort]*Route) {
+func (b *Builder) drop(routes map[netip.AddrPort]*Route) {
 	dropped := make(map[netip.AddrPort]uint64, len(b.dropped))
 	for listen, at := range b.dropped {
 		if routes[listen] == nil {
@@ -221,21 +221,21 @@
 }
 
 // changed notes that an upstream is not what it was.
-func (b *Book) changed(e *entry) {
+func (b *Builder) changed(e *entry) {
 	b.changes++
-	e.edit().Change, b.dirty = b.changes, true
+	e.edit().ChangeSeq, b.dirty = b.changes, true
 	b.members.note(e)
-	if e.up.Standing >= Missing {
+	if e.up.State >= Missing {
 		b.ending[e.up.ID] = e
 	} else {
 		delete(b.ending, e.up.ID)
 	}
 }
 
-// Remove takes in that a registration ended while the platform answered.
-func (b *Book) Remove(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
+// MarkGone takes in that a registration ended while the platform answered.
+func (b *Builder) MarkGone(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
 	e := b.ups[id]
-	if e == nil || revision < e.up.Revision || e.up.Standing == Gone {
+	if e == nil || revision < e.up.Revision || e.up.State == Gone {
 		return false
 	}
 	e.edit().Revision = revision
@@ -243,11 +243,11 @@
 	return true
 }
 
-// Lapse takes in that a registration ended while nobody asked the platform for this entry: it
+// MarkMissing takes in that a registration ended while nobody asked the platform for this entry: it
 // may have lapsed in an outage, and has Config.Return to come back.
-func (b *Book) Lapse(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
+func (b *Builder) MarkMissing(now time.Time, id stoatpaddle.UpstreamID, revision stoatpaddle.Version) bool {
 	e := b.ups[id]
-	if e == nil || revision < e.up.Revision || e.up.Standing >= Missing {
+	if e == nil || revision < e.up.Revision || e.up.State >= Missing {
 		return false
 	}
 	e.edit().Revision = revision
@@ -255,20 +255,20 @@
 	return true
 }
 
-func (b *Book) end(now time.Time, e *entry) {
+func (b *Builder) end(now time.Time, e *entry) {
 	u := e.edit()
-	u.Standing, u.Ended, e.until = Gone, now, now.Add(b.cfg.Keep)
+	u.State, u.EndedAt, e.until = Gone, now, now.Add(b.cfg.Retention)
 	b.changed(e)
 }
 
-// Listed takes in which registrations a complete list held. Those that it lacks have ended,
+// ApplyList takes in which registrations a complete list held. Those that it lacks have ended,
 // unless the platform had been away: then they have Config.Return to come back, for an
 // upstream whose registration lapsed with the platform may serve all the while.
-func (b *Book) Listed(now time.Time, names map[stoatpaddle.UpstreamID]bool, away bool) []stoatpaddle.UpstreamID {
+func (b *Builder) ApplyList(now time.Time, names map[stoatpaddle.UpstreamID]bool, away bool) []stoatpaddle.UpstreamID {
 	b.listed, b.dirty = true, true
 	var lost []stoatpaddle.UpstreamID
 	for id, e := range b.ups {
-		if names[id] || e.up.Standing >= Missing {
+		if names[id] || e.up.State >= Missing {
 			continue
 		}
 		lost = append(lost, id)
@@ -282,15 +282,15 @@
 	return lost
 }
 
-func (b *Book) miss(now time.Time, e *entry) {
-	e.edit().Standing, e.until, e.held = Missing, now.Add(b.cfg.Return), false
+func (b *Builder) miss(now time.Time, e *entry) {
+	e.edit().State, e.until, e.held = Missing, now.Add(b.cfg.GracePeriod), false
 	b.changed(e)
 }
 
-// Prove notes that the upstreams were up to date when a question was sent at that time. Soon after a
+// MarkCurrent notes that the upstreams were up to date when a question was sent at that time. Soon after a
 // restore that does not say that an upstream which is not known has ended: its registration may be
 // lost, and an open flow there would be reset.
-func (b *Book) Prove(sent time.Time) {
+func (b *Builder) MarkCurrent(sent time.Time) {
 	if sent.After(b.proven) {
 		b.proven = sent
 	}
@@ -299,38 +299,38 @@
 	}
 }
 
-// Hold gives every missing registration its full time to come back from now on: the
+// RestartGracePeriod gives every missing registration its full time to come back from now on: the
 // platform went away again before they could.
-func (b *Book) Hold(now time.Time) {
+func (b *Builder) RestartGracePeriod(now time.Time) {
 	for _, e := range b.ending {
-		if e.up.Standing == Missing {
-			e.until = now.Add(b.cfg.Return)
+		if e.up.State == Missing {
+			e.until = now.Add(b.cfg.GracePeriod)
 		}
 	}
 }
 
-// Follow tells whether another entry, which asks the platform, is mirrored from now on. When
+// SetMirroring tells whether another entry, which asks the platform, is mirrored from now on. When
 // none is any more, what is missing has its full time to come back.
-func (b *Book) Follow(now time.Time, follows bool) {
+func (b *Builder) SetMirroring(now time.Time, follows bool) {
 	if b.follows && !follows {
-		b.Hold(now)
+		b.RestartGracePeriod(now)
 	}
 	b.follows = follows
 }
 
 // Declaration returns what is in force.
-func (b *Book) Declaration() stoatpaddle.Declaration { return b.decl }
+func (b *Builder) Declaration() stoatpaddle.Declaration { return b.decl }
 
-// Proven returns when the question was sent whose answer last proved the upstreams up to date.
-func (b *Book) Proven() time.Time { return b.proven }
+// CurrentAsOf returns when the question was sent whose answer last proved the upstreams up to date.
+func (b *Builder) CurrentAsOf() time.Time { return b.proven }
 
 // Expire ends what is missing for too long and forgets what ended long ago.
-func (b *Book) Expire(now time.Time) []stoatpaddle.UpstreamID {
+func (b *Builder) Expire(now time.Time) []stoatpaddle.UpstreamID {
 	var ended []stoatpaddle.UpstreamID
 	for id, e := range b.ending {
 		switch {
-		case now.Before(e.until) || b.follows && e.up.Standing == Missing && e.held:
-		case e.up.Standing == Missing:
+		case now.Before(e.until) || b.follows && e.up.State == Missing && e.held:
+		case e.up.State == Missing:
 			b.end(now, e)
 			ended = append(ended, id)
 		default:
@@ -344,8 +344,8 @@
 	return ended
 }
 
-// Registered returns what the book has on an upstream.
-func (b *Book) Registered(id stoatpaddle.UpstreamID) (Upstream, bool) {
+// Lookup returns what the book has on an upstream.
+func (b *Builder) Lookup(id stoatpaddle.UpstreamID) (Upstream, bool) {
 	e := b.ups[id]
 	if e == nil {
 		return Upstream{}, false
@@ -355,22 +355,22 @@
 
 // Table returns the present snapshot. A new proof alone shares everything else with the one
 // before: it comes every few seconds, to as many upstreams as there are.
-func (b *Book) Table() *Table {
+func (b *Builder) Table() *Table {
 	switch {
 	case b.dirty:
 		b.table, b.dirty = b.build(), false
-	case b.table.Proven != b.absent:
+	case b.table.CompleteAsOf != b.absent:
 		t := *b.table
-		t.Proven = b.absent
+		t.CompleteAsOf = b.absent
 		b.table = &t
 	}
 	return b.table
 }
 
-func (b *Book) build() *Table {
+func (b *Builder) build() *Table {
 	t := &Table{
-		Declaration: b.decl, Revision: b.revision, Era: b.era, Proven: b.absent, Declared: b.declared, Listed: b.listed,
-		Change: b.changes, Altered: b.altered, evacuations: b.evacuations.clone(b.cfg.Evacuations),
+		Declaration: b.decl, Revision: b.revision, Era: b.era, CompleteAsOf: b.absent, Declared: b.declared, Listed: b.listed,
+		ChangeSeq: b.changes, DeclarationSeq: b.altered, evacuations: b.evacuations.clone(b.cfg.RequireEvacuations),
 		routes: b.routes, dropped: b.dropped, forgot: b.forgot,
 	}
 	last := &shards{}
@@ -391,8 +391,8 @@
 	return a.ID < b.ID
 }
 
-// Clash returns the upstream that has the cookie of another one and keeps it, if there is one.
-func (b *Book) Clash(id stoatpaddle.UpstreamID) (stoatpaddle.UpstreamID, bool) {
+// KeyConflict returns the upstream that has the cookie of another one and keeps it, if there is one.
+func (b *Builder) KeyConflict(id stoatpaddle.UpstreamID) (stoatpaddle.UpstreamID, bool) {
 	e := b.ups[id]
 	if e == nil {
 		return "", false
--- a/stoatroute/book_test.go
+++ b/stoatroute/book_test.go
@@ -25,20 +25,20 @@
 	return stoatpaddle.Registration{ID: id, Target: target, Service: "app", Slots: 3, Created: stoatpaddle.Version(target)}
 }
 
-func standingOf(t *testing.T, b *stoatroute.Book, id stoatpaddle.UpstreamID) stoatroute.Standing {
+func standingOf(t *testing.T, b *stoatroute.Builder, id stoatpaddle.UpstreamID) stoatroute.State {
 	t.Helper()
-	u, ok := b.Registered(id)
+	u, ok := b.Lookup(id)
 	if !ok {
 		t.Fatal(id, "is not known")
 	}
-	return u.Standing
+	return u.State
 }
 
 // A neighbour that was cut off, or a replica, brings an older configuration after a newer
 // one. What is in force must not revert: callers would find a removed route back.
 func TestConfigurationNeverReverts(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	if !b.Declare(declaration(7, "app"), 40) || b.Declare(declaration(5, "old"), 30) || b.Declare(declaration(5, "old"), 41) || b.Declare(declaration(8, "old"), 39) {
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	if !b.ApplyDeclaration(declaration(7, "app"), 40) || b.ApplyDeclaration(declaration(5, "old"), 30) || b.ApplyDeclaration(declaration(5, "old"), 41) || b.ApplyDeclaration(declaration(8, "old"), 39) {
 		t.Error("an older configuration was adopted, or a newer one not")
 	}
 	if got := b.Table().Declaration.Version; got != 7 {
@@ -49,14 +49,14 @@
 // A route moves to another service while flows are open at the one before. They go on: the
 // route still vouches for cookies of that service. A service it never had is another matter.
 func TestRouteRemembersItsServices(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(declaration(1, "old"), 1)
-	b.Declare(declaration(2, "app"), 2)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(declaration(1, "old"), 1)
+	b.ApplyDeclaration(declaration(2, "app"), 2)
 	r := b.Table().Route(listen)
-	if !r.Had("old") || !r.Had("app") || r.Had("other") {
-		t.Error("old", r.Had("old"), "app", r.Had("app"), "other", r.Had("other"))
+	if !r.EverUsed("old") || !r.EverUsed("app") || r.EverUsed("other") {
+		t.Error("old", r.EverUsed("old"), "app", r.EverUsed("app"), "other", r.EverUsed("other"))
 	}
-	b.Declare(stoatpaddle.Declaration{Version: 3}, 3)
+	b.ApplyDeclaration(stoatpaddle.Declaration{Version: 3}, 3)
 	if b.Table().Route(listen) != nil {
 		t.Error("a removed route is still there")
 	}
@@ -66,13 +66,13 @@
 // first list after it is empty. If they counted as gone, every open flow would be reset and
 // no new one placed, until they are back two seconds later. One never comes back: it is gone.
 func TestLapsedRegistrations(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{Return: 2 * time.Second})
-	b.Declare(declaration(1, "app"), 1)
+	b := stoatroute.NewBuilder(stoatroute.Config{GracePeriod: 2 * time.Second})
+	b.ApplyDeclaration(declaration(1, "app"), 1)
 	b.Register(start, registration(1, "i-1"), 2)
 	b.Register(start, registration(2, "i-2"), 3)
-	lost := b.Listed(start, map[stoatpaddle.UpstreamID]bool{}, true)
-	if !slices.Equal(lost, []stoatpaddle.UpstreamID{"i-1", "i-2"}) || len(b.Table().Service("app")) != 2 {
-		t.Fatal(lost, len(b.Table().Service("app")))
+	lost := b.ApplyList(start, map[stoatpaddle.UpstreamID]bool{}, true)
+	if !slices.Equal(lost, []stoatpaddle.UpstreamID{"i-1", "i-2"}) || len(b.Table().Candidates("app")) != 2 {
+		t.Fatal(lost, len(b.Table().Candidates("app")))
 	}
 	b.Register(start.Add(time.Second), registration(1, "i-1"), 9)
 	ended := b.Expire(start.Add(2 * time.Second))
@@ -82,7 +82,7 @@
 	if standingOf(t, b, "i-1") != stoatroute.Serving || standingOf(t, b, "i-2") != stoatroute.Gone {
 		t.Error(standingOf(t, b, "i-1"), standingOf(t, b, "i-2"))
 	}
-	if u := b.Table().Upstream(stoatroute.KeyOf(2)); u == nil || u.Standing != stoatroute.Gone {
+	if u := b.Table().Upstream(stoatroute.KeyOf(2)); u == nil || u.State != stoatroute.Gone {
 		t.Error("flows at the upstream that ended cannot be told so", u)
 	}
 }
@@ -90,10 +90,10 @@
 // The platform goes away again before the lapsed ones could register. Their time to come
 // back counts from its next return.
 func TestLapsedTwice(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{Return: 2 * time.Second})
+	b := stoatroute.NewBuilder(stoatroute.Config{GracePeriod: 2 * time.Second})
 	b.Register(start, registration(1, "i-1"), 2)
-	b.Listed(start, map[stoatpaddle.UpstreamID]bool{}, true)
-	b.Hold(start.Add(1900 * time.Millisecond))
+	b.ApplyList(start, map[stoatpaddle.UpstreamID]bool{}, true)
+	b.RestartGracePeriod(start.Add(1900 * time.Millisecond))
 	if ended := b.Expire(start.Add(3 * time.Second)); len(ended) != 0 {
 		t.Error(ended)
 	}
@@ -105,12 +105,12 @@
 // With the platform in touch all the while, a registration that ended says that the upstream
 // has: no flow is placed there, and its flows can be told at once. After a time it is forgotten.
 func TestEndedRegistration(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{Keep: time.Minute})
+	b := stoatroute.NewBuilder(stoatroute.Config{Retention: time.Minute})
 	b.Register(start, registration(1, "i-1"), 2)
-	if !b.Remove(start, "i-1", 5) || b.Remove(start, "i-1", 6) {
+	if !b.MarkGone(start, "i-1", 5) || b.MarkGone(start, "i-1", 6) {
 		t.Error("said twice, or never")
 	}
-	if len(b.Table().Service("app")) != 0 || b.Table().Upstream(stoatroute.KeyOf(1)) == nil {
+	if len(b.Table().Candidates("app")) != 0 || b.Table().Upstream(stoatroute.KeyOf(1)) == nil {
 		t.Error("gone but not known as such")
 	}
 	b.Expire(start.Add(time.Minute))
@@ -121,18 +121,18 @@
 
 // An upstream leaves. Its last words must not be taken back by an older copy of its entry.
 func TestLeavingUpstream(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.Register(start, registration(1, "i-1"), 2)
 	leaving := registration(1, "i-1")
 	leaving.Leaving = true
 	if b.Register(start, leaving, 4) != stoatroute.Changed || b.Register(start, registration(1, "i-1"), 3) != stoatroute.Unchanged {
 		t.Error("an older entry was taken in")
 	}
-	if standingOf(t, b, "i-1") != stoatroute.Leaving || len(b.Table().Service("app")) != 0 {
+	if standingOf(t, b, "i-1") != stoatroute.Leaving || len(b.Table().Candidates("app")) != 0 {
 		t.Error("a leaving upstream takes flows")
 	}
-	b.Listed(start, nil, true)
-	if len(b.Table().Service("app")) != 0 {
+	b.ApplyList(start, nil, true)
+	if len(b.Table().Candidates("app")) != 0 {
 		t.Error("a leaving upstream takes flows because its registration lapsed")
 	}
 }
@@ -146,18 +146,18 @@
 		t.Fatal("they do not share one")
 	}
 	for _, order := range [][]stoatpaddle.Registration{{first, second}, {second, first}} {
-		b := stoatroute.NewBook(stoatroute.Config{})
+		b := stoatroute.NewBuilder(stoatroute.Config{})
 		for i, r := range order {
 			b.Register(start, r, stoatpaddle.Version(i+1))
 		}
-		list := b.Table().Service("app")
+		list := b.Table().Candidates("app")
 		if len(list) != 1 || list[0].ID != first.ID {
 			t.Error(len(list))
 		}
-		if holder, ok := b.Clash(second.ID); !ok || holder != first.ID {
+		if holder, ok := b.KeyConflict(second.ID); !ok || holder != first.ID {
 			t.Error(holder, ok)
 		}
-		if _, ok := b.Clash(first.ID); ok {
+		if _, ok := b.KeyConflict(first.ID); ok {
 			t.Error("the holder is reported")
 		}
 	}
@@ -166,15 +166,15 @@
 // An entry that starts while the platform is away serves what another one tells, but takes
 // it for no proof that anything is gone.
 func TestMirrorIsNoProof(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Mirror(start, stoatroute.RemoteUpdate{Whole: true, Later: true})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.Mirror(start, stoatroute.RemoteUpdate{Complete: true, UpToDate: true})
 	if b.Table().Ready() {
 		t.Error("ready with nothing")
 	}
-	b.Declare(declaration(1, "app"), 1)
-	b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: registration(1, "i-1"), Revision: 2}}, Whole: true, Later: true})
-	if table := b.Table(); !table.Ready() || !table.Proven.IsZero() {
-		t.Error(table.Ready(), table.Proven)
+	b.ApplyDeclaration(declaration(1, "app"), 1)
+	b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: registration(1, "i-1"), Revision: 2}}, Complete: true, UpToDate: true})
+	if table := b.Table(); !table.Ready() || !table.CompleteAsOf.IsZero() {
+		t.Error(table.Ready(), table.CompleteAsOf)
 	}
 	if h := b.Table(); len(h.Upstreams()) != 1 || !h.Declared || h.Revision != 1 {
 		t.Errorf("%+v", h)
@@ -184,31 +184,31 @@
 // mirror is a book that mirrors another entry, and what it has on two upstreams.
 type mirror struct {
 	t *testing.T
-	b *stoatroute.Book
+	b *stoatroute.Builder
 }
 
 func newMirror(t *testing.T) *mirror {
-	m := &mirror{t: t, b: stoatroute.NewBook(stoatroute.Config{Return: 2 * time.Second})}
-	m.b.Declare(declaration(1, "app"), 1)
-	m.b.Follow(start, true)
+	m := &mirror{t: t, b: stoatroute.NewBuilder(stoatroute.Config{GracePeriod: 2 * time.Second})}
+	m.b.ApplyDeclaration(declaration(1, "app"), 1)
+	m.b.SetMirroring(start, true)
 	m.tell(true, true, told(1, "i-1", 2, stoatroute.Serving), told(2, "i-2", 3, stoatroute.Serving))
 	return m
 }
 
-func told(target stoatpaddle.Target, id stoatpaddle.UpstreamID, revision stoatpaddle.Version, s stoatroute.Standing) stoatroute.RemoteUpstream {
-	return stoatroute.RemoteUpstream{Registration: registration(target, id), Revision: revision, Standing: s}
+func told(target stoatpaddle.Target, id stoatpaddle.UpstreamID, revision stoatpaddle.Version, s stoatroute.State) stoatroute.RemoteUpstream {
+	return stoatroute.RemoteUpstream{Registration: registration(target, id), Revision: revision, State: s}
 }
 
 func (m *mirror) tell(whole, later bool, list ...stoatroute.RemoteUpstream) {
-	m.b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: list, Whole: whole, Later: later})
+	m.b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: list, Complete: whole, UpToDate: later})
 }
 
-func (m *mirror) want(what string, one, two stoatroute.Standing) {
+func (m *mirror) want(what string, one, two stoatroute.State) {
 	m.t.Helper()
-	a, _ := m.b.Registered("i-1")
-	b, _ := m.b.Registered("i-2")
-	if a.Standing != one || b.Standing != two {
-		m.t.Errorf("%s: %s and %s", what, a.Standing, b.Standing)
+	a, _ := m.b.Lookup("i-1")
+	b, _ := m.b.Lookup("i-2")
+	if a.State != one || b.State != two {
+		m.t.Errorf("%s: %s and %s", what, a.State, b.State)
 	}
 }
 
@@ -221,7 +221,7 @@
 	if ended := m.b.Expire(start.Add(10 * time.Second)); len(ended) != 0 {
 		t.Error("ended without the word of the entry that asks:", ended)
 	}
-	m.b.Follow(start.Add(10*time.Second), false)
+	m.b.SetMirroring(start.Add(10*time.Second), false)
 	if ended := m.b.Expire(start.Add(11 * time.Second)); len(ended) != 0 {
 		t.Error("ended at once:", ended)
 	}
@@ -262,20 +262,20 @@
 
 // Somebody is told only what changed since: each change counts once, the declaration apart.
 func TestSince(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(declaration(1, "app"), 1)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(declaration(1, "app"), 1)
 	b.Register(start, registration(1, "i-1"), 2)
 	b.Register(start, registration(2, "i-2"), 3)
 	first := b.Table()
-	if len(first.Since(0)) != 2 || len(first.Since(first.Change)) != 0 || first.Altered == 0 {
-		t.Error(len(first.Since(0)), len(first.Since(first.Change)), first.Altered)
+	if len(first.UpstreamsSince(0)) != 2 || len(first.UpstreamsSince(first.ChangeSeq)) != 0 || first.DeclarationSeq == 0 {
+		t.Error(len(first.UpstreamsSince(0)), len(first.UpstreamsSince(first.ChangeSeq)), first.DeclarationSeq)
 	}
-	b.Remove(start, "i-1", 9)
+	b.MarkGone(start, "i-1", 9)
 	second := b.Table()
-	if list := second.Since(first.Change); len(list) != 1 || list[0].ID != "i-1" || list[0].Standing != stoatroute.Gone {
+	if list := second.UpstreamsSince(first.ChangeSeq); len(list) != 1 || list[0].ID != "i-1" || list[0].State != stoatroute.Gone {
 		t.Error(len(list))
 	}
-	if second.Altered != first.Altered {
+	if second.DeclarationSeq != first.DeclarationSeq {
 		t.Error("the declaration did not change")
 	}
 }
--- a/stoatroute/evacuation.go
+++ b/stoatroute/evacuation.go
@@ -20,8 +20,8 @@
 	evacuationsKnown bool // they were listed at least once, or need not be
 }
 
-// EvacuationChange returns the book's count of changes at the last one of an evacuation.
-func (e *evacuations) EvacuationChange() uint64 {
+// EvacuationSeq returns the book's count of changes at the last one of an evacuation.
+func (e *evacuations) EvacuationSeq() uint64 {
 	last := uint64(0)
 	for _, s := range e.evacuationStates {
 		last = max(last, s.change)
@@ -65,9 +65,9 @@
 	return out
 }
 
-// Evacuate takes in what operators want of a data centre, and tells whether that changes where flows
+// ApplyEvacuation takes in what operators want of a data centre, and tells whether that changes where flows
 // may go. An earlier state than the known one is ignored, whoever brings it.
-func (b *Book) Evacuate(e stoatpaddle.Evacuation) bool {
+func (b *Builder) ApplyEvacuation(e stoatpaddle.Evacuation) bool {
 	old, known := b.evacuationStates[e.DataCentre]
 	if known && !e.Supersedes(old.Evacuation) {
 		return false
@@ -81,10 +81,10 @@
 	return e.Withdrawn == (known && !old.Withdrawn)
 }
 
-// EvacuationsListed takes in which data centres a complete list names that is as of a revision. The
+// ApplyEvacuationList takes in which data centres a complete list names that is as of a revision. The
 // others are not evacuated any more; it returns those that were. One that was known before a restore may
 // have been lost with it, and ends with ExpireEvacuations.
-func (b *Book) EvacuationsListed(now time.Time, names map[stoatpaddle.DataCentreID]bool, asOf stoatpaddle.Version) []stoatpaddle.DataCentreID {
+func (b *Builder) ApplyEvacuationList(now time.Time, names map[stoatpaddle.DataCentreID]bool, asOf stoatpaddle.Version) []stoatpaddle.DataCentreID {
 	b.evacuationsKnown, b.dirty = true, true
 	return b.lift(asOf, func(d stoatpaddle.DataCentreID, s *evacuationState) bool {
 		if names[d] || s.Revision != 0 {
@@ -99,15 +99,15 @@
 
 // ExpireEvacuations ends the evacuations that operators did not write again in time after a restore, as of
 // a revision, and returns their data centres.
-func (b *Book) ExpireEvacuations(now time.Time, asOf stoatpaddle.Version) []stoatpaddle.DataCentreID {
+func (b *Builder) ExpireEvacuations(now time.Time, asOf stoatpaddle.Version) []stoatpaddle.DataCentreID {
 	return b.lift(asOf, func(_ stoatpaddle.DataCentreID, s *evacuationState) bool {
 		return !s.lost.IsZero() && now.Sub(s.lost) >= rewriteTime
 	})
 }
 
-// HoldEvacuations gives operators their full time to write again from now on: they cannot while the
+// RestartEvacuationGracePeriod gives operators their full time to write again from now on: they cannot while the
 // platform is away.
-func (b *Book) HoldEvacuations(now time.Time) {
+func (b *Builder) RestartEvacuationGracePeriod(now time.Time) {
 	for d, s := range b.evacuationStates {
 		if !s.lost.IsZero() {
 			s.lost = now
@@ -117,7 +117,7 @@
 }
 
 // lift withdraws the evacuations that have ended, as of a revision.
-func (b *Book) lift(asOf stoatpaddle.Version, ended func(d stoatpaddle.DataCentreID, s *evacuationState) bool) []stoatpaddle.DataCentreID {
+func (b *Builder) lift(asOf stoatpaddle.Version, ended func(d stoatpaddle.DataCentreID, s *evacuationState) bool) []stoatpaddle.DataCentreID {
 	var lifted []stoatpaddle.DataCentreID
 	for d, s := range b.evacuationStates {
 		if s.Withdrawn {
@@ -125,7 +125,7 @@
 		}
 		end := ended(d, &s)
 		b.evacuationStates[d] = s
-		if end && b.Evacuate(stoatpaddle.Evacuation{DataCentre: d, Revision: asOf, Withdrawn: true}) {
+		if end && b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: asOf, Withdrawn: true}) {
 			lifted = append(lifted, d)
 		}
 	}
--- a/stoatroute/evacuation_test.go
+++ b/stoatroute/evacuation_test.go
@@ -22,14 +22,14 @@
 	}
 	states := []stoatpaddle.Evacuation{in(5), out(5), in(8), out(9), in(12)}
 	for first := range states {
-		b := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
+		b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
 		for i := range states {
-			b.Evacuate(states[(first+i)%len(states)])
+			b.ApplyEvacuation(states[(first+i)%len(states)])
 		}
 		if !b.Table().Evacuated("here") {
 			t.Errorf("begun with state %d: not evacuated", first)
 		}
-		if b.Evacuate(out(11)) || !b.Evacuate(out(12)) || b.Evacuate(out(13)) {
+		if b.ApplyEvacuation(out(11)) || !b.ApplyEvacuation(out(12)) || b.ApplyEvacuation(out(13)) {
 			t.Errorf("begun with state %d: a change is not told from none", first)
 		}
 		if b.Table().Evacuated("here") || b.Table().Evacuated("there") {
@@ -41,11 +41,11 @@
 // A list that is complete as of a revision lacks a data centre: its evacuation was withdrawn, unless it
 // was asked for later than the list.
 func TestListOfEvacuations(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{Evacuations: true})
+	b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
 	for d, revision := range map[stoatpaddle.DataCentreID]stoatpaddle.Version{"old": 5, "new": 20, "kept": 6} {
-		b.Evacuate(stoatpaddle.Evacuation{DataCentre: d, Revision: revision})
+		b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: revision})
 	}
-	lifted := b.EvacuationsListed(start, map[stoatpaddle.DataCentreID]bool{"kept": true}, 10)
+	lifted := b.ApplyEvacuationList(start, map[stoatpaddle.DataCentreID]bool{"kept": true}, 10)
 	if !slices.Equal(lifted, []stoatpaddle.DataCentreID{"old"}) {
 		t.Error(lifted)
 	}
@@ -60,17 +60,17 @@
 func TestUpstreamBecomesColdAgain(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := stoatpaddle.Registration{ID: "i-1", Target: 1, Service: "app", DataCentre: "here", Slots: 2}
-	warm := func(b *stoatroute.Book) time.Duration {
-		u, _ := b.Registered("i-1")
-		return u.Warm.Sub(now)
+	warm := func(b *stoatroute.Builder) time.Duration {
+		u, _ := b.Lookup("i-1")
+		return u.WarmAt.Sub(now)
 	}
-	b, child := stoatroute.NewBook(stoatroute.Config{}), stoatroute.NewBook(stoatroute.Config{})
+	b, child := stoatroute.NewBuilder(stoatroute.Config{}), stoatroute.NewBuilder(stoatroute.Config{})
 	b.Register(now, r, 1)
-	child.Mirror(now, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: 1}}, Later: true})
+	child.Mirror(now, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: 1}}, UpToDate: true})
 	now = now.Add(time.Minute)
 	r.Cold = 4 * time.Second
 	b.Register(now, r, 2)
-	child.Mirror(now, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: 2}}, Later: true})
+	child.Mirror(now, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: 2}}, UpToDate: true})
 	if warm(b) != 4*time.Second || warm(child) != 4*time.Second {
 		t.Errorf("cold for %s, told: %s", warm(b), warm(child))
 	}
--- a/stoatroute/history.go
+++ b/stoatroute/history.go
@@ -9,8 +9,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Former is a service that a route had, and until when flows that opened there may go on.
-type Former struct {
+// FormerService is a service that a route had, and until when flows that opened there may go on.
+type FormerService struct {
 	Listen  netip.AddrPort
 	Service stoatpaddle.ServiceID
 	Until   time.Time
@@ -22,33 +22,33 @@
 	service stoatpaddle.ServiceID
 }
 
-// Former returns the services that routes had and have no more, in order, and whether there is one that it did
+// FormerServices returns the services that routes had and have no more, in order, and whether there is one that it did
 // not return before.
-func (b *Book) Former(now time.Time) (list []Former, news bool) {
+func (b *Builder) FormerServices(now time.Time) (list []FormerService, news bool) {
 	former := map[formerKey]time.Time{}
 	for listen, r := range b.routes {
-		for _, s := range r.Earlier() {
+		for _, s := range r.FormerServices() {
 			key := formerKey{listen: listen, service: s}
 			until, known := b.former[key]
 			if !known {
-				until, news = now.Add(b.cfg.Keep), true
+				until, news = now.Add(b.cfg.Retention), true
 			}
 			former[key] = until
 			if now.Before(until) {
-				list = append(list, Former{Listen: listen, Service: s, Until: until})
+				list = append(list, FormerService{Listen: listen, Service: s, Until: until})
 			}
 		}
 	}
 	b.former = former
-	slices.SortFunc(list, func(x, y Former) int {
+	slices.SortFunc(list, func(x, y FormerService) int {
 		return cmp.Or(x.Listen.Compare(y.Listen), cmp.Compare(x.Service, y.Service))
 	})
 	return list, news
 }
 
-// RecallFormer takes in which services routes had, as the platform keeps it, and tells whether that is news.
+// RestoreFormerServices takes in which services routes had, as the platform keeps it, and tells whether that is news.
 // What no flow can be open to any more is left out.
-func (b *Book) RecallFormer(now time.Time, list []Former) bool {
+func (b *Builder) RestoreFormerServices(now time.Time, list []FormerService) bool {
 	var routes []stoatpaddle.Route
 	for _, f := range list {
 		if !now.Before(f.Until) {
@@ -60,5 +60,5 @@
 		}
 		b.former[formerKey{listen: f.Listen, service: f.Service}] = f.Until
 	}
-	return b.Recall(routes)
+	return b.AddFormerServices(routes)
 }
--- a/stoatroute/memory_test.go
+++ b/stoatroute/memory_test.go
@@ -13,9 +13,9 @@
 
 // fleetBook is a book with so many upstreams of two services in five data centres, whose names come from
 // messages, each in memory of its own.
-func fleetBook(n int) *Book {
-	b := NewBook(Config{})
-	b.Declare(stoatpaddle.Declaration{Version: 1}, 1)
+func fleetBook(n int) *Builder {
+	b := NewBuilder(Config{})
+	b.ApplyDeclaration(stoatpaddle.Declaration{Version: 1}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
 	for i := range n {
 		// Multiplied, so that keys do not follow each other (Knuth).
@@ -28,7 +28,7 @@
 			Addr:       netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8043), Slots: 2, Incarnation: 7, Created: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 	}
-	b.Listed(time.Unix(1000, 0), names, false)
+	b.ApplyList(time.Unix(1000, 0), names, false)
 	return b
 }
 
@@ -60,7 +60,7 @@
 func BenchmarkChangeInLargeService(b *testing.B) {
 	book := fleetBook(16000)
 	book.Table()
-	u, _ := book.Registered("i-009e3779b1")
+	u, _ := book.Lookup("i-009e3779b1")
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
--- a/stoatroute/mirror.go
+++ b/stoatroute/mirror.go
@@ -10,17 +10,17 @@
 type RemoteUpstream struct {
 	stoatpaddle.Registration
 	Revision stoatpaddle.Version // of its registration
-	Standing Standing
+	State    State
 }
 
 // RemoteUpdate is what another entry says at once.
 type RemoteUpdate struct {
 	Upstreams []RemoteUpstream
-	// Whole says that these are all there are.
-	Whole bool
-	// Later says that it knows all that this entry knows. What is not later counts only
+	// Complete says that these are all there are.
+	Complete bool
+	// UpToDate says that it knows all that this entry knows. What is not later counts only
 	// where it names a later registration.
-	Later bool
+	UpToDate bool
 }
 
 // Mirror takes in what another entry believes, and returns the upstreams whose standing is
@@ -30,17 +30,17 @@
 // after the platform returned never heard of a registration that lapsed, and the upstream is
 // about to register again. One that is told to be missing stays so until more is told, since
 // only the entry that asks the platform knows when it returned.
-func (b *Book) Mirror(now time.Time, x RemoteUpdate) []stoatpaddle.UpstreamID {
+func (b *Builder) Mirror(now time.Time, x RemoteUpdate) []stoatpaddle.UpstreamID {
 	var news []stoatpaddle.UpstreamID
 	named := make(map[stoatpaddle.UpstreamID]bool, len(x.Upstreams))
 	for i := range x.Upstreams {
 		u := &x.Upstreams[i]
 		named[u.ID] = true
-		if b.mirror(now, u, x.Later) {
+		if b.mirror(now, u, x.UpToDate) {
 			news = append(news, u.ID)
 		}
 	}
-	if !x.Whole {
+	if !x.Complete {
 		return news
 	}
 	if !b.listed && b.declared {
@@ -49,11 +49,11 @@
 	if !b.evacuationsKnown && b.declared {
 		b.evacuationsKnown, b.dirty = true, true
 	}
-	if !x.Later {
+	if !x.UpToDate {
 		return news
 	}
 	for id, e := range b.ups {
-		if !named[id] && e.up.Standing < Missing {
+		if !named[id] && e.up.State < Missing {
 			b.miss(now, e)
 			news = append(news, id)
 		}
@@ -61,9 +61,9 @@
 	return news
 }
 
-func (b *Book) mirror(now time.Time, x *RemoteUpstream, later bool) bool {
+func (b *Builder) mirror(now time.Time, x *RemoteUpstream, later bool) bool {
 	e := b.ups[x.ID]
-	if e != nil && (x.Revision < e.up.Revision || x.Revision == e.up.Revision && (!later || x.Standing == e.up.Standing)) {
+	if e != nil && (x.Revision < e.up.Revision || x.Revision == e.up.Revision && (!later || x.State == e.up.State)) {
 		return false
 	}
 	fresh := e == nil
@@ -74,19 +74,19 @@
 	case x.Incarnation < e.up.Incarnation:
 		// The parent has not heard of the later incarnation.
 		return false
-	case LifeOf(&e.up.Registration).compare(LifeOf(&x.Registration)) == laterLife:
+	case IdentityOf(&e.up.Registration).compare(IdentityOf(&x.Registration)) == laterLife:
 		e.renew(now, &x.Registration)
 		fresh = true
 	case x.Revision > e.up.Revision:
 		e.cooled(now, x.Cold)
 	}
-	was, standing := e.up.Standing, x.Standing
+	was, standing := e.up.State, x.State
 	u := e.edit()
 	u.Registration, u.Revision = b.names.shared(b.leaving(now, e, x.Registration)), x.Revision
 	if standing == Serving {
 		standing = standingOf(&e.up.Registration)
 	}
-	u.Standing = standing
+	u.State = standing
 	switch standing {
 	case Gone:
 		b.end(now, e)
--- a/stoatroute/openings.go
+++ b/stoatroute/openings.go
@@ -9,12 +9,12 @@
 
 // openings are the upstreams of a service that may take new flows. They never change.
 type openings struct {
-	all    []*Upstream // ascending by key
-	groups []Group     // by data centre, in the order of their names
+	all    []*Upstream      // ascending by key
+	groups []CandidateGroup // by data centre, in the order of their names
 }
 
-// Group is the upstreams of a service in one data centre that may take new flows, ascending by key.
-type Group struct {
+// CandidateGroup is the upstreams of a service in one data centre that may take new flows, ascending by key.
+type CandidateGroup struct {
 	DataCentre stoatpaddle.DataCentreID
 	Upstreams  []*Upstream
 }
@@ -49,10 +49,10 @@
 			return nil
 		})
 		if len(list) > 0 {
-			out.groups = append(out.groups, Group{DataCentre: centre, Upstreams: list})
+			out.groups = append(out.groups, CandidateGroup{DataCentre: centre, Upstreams: list})
 		}
 	}
-	slices.SortFunc(out.groups, func(x, y Group) int { return cmp.Compare(x.DataCentre, y.DataCentre) })
+	slices.SortFunc(out.groups, func(x, y CandidateGroup) int { return cmp.Compare(x.DataCentre, y.DataCentre) })
 	return out
 }
 
--- a/stoatroute/register.go
+++ b/stoatroute/register.go
@@ -35,7 +35,7 @@
 // than the known one supersedes all that is known of the upstream. An earlier one never does,
 // although its revision is later: a write that was under way when its server died may take
 // effect seconds later, and the server that lives would look dead, or cold, or elsewhere.
-func (b *Book) Register(now time.Time, r stoatpaddle.Registration, revision stoatpaddle.Version) Outcome {
+func (b *Builder) Register(now time.Time, r stoatpaddle.Registration, revision stoatpaddle.Version) Outcome {
 	e := b.ups[r.ID]
 	if e == nil {
 		e = newEntry(now, &r)
@@ -47,8 +47,8 @@
 		// Also of one that is gone: a neighbour which is behind must not bring it back.
 		return Unchanged
 	}
-	was := e.up.Standing
-	switch LifeOf(&e.up.Registration).compare(LifeOf(&r)) {
+	was := e.up.State
+	switch IdentityOf(&e.up.Registration).compare(IdentityOf(&r)) {
 	case earlierLife:
 		return Outdated
 	case laterLife:
@@ -56,20 +56,20 @@
 		b.adopt(e, r, revision, standingOf(&r))
 		return Restarted
 	case otherWriter:
-		b.Spoil(now, r.ID, r.Target, revision)
+		b.MarkInvalid(now, r.ID, r.Target, revision)
 		return Contradicted
 	case sameLife:
 	}
 	r = b.leaving(now, e, r)
 	e.cooled(now, r.Cold)
 	b.adopt(e, r, revision, standingOf(&r))
-	if was != e.up.Standing {
+	if was != e.up.State {
 		return Changed
 	}
 	return Unchanged
 }
 
-func standingOf(r *stoatpaddle.Registration) Standing {
+func standingOf(r *stoatpaddle.Registration) State {
 	if r.Leaving {
 		return Leaving
 	}
@@ -77,9 +77,9 @@
 }
 
 // adopt makes a registration and a standing what is known of an upstream.
-func (b *Book) adopt(e *entry, r stoatpaddle.Registration, revision stoatpaddle.Version, s Standing) {
+func (b *Builder) adopt(e *entry, r stoatpaddle.Registration, revision stoatpaddle.Version, s State) {
 	u := e.edit()
-	u.Registration, u.Revision, u.Standing, e.spoiled = b.names.shared(r), revision, s, false
+	u.Registration, u.Revision, u.State, e.spoiled = b.names.shared(r), revision, s, false
 	b.changed(e)
 }
 
@@ -87,13 +87,13 @@
 // is not known either, so that nothing is sent there.
 var nowhere = netip.AddrPortFrom(netip.IPv4Unspecified(), 1)
 
-// Spoil takes in that an upstream's entry was written over with something that names no server,
+// MarkInvalid takes in that an upstream's entry was written over with something that names no server,
 // and tells whether that is news. The upstream may live: its open flows go on. Until it writes
 // again it gets no new ones, since the platform does not say any more that it serves.
 //
 // One that is not known is known by its cookie from now on, as the target that its id names says: its entry
 // stands, so that the platform does not say either that it has ended, and flows there must not be reset.
-func (b *Book) Spoil(now time.Time, id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) bool {
+func (b *Builder) MarkInvalid(now time.Time, id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) bool {
 	e := b.ups[id]
 	if e == nil && target != 0 {
 		r := stoatpaddle.Registration{ID: id, Target: target, Addr: nowhere, Leaving: true, Created: revision}
@@ -103,10 +103,10 @@
 		e.spoiled = true
 		return true
 	}
-	if e == nil || revision <= e.up.Revision || e.up.Standing == Gone {
+	if e == nil || revision <= e.up.Revision || e.up.State == Gone {
 		return false
 	}
-	was, spoiled := e.up.Standing, e.spoiled || !e.up.Leaving
+	was, spoiled := e.up.State, e.spoiled || !e.up.Leaving
 	e.edit().Leaving = true
 	b.adopt(e, e.up.Registration, revision, Leaving)
 	e.spoiled = spoiled
--- a/stoatroute/register_test.go
+++ b/stoatroute/register_test.go
@@ -41,7 +41,7 @@
 	for name, c := range map[string]struct {
 		steps []step
 		want  stoatpaddle.Registration // in the end
-		is    stoatroute.Standing
+		is    stoatroute.State
 	}{
 		"restart, cold":               {[]step{{life(5, nil), 2, stoatroute.Changed}, {life(6, cold), 3, stoatroute.Restarted}}, life(6, cold), stoatroute.Serving},
 		"restart at another address":  {[]step{{life(5, nil), 2, stoatroute.Changed}, {life(6, moved), 3, stoatroute.Restarted}}, life(6, moved), stoatroute.Serving},
@@ -59,19 +59,19 @@
 		"no field, and moved":         {[]step{{life(0, nil), 2, stoatroute.Changed}, {life(0, moved), 3, stoatroute.Restarted}}, life(0, moved), stoatroute.Serving},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, now := stoatroute.NewBook(stoatroute.Config{}), start
+			b, now := stoatroute.NewBuilder(stoatroute.Config{}), start
 			for i, s := range c.steps {
 				now = now.Add(10 * time.Second)
 				if got := b.Register(now, s.r, s.rev); got != s.want {
 					t.Errorf("step %d: %s, expected %s", i, got, s.want)
 				}
 			}
-			u, _ := b.Registered("i-1")
-			if u.Registration != c.want || u.Standing != c.is {
+			u, _ := b.Lookup("i-1")
+			if u.Registration != c.want || u.State != c.is {
 				t.Errorf("%+v", u)
 			}
-			if isCold := now.Before(u.Warm); isCold != (c.want.Cold > 0) || u.Started != isCold {
-				t.Error("cold:", isCold, u.Started)
+			if isCold := now.Before(u.WarmAt); isCold != (c.want.Cold > 0) || u.StartedCold != isCold {
+				t.Error("cold:", isCold, u.StartedCold)
 			}
 		})
 	}
@@ -80,13 +80,13 @@
 // A server crashes and is back before anything removed its entry, or after; in an outage of the
 // platform; and the entry learns of it by a list after a gap. Each time the later life is new.
 func TestRestartAfterTheEnd(t *testing.T) {
-	for name, end := range map[string]func(b *stoatroute.Book){
-		"removed": func(b *stoatroute.Book) { b.Remove(start, "i-1", 3) },
-		"lapsed":  func(b *stoatroute.Book) { b.Lapse(start, "i-1", 3) },
-		"a gap":   func(b *stoatroute.Book) { b.Listed(start, nil, false) },
-		"outage":  func(b *stoatroute.Book) { b.Listed(start, nil, true) },
+	for name, end := range map[string]func(b *stoatroute.Builder){
+		"removed": func(b *stoatroute.Builder) { b.MarkGone(start, "i-1", 3) },
+		"lapsed":  func(b *stoatroute.Builder) { b.MarkMissing(start, "i-1", 3) },
+		"a gap":   func(b *stoatroute.Builder) { b.ApplyList(start, nil, false) },
+		"outage":  func(b *stoatroute.Builder) { b.ApplyList(start, nil, true) },
 	} {
-		b := stoatroute.NewBook(stoatroute.Config{})
+		b := stoatroute.NewBuilder(stoatroute.Config{})
 		b.Register(start, life(5, nil), 2)
 		end(b)
 		if got := b.Register(start.Add(time.Second), life(5, leaving), 1); got != stoatroute.Unchanged {
@@ -95,8 +95,8 @@
 		if got := b.Register(start.Add(time.Second), life(6, cold), 9); got != stoatroute.Restarted {
 			t.Error(name, got)
 		}
-		u, _ := b.Registered("i-1")
-		if u.Standing != stoatroute.Serving || !u.Ended.IsZero() || !u.Started {
+		u, _ := b.Lookup("i-1")
+		if u.State != stoatroute.Serving || !u.EndedAt.IsZero() || !u.StartedCold {
 			t.Errorf("%s: %+v", name, u)
 		}
 	}
@@ -105,25 +105,25 @@
 // Somebody writes over the entry of a server that lives. Its open flows go on, it gets no new
 // ones, also while the platform is away, and the server's next own write makes it good.
 func TestSpoiltEntry(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Declare(declaration(1, "app"), 1)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.ApplyDeclaration(declaration(1, "app"), 1)
 	b.Register(start, life(5, nil), 2)
-	if b.Spoil(start, "i-1", 0, 2) || b.Spoil(start, "i-2", 0, 7) || !b.Spoil(start, "i-1", 0, 3) || b.Spoil(start, "i-1", 0, 4) {
+	if b.MarkInvalid(start, "i-1", 0, 2) || b.MarkInvalid(start, "i-2", 0, 7) || !b.MarkInvalid(start, "i-1", 0, 3) || b.MarkInvalid(start, "i-1", 0, 4) {
 		t.Error("not news, or news twice")
 	}
-	u, _ := b.Registered("i-1")
-	if u.Standing != stoatroute.Leaving || u.Addr != home || len(b.Table().Service("app")) != 0 || b.Table().Upstream(u.Key) == nil {
+	u, _ := b.Lookup("i-1")
+	if u.State != stoatroute.Leaving || u.Addr != home || len(b.Table().Candidates("app")) != 0 || b.Table().Upstream(u.Key) == nil {
 		t.Errorf("%+v", u)
 	}
-	b.Listed(start, nil, true)
-	if u, _ = b.Registered("i-1"); u.Opens() {
+	b.ApplyList(start, nil, true)
+	if u, _ = b.Lookup("i-1"); u.AcceptsFlows() {
 		t.Error("it takes new flows once the platform is away")
 	}
-	if got := b.Register(start, life(5, nil), 5); got != stoatroute.Changed || len(b.Table().Service("app")) != 1 {
+	if got := b.Register(start, life(5, nil), 5); got != stoatroute.Changed || len(b.Table().Candidates("app")) != 1 {
 		t.Error(got, "a good entry does not help")
 	}
-	b.Remove(start, "i-1", 6)
-	if b.Spoil(start, "i-1", 0, 7) {
+	b.MarkGone(start, "i-1", 6)
+	if b.MarkInvalid(start, "i-1", 0, 7) {
 		t.Error("one that is gone came back")
 	}
 }
@@ -131,22 +131,22 @@
 // A parent tells of lives. One that is behind tells of the earlier one; what it says must not
 // bring that back, and what a child knows of the earlier one ends with the later.
 func TestLivesAreMirrored(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
+	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.Register(start, life(5, nil), 2)
 	say := func(r stoatpaddle.Registration, rev stoatpaddle.Version) []stoatpaddle.UpstreamID {
-		return b.Mirror(start.Add(time.Minute), stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: rev}}, Later: true})
+		return b.Mirror(start.Add(time.Minute), stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: rev}}, UpToDate: true})
 	}
 	if got := say(life(6, cold), 3); len(got) != 1 {
 		t.Error(got)
 	}
-	u, _ := b.Registered("i-1")
-	if u.Incarnation != 6 || !u.Started || !u.Warm.Equal(start.Add(time.Minute+3*time.Second)) {
+	u, _ := b.Lookup("i-1")
+	if u.Incarnation != 6 || !u.StartedCold || !u.WarmAt.Equal(start.Add(time.Minute+3*time.Second)) {
 		t.Errorf("%+v", u)
 	}
 	if got := say(life(5, leaving), 9); len(got) != 0 {
 		t.Error("the earlier life is back")
 	}
-	if u, _ = b.Registered("i-1"); u.Incarnation != 6 || u.Standing != stoatroute.Serving {
+	if u, _ = b.Lookup("i-1"); u.Incarnation != 6 || u.State != stoatroute.Serving {
 		t.Errorf("%+v", u)
 	}
 }
--- a/stoatroute/restore_test.go
+++ b/stoatroute/restore_test.go
@@ -16,25 +16,25 @@
 	ready := registration(1, "i-1")
 	ready.Incarnation = 3
 	for _, ended := range []bool{false, true} {
-		b := stoatroute.NewBook(stoatroute.Config{Return: 2 * time.Second})
-		b.Restore(start, 1)
+		b := stoatroute.NewBuilder(stoatroute.Config{GracePeriod: 2 * time.Second})
+		b.BeginEra(start, 1)
 		b.Register(start, ready, 20)
 		leaving := ready
 		leaving.Leaving = true
 		b.Register(start, leaving, 30)
 		if ended {
-			b.Remove(start, "i-1", 31)
+			b.MarkGone(start, "i-1", 31)
 		}
-		b.Restore(start, 2)
+		b.BeginEra(start, 2)
 		b.Register(start, ready, 20)
 		if got := standingOf(t, b, "i-1"); got != stoatroute.Leaving {
 			t.Error(ended, "the copy made it", got)
 		}
-		b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: ready, Revision: 24}}, Whole: true, Later: true})
+		b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: ready, Revision: 24}}, Complete: true, UpToDate: true})
 		if got := standingOf(t, b, "i-1"); got != stoatroute.Leaving {
 			t.Error(ended, "another entry made it", got)
 		}
-		if u, _ := b.Registered("i-1"); u.Opens() {
+		if u, _ := b.Lookup("i-1"); u.AcceptsFlows() {
 			t.Error(ended, "it takes new flows")
 		}
 		// A start under its id is another life, which does not leave.
@@ -48,11 +48,11 @@
 
 // Another writer had spoilt an upstream's entry, and the copy is of before that. The entry is a good one.
 func TestSpoiltEntryBeforeARestore(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Restore(start, 1)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.BeginEra(start, 1)
 	b.Register(start, registration(1, "i-1"), 20)
-	b.Spoil(start, "i-1", 0, 30)
-	b.Restore(start, 2)
+	b.MarkInvalid(start, "i-1", 0, 30)
+	b.BeginEra(start, 2)
 	b.Register(start, registration(1, "i-1"), 20)
 	if got := standingOf(t, b, "i-1"); got != stoatroute.Serving {
 		t.Error(got)
@@ -62,12 +62,12 @@
 // Revisions of two eras are not compared: what the copy has is later than what was known, whatever its
 // number, and a configuration is as late as its version.
 func TestRevisionsAfterARestore(t *testing.T) {
-	b := stoatroute.NewBook(stoatroute.Config{})
-	b.Restore(start, 1)
-	b.Declare(declaration(7, "app"), 40)
+	b := stoatroute.NewBuilder(stoatroute.Config{})
+	b.BeginEra(start, 1)
+	b.ApplyDeclaration(declaration(7, "app"), 40)
 	b.Register(start, registration(1, "i-1"), 41)
-	b.Restore(start, 2)
-	if b.Declare(declaration(6, "old"), 12) || !b.Declare(declaration(8, "app"), 13) {
+	b.BeginEra(start, 2)
+	if b.ApplyDeclaration(declaration(6, "old"), 12) || !b.ApplyDeclaration(declaration(8, "app"), 13) {
 		t.Error("the copy reverted the configuration, or the next one is refused")
 	}
 	leaving := registration(1, "i-1")
--- a/stoatroute/shards.go
+++ b/stoatroute/shards.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Differing calls do with each cookie that may name another upstream, or the same one otherwise, than in the
+// EachChangedKey calls do with each cookie that may name another upstream, or the same one otherwise, than in the
 // table before; nil: with all.
-func (t *Table) Differing(before *Table, do func(k stoatpaddle.UpstreamKey)) {
+func (t *Table) EachChangedKey(before *Table, do func(k stoatpaddle.UpstreamKey)) {
 	for i, part := range t.upstreams {
 		var old *upstreamShard
 		if before != nil {
@@ -127,7 +127,7 @@
 			copied[i], out.services[i] = true, cloneServices(out.services[i])
 		}
 		list := out.services[i][id].patched(keys, func(k stoatpaddle.UpstreamKey) *Upstream {
-			if u := out.upstream(k); u != nil && u.Service == id && u.Opens() {
+			if u := out.upstream(k); u != nil && u.Service == id && u.AcceptsFlows() {
 				return u
 			}
 			return nil
@@ -148,12 +148,12 @@
 	for _, e := range list {
 		if e.snapshot == nil || m.staleAll {
 			u := e.edit()
-			u.Cap, u.ColdRate = d.Caps[u.Service], d.ColdRates[u.Service]
+			u.MaxFlows, u.ColdRate = d.Caps[u.Service], d.ColdRates[u.Service]
 			e.snapshot = u
 		}
 		u := e.snapshot
 		s.held = append(s.held, u)
-		s.change = max(s.change, u.Change)
+		s.change = max(s.change, u.ChangeSeq)
 		if other := s.byKey[u.Key]; other == nil || older(u, other) {
 			s.byKey[u.Key] = u
 		}
--- a/stoatroute/shards_test.go
+++ b/stoatroute/shards_test.go
@@ -21,18 +21,18 @@
 }
 
 // naive is the table's upstreams and services made from all entries, as they were before shards.
-func naive(b *Book) (map[stoatpaddle.UpstreamKey]Upstream, map[stoatpaddle.ServiceID][]stoatpaddle.UpstreamID) {
+func naive(b *Builder) (map[stoatpaddle.UpstreamKey]Upstream, map[stoatpaddle.ServiceID][]stoatpaddle.UpstreamID) {
 	byKey := map[stoatpaddle.UpstreamKey]Upstream{}
 	for _, e := range b.ups {
 		u := *e.up
-		u.Cap, u.ColdRate = b.decl.Caps[u.Service], b.decl.ColdRates[u.Service]
+		u.MaxFlows, u.ColdRate = b.decl.Caps[u.Service], b.decl.ColdRates[u.Service]
 		if other, taken := byKey[u.Key]; !taken || older(&u, &other) {
 			byKey[u.Key] = u
 		}
 	}
 	var open []Upstream
 	for _, u := range byKey {
-		if u.Opens() {
+		if u.AcceptsFlows() {
 			open = append(open, u)
 		}
 	}
@@ -44,7 +44,7 @@
 	return byKey, services
 }
 
-func compareWithNaive(t *rapid.T, b *Book) {
+func compareWithNaive(t *rapid.T, b *Builder) {
 	table := b.Table()
 	byKey, services := naive(b)
 	found := 0
@@ -59,14 +59,14 @@
 	}
 	for id, want := range services {
 		var got []stoatpaddle.UpstreamID
-		for _, u := range table.Service(id) {
+		for _, u := range table.Candidates(id) {
 			got = append(got, u.ID)
 		}
 		if !slices.Equal(got, want) {
 			t.Fatalf("service %s: %v, expected %v", id, got, want)
 		}
 	}
-	if held := len(table.Since(0)); held != len(b.ups) {
+	if held := len(table.UpstreamsSince(0)); held != len(b.ups) {
 		t.Fatalf("%d upstreams are held, expected %d", held, len(b.ups))
 	}
 }
@@ -76,11 +76,11 @@
 // everything. One that was taken before does not change.
 func TestShardsAreTheWholeTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := NewBook(Config{Keep: 10 * time.Second, Return: 2 * time.Second})
+		b := NewBuilder(Config{Retention: 10 * time.Second, GracePeriod: 2 * time.Second})
 		now := time.Unix(1000, 0)
 		revision := stoatpaddle.Version(0)
 		era := stoatpaddle.Era(1)
-		b.Restore(now, era)
+		b.BeginEra(now, era)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			n := rapid.IntRange(1, 6).Draw(t, "upstream")
 			id := stoatpaddle.UpstreamID(fmt.Sprint("i-", n))
@@ -99,18 +99,18 @@
 			case 0, 1, 2:
 				b.Register(now, r, revision)
 			case 3:
-				b.Remove(now, id, revision)
+				b.MarkGone(now, id, revision)
 			case 4:
-				b.Lapse(now, id, revision)
+				b.MarkMissing(now, id, revision)
 			case 5:
 				b.Expire(now)
 			case 6:
-				b.Mirror(now, RemoteUpdate{Upstreams: []RemoteUpstream{{Registration: r, Revision: revision, Standing: Standing(rapid.IntRange(0, 3).Draw(t, "standing"))}}, Later: true})
+				b.Mirror(now, RemoteUpdate{Upstreams: []RemoteUpstream{{Registration: r, Revision: revision, State: State(rapid.IntRange(0, 3).Draw(t, "standing"))}}, UpToDate: true})
 			case 7:
-				b.Declare(stoatpaddle.Declaration{Version: revision, Caps: map[stoatpaddle.ServiceID]int{"a": int(revision) % 3}}, revision)
+				b.ApplyDeclaration(stoatpaddle.Declaration{Version: revision, Caps: map[stoatpaddle.ServiceID]int{"a": int(revision) % 3}}, revision)
 			case 8:
 				era++
-				b.Restore(now, era)
+				b.BeginEra(now, era)
 			}
 			if rapid.Bool().Draw(t, "look") {
 				before := b.Table()
--- a/stoatroute/table.go
+++ b/stoatroute/table.go
@@ -10,51 +10,51 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Standing is what is known about an upstream's registration.
-type Standing uint8
+// State is what is known about an upstream's registration.
+type State uint8
 
 // The standings of an upstream.
 const (
-	Serving Standing = iota
-	Leaving          // takes no new flows; its open ones go on
-	Missing          // its registration may have lapsed while the platform was away; goes on as before
-	Gone             // proven to have ended; its flows cannot live
+	Serving State = iota
+	Leaving       // takes no new flows; its open ones go on
+	Missing       // its registration may have lapsed while the platform was away; goes on as before
+	Gone          // proven to have ended; its flows cannot live
 )
 
 // String returns the name used in logs.
-func (s Standing) String() string { return [...]string{"serving", "leaving", "missing", "gone"}[s] }
+func (s State) String() string { return [...]string{"serving", "leaving", "missing", "gone"}[s] }
 
 // Upstream is one life of a server. It never changes after the table that has it was made.
 type Upstream struct {
 	stoatpaddle.Registration
-	Revision stoatpaddle.Version // of its registration
-	Key      stoatpaddle.UpstreamKey
-	Standing Standing
-	Cap      int       // flows it may hold; 0: not limited
-	ColdRate float64   // requests a second that it bears while it is cold; 0: not limited
-	Warm     time.Time // when its slow start ends
-	Started  bool      // it was cold when it was first heard of
-	Change   uint64    // the book's count of changes at its last one
-	Ended    time.Time // Gone: since when
-	Renewed  time.Time // when it was heard of that it started again under its id; zero: it did not
+	Revision    stoatpaddle.Version // of its registration
+	Key         stoatpaddle.UpstreamKey
+	State       State
+	MaxFlows    int       // flows it may hold; 0: not limited
+	ColdRate    float64   // requests a second that it bears while it is cold; 0: not limited
+	WarmAt      time.Time // when its slow start ends
+	StartedCold bool      // it was cold when it was first heard of
+	ChangeSeq   uint64    // the book's count of changes at its last one
+	EndedAt     time.Time // Gone: since when
+	RestartedAt time.Time // when it was heard of that it started again under its id; zero: it did not
 }
 
-// Opens tells whether the upstream may take new flows.
-func (u *Upstream) Opens() bool {
-	return u.Standing == Serving || u.Standing == Missing && !u.Leaving
+// AcceptsFlows tells whether the upstream may take new flows.
+func (u *Upstream) AcceptsFlows() bool {
+	return u.State == Serving || u.State == Missing && !u.Leaving
 }
 
 // Route is where flows to one address go.
 type Route struct {
 	stoatpaddle.Route
-	Urgent bool                           // a less urgent route shares its service
-	Yields bool                           // a more urgent route shares its service
-	Change uint64                         // the book's count of changes at its last one
-	had    map[stoatpaddle.ServiceID]bool // services that it ever had here
+	HasPrecedence bool                           // a less urgent route shares its service
+	Yields        bool                           // a more urgent route shares its service
+	ChangeSeq     uint64                         // the book's count of changes at its last one
+	had           map[stoatpaddle.ServiceID]bool // services that it ever had here
 }
 
-// Had tells whether the route has or had the service: flows that opened there go on.
-func (r *Route) Had(s stoatpaddle.ServiceID) bool { return r.had[s] }
+// EverUsed tells whether the route has or had the service: flows that opened there go on.
+func (r *Route) EverUsed(s stoatpaddle.ServiceID) bool { return r.had[s] }
 
 // recall returns the route with the services that another version of it has or had: itself if it knew them.
 func (r *Route) recall(other *stoatpaddle.Route) *Route {
@@ -79,8 +79,8 @@
 	return out
 }
 
-// Earlier returns the services that the route had and has not any more, in order.
-func (r *Route) Earlier() []stoatpaddle.ServiceID {
+// FormerServices returns the services that the route had and has not any more, in order.
+func (r *Route) FormerServices() []stoatpaddle.ServiceID {
 	var out []stoatpaddle.ServiceID
 	for s := range r.had {
 		if !slices.ContainsFunc(r.Backends, func(b stoatpaddle.Backend) bool { return b.Service == s }) {
@@ -96,12 +96,12 @@
 	Declaration stoatpaddle.Declaration
 	Revision    stoatpaddle.Version // of the declaration; 0: of an earlier era
 	Era         stoatpaddle.Era     // of all revisions here; 0: not said
-	// Proven is when the question was sent whose answer last proved the upstreams up to
+	// CompleteAsOf is when the question was sent whose answer last proved the upstreams up to
 	// date: whatever is not in the table did not exist then.
-	Proven time.Time
-	// Change is the book's count of changes; Altered is what it was when the declaration
+	CompleteAsOf time.Time
+	// ChangeSeq is the book's count of changes; DeclarationSeq is what it was when the declaration
 	// was adopted. Both count within one life of the process.
-	Change, Altered uint64
+	ChangeSeq, DeclarationSeq uint64
 
 	Declared bool // there is a declaration
 	Listed   bool // the upstreams were listed at least once
@@ -119,18 +119,18 @@
 // Upstream returns the upstream that a cookie names, also one that is gone, or nil.
 func (t *Table) Upstream(key stoatpaddle.UpstreamKey) *Upstream { return t.upstream(key) }
 
-// Service returns the upstreams that may take new flows of the service, ascending by key.
-func (t *Table) Service(id stoatpaddle.ServiceID) []*Upstream {
+// Candidates returns the upstreams that may take new flows of the service, ascending by key.
+func (t *Table) Candidates(id stoatpaddle.ServiceID) []*Upstream {
 	return t.services[shardOfService(id)][id].all
 }
 
-// Groups returns the same by data centre, in the order of their names.
-func (t *Table) Groups(id stoatpaddle.ServiceID) []Group {
+// CandidateGroups returns the same by data centre, in the order of their names.
+func (t *Table) CandidateGroups(id stoatpaddle.ServiceID) []CandidateGroup {
 	return t.services[shardOfService(id)][id].groups
 }
 
-// Group returns those of one data centre.
-func (t *Table) Group(id stoatpaddle.ServiceID, centre stoatpaddle.DataCentreID) []*Upstream {
+// CandidatesIn returns those of one data centre.
+func (t *Table) CandidatesIn(id stoatpaddle.ServiceID, centre stoatpaddle.DataCentreID) []*Upstream {
 	return t.services[shardOfService(id)][id].group(centre)
 }
 
@@ -148,16 +148,16 @@
 // Ready tells whether the table is enough to place flows.
 func (t *Table) Ready() bool { return t.Declared && t.Listed && t.evacuationsKnown }
 
-// Since returns the upstreams that changed after the book's count was that, also those that
+// UpstreamsSince returns the upstreams that changed after the book's count was that, also those that
 // are gone, in any order.
-func (t *Table) Since(change uint64) []*Upstream {
+func (t *Table) UpstreamsSince(change uint64) []*Upstream {
 	var out []*Upstream
 	for _, part := range t.upstreams {
 		if part == nil || part.change <= change {
 			continue
 		}
 		for _, u := range part.held {
-			if u.Change > change {
+			if u.ChangeSeq > change {
 				out = append(out, u)
 			}
 		}
@@ -172,7 +172,7 @@
 		return nil, nil, false
 	}
 	for _, r := range t.routes {
-		if r.Change > change {
+		if r.ChangeSeq > change {
 			changed = append(changed, r.Route)
 		}
 	}
@@ -190,7 +190,7 @@
 func (t *Table) Upstreams() []*Upstream {
 	var out []*Upstream
 	t.each(func(u *Upstream) {
-		if u.Standing != Gone {
+		if u.State != Gone {
 			out = append(out, u)
 		}
 	})
@@ -200,6 +200,6 @@
 
 // Counts returns the number of routes and of upstreams by standing.
 func (t *Table) Counts() (routes int, upstreams [4]int) {
-	t.each(func(u *Upstream) { upstreams[u.Standing]++ })
+	t.each(func(u *Upstream) { upstreams[u.State]++ })
 	return len(t.routes), upstreams
 }
--- a/stoatview/next.go
+++ b/stoatview/next.go
@@ -18,33 +18,33 @@
 
 // Input is what a view is built from.
 type Input struct {
-	Self      stoatpaddle.InstanceID
-	Seed      stoatpacket.Seed
-	Contracts []stoatpaddle.Contract            // any order
-	Instances []stoatpaddle.Instance            // any order
-	Dead      map[stoatpaddle.InstanceID]bool   // entries that do not answer
-	Cut       map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
-	Leaving   map[stoatpaddle.InstanceID]bool   // upstreams marked as leaving
+	Self        stoatpaddle.InstanceID
+	Seed        stoatpacket.Seed
+	Contracts   []stoatpaddle.Contract            // any order
+	Instances   []stoatpaddle.Instance            // any order
+	Dead        map[stoatpaddle.InstanceID]bool   // entries that do not answer
+	Partitioned map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
+	Leaving     map[stoatpaddle.InstanceID]bool   // upstreams marked as leaving
 }
 
 // Next returns the view that follows prev (nil at the start) under the input.
 func Next(prev *View, now time.Time, in Input) *View {
 	v := &View{
-		Number: 1,
-		Self:   in.Self,
-		Seed:   in.Seed,
-		Ring:   ringOf(in),
+		Number:  1,
+		Self:    in.Self,
+		Seed:    in.Seed,
+		Entries: ringOf(in),
 	}
 	if prev != nil {
 		v.Number = prev.Number + 1
-		v.Changed = prev.Changed
+		v.ChangedAt = prev.ChangedAt
 		v.cut = prev.cut
-		if prev.Ring.same(v.Ring) {
-			v.Ring = prev.Ring
+		if prev.Entries.same(v.Entries) {
+			v.Entries = prev.Entries
 		}
 	}
 	v.noteCut(prev, now, in)
-	v.Past = pastRings(prev, v.Ring, now, in)
+	v.PastEntries = pastRings(prev, v.Entries, now, in)
 	v.index(in)
 	v.indexGone()
 	for _, c := range sortedContracts(in.Contracts) {
@@ -52,29 +52,29 @@
 			v.add(prev, now, in, c, &c.Services[i])
 		}
 	}
-	if prev == nil || prev.Ring != v.Ring {
-		v.Changed = now
+	if prev == nil || prev.Entries != v.Entries {
+		v.ChangedAt = now
 	}
 	return v
 }
 
 // noteCut keeps which data centres are cut off, and since when.
 func (v *View) noteCut(prev *View, now time.Time, in Input) {
-	v.Cut = in.Cut
+	v.Partitioned = in.Partitioned
 	if prev != nil {
-		v.CutAt = prev.CutAt
+		v.PartitionedAt = prev.PartitionedAt
 	}
-	if len(in.Cut) > 0 || prev != nil && len(prev.Cut) > 0 {
+	if len(in.Partitioned) > 0 || prev != nil && len(prev.Partitioned) > 0 {
 		v.cut = now
 	}
-	for dc := range in.Cut {
-		if prev == nil || !prev.Cut[dc] {
-			v.CutAt = now
+	for dc := range in.Partitioned {
+		if prev == nil || !prev.Partitioned[dc] {
+			v.PartitionedAt = now
 		}
 	}
 }
 
-func ringOf(in Input) *Ring {
+func ringOf(in Input) *EntrySet {
 	var members []*Member
 	for _, i := range in.Instances {
 		if i.Role != stoatpaddle.RoleEntry || i.State != stoatpaddle.StateLive || in.Dead[i.ID] {
@@ -82,13 +82,13 @@
 		}
 		members = append(members, NewMember(i.ID, i.DataCentre, i.Relay))
 	}
-	return NewRing(members)
+	return NewEntrySet(members)
 }
 
 // pastRings keeps the rings that flows may still be known under. A member that is dead or
 // gone is taken out of them, so that the owner under an earlier ring is the entry that
 // holds its copies; a packet sent to ask it would be lost.
-func pastRings(prev *View, ring *Ring, now time.Time, in Input) []PastRing {
+func pastRings(prev *View, ring *EntrySet, now time.Time, in Input) []PastEntrySet {
 	serves := map[stoatpaddle.InstanceID]bool{}
 	for _, i := range in.Instances {
 		serves[i.ID] = !in.Dead[i.ID]
@@ -98,16 +98,16 @@
 		// A joining entry takes keys over from entries that it never saw own them:
 		// without this ring it would decide by hash for flows that they know.
 		before := ring.without(func(m *Member) bool { return m.ID == in.Self })
-		return []PastRing{{Full: before, Ring: before, Until: now}}
+		return []PastEntrySet{{Original: before, Live: before, Until: now}}
 	}
-	past := prev.Past
-	if prev.Ring != ring {
-		past = append([]PastRing{{Full: prev.Ring, Until: now}}, past...)
+	past := prev.PastEntries
+	if prev.Entries != ring {
+		past = append([]PastEntrySet{{Original: prev.Entries, Until: now}}, past...)
 	}
 	past = dropBriefest(past)
-	out := make([]PastRing, 0, len(past))
+	out := make([]PastEntrySet, 0, len(past))
 	for _, p := range past {
-		out = append(out, PastRing{Full: p.Full, Ring: p.Full.without(dead), Until: p.Until})
+		out = append(out, PastEntrySet{Original: p.Original, Live: p.Original.without(dead), Until: p.Until})
 	}
 	return out
 }
@@ -115,7 +115,7 @@
 // dropBriefest forgets the ring that was in force for the shortest time, if there are too
 // many: a cut or its end brings a ring for each entry, and those in force for a moment
 // must not push out the one before them.
-func dropBriefest(past []PastRing) []PastRing {
+func dropBriefest(past []PastEntrySet) []PastEntrySet {
 	if len(past) <= ringsKept {
 		return past
 	}
@@ -143,8 +143,8 @@
 
 // indexGone marks the entries that left: a packet sent to one would be lost.
 func (v *View) indexGone() {
-	for _, p := range v.Past {
-		for _, m := range p.Full.Members {
+	for _, p := range v.PastEntries {
+		for _, m := range p.Original.Members {
 			if _, known := v.relays[m.Relay]; !known {
 				v.relays[m.Relay] = false
 			}
@@ -171,17 +171,17 @@
 		up := s.known(svc, &svc.Retired[i].Upstream)
 		s.byKey[up.Key] = up
 	}
-	s.Set = NewSet(s.Active)
-	s.Whole = s.Set
+	s.Set = NewUpstreamSet(s.Active)
+	s.FullSet = s.Set
 	if len(s.cut) > 0 {
-		s.Whole = NewSet(append(s.cut, s.Active...))
+		s.FullSet = NewUpstreamSet(append(s.cut, s.Active...))
 	}
 	var old *Service
 	if prev != nil {
 		old = prev.Service(ref)
 	}
 	if s.inherit(old, now) {
-		v.Changed = now
+		v.ChangedAt = now
 	}
 	v.Services = append(v.Services, s)
 	v.byRef[ref] = s
@@ -200,7 +200,7 @@
 // known maps an upstream to what traffic needs of it.
 func (s *Service) known(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) *Upstream {
 	return &Upstream{
-		Key: KeyOf(s.Ref, u.ID), Ref: s.Ref, ID: u.ID, DataCentre: u.DataCentre, Addr: u.Addr,
+		Key: UpstreamKeyOf(s.Ref, u.ID), Ref: s.Ref, ID: u.ID, DataCentre: u.DataCentre, Addr: u.Addr,
 		Weight: effectiveWeight(svc, u), Slots: u.Slots, Connections: u.Connections, Opens: u.Opens,
 		seed: seedOf("upstream", s.Ref.String()+"/"+string(u.ID)),
 	}
@@ -213,7 +213,7 @@
 	if in.Leaving[id] {
 		return
 	}
-	if in.Cut[u.DataCentre] {
+	if in.Partitioned[u.DataCentre] {
 		s.cut = append(s.cut, up)
 		return
 	}
@@ -238,19 +238,19 @@
 	if old == nil {
 		return true
 	}
-	s.Past = old.Past
+	s.PastSets = old.PastSets
 	changed := !old.Set.same(s.Set)
 	if !changed {
 		s.Set = old.Set
 	} else {
-		s.Past = append([]PastSet{{Set: old.Set, Until: now}}, old.Past...)
-		if len(s.Past) > pastKept {
-			s.Past = s.Past[:pastKept]
+		s.PastSets = append([]PastUpstreamSet{{Set: old.Set, Until: now}}, old.PastSets...)
+		if len(s.PastSets) > pastKept {
+			s.PastSets = s.PastSets[:pastKept]
 		}
 	}
 	// An upstream that left the contract still has open flows: it stays known by key
 	// as long as an earlier set has it, and no newcomer with its key can differ.
-	for _, p := range s.Past {
+	for _, p := range s.PastSets {
 		for _, u := range p.Set.Upstreams {
 			if _, known := s.byKey[u.Key]; !known {
 				s.byKey[u.Key] = u
--- a/stoatview/rendezvous.go
+++ b/stoatview/rendezvous.go
@@ -28,7 +28,7 @@
 	return -float64(w) / math.Log(u)
 }
 
-// KeyOf returns the name of an upstream in records between entries.
-func KeyOf(ref stoatpaddle.ServiceRef, id stoatpaddle.UpstreamID) stoatpaddle.UpstreamKey {
+// UpstreamKeyOf returns the name of an upstream in records between entries.
+func UpstreamKeyOf(ref stoatpaddle.ServiceRef, id stoatpaddle.UpstreamID) stoatpaddle.UpstreamKey {
 	return stoatpaddle.UpstreamKey(xxhash.Sum64String(ref.String() + "/" + string(id)))
 }
--- a/stoatview/ring.go
+++ b/stoatview/ring.go
@@ -21,20 +21,20 @@
 	return &Member{ID: id, DataCentre: dc, Relay: relay, seed: seedOf("entry", string(id))}
 }
 
-// Ring is the entries that own flows, ascending by id; it never changes.
-type Ring struct {
+// EntrySet is the entries that own flows, ascending by id; it never changes.
+type EntrySet struct {
 	Members []*Member
 	centres []stoatpaddle.DataCentreID // of the members, each once
 }
 
-// NewRing returns a ring of the members.
-func NewRing(members []*Member) *Ring {
+// NewEntrySet returns a ring of the members.
+func NewEntrySet(members []*Member) *EntrySet {
 	sort.Slice(members, func(i, j int) bool { return members[i].ID < members[j].ID })
 	return ringOfSorted(members)
 }
 
-func ringOfSorted(members []*Member) *Ring {
-	r := &Ring{Members: members}
+func ringOfSorted(members []*Member) *EntrySet {
+	r := &EntrySet{Members: members}
 	for _, m := range members {
 		if !slices.Contains(r.centres, m.DataCentre) {
 			r.centres = append(r.centres, m.DataCentre)
@@ -48,13 +48,13 @@
 // The owner shares its data centre with the first choice, so that a partition
 // between data centres does not part a flow's owner from its upstream. Where the
 // data centre has no entry, one of the others decides.
-func (r *Ring) Owner(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) *Member {
-	owner, _ := r.OwnerNext(k, dc)
+func (r *EntrySet) Owner(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) *Member {
+	owner, _ := r.OwnerAndNext(k, dc)
 	return owner
 }
 
-// OwnerNext returns the owner and the entry that would own the flow without it.
-func (r *Ring) OwnerNext(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) (owner, next *Member) {
+// OwnerAndNext returns the owner and the entry that would own the flow without it.
+func (r *EntrySet) OwnerAndNext(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID) (owner, next *Member) {
 	owner, next = r.two(k, dc, nil)
 	if owner == nil {
 		return r.two(k, "", nil)
@@ -66,7 +66,7 @@
 }
 
 // two returns the two highest scores within dc, or over all data centres if dc is empty.
-func (r *Ring) two(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, skip *Member) (first, second *Member) {
+func (r *EntrySet) two(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, skip *Member) (first, second *Member) {
 	var top, next uint64
 	for _, m := range r.Members {
 		if m == skip || (dc != "" && m.DataCentre != dc) {
@@ -85,7 +85,7 @@
 }
 
 // Find returns the member with the id, or nil.
-func (r *Ring) Find(id stoatpaddle.InstanceID) *Member {
+func (r *EntrySet) Find(id stoatpaddle.InstanceID) *Member {
 	i := sort.Search(len(r.Members), func(i int) bool { return r.Members[i].ID >= id })
 	if i < len(r.Members) && r.Members[i].ID == id {
 		return r.Members[i]
@@ -94,7 +94,7 @@
 }
 
 // without returns the ring less the members for which drop is true, and the ring itself if there are none.
-func (r *Ring) without(drop func(*Member) bool) *Ring {
+func (r *EntrySet) without(drop func(*Member) bool) *EntrySet {
 	kept := make([]*Member, 0, len(r.Members))
 	for _, m := range r.Members {
 		if !drop(m) {
@@ -107,7 +107,7 @@
 	return ringOfSorted(kept)
 }
 
-func (r *Ring) same(t *Ring) bool {
+func (r *EntrySet) same(t *EntrySet) bool {
 	if len(r.Members) != len(t.Members) {
 		return false
 	}
--- a/stoatview/set.go
+++ b/stoatview/set.go
@@ -21,15 +21,15 @@
 	seed        uint64
 }
 
-// Set is the upstreams that take new flows of one service, ascending by key; it never changes.
-type Set struct {
+// UpstreamSet is the upstreams that take new flows of one service, ascending by key; it never changes.
+type UpstreamSet struct {
 	Upstreams []*Upstream
 	equal     bool
 }
 
-// NewSet returns a set of the upstreams whose weight is positive.
-func NewSet(ups []*Upstream) *Set {
-	s := &Set{equal: true}
+// NewUpstreamSet returns a set of the upstreams whose weight is positive.
+func NewUpstreamSet(ups []*Upstream) *UpstreamSet {
+	s := &UpstreamSet{equal: true}
 	for _, u := range ups {
 		if u.Weight > 0 {
 			s.Upstreams = append(s.Upstreams, u)
@@ -42,11 +42,11 @@
 	return s
 }
 
-// First returns the upstream that the flow's hash chooses, or nil from an empty set.
+// Preferred returns the upstream that the flow's hash chooses, or nil from an empty set.
 //
 // OPT(rendezvous): the cost grows with the set; above a few hundred upstreams a
 // skeleton (Yao and Ravishankar 2008) would bring it to a logarithm.
-func (s *Set) First(k stoatpaddle.FlowHash) *Upstream {
+func (s *UpstreamSet) Preferred(k stoatpaddle.FlowHash) *Upstream {
 	if !s.equal {
 		return s.firstWeighted(k)
 	}
@@ -60,7 +60,7 @@
 	return best
 }
 
-func (s *Set) firstWeighted(k stoatpaddle.FlowHash) *Upstream {
+func (s *UpstreamSet) firstWeighted(k stoatpaddle.FlowHash) *Upstream {
 	var best *Upstream
 	var top float64
 	for _, u := range s.Upstreams {
@@ -71,14 +71,14 @@
 	return best
 }
 
-// Has tells whether the set holds the upstream.
-func (s *Set) Has(key stoatpaddle.UpstreamKey) bool {
+// Contains tells whether the set holds the upstream.
+func (s *UpstreamSet) Contains(key stoatpaddle.UpstreamKey) bool {
 	i := sort.Search(len(s.Upstreams), func(i int) bool { return s.Upstreams[i].Key >= key })
 	return i < len(s.Upstreams) && s.Upstreams[i].Key == key
 }
 
 // same tells whether both sets place every flow alike and bound their upstreams alike.
-func (s *Set) same(t *Set) bool {
+func (s *UpstreamSet) same(t *UpstreamSet) bool {
 	if len(s.Upstreams) != len(t.Upstreams) {
 		return false
 	}
--- a/stoatview/view.go
+++ b/stoatview/view.go
@@ -9,17 +9,17 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// PastSet is a set that was in force until a time.
-type PastSet struct {
-	Set   *Set
+// PastUpstreamSet is a set that was in force until a time.
+type PastUpstreamSet struct {
+	Set   *UpstreamSet
 	Until time.Time
 }
 
-// PastRing is a ring that was in force until a time.
-type PastRing struct {
-	Full  *Ring // as it was
-	Ring  *Ring // less the members that are dead now
-	Until time.Time
+// PastEntrySet is a ring that was in force until a time.
+type PastEntrySet struct {
+	Original *EntrySet // as it was
+	Live     *EntrySet // less the members that are dead now
+	Until    time.Time
 }
 
 // Service is one service as traffic sees it.
@@ -30,9 +30,9 @@
 	Limits   stoatpaddle.Limits
 	Protocol stoatpaddle.Protocol
 	Host     string
-	Set      *Set
-	Whole    *Set      // Set and the upstreams in data centres that are cut off
-	Past     []PastSet // newest first
+	Set      *UpstreamSet
+	FullSet  *UpstreamSet      // Set and the upstreams in data centres that are cut off
+	PastSets []PastUpstreamSet // newest first
 	Active   []*Upstream
 	byKey    map[stoatpaddle.UpstreamKey]*Upstream
 	cut      []*Upstream
@@ -42,9 +42,9 @@
 func (s *Service) Upstream(key stoatpaddle.UpstreamKey) *Upstream { return s.byKey[key] }
 
 // SetAt returns the set that was in force at t, as far back as is known.
-func (s *Service) SetAt(t time.Time) *Set {
+func (s *Service) SetAt(t time.Time) *UpstreamSet {
 	set := s.Set
-	for _, p := range s.Past {
+	for _, p := range s.PastSets {
 		if !t.Before(p.Until) {
 			break
 		}
@@ -61,30 +61,30 @@
 
 // View is the routing snapshot; it never changes after Next returned it.
 type View struct {
-	Number   uint64
-	Self     stoatpaddle.InstanceID
-	Seed     stoatpacket.Seed
-	Ring     *Ring
-	Past     []PastRing                        // newest first
-	Services []*Service                        // ascending by reference
-	Changed  time.Time                         // when Ring or any Set last changed
-	Cut      map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
-	CutAt    time.Time                         // when Cut last became longer
-	cut      time.Time                         // when Cut was last seen not empty
-	flows    map[lookupKey]*Service
-	hosts    map[string]*Service
-	byRef    map[stoatpaddle.ServiceRef]*Service
-	byKey    map[stoatpaddle.UpstreamKey]*Upstream
-	relays   map[netip.AddrPort]bool // of all entries; true for those that answer
+	Number        uint64
+	Self          stoatpaddle.InstanceID
+	Seed          stoatpacket.Seed
+	Entries       *EntrySet
+	PastEntries   []PastEntrySet                    // newest first
+	Services      []*Service                        // ascending by reference
+	ChangedAt     time.Time                         // when Ring or any Set last changed
+	Partitioned   map[stoatpaddle.DataCentreID]bool // data centres whose entries are all dead
+	PartitionedAt time.Time                         // when Cut last became longer
+	cut           time.Time                         // when Cut was last seen not empty
+	flows         map[lookupKey]*Service
+	hosts         map[string]*Service
+	byRef         map[stoatpaddle.ServiceRef]*Service
+	byKey         map[stoatpaddle.UpstreamKey]*Upstream
+	relays        map[netip.AddrPort]bool // of all entries; true for those that answer
 }
 
-// Flow returns the flow service that owns the destination, or nil.
-func (v *View) Flow(dst netip.AddrPort, proto stoatpaddle.Protocol) *Service {
+// FlowService returns the flow service that owns the destination, or nil.
+func (v *View) FlowService(dst netip.AddrPort, proto stoatpaddle.Protocol) *Service {
 	return v.flows[lookupKey{dst: dst, proto: proto}]
 }
 
-// Host returns the call service with that authority, or nil.
-func (v *View) Host(host string) *Service { return v.hosts[host] }
+// CallService returns the call service with that authority, or nil.
+func (v *View) CallService(host string) *Service { return v.hosts[host] }
 
 // Service returns the service by reference, or nil.
 func (v *View) Service(ref stoatpaddle.ServiceRef) *Service { return v.byRef[ref] }
@@ -112,11 +112,11 @@
 // Reachable tells whether records may be sent to the entry: it is in the ring, or it
 // left a short while ago and still serves.
 func (v *View) Reachable(id stoatpaddle.InstanceID) bool {
-	if v.Ring.Find(id) != nil {
+	if v.Entries.Find(id) != nil {
 		return true
 	}
-	for _, p := range v.Past {
-		if p.Ring.Find(id) != nil {
+	for _, p := range v.PastEntries {
+		if p.Live.Find(id) != nil {
 			return true
 		}
 	}
