--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -13,34 +13,34 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-func (e *Edge) serve() {
-	e.group.Go(e.traffic)
+func (e *Edge) startWorkers() {
+	e.group.Go(e.handleTraffic)
 	e.group.Go(e.tick)
-	e.group.Go(e.share)
+	e.group.Go(e.shareObservations)
 	e.group.Go(e.sendReports)
 }
 
-// mover is what one goroutine needs to carry decisions out; nothing in it is shared.
-type mover struct {
+// packetBuffers holds what one goroutine needs to handle packets; nothing in it is shared.
+type packetBuffers struct {
 	buf     []byte // TargetSize bytes of room, then the packet
 	reset   []byte
 	drained time.Time // when the socket was last known to be empty; zero: the packet did not wait there
 }
 
-func newMover() *mover {
-	return &mover{
+func newPacketBuffers() *packetBuffers {
+	return &packetBuffers{
 		buf:   make([]byte, platform.TargetSize+platform.HeaderSize+platform.MaxData+1),
 		reset: make([]byte, platform.HeaderSize),
 	}
 }
 
-// traffic moves packets, one at a time: an entry has a part of one core, and a second
-// goroutine would only wait for the engine.
-func (e *Edge) traffic() error {
-	m := newMover()
+// handleTraffic handles packets, one at a time: an entry has a share of one core, and a second goroutine would
+// only wait for the engine's lock.
+func (e *Edge) handleTraffic() error {
+	bufs := newPacketBuffers()
 	var p stoatpacket.Packet
 	for {
-		n, err := e.in.read(m.buf[platform.TargetSize:])
+		n, err := e.reader.read(bufs.buf[platform.TargetSize:])
 		if err != nil {
 			if e.ctx.Err() != nil {
 				return nil
@@ -48,46 +48,46 @@
 			continue
 		}
 		now := clock()
-		e.stop.packet(now)
-		m.drained = e.in.drained
-		reason := platform.ReadPacket(m.buf[platform.TargetSize:platform.TargetSize+n], &p)
+		e.stop.notePacket(now)
+		bufs.drained = e.reader.drained
+		reason := platform.ReadPacket(bufs.buf[platform.TargetSize:platform.TargetSize+n], &p)
 		// Resets towards this entry itself would come back as packets.
-		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.own {
+		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.ownAddr {
 			reason = stoatpacket.DropOwnSource
 		}
 		if reason != stoatpacket.DropNone {
-			e.counts.malformed[reason].Add(1)
+			e.counts.dropped[reason].Add(1)
 			e.logDrop(now, &p, reason)
 			continue
 		}
-		e.handle(now, m, n, &p)
+		e.handle(now, bufs, n, &p)
 	}
 }
 
-// handle decides about the packet in m and carries the decision out.
-func (e *Edge) handle(now time.Time, m *mover, n int, p *stoatpacket.Packet) {
+// handle decides about the packet in m and applies the decision.
+func (e *Edge) handle(now time.Time, bufs *packetBuffers, n int, p *stoatpacket.Packet) {
 	e.engineMu.Lock()
 	t := e.table.Load()
-	if !m.drained.IsZero() {
-		e.engine.NoteQueueEmpty(m.drained)
+	if !bufs.drained.IsZero() {
+		e.engine.NoteQueueEmpty(bufs.drained)
 	}
 	a := e.engine.Handle(now, t, p)
-	if a.Verdict == stoatecho.Wait && !e.hold.Add(now, p, m.buf[platform.TargetSize:platform.TargetSize+n]) {
+	if a.Verdict == stoatecho.Wait && !e.held.Add(now, p, bufs.buf[platform.TargetSize:platform.TargetSize+n]) {
 		a.Verdict = stoatecho.Drop
-		e.counts.malformed[a.Reason].Add(1)
+		e.counts.dropped[a.Reason].Add(1)
 	}
 	observed := e.engine.TakeReportChange()
 	e.engineMu.Unlock()
 	if observed {
-		e.notice()
+		e.notifyObserved()
 	}
-	e.carryOut(now, t, a, p, m, n)
+	e.apply(now, t, a, p, bufs, n)
 }
 
-// release handles the packets that waited for the first table.
-func (e *Edge) release(now time.Time) {
+// releaseHeld handles the packets that were held until the first table.
+func (e *Edge) releaseHeld(now time.Time) {
 	e.engineMu.Lock()
-	held := e.hold.Take()
+	held := e.held.Take()
 	t := e.table.Load()
 	e.engine.Retain(now, t)
 	ended := e.engine.TakeOrphanedFlows(now, t)
@@ -96,10 +96,10 @@
 	e.replay(now, held)
 }
 
-// giveUp refuses what has waited for too long.
-func (e *Edge) giveUp(now time.Time) {
+// rejectOverdue refuses packets that have been held for too long.
+func (e *Edge) rejectOverdue(now time.Time) {
 	e.engineMu.Lock()
-	held := e.hold.TakeExpired(now)
+	held := e.held.TakeExpired(now)
 	e.engineMu.Unlock()
 	e.replay(now, held)
 }
@@ -108,16 +108,16 @@
 	if len(held) == 0 {
 		return
 	}
-	m := newMover()
+	bufs := newPacketBuffers()
 	for i := range held {
-		n := copy(m.buf[platform.TargetSize:], held[i].Data)
-		e.handle(now, m, n, &held[i].Packet)
+		n := copy(bufs.buf[platform.TargetSize:], held[i].Data)
+		e.handle(now, bufs, n, &held[i].Packet)
 	}
 }
 
-// carryOut sends what was decided. A datagram that cannot be sent is lost like any other.
-func (e *Edge) carryOut(now time.Time, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, m *mover, n int) {
-	buf := m.buf[:platform.TargetSize+n]
+// apply carries out a decision. A datagram that cannot be sent is lost like any other.
+func (e *Edge) apply(now time.Time, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, bufs *packetBuffers, n int) {
+	buf := bufs.buf[:platform.TargetSize+n]
 	switch a.Verdict {
 	case stoatecho.Forward:
 		platform.PutTarget(buf, a.Upstream.Target)
@@ -130,7 +130,7 @@
 				stoatevent.F("copies", strconv.Itoa(p.Retransmits)), stoatevent.F("moved", strconv.FormatBool(a.Moved)))...)
 		}
 	case stoatecho.Reset:
-		e.sendReset(m, p)
+		e.sendReset(bufs, p)
 		fields := []stoatevent.Field{stoatevent.F("reason", a.Reason.String()), stoatevent.F("opens", strconv.FormatBool(p.Opens))}
 		if a.Reason == stoatpacket.DropOverload {
 			fields = append(fields, append(loadFields(a), stoatevent.F("bound", a.AnswerBound.Round(time.Millisecond).String()))...)
@@ -145,11 +145,11 @@
 	case stoatecho.Drop:
 		e.logDrop(now, p, a.Reason)
 		if a.Reason == stoatpacket.DropUnverified {
-			e.doubt(now)
+			e.reportUnknownCookie(now)
 		}
 	}
 	if a.AnswerTime > 0 {
-		e.counts.answer.Update(a.AnswerTime.Seconds())
+		e.counts.answerTime.Update(a.AnswerTime.Seconds())
 	}
 	if a.Late {
 		e.logFlow(now, EventLate, t, a, p, stoatevent.F("took", a.AnswerTime.Round(time.Millisecond).String()), stoatevent.F("busy", strconv.Itoa(a.InProgress)))
@@ -162,7 +162,7 @@
 	}
 }
 
-// excludedFields say why upstreams might not get a flow.
+// excludedFields returns log fields that say why upstreams were excluded.
 func excludedFields(x *stoatecho.Excluded) []stoatevent.Field {
 	var out []stoatevent.Field
 	for v, n := range x {
@@ -173,32 +173,33 @@
 	return out
 }
 
-// loadFields are the load on which a placement or refusal was decided.
+// loadFields returns log fields with the load that decided a placement or refusal.
 func loadFields(a stoatecho.Action) []stoatevent.Field {
 	return []stoatevent.Field{stoatevent.F("busy", strconv.Itoa(a.InProgress)), stoatevent.F("mean", a.ExpectedAnswer.Round(time.Millisecond).String())}
 }
 
 // sendReset tells the caller of the packet that its flow cannot go on.
-func (e *Edge) sendReset(m *mover, p *stoatpacket.Packet) {
-	platform.PutReset(m.reset, p)
-	_, _ = e.conn.WriteToUDPAddrPort(m.reset, netip.AddrPortFrom(p.Tuple.Src.Addr(), e.callers))
+func (e *Edge) sendReset(bufs *packetBuffers, p *stoatpacket.Packet) {
+	platform.PutReset(bufs.reset, p)
+	_, _ = e.conn.WriteToUDPAddrPort(bufs.reset, netip.AddrPortFrom(p.Tuple.Src.Addr(), e.callerPort))
 }
 
-// resetEnded resets the flows that wait for an answer of upstreams which have ended.
+// resetEnded resets the flows that wait for an answer of upstreams that have ended.
 func (e *Edge) resetEnded(now time.Time, t *stoatroute.Table, list []stoatecho.OrphanedFlow) {
 	if len(list) == 0 {
 		return
 	}
-	m := newMover()
+	bufs := newPacketBuffers()
 	for _, x := range list {
 		p := stoatpacket.Packet{Tuple: x.Tuple, Ack: x.Ack}
-		e.sendReset(m, &p)
+		e.sendReset(bufs, &p)
 		e.logFlow(now, EventReset, t, stoatecho.Action{Upstream: x.Upstream}, &p,
 			stoatevent.F("reason", stoatpacket.DropUpstreamGone.String()), stoatevent.F("opens", "false"), stoatevent.F("waited", "true"))
 	}
 }
 
-// logFlow writes a line about one flow: its id, what decided, how old that was.
+// logFlow logs an event of one flow: the flow, the upstream, and the version and age of the state that
+// decided.
 func (e *Edge) logFlow(now time.Time, entry *stoatevent.Entry, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
 	if !e.log.admit(now, entry) {
 		return
@@ -222,22 +223,22 @@
 		stoatevent.F("flow", p.Tuple.Src.String()+">"+p.Tuple.Dst.String()), stoatevent.F("cookie", strconv.FormatUint(uint64(p.Cookie), 16)))
 }
 
-// doubtEvery bounds how often unknown cookies make an entry ask: a flood of forged ones
-// must not use up the platform's rates.
-const doubtEvery = 500 * time.Millisecond
+// unknownCookieInterval limits how often unknown cookies make an entry call the platform: a flood of forged
+// cookies must not use up the platform's rate limits.
+const unknownCookieInterval = 500 * time.Millisecond
 
-func (e *Edge) doubt(now time.Time) {
-	if now.Sub(e.counts.doubted) < doubtEvery {
+func (e *Edge) reportUnknownCookie(now time.Time) {
+	if now.Sub(e.counts.cookieReported) < unknownCookieInterval {
 		return
 	}
-	e.counts.doubted = now
-	e.post(doubted{})
+	e.counts.cookieReported = now
+	e.post(unknownCookie{})
 }
 
-// tick drives what happens without packets: the keeper's ticks, the planned stop, and the
-// account of log lines that were left out.
+// tick drives what happens without packets: the controller's ticks, the planned stop, and the log of omitted
+// lines.
 func (e *Edge) tick() error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -251,11 +252,11 @@
 			e.log.emit(now, EventPaused, stoatevent.F("gap", gap.String()))
 		}
 		e.post(ticked{})
-		e.giveUp(now)
-		if e.log.account(now) {
-			tuneCollector(e.settings().MemoryBytes())
+		e.rejectOverdue(now)
+		if e.log.reportOmitted(now) {
+			tuneGC(e.settings().MemoryBytes())
 		}
-		if quiet, done := e.stop.done(now); done {
+		if quiet, done := e.stop.complete(now); done {
 			e.log.emit(now, EventStopped, stoatevent.F("quiet", quiet.String()))
 			e.cancel()
 			return nil
