--- a/stoatedge/apply.go
+++ b/stoatedge/apply.go
@@ -16,7 +16,7 @@
 		c := &changes[i]
 		switch {
 		case c.fault != nil:
-			ctl.log(EventInvalid, stoatevent.F("object", c.name), stoatevent.F("revision", c.revision.String()), stoatevent.F("cause", c.fault.Error()))
+			ctl.log(EventInvalidObject, stoatevent.F("object", c.name), stoatevent.F("revision", c.revision.String()), stoatevent.F("cause", c.fault.Error()))
 			if t == evacuations && c.name != "" {
 				// The object's name is the whole request, so a value that cannot be read does not matter.
 				ctl.evacuate(stoatpaddle.Evacuation{DataCentre: stoatpaddle.DataCentreID(c.name), Revision: c.revision}, source)
@@ -26,7 +26,7 @@
 			}
 		case c.declaration != nil:
 			if ctl.state.ApplyDeclaration(*c.declaration, c.revision) {
-				ctl.log(EventDeclared, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
+				ctl.log(EventConfigApplied, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
 					stoatevent.F("routes", countText(len(c.declaration.Routes))), stoatevent.F("source", source))
 				ctl.updateFormer(now)
 			} else {
@@ -73,7 +73,7 @@
 		return
 	}
 	ctl.rejected = c.declaration.Version
-	ctl.log(EventNotTaken, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
+	ctl.log(EventConfigRejected, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
 		stoatevent.F("inforce", t.Declaration.Version.String()), stoatevent.F("known", t.Revision.String()), stoatevent.F("source", source))
 }
 
@@ -87,7 +87,7 @@
 func (ctl *controller) logEvacuation(e stoatpaddle.Evacuation, source string) {
 	entry := EventEvacuated
 	if e.Withdrawn {
-		entry = EventTakenBack
+		entry = EventEvacuationWithdrawn
 	}
 	ctl.log(entry, stoatevent.F("centre", string(e.DataCentre)), stoatevent.F("revision", e.Revision.String()), stoatevent.F("source", source))
 }
@@ -100,7 +100,7 @@
 	case stoatroute.Changed:
 		ctl.noteUpdate(c.registration.ID, source)
 	case stoatroute.Restarted, stoatroute.Outdated, stoatroute.Contradicted:
-		ctl.log(EventLife, stoatevent.F("upstream", string(c.registration.ID)), stoatevent.F("outcome", outcome.String()),
+		ctl.log(EventIncarnation, stoatevent.F("upstream", string(c.registration.ID)), stoatevent.F("outcome", outcome.String()),
 			stoatevent.F("known", incarnationText(&before.Registration)), stoatevent.F("read", incarnationText(c.registration)), stoatevent.F("revision", c.revision.String()))
 		if outcome != stoatroute.Outdated {
 			ctl.noteStanding(c.registration.ID, outcome.String())
@@ -167,14 +167,14 @@
 		names[c] = append(names[c], string(list[i].id))
 	}
 	for _, c := range kinds {
-		ctl.log(EventUpstreams, stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why),
+		ctl.log(EventStandingsChanged, stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why),
 			stoatevent.F("count", countText(len(names[c]))), stoatevent.F("names", joinNames(names[c])))
 	}
 }
 
 func (ctl *controller) logStanding(c *standingChange) {
 	u, _ := ctl.state.Lookup(c.id)
-	ctl.log(EventUpstream, stoatevent.F("upstream", string(c.id)), stoatevent.F("service", string(u.Service)),
+	ctl.log(EventStandingChanged, stoatevent.F("upstream", string(c.id)), stoatevent.F("service", string(u.Service)),
 		stoatevent.F("centre", string(u.DataCentre)), stoatevent.F("addr", u.Addr.String()),
 		stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why))
 }
@@ -182,7 +182,7 @@
 // logClash logs that an upstream gets no flows because another one has the same cookie.
 func (ctl *controller) logClash(id stoatpaddle.UpstreamID) {
 	if other, ok := ctl.state.KeyConflict(id); ok {
-		ctl.log(EventClash, stoatevent.F("upstream", string(id)), stoatevent.F("holder", string(other)))
+		ctl.log(EventCookieClash, stoatevent.F("upstream", string(id)), stoatevent.F("holder", string(other)))
 	}
 }
 
--- a/stoatedge/controller.go
+++ b/stoatedge/controller.go
@@ -258,7 +258,7 @@
 	}
 	ctl.behind[x.topic] = v.Outdated
 	if v.Outdated {
-		ctl.log(EventBehind, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", ctl.feeds[x.topic].Position().String()),
+		ctl.log(EventStaleAnswer, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", ctl.feeds[x.topic].Position().String()),
 			stoatevent.F("answered", x.result.AsOf.String()),
 			stoatevent.F("list", strconv.FormatBool(x.call.List)), stoatevent.F("exact", strconv.FormatBool(!x.call.AllowStale)))
 	}
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -416,7 +416,7 @@
 func TestFaultyObject(t *testing.T) {
 	s := newRunningSession(t)
 	s.answer(declarations, 12, change{name: "main", revision: 12, fault: &stoatpaddle.DecodeError{What: "configuration"}})
-	if s.table.Declaration.Version != 1 || s.events[EventInvalid.Number] != 1 {
+	if s.table.Declaration.Version != 1 || s.events[EventInvalidObject.Number] != 1 {
 		t.Error(s.table.Declaration.Version, s.events)
 	}
 }
@@ -455,7 +455,7 @@
 		if got := len(s.table.Candidates("app")); got != len(changes) {
 			t.Error(name, got, "take new flows")
 		}
-		if s.events[EventInvalid.Number] != 1 {
+		if s.events[EventInvalidObject.Number] != 1 {
 			t.Error(name, s.events)
 		}
 		s.answer(upstreams, 15, registered("i-1", 1, 15))
@@ -494,7 +494,7 @@
 func TestBadConfiguration(t *testing.T) {
 	s := newRunningSession(t)
 	s.answer(declarations, 11, unreadable("main", 11))
-	if s.table.Declaration.Version != 1 || s.events[EventInvalid.Number] != 1 {
+	if s.table.Declaration.Version != 1 || s.events[EventInvalidObject.Number] != 1 {
 		t.Error(s.table.Declaration.Version, s.events)
 	}
 	s.answer(declarations, 12, declared(2, 12))
@@ -515,7 +515,7 @@
 	s.answer(upstreams, 11, born(5, 11))
 	s.answer(upstreams, 12, born(7, 12))
 	s.answer(upstreams, 13, born(5, 13))
-	if got := s.table.Upstream(stoatroute.KeyOf(1)); got.Incarnation != 7 || got.Revision != 12 || s.events[EventLife.Number] != 2 {
+	if got := s.table.Upstream(stoatroute.KeyOf(1)); got.Incarnation != 7 || got.Revision != 12 || s.events[EventIncarnation.Number] != 2 {
 		t.Errorf("%+v %v", got, s.events)
 	}
 }
@@ -530,14 +530,14 @@
 	for range 3 {
 		s.answer(declarations, 30, declared(7, 25))
 	}
-	if s.events[EventBehind.Number] != 1 {
-		t.Error("number of lines about older answers:", s.events[EventBehind.Number])
+	if s.events[EventStaleAnswer.Number] != 1 {
+		t.Error("number of lines about older answers:", s.events[EventStaleAnswer.Number])
 	}
 	s.answer(declarations, 41, declared(8, 39))
 	s.answer(declarations, 41, declared(8, 39))
 	s.answer(declarations, 40)
-	if s.events[EventBehind.Number] != 2 || s.events[EventNotTaken.Number] != 1 {
-		t.Error(s.events[EventBehind.Number], s.events[EventNotTaken.Number])
+	if s.events[EventStaleAnswer.Number] != 2 || s.events[EventConfigRejected.Number] != 1 {
+		t.Error(s.events[EventStaleAnswer.Number], s.events[EventConfigRejected.Number])
 	}
 }
 
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -134,7 +134,7 @@
 	if f.parent == "" {
 		f.parent = x.parent
 		ctl.state.SetMirroring(now, true)
-		ctl.log(EventFollows, stoatevent.F("parent", x.parent), stoatevent.F("depth", countText(len(x.path))),
+		ctl.log(EventParentFound, stoatevent.F("parent", x.parent), stoatevent.F("depth", countText(len(x.path))),
 			stoatevent.F("revision", x.known.String()), stoatevent.F("age", ageText(x.age)))
 	}
 	f.path = x.path
@@ -186,7 +186,7 @@
 // applyUpdate merges the parent's state into this entry's.
 func (ctl *controller) applyUpdate(now time.Time, x parentUpdate, later bool) {
 	if x.whole {
-		ctl.log(EventNeighbour, stoatevent.F("neighbour", x.parent), stoatevent.F("age", ageText(x.age)),
+		ctl.log(EventFullState, stoatevent.F("neighbour", x.parent), stoatevent.F("age", ageText(x.age)),
 			stoatevent.F("upstreams", countText(len(x.upstreams))))
 	}
 	if x.delta != nil {
@@ -237,7 +237,7 @@
 // platform answers this entry at all: in an outage each call of each entry is paid for.
 func (ctl *controller) startReading(now time.Time, why string) {
 	ctl.reading, ctl.unwatched = true, true
-	ctl.log(EventReads, stoatevent.F("why", why), stoatevent.F("parent", ctl.follower.parent))
+	ctl.log(EventReadsPlatform, stoatevent.F("why", why), stoatevent.F("parent", ctl.follower.parent))
 	for _, t := range ctl.topics {
 		ctl.deferred[t] = t != declarations
 		// A replica's answer about evacuations has to reach the position of the exact answer about the
@@ -284,10 +284,10 @@
 		return
 	}
 	if f.parent != "" {
-		ctl.log(EventFollowsNobody, stoatevent.F("parent", f.parent), stoatevent.F("cause", x.cause.Error()))
+		ctl.log(EventParentLost, stoatevent.F("parent", f.parent), stoatevent.F("cause", x.cause.Error()))
 		f.nextSearch = now.Add(time.Duration(ctl.rand.Int64N(int64(maxLostParentPause))))
 	} else {
-		ctl.log(EventSought, stoatevent.F("cause", x.cause.Error()))
+		ctl.log(EventNoParent, stoatevent.F("cause", x.cause.Error()))
 	}
 	f.searching, f.parent, f.path = false, "", nil
 	ctl.state.SetMirroring(now, false)
--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -31,9 +31,9 @@
 func newEventLog(w io.Writer, set stoatsetting.Settings) *eventLog {
 	l := &eventLog{pipe: stoatevent.NewPipe(), name: string(set.Instance)}
 	l.sampler = stoatevent.NewSampler(map[stoatevent.Number]int{
-		EventOpened.Number: maxPacketLines, EventReset.Number: maxPacketLines,
-		EventDropped.Number: maxPacketLines, EventEjected.Number: maxPacketLines,
-		EventLate.Number: maxPacketLines, EventInvalid.Number: maxPacketLines, EventLife.Number: maxPacketLines,
+		EventFlowPlaced.Number: maxPacketLines, EventFlowReset.Number: maxPacketLines,
+		EventPacketDropped.Number: maxPacketLines, EventUpstreamEjected.Number: maxPacketLines,
+		EventLateAnswer.Number: maxPacketLines, EventInvalidObject.Number: maxPacketLines, EventIncarnation.Number: maxPacketLines,
 	})
 	l.setLevel(set.Level)
 	l.group.Go(func() error { return l.pipe.Run(w) })
@@ -79,7 +79,7 @@
 		l.lostReported = lost
 	}
 	if len(fields) > 0 {
-		l.write(EventLeftOut, fields...)
+		l.write(EventLinesOmitted, fields...)
 	}
 	return true
 }
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -49,7 +49,7 @@
 	if got := s.ctl.asOf(); !got.Equal(s.now.Add(-100 * ms)) {
 		t.Error(s.now.Sub(got))
 	}
-	if s.events[EventFollows.Number] != 1 || s.events[EventReads.Number] != 0 {
+	if s.events[EventParentFound.Number] != 1 || s.events[EventReadsPlatform.Number] != 0 {
 		t.Error(s.events)
 	}
 	if !s.table.CompleteAsOf.IsZero() {
@@ -102,7 +102,7 @@
 	s.receiveUpdate(parentUpdate{parent: "other", age: 50 * ms, whole: true, known: position(11)}, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	s.advance(time.Second)
 	s.wantNoCalls("updates from another parent")
-	if s.events[EventFollowsNobody.Number] != 1 || s.events[EventFollows.Number] != 2 {
+	if s.events[EventParentLost.Number] != 1 || s.events[EventParentFound.Number] != 2 {
 		t.Error(s.events)
 	}
 }
@@ -116,7 +116,7 @@
 		s.advance(time.Second)
 		s.step(parentLost{searchID: s.ctl.follower.searchID, cause: &refusedError{}})
 	}
-	if s.calls[declarations] == nil || s.events[EventReads.Number] != 1 {
+	if s.calls[declarations] == nil || s.events[EventReadsPlatform.Number] != 1 {
 		t.Fatal(s.calls, s.events)
 	}
 	s.answer(declarations, 10)
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -76,7 +76,7 @@
 	defer cancel()
 	x, err := e.readFormer(ctx)
 	if err != nil {
-		e.log.emit(clock(), EventFormerUnread, stoatevent.F("cause", err.Error()))
+		e.log.emit(clock(), EventFormerLoadFailed, stoatevent.F("cause", err.Error()))
 		return
 	}
 	if len(x.former) > 0 {
@@ -112,7 +112,7 @@
 			return
 		}
 	}
-	e.log.emit(clock(), EventFormerUnwritten, stoatevent.F("version", x.version.String()), stoatevent.F("cause", err.Error()))
+	e.log.emit(clock(), EventFormerSaveFailed, stoatevent.F("version", x.version.String()), stoatevent.F("cause", err.Error()))
 }
 
 func writeFormer(ctx context.Context, p stoatpaddle.Platform, x saveFormer) error {
--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -115,7 +115,7 @@
 	}
 	e.engineMu.Unlock()
 	for _, f := range failing {
-		e.log.emit(now, EventFailing, stoatevent.F("upstream", string(f.Upstream.ID)), stoatevent.F("service", string(f.Upstream.Service)),
+		e.log.emit(now, EventUpstreamFailing, stoatevent.F("upstream", string(f.Upstream.ID)), stoatevent.F("service", string(f.Upstream.Service)),
 			stoatevent.F("answered", strconv.Itoa(f.Answered)), stoatevent.F("failed", strconv.Itoa(f.Failed)), stoatevent.F("hold", f.Backoff.String()))
 	}
 	e.logSilent(now, silent)
@@ -141,11 +141,11 @@
 		for _, s := range silent {
 			names = append(names, string(s.Upstream.ID))
 		}
-		e.log.emit(now, EventManySilent, stoatevent.F("count", strconv.Itoa(len(names))), stoatevent.F("names", joinNames(names)))
+		e.log.emit(now, EventUpstreamsSilent, stoatevent.F("count", strconv.Itoa(len(names))), stoatevent.F("names", joinNames(names)))
 		return
 	}
 	for _, s := range silent {
-		e.log.emit(now, EventSilent, stoatevent.F("upstream", string(s.Upstream.ID)), stoatevent.F("service", string(s.Upstream.Service)),
+		e.log.emit(now, EventUpstreamSilent, stoatevent.F("upstream", string(s.Upstream.ID)), stoatevent.F("service", string(s.Upstream.Service)),
 			stoatevent.F("entries", strconv.Itoa(s.WaitingEntries)), stoatevent.F("silence", s.Silence.Round(time.Millisecond).String()),
 			stoatevent.F("waiting", strconv.Itoa(s.PendingRequests)))
 	}
@@ -207,7 +207,7 @@
 	e.relay.sent.Add(int64(len(body)))
 	res, err := reportClient.Do(req)
 	if err != nil {
-		e.log.emit(clock(), EventUnreported, stoatevent.F("parent", x.to.String()), stoatevent.F("cause", err.Error()))
+		e.log.emit(clock(), EventReportFailed, stoatevent.F("parent", x.to.String()), stoatevent.F("cause", err.Error()))
 		return false
 	}
 	_, _ = io.Copy(io.Discard, res.Body)
--- a/stoatedge/run_updates.go
+++ b/stoatedge/run_updates.go
@@ -118,13 +118,13 @@
 		refuseRequest(w, a)
 		return
 	}
-	e.log.emit(clock(), EventChild, stoatevent.F("child", join.From.String()), stoatevent.F("centre", string(join.Centre)), stoatevent.F("known", join.Position.String()))
+	e.log.emit(clock(), EventChildAccepted, stoatevent.F("child", join.From.String()), stoatevent.F("centre", string(join.Centre)), stoatevent.F("known", join.Position.String()))
 	cause := e.streamUpdates(w, r, join)
 	e.relay.mu.Lock()
 	e.relay.tree.RemoveChild(join.From, a.Admission)
 	e.relay.mu.Unlock()
 	e.pool.RemoveChild(join.From)
-	e.log.emit(clock(), EventChildGone, stoatevent.F("child", join.From.String()), stoatevent.F("cause", cause))
+	e.log.emit(clock(), EventChildLeft, stoatevent.F("child", join.From.String()), stoatevent.F("cause", cause))
 }
 
 func refuseRequest(w http.ResponseWriter, a stoattree.JoinResponse) {
