--- a/stoatcontract/codec.go
+++ b/stoatcontract/codec.go
@@ -51,14 +51,14 @@
 		Weight uint32 `json:"weight"`
 	}
 	wireInstance struct {
-		Name   string `json:"name"`
-		Role   string `json:"role"`
-		Centre string `json:"centre"`
-		State  string `json:"state"`
-		Life   uint64 `json:"life"`
-		Relay  string `json:"relay,omitempty"`
-		Peer   string `json:"peer,omitempty"`
-		Admin  string `json:"admin,omitempty"`
+		Name        string `json:"name"`
+		Role        string `json:"role"`
+		Centre      string `json:"centre"`
+		State       string `json:"state"`
+		Incarnation uint64 `json:"life"`
+		Relay       string `json:"relay,omitempty"`
+		Peer        string `json:"peer,omitempty"`
+		Admin       string `json:"admin,omitempty"`
 	}
 )
 
@@ -169,7 +169,7 @@
 func EncodeInstance(i stoatpaddle.Instance) ([]byte, error) {
 	w := wireInstance{
 		Name: string(i.ID), Role: string(i.Role), Centre: string(i.DataCentre), State: string(i.State),
-		Life: uint64(i.Incarnation),
+		Incarnation: uint64(i.Incarnation),
 	}
 	if i.Role == stoatpaddle.RoleEntry {
 		w.Relay, w.Peer, w.Admin = i.Relay.String(), i.Peer.String(), i.Admin.String()
@@ -185,20 +185,20 @@
 	}
 	i := stoatpaddle.Instance{
 		ID: stoatpaddle.InstanceID(w.Name), Role: stoatpaddle.Role(w.Role), DataCentre: stoatpaddle.DataCentreID(w.Centre),
-		State: stoatpaddle.State(w.State), Incarnation: stoatpaddle.Incarnation(w.Life),
+		State: stoatpaddle.State(w.State), Incarnation: stoatpaddle.Incarnation(w.Incarnation),
 	}
 	if i.Role != stoatpaddle.RoleEntry {
 		return i, nil
 	}
 	for _, a := range []struct {
 		text string
-		into *netip.AddrPort
+		dst  *netip.AddrPort
 	}{{w.Relay, &i.Relay}, {w.Peer, &i.Peer}, {w.Admin, &i.Admin}} {
 		addr, err := netip.ParseAddrPort(a.text)
 		if err != nil {
 			return i, &stoatpaddle.DecodeError{What: "instance " + w.Name, Cause: err}
 		}
-		*a.into = addr
+		*a.dst = addr
 	}
 	return i, nil
 }
--- a/stoatcontract/contract_test.go
+++ b/stoatcontract/contract_test.go
@@ -13,7 +13,7 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-func read(t *testing.T, name string) []byte {
+func readTestdata(t *testing.T, name string) []byte {
 	data, err := os.ReadFile("testdata/" + name)
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 func TestFaults(t *testing.T) {
 	for _, name := range []string{"bad-five.ini", "bad-claims.ini", "bad-empty.ini"} {
 		t.Run(name, func(t *testing.T) {
-			text := string(read(t, name))
+			text := string(readTestdata(t, name))
 			var want []string
 			for _, line := range strings.Split(text, "\n") {
 				if rest, ok := strings.CutPrefix(line, ";! "); ok {
@@ -45,16 +45,16 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	draft, err := Parse("sawt.ini", read(t, "sawt.ini"))
+	draft, err := Parse("sawt.ini", readTestdata(t, "sawt.ini"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	addrs := cmpopts.EquateComparable(netip.Addr{}, netip.AddrPort{})
-	again, err := Parse("again", []byte(Format(draft.Contract, 7)))
-	if err != nil || again.Base != 7 {
-		t.Fatal(again.Base, err)
+	reparsed, err := Parse("again", []byte(Format(draft.Contract, 7)))
+	if err != nil || reparsed.Base != 7 {
+		t.Fatal(reparsed.Base, err)
 	}
-	if d := cmp.Diff(draft.Contract, again.Contract, addrs); d != "" {
+	if d := cmp.Diff(draft.Contract, reparsed.Contract, addrs); d != "" {
 		t.Error("INI:", d)
 	}
 	data, err := Encode(draft.Contract)
@@ -71,7 +71,7 @@
 }
 
 func TestDifferences(t *testing.T) {
-	a, err := Parse("sawt.ini", read(t, "sawt.ini"))
+	a, err := Parse("sawt.ini", readTestdata(t, "sawt.ini"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/stoatcontract/format.go
+++ b/stoatcontract/format.go
@@ -52,22 +52,22 @@
 // Differences lists the lines, each with its section, that stand in one contract only:
 // "-" in a, "+" in b.
 func Differences(a, b stoatpaddle.Contract) []string {
-	left, right := placed(Format(a, 0)), placed(Format(b, 0))
+	left, right := qualifiedLines(Format(a, 0)), qualifiedLines(Format(b, 0))
 	var out []string
 	for _, line := range left {
-		if !has(right, line) {
+		if !contains(right, line) {
 			out = append(out, "- "+line)
 		}
 	}
 	for _, line := range right {
-		if !has(left, line) {
+		if !contains(left, line) {
 			out = append(out, "+ "+line)
 		}
 	}
 	return out
 }
 
-func has(lines []string, line string) bool {
+func contains(lines []string, line string) bool {
 	for _, l := range lines {
 		if l == line {
 			return true
@@ -76,8 +76,8 @@
 	return false
 }
 
-// placed returns the lines of an INI text with their section's header before each.
-func placed(text string) []string {
+// qualifiedLines returns the lines of an INI text with their section's header before each.
+func qualifiedLines(text string) []string {
 	var out []string
 	section := ""
 	for _, line := range strings.Split(text, "\n") {
--- a/stoatcontract/parse.go
+++ b/stoatcontract/parse.go
@@ -43,9 +43,9 @@
 	readShares(r, &c)
 	readUpstreams(r, &c)
 	sort.Slice(c.Services, func(i, j int) bool { return c.Services[i].ID < c.Services[j].ID })
-	found := append(stoatpaddle.FaultsOf(r.Err()), Validate(file, c)...)
-	if len(found) > 0 {
-		return Draft{}, &stoatpaddle.FaultsError{Faults: found}
+	faults := append(stoatpaddle.FaultsOf(r.Err()), Validate(file, c)...)
+	if len(faults) > 0 {
+		return Draft{}, &stoatpaddle.FaultsError{Faults: faults}
 	}
 	return Draft{Contract: c, Base: stoatpaddle.Version(base)}, nil
 }
--- a/stoatcontract/retire.go
+++ b/stoatcontract/retire.go
@@ -6,41 +6,41 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// retireFor is how long an upstream that was taken out of a contract stays known: as long
+// retiredRetention is how long an upstream that was taken out of a contract stays known: as long
 // as an entry remembers an idle flow.
-const retireFor = 8 * time.Hour
+const retiredRetention = 8 * time.Hour
 
 // Retire adds to next the upstreams that an amendment takes out of the standing contract,
 // and those taken out before that may still have flows.
-func Retire(now time.Time, standing, next stoatpaddle.Contract) stoatpaddle.Contract {
+func Retire(now time.Time, current, next stoatpaddle.Contract) stoatpaddle.Contract {
 	services := append([]stoatpaddle.Service(nil), next.Services...)
 	for i := range services {
-		old := findService(&standing, services[i].ID)
+		old := findService(&current, services[i].ID)
 		if old == nil {
 			continue
 		}
-		services[i].Retired = retired(now, old, &services[i])
+		services[i].Retired = retiredUpstreams(now, old, &services[i])
 	}
 	next.Services = services
 	return next
 }
 
-func retired(now time.Time, old, next *stoatpaddle.Service) []stoatpaddle.Retired {
+func retiredUpstreams(now time.Time, old, next *stoatpaddle.Service) []stoatpaddle.Retired {
 	var out []stoatpaddle.Retired
 	for _, r := range old.Retired {
-		if now.Before(r.Until) && !declares(next, r.Upstream.ID) {
+		if now.Before(r.Until) && !hasUpstream(next, r.Upstream.ID) {
 			out = append(out, r)
 		}
 	}
 	for _, u := range old.Upstreams {
-		if !declares(next, u.ID) {
-			out = append(out, stoatpaddle.Retired{Upstream: u, Until: now.Add(retireFor)})
+		if !hasUpstream(next, u.ID) {
+			out = append(out, stoatpaddle.Retired{Upstream: u, Until: now.Add(retiredRetention)})
 		}
 	}
 	return out
 }
 
-func declares(s *stoatpaddle.Service, id stoatpaddle.UpstreamID) bool {
+func hasUpstream(s *stoatpaddle.Service, id stoatpaddle.UpstreamID) bool {
 	for _, u := range s.Upstreams {
 		if u.ID == id {
 			return true
