--- a/stoatsetting/setting.go
+++ b/stoatsetting/setting.go
@@ -110,7 +110,7 @@
 		Apply:      r.Section("platform").Duration("apply", defaultApply),
 		Leave:      r.Section("platform").Duration("leave", 0),
 		Evacuate:   r.Section("platform").Duration("evacuate", 0),
-		Regions:    regions(r.Section("regions")),
+		Regions:    parseRegions(r.Section("regions")),
 		Share:      instance.Number("share", 0, 0, maxShare),
 		Link:       instance.Number("link", 0, 0, maxLink),
 		Memory:     instance.Number("memory", 0, 0, maxMemory),
@@ -126,15 +126,15 @@
 	if list := listen.AddrPorts("metrics"); len(list) > 0 {
 		s.Metrics = list[0]
 	}
-	distinct(listen, s)
+	checkDistinct(listen, s)
 	if err := r.Err(); err != nil {
 		return Settings{}, err
 	}
 	return s, nil
 }
 
-// regions reads the region of each data centre.
-func regions(sec *stoatini.Section) map[stoatpaddle.DataCentreID]stoatpaddle.RegionID {
+// parseRegions reads the region of each data centre.
+func parseRegions(sec *stoatini.Section) map[stoatpaddle.DataCentreID]stoatpaddle.RegionID {
 	out := map[stoatpaddle.DataCentreID]stoatpaddle.RegionID{}
 	for _, centre := range sec.Keys() {
 		out[stoatpaddle.DataCentreID(centre)] = stoatpaddle.RegionID(sec.Word(centre, ""))
@@ -142,8 +142,8 @@
 	return out
 }
 
-// distinct reports listeners that would take each other's address.
-func distinct(sec *stoatini.Section, s Settings) {
+// checkDistinct reports listeners that would take each other's address.
+func checkDistinct(sec *stoatini.Section, s Settings) {
 	type listener struct {
 		key  string
 		udp  bool
