--- a/stoatini/reader.go
+++ b/stoatini/reader.go
@@ -21,12 +21,12 @@
 
 // Section is one section of the file; its keys count as known once they were read.
 type Section struct {
-	Kind string // first word of the header
-	Name string // the rest of the header
-	r    *Reader
-	sec  *ini.Section
-	read map[string]bool
-	used bool
+	Kind      string // first word of the header
+	Name      string // the rest of the header
+	r         *Reader
+	sec       *ini.Section
+	known     map[string]bool
+	requested bool
 }
 
 // Parse reads the file's content.
@@ -49,7 +49,7 @@
 		}
 		seen[sec.Name()] = true
 		r.sections = append(r.sections, &Section{
-			Kind: kind, Name: strings.TrimSpace(name), r: r, sec: sec, read: map[string]bool{},
+			Kind: kind, Name: strings.TrimSpace(name), r: r, sec: sec, known: map[string]bool{},
 		})
 	}
 	return r
@@ -64,11 +64,11 @@
 func (r *Reader) Section(kind string) *Section {
 	for _, s := range r.sections {
 		if s.Kind == kind && s.Name == "" {
-			s.used = true
+			s.requested = true
 			return s
 		}
 	}
-	return &Section{Kind: kind, r: r, read: map[string]bool{}, used: true}
+	return &Section{Kind: kind, r: r, known: map[string]bool{}, requested: true}
 }
 
 // Named returns the sections of that kind which bear a name, in the file's order.
@@ -76,7 +76,7 @@
 	var out []*Section
 	for _, s := range r.sections {
 		if s.Kind == kind && s.Name != "" {
-			s.used = true
+			s.requested = true
 			out = append(out, s)
 		}
 	}
@@ -86,12 +86,12 @@
 // Err returns *stoatpaddle.FaultsError if there was a fault, counting what was never read.
 func (r *Reader) Err() error {
 	for _, s := range r.sections {
-		if !s.used {
+		if !s.requested {
 			r.Fault(s.header(), "", s.header(), "a known section")
 			continue
 		}
 		for _, k := range s.sec.Keys() {
-			if !s.read[k.Name()] {
+			if !s.known[k.Name()] {
 				r.Fault(s.header(), k.Name(), k.Value(), "a known key")
 			}
 		}
@@ -113,14 +113,14 @@
 		return nil
 	}
 	for _, k := range s.sec.KeyStrings() {
-		s.read[k] = true
+		s.known[k] = true
 	}
 	return s.sec.KeyStrings()
 }
 
-// raw returns the value and whether the key is there.
-func (s *Section) raw(key string) (string, bool) {
-	s.read[key] = true
+// value returns the value and whether the key is there.
+func (s *Section) value(key string) (string, bool) {
+	s.known[key] = true
 	if s.sec == nil || !s.sec.HasKey(key) {
 		return "", false
 	}
@@ -128,10 +128,10 @@
 }
 
 // Word returns a name: letters, digits, dots, hyphens and underscores.
-func (s *Section) Word(key, standard string) string {
-	v, ok := s.raw(key)
-	if !ok && standard != "" {
-		return standard
+func (s *Section) Word(key, defaultValue string) string {
+	v, ok := s.value(key)
+	if !ok && defaultValue != "" {
+		return defaultValue
 	}
 	if !isWord(v) {
 		s.Fault(key, v, "a name of letters, digits, '.', '-' and '_'")
@@ -154,7 +154,7 @@
 
 // Choice returns one of the options; the first is the default.
 func (s *Section) Choice(key string, options ...string) string {
-	v, ok := s.raw(key)
+	v, ok := s.value(key)
 	if !ok {
 		return options[0]
 	}
@@ -168,50 +168,50 @@
 }
 
 // Int returns a whole number from least to most.
-func (s *Section) Int(key string, standard, least, most int) int {
-	v, ok := s.raw(key)
+func (s *Section) Int(key string, defaultValue, lowest, highest int) int {
+	v, ok := s.value(key)
 	if !ok {
-		return standard
+		return defaultValue
 	}
 	n, err := strconv.Atoi(v)
-	if err != nil || n < least || n > most {
-		s.Fault(key, v, fmt.Sprintf("a whole number from %d to %d", least, most))
-		return standard
+	if err != nil || n < lowest || n > highest {
+		s.Fault(key, v, fmt.Sprintf("a whole number from %d to %d", lowest, highest))
+		return defaultValue
 	}
 	return n
 }
 
 // Number returns a number from least to most.
-func (s *Section) Number(key string, standard, least, most float64) float64 {
-	v, ok := s.raw(key)
+func (s *Section) Number(key string, defaultValue, lowest, highest float64) float64 {
+	v, ok := s.value(key)
 	if !ok {
-		return standard
+		return defaultValue
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(n >= least && n <= most) {
-		s.Fault(key, v, fmt.Sprintf("a number from %g to %g", least, most))
-		return standard
+	if err != nil || !(n >= lowest && n <= highest) {
+		s.Fault(key, v, fmt.Sprintf("a number from %g to %g", lowest, highest))
+		return defaultValue
 	}
 	return n
 }
 
 // Duration returns a positive duration such as 30s.
-func (s *Section) Duration(key string, standard time.Duration) time.Duration {
-	v, ok := s.raw(key)
+func (s *Section) Duration(key string, defaultValue time.Duration) time.Duration {
+	v, ok := s.value(key)
 	if !ok {
-		return standard
+		return defaultValue
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d <= 0 {
 		s.Fault(key, v, "a positive duration such as 30s")
-		return standard
+		return defaultValue
 	}
 	return d
 }
 
 // Addr returns an IP address.
 func (s *Section) Addr(key string) netip.Addr {
-	v, _ := s.raw(key)
+	v, _ := s.value(key)
 	a, err := netip.ParseAddr(v)
 	if err != nil {
 		s.Fault(key, v, "an IP address")
@@ -220,10 +220,10 @@
 }
 
 // AddrPort returns an address and port; an empty default makes the key required.
-func (s *Section) AddrPort(key, standard string) netip.AddrPort {
-	v, ok := s.raw(key)
+func (s *Section) AddrPort(key, defaultValue string) netip.AddrPort {
+	v, ok := s.value(key)
 	if !ok {
-		v = standard
+		v = defaultValue
 	}
 	a, err := netip.ParseAddrPort(v)
 	if err != nil || a.Port() == 0 {
@@ -234,7 +234,7 @@
 
 // Ports returns ports, separated by commas.
 func (s *Section) Ports(key string) []uint16 {
-	v, _ := s.raw(key)
+	v, _ := s.value(key)
 	var out []uint16
 	for _, part := range strings.Split(v, ",") {
 		n, err := strconv.ParseUint(strings.TrimSpace(part), 10, 16)
@@ -249,7 +249,7 @@
 
 // AddrPorts returns addresses and ports, separated by commas; none by default.
 func (s *Section) AddrPorts(key string) []netip.AddrPort {
-	v, ok := s.raw(key)
+	v, ok := s.value(key)
 	if !ok {
 		return nil
 	}
