--- a/stoatevent/bounds_test.go
+++ b/stoatevent/bounds_test.go
@@ -29,13 +29,13 @@
 // A flood of one event: so many lines a second, the rest is counted; another event without
 // a bound is never left out.
 func TestSampler(t *testing.T) {
-	flood := &stoatevent.Entry{Number: 9001}
-	state := &stoatevent.Entry{Number: 9002}
+	limited := &stoatevent.Entry{Number: 9001}
+	unlimited := &stoatevent.Entry{Number: 9002}
 	s := stoatevent.NewSampler(map[stoatevent.Number]int{9001: 5})
 	now := time.Unix(1000, 0)
 	for range 100 {
-		s.Admit(now, flood)
-		if !s.Admit(now, state) {
+		s.Admit(now, limited)
+		if !s.Admit(now, unlimited) {
 			t.Fatal("a change of state was left out")
 		}
 	}
@@ -45,7 +45,7 @@
 	if len(s.Take()) != 0 || len(s.Total()) != 1 {
 		t.Error("counted twice, or forgotten")
 	}
-	if !s.Admit(now.Add(time.Second), flood) {
+	if !s.Admit(now.Add(time.Second), limited) {
 		t.Error("left out in the next second")
 	}
 }
--- a/stoatevent/catalogue.go
+++ b/stoatevent/catalogue.go
@@ -45,21 +45,21 @@
 // Error names the number.
 func (e *UnknownError) Error() string { return "no catalogue entry has number " + e.Number }
 
-var entries = map[Number]*Entry{}
+var catalogue = map[Number]*Entry{}
 
 // Register adds an entry to the catalogue and panics with *DuplicateError on a number taken.
 func Register(e Entry) *Entry {
-	if _, taken := entries[e.Number]; taken {
+	if _, taken := catalogue[e.Number]; taken {
 		panic(&DuplicateError{Number: e.Number})
 	}
-	entries[e.Number] = &e
+	catalogue[e.Number] = &e
 	return &e
 }
 
 // All returns the entries in ascending order of number.
 func All() []*Entry {
-	out := make([]*Entry, 0, len(entries))
-	for _, e := range entries {
+	out := make([]*Entry, 0, len(catalogue))
+	for _, e := range catalogue {
 		out = append(out, e)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Number < out[j].Number })
@@ -68,7 +68,7 @@
 
 // Find returns the entry with the printed number, or *UnknownError.
 func Find(number string) (*Entry, error) {
-	for _, e := range entries {
+	for _, e := range catalogue {
 		if strings.EqualFold(e.Number.String(), number) {
 			return e, nil
 		}
--- a/stoatevent/log.go
+++ b/stoatevent/log.go
@@ -29,28 +29,28 @@
 
 // Logger writes events as JSON lines.
 type Logger struct {
-	out      log.Logger
+	logger   log.Logger
 	instance string
 }
 
 // NewLogger returns a Logger for one instance.
 func NewLogger(cfg Config) *Logger {
 	return &Logger{
-		out:      log.Logger{Level: log.ParseLevel(cfg.Level), Writer: &log.IOWriter{Writer: cfg.Writer}},
+		logger:   log.Logger{Level: log.ParseLevel(cfg.Level), Writer: &log.IOWriter{Writer: cfg.Writer}},
 		instance: cfg.Instance,
 	}
 }
 
 // Emit writes one event.
 func (l *Logger) Emit(e *Entry, fields ...Field) {
-	line := l.out.WithLevel(level(e.Severity)).Str("event", e.Number.String()).Str("instance", l.instance)
+	line := l.logger.WithLevel(levelOf(e.Severity)).Str("event", e.Number.String()).Str("instance", l.instance)
 	for _, f := range fields {
 		line = line.Str(f.Key, f.Value)
 	}
 	line.Msg(e.Title)
 }
 
-func level(s Severity) log.Level {
+func levelOf(s Severity) log.Level {
 	switch s {
 	case Warning:
 		return log.WarnLevel
--- a/stoatevent/pipe.go
+++ b/stoatevent/pipe.go
@@ -8,28 +8,28 @@
 // Pipe is an io.Writer that never blocks: lines wait in a bounded queue, and one that finds
 // it full is counted and lost. A log that nobody reads must not stop traffic.
 type Pipe struct {
-	lines chan []byte
-	lost  atomic.Int64
+	queue   chan []byte
+	dropped atomic.Int64
 }
 
-// pipeLines is how many lines wait at most: a second of the busiest start.
-const pipeLines = 1024
+// queueLines is how many lines wait at most: a second of the busiest start.
+const queueLines = 1024
 
 // NewPipe returns a Pipe; Run has to be started for it.
-func NewPipe() *Pipe { return &Pipe{lines: make(chan []byte, pipeLines)} }
+func NewPipe() *Pipe { return &Pipe{queue: make(chan []byte, queueLines)} }
 
 // Write queues a line.
 func (p *Pipe) Write(line []byte) (int, error) {
 	select {
-	case p.lines <- append([]byte(nil), line...):
+	case p.queue <- append([]byte(nil), line...):
 	default:
-		p.lost.Add(1)
+		p.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Lost returns how many lines were lost since the start.
-func (p *Pipe) Lost() int64 { return p.lost.Load() }
+func (p *Pipe) Lost() int64 { return p.dropped.Load() }
 
 // maxBatch bounds what is written at once.
 const maxBatch = 32 << 10
@@ -37,10 +37,10 @@
 // Run writes the queued lines to w, those that wait together in one write, until Close.
 func (p *Pipe) Run(w io.Writer) error {
 	var batch []byte
-	for line := range p.lines {
+	for line := range p.queue {
 		batch = append(batch[:0], line...)
-		for len(batch) < maxBatch && len(p.lines) > 0 {
-			batch = append(batch, <-p.lines...)
+		for len(batch) < maxBatch && len(p.queue) > 0 {
+			batch = append(batch, <-p.queue...)
 		}
 		if _, err := w.Write(batch); err != nil {
 			return err
@@ -50,4 +50,4 @@
 }
 
 // Close ends Run once it has written what is queued; no Write may follow.
-func (p *Pipe) Close() { close(p.lines) }
+func (p *Pipe) Close() { close(p.queue) }
--- a/stoatevent/sampler.go
+++ b/stoatevent/sampler.go
@@ -8,37 +8,37 @@
 
 // Sampler bounds how many lines an event may write a second and counts what it leaves out.
 type Sampler struct {
-	mu     sync.Mutex
-	bounds map[Number]int // lines a second; an event without a bound is never left out
-	used   map[Number]int
-	left   map[Number]int64
-	total  map[Number]int64
-	second time.Time
+	mu           sync.Mutex
+	limits       map[Number]int // lines a second; an event without a bound is never left out
+	admitted     map[Number]int
+	omitted      map[Number]int64
+	totalOmitted map[Number]int64
+	windowStart  time.Time
 }
 
 // NewSampler returns a Sampler with the bounds.
-func NewSampler(bounds map[Number]int) *Sampler {
-	return &Sampler{bounds: bounds, used: map[Number]int{}, left: map[Number]int64{}, total: map[Number]int64{}}
+func NewSampler(limits map[Number]int) *Sampler {
+	return &Sampler{limits: limits, admitted: map[Number]int{}, omitted: map[Number]int64{}, totalOmitted: map[Number]int64{}}
 }
 
 // Admit tells whether a line of the event may be written now.
 func (s *Sampler) Admit(now time.Time, e *Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	bound, bounded := s.bounds[e.Number]
-	if !bounded {
+	limit, limited := s.limits[e.Number]
+	if !limited {
 		return true
 	}
-	if now.Sub(s.second) >= time.Second {
-		s.second = now
-		clear(s.used)
+	if now.Sub(s.windowStart) >= time.Second {
+		s.windowStart = now
+		clear(s.admitted)
 	}
-	if s.used[e.Number] >= bound {
-		s.left[e.Number]++
-		s.total[e.Number]++
+	if s.admitted[e.Number] >= limit {
+		s.omitted[e.Number]++
+		s.totalOmitted[e.Number]++
 		return false
 	}
-	s.used[e.Number]++
+	s.admitted[e.Number]++
 	return true
 }
 
@@ -52,8 +52,8 @@
 func (s *Sampler) Take() []LeftOut {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := listLeft(s.left)
-	clear(s.left)
+	out := sortedOmitted(s.omitted)
+	clear(s.omitted)
 	return out
 }
 
@@ -61,10 +61,10 @@
 func (s *Sampler) Total() []LeftOut {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return listLeft(s.total)
+	return sortedOmitted(s.totalOmitted)
 }
 
-func listLeft(m map[Number]int64) []LeftOut {
+func sortedOmitted(m map[Number]int64) []LeftOut {
 	out := make([]LeftOut, 0, len(m))
 	for n, c := range m {
 		out = append(out, LeftOut{Number: n, Count: c})
