--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -20,7 +20,7 @@
 // upstreamFunc answers one connection's requests by hand.
 type upstreamFunc func(conn net.Conn, r *http.Request)
 
-func listen(t *testing.T, f upstreamFunc) netip.AddrPort {
+func startUpstream(t *testing.T, f upstreamFunc) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func entry(t *testing.T, calls int, ups ...netip.AddrPort) (*Handler, string) {
+func startEntry(t *testing.T, calls int, ups ...netip.AddrPort) (*Handler, string) {
 	c := stoatpaddle.Contract{
 		Customer: "sawt", Limits: stoatpaddle.Limits{Flows: 1, Opens: 1, Calls: calls, Rate: 1000},
 		Services: []stoatpaddle.Service{{ID: "ledger", Kind: stoatpaddle.KindCall, Host: "ledger.example"}},
@@ -61,7 +61,7 @@
 	return h, srv.URL
 }
 
-func call(t *testing.T, method, url, body string) (*http.Response, string, error) {
+func sendRequest(t *testing.T, method, url, body string) (*http.Response, string, error) {
 	req, err := http.NewRequest(method, url+"/claim", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
@@ -76,25 +76,25 @@
 	return res, string(data), err
 }
 
-func refusing(conn net.Conn, _ *http.Request) {
+func refuseCall(conn net.Conn, _ *http.Request) {
 	_, _ = io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-func accepting(conn net.Conn, r *http.Request) {
+func echoBody(conn net.Conn, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+string(rune('0'+len(body)))+"\r\n\r\n"+string(body))
 }
 
 // The upstream ends its connection in the middle of the answer. The caller must see a
 // broken connection: half an answer that looks whole would be taken for the whole.
-func TestCutAnswerIsNotPassedOnAsWhole(t *testing.T) {
-	for name, head := range map[string]string{
+func TestTruncatedAnswerAbortsConnection(t *testing.T) {
+	for name, partial := range map[string]string{
 		"by length": "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
 		"chunked":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, url := entry(t, 10, listen(t, func(conn net.Conn, _ *http.Request) { _, _ = io.WriteString(conn, head) }))
-			if _, body, err := call(t, http.MethodGet, url, ""); err == nil {
+			h, url := startEntry(t, 10, startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = io.WriteString(conn, partial) }))
+			if _, body, err := sendRequest(t, http.MethodGet, url, ""); err == nil {
 				t.Errorf("the caller took %q for the whole answer", body)
 			}
 			if h.Stats().Cut.Load() != 1 || h.Stats().Answered.Load() != 0 {
@@ -106,14 +106,14 @@
 
 // The upstream takes a claim, runs it and dies before it answers. Nobody knows whether it
 // ran, so the caller hears "unknown" and the claim is not sent to the other upstream.
-func TestLostAnswerIsUnknownAndRunsOnce(t *testing.T) {
+func TestUnansweredCallIsNotRetried(t *testing.T) {
 	var ran atomic.Int64
-	dying := func(_ net.Conn, r *http.Request) {
+	dieUnanswered := func(_ net.Conn, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
 		ran.Add(1)
 	}
-	_, url := entry(t, 10, listen(t, dying), listen(t, dying))
-	res, body, err := call(t, http.MethodPost, url, "keg")
+	_, url := startEntry(t, 10, startUpstream(t, dieUnanswered), startUpstream(t, dieUnanswered))
+	res, body, err := sendRequest(t, http.MethodPost, url, "keg")
 	if err != nil || res.StatusCode != http.StatusBadGateway || !strings.Contains(body, "SP1305") {
 		t.Fatal(res, body, err)
 	}
@@ -126,20 +126,20 @@
 // the caller is told when to come back. With one that has room, the caller notices nothing.
 func TestRefusals(t *testing.T) {
 	closed := netip.MustParseAddrPort("127.0.0.1:1")
-	h, url := entry(t, 10, listen(t, refusing), closed)
-	res, body, err := call(t, http.MethodPost, url, "")
+	h, url := startEntry(t, 10, startUpstream(t, refuseCall), closed)
+	res, body, err := sendRequest(t, http.MethodPost, url, "")
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" || !strings.Contains(body, "SP1304") {
 		t.Fatal(res, body, err)
 	}
 	if h.Stats().Attempts.Load() != 2 {
 		t.Error(h.Stats().Attempts.Load(), "attempts")
 	}
-	_, url = entry(t, 10, listen(t, refusing), closed, listen(t, accepting))
-	if res, _, err := call(t, http.MethodPost, url, ""); err != nil || res.StatusCode != http.StatusOK {
+	_, url = startEntry(t, 10, startUpstream(t, refuseCall), closed, startUpstream(t, echoBody))
+	if res, _, err := sendRequest(t, http.MethodPost, url, ""); err != nil || res.StatusCode != http.StatusOK {
 		t.Fatal(res, err)
 	}
-	_, url = entry(t, 10, listen(t, accepting))
-	if _, body, err := call(t, http.MethodPost, url, "keg"); err != nil || body != "keg" {
+	_, url = startEntry(t, 10, startUpstream(t, echoBody))
+	if _, body, err := sendRequest(t, http.MethodPost, url, "keg"); err != nil || body != "keg" {
 		t.Fatal(body, err)
 	}
 }
@@ -150,24 +150,24 @@
 	var reached atomic.Int64
 	release := make(chan struct{})
 	started := make(chan struct{}, 1)
-	slow := listen(t, func(conn net.Conn, r *http.Request) {
+	blocking := startUpstream(t, func(conn net.Conn, r *http.Request) {
 		reached.Add(1)
 		started <- struct{}{}
 		<-release
-		accepting(conn, r)
+		echoBody(conn, r)
 	})
-	h, url := entry(t, 1, slow)
+	h, url := startEntry(t, 1, blocking)
 	first := make(chan error, 1)
 	go func() {
-		_, _, err := call(t, http.MethodGet, url, "")
+		_, _, err := sendRequest(t, http.MethodGet, url, "")
 		first <- err
 	}()
 	<-started
-	if _, body, _ := call(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1303") {
+	if _, body, _ := sendRequest(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1303") {
 		t.Error("limit:", body)
 	}
 	h.Stop()
-	if _, body, _ := call(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1306") {
+	if _, body, _ := sendRequest(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1306") {
 		t.Error("leaving:", body)
 	}
 	if h.Open() != 1 {
@@ -180,18 +180,18 @@
 	if reached.Load() != 1 {
 		t.Error(reached.Load(), "calls reached the upstream")
 	}
-	fresh := New(Config{View: func() *stoatview.View { return nil }, Clock: time.Now})
+	unconfigured := New(Config{View: func() *stoatview.View { return nil }, Clock: time.Now})
 	w := httptest.NewRecorder()
-	fresh.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
+	unconfigured.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 	if !strings.Contains(w.Body.String(), "SP1301") {
 		t.Error("fresh:", w.Body)
 	}
 }
 
 // A caller leaves in the middle of its upload. The slot is free again, whatever the upstream does.
-func TestCallerGone(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	done := make(chan struct{})
-	h, url := entry(t, 10, listen(t, func(_ net.Conn, r *http.Request) {
+	h, url := startEntry(t, 10, startUpstream(t, func(_ net.Conn, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(done)
 	}))
@@ -214,7 +214,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.inflight) != 0 || h.customers["sawt"].calls != 0 {
-		t.Error("a slot is still taken", h.inflight)
+	if len(h.openByUpstream) != 0 || h.customers["sawt"].calls != 0 {
+		t.Error("a slot is still taken", h.openByUpstream)
 	}
 }
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -21,13 +21,13 @@
 const HeaderNotRun = "Not-Run"
 
 const (
-	answerTimeout = 30 * time.Second
-	dialTimeout   = 2 * time.Second
+	responseHeaderTimeout = 30 * time.Second
+	dialTimeout           = 2 * time.Second
 	// maxAttempts bounds the upstreams that one call tries.
-	maxAttempts = 3
-	copyBuffer  = 64 << 10
-	// comeBack is the Retry-After of a refusal, seconds.
-	comeBack = 1
+	maxAttempts    = 3
+	copyBufferSize = 64 << 10
+	// retryAfterSeconds is the Retry-After of a refusal, seconds.
+	retryAfterSeconds = 1
 )
 
 // Clock tells the present time; the entry's is the machine's.
@@ -42,23 +42,23 @@
 
 // Handler is the HTTP handler for callers' requests.
 type Handler struct {
-	cfg       Config
-	transport *http.Transport
-	mu        sync.Mutex
-	rnd       *rand.Rand
-	inflight  map[stoatpaddle.UpstreamKey]int
-	customers map[stoatpaddle.CustomerID]*customer
-	stopping  atomic.Bool
-	open      atomic.Int64
-	stats     Stats
-	buffers   sync.Pool
+	cfg            Config
+	transport      *http.Transport
+	mu             sync.Mutex
+	rnd            *rand.Rand
+	openByUpstream map[stoatpaddle.UpstreamKey]int
+	customers      map[stoatpaddle.CustomerID]*customerUsage
+	stopping       atomic.Bool
+	openCalls      atomic.Int64
+	stats          Stats
+	buffers        sync.Pool
 }
 
-// customer is one customer's use of this entry.
-type customer struct {
-	calls  int
-	tokens float64
-	filled time.Time
+// customerUsage is one customerUsage's use of this entry.
+type customerUsage struct {
+	calls      int
+	tokens     float64
+	refilledAt time.Time
 }
 
 // Stats counts how calls ended.
@@ -76,14 +76,14 @@
 		cfg: cfg,
 		transport: &http.Transport{
 			DialContext:           (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			ResponseHeaderTimeout: answerTimeout,
+			ResponseHeaderTimeout: responseHeaderTimeout,
 			MaxIdleConnsPerHost:   16,
 			DisableCompression:    true,
 		},
-		rnd:       rand.New(rand.NewPCG(cfg.Seed, 2)),
-		inflight:  map[stoatpaddle.UpstreamKey]int{},
-		customers: map[stoatpaddle.CustomerID]*customer{},
-		buffers:   sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }},
+		rnd:            rand.New(rand.NewPCG(cfg.Seed, 2)),
+		openByUpstream: map[stoatpaddle.UpstreamKey]int{},
+		customers:      map[stoatpaddle.CustomerID]*customerUsage{},
+		buffers:        sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }},
 	}
 }
 
@@ -91,45 +91,45 @@
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
 // Open returns the number of calls in progress.
-func (h *Handler) Open() int { return int(h.open.Load()) }
+func (h *Handler) Open() int { return int(h.openCalls.Load()) }
 
 // Stats returns the handler's counters.
 func (h *Handler) Stats() *Stats { return &h.stats }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.open.Add(1)
-	defer h.open.Add(-1)
+	h.openCalls.Add(1)
+	defer h.openCalls.Add(-1)
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
-		h.refuse(w, ProblemStopping, http.StatusServiceUnavailable, "")
+		h.refuseRetryable(w, ProblemStopping, http.StatusServiceUnavailable, "")
 		return
 	}
 	v := h.cfg.View()
 	if v == nil {
-		h.refuse(w, ProblemNotReady, http.StatusServiceUnavailable, "")
+		h.refuseRetryable(w, ProblemNotReady, http.StatusServiceUnavailable, "")
 		return
 	}
-	svc := v.CallService(hostOf(r))
+	svc := v.CallService(authorityOf(r))
 	if svc == nil {
 		h.stats.Refused.Add(1)
-		refuse(w, ProblemNoService, http.StatusMisdirectedRequest, 0, r.Host)
+		writeProblem(w, ProblemNoService, http.StatusMisdirectedRequest, 0, r.Host)
 		return
 	}
-	if !h.admit(v, svc) {
-		h.refuse(w, ProblemLimit, http.StatusTooManyRequests, svc.Ref.String())
+	if !h.admitCall(v, svc) {
+		h.refuseRetryable(w, ProblemLimit, http.StatusTooManyRequests, svc.Ref.String())
 		return
 	}
-	defer h.leave(svc)
-	h.call(w, r, svc)
+	defer h.releaseCall(svc)
+	h.tryUpstreams(w, r, svc)
 }
 
-func (h *Handler) refuse(w http.ResponseWriter, e *stoatevent.Entry, status int, detail string) {
+func (h *Handler) refuseRetryable(w http.ResponseWriter, e *stoatevent.Entry, status int, detail string) {
 	h.stats.Refused.Add(1)
-	refuse(w, e, status, comeBack, detail)
+	writeProblem(w, e, status, retryAfterSeconds, detail)
 }
 
-func hostOf(r *http.Request) string {
+func authorityOf(r *http.Request) string {
 	host := r.Host
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -137,8 +137,8 @@
 	return strings.ToLower(host)
 }
 
-// admit counts the call against this entry's equal part of the customer's limits.
-func (h *Handler) admit(v *stoatview.View, svc *stoatview.Service) bool {
+// admitCall counts the call against this entry's equal part of the customer's limits.
+func (h *Handler) admitCall(v *stoatview.View, svc *stoatview.Service) bool {
 	now := h.cfg.Clock()
 	entries := max(1, len(v.Entries.Members))
 	h.mu.Lock()
@@ -146,11 +146,11 @@
 	c := h.customers[svc.Ref.Customer]
 	rate := max(1, float64(svc.Limits.Rate)/float64(entries))
 	if c == nil {
-		c = &customer{tokens: rate, filled: now}
+		c = &customerUsage{tokens: rate, refilledAt: now}
 		h.customers[svc.Ref.Customer] = c
 	}
-	c.tokens = min(rate, c.tokens+rate*now.Sub(c.filled).Seconds())
-	c.filled = now
+	c.tokens = min(rate, c.tokens+rate*now.Sub(c.refilledAt).Seconds())
+	c.refilledAt = now
 	if c.calls >= max(1, svc.Limits.Calls/entries) || c.tokens < 1 {
 		return false
 	}
@@ -159,32 +159,32 @@
 	return true
 }
 
-func (h *Handler) leave(svc *stoatview.Service) {
+func (h *Handler) releaseCall(svc *stoatview.Service) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.customers[svc.Ref.Customer].calls--
 }
 
-// call tries upstreams until one runs the request.
-func (h *Handler) call(w http.ResponseWriter, r *http.Request, svc *stoatview.Service) {
-	body := &trackedBody{rc: r.Body}
+// tryUpstreams tries upstreams until one runs the request.
+func (h *Handler) tryUpstreams(w http.ResponseWriter, r *http.Request, svc *stoatview.Service) {
+	body := &trackedBody{body: r.Body}
 	tried := map[stoatpaddle.UpstreamKey]bool{}
 	for range maxAttempts {
-		u := h.pick(svc, tried)
+		u := h.acquireUpstream(svc, tried)
 		if u == nil {
 			break
 		}
 		tried[u.Key] = true
 		h.stats.Attempts.Add(1)
 		res, err := h.send(r, u, body)
-		if err == nil && !notRun(res) {
-			h.finish(w, res, u)
+		if err == nil && !refusedByUpstream(res) {
+			h.forwardAnswer(w, res, u)
 			return
 		}
-		h.drop(u)
-		if err != nil && !provablyNotRun(err) && !idempotent(r.Method) {
+		h.releaseUpstream(u)
+		if err != nil && !dialFailed(err) && !idempotent(r.Method) {
 			h.stats.Unknown.Add(1)
-			refuse(w, ProblemUnknown, http.StatusBadGateway, 0, "")
+			writeProblem(w, ProblemUnknown, http.StatusBadGateway, 0, "")
 			return
 		}
 		if r.Context().Err() != nil {
@@ -194,35 +194,35 @@
 			_ = res.Body.Close()
 		}
 		// A body that was read in part cannot be sent to another upstream.
-		if body.touched.Load() {
-			h.afterBody(w, err)
+		if body.started.Load() {
+			h.refuseBodyRead(w, err)
 			return
 		}
 	}
-	h.refuse(w, ProblemBusy, http.StatusServiceUnavailable, svc.Ref.String())
+	h.refuseRetryable(w, ProblemBusy, http.StatusServiceUnavailable, svc.Ref.String())
 }
 
-// finish passes the answer on; the deferred drop also runs when a cut answer aborts.
-func (h *Handler) finish(w http.ResponseWriter, res *http.Response, u *stoatview.Upstream) {
-	defer h.drop(u)
-	h.answer(w, res)
+// forwardAnswer passes the answer on; the deferred drop also runs when a cut answer aborts.
+func (h *Handler) forwardAnswer(w http.ResponseWriter, res *http.Response, u *stoatview.Upstream) {
+	defer h.releaseUpstream(u)
+	h.copyAnswer(w, res)
 }
 
-func (h *Handler) afterBody(w http.ResponseWriter, err error) {
-	if err == nil || provablyNotRun(err) {
-		h.refuse(w, ProblemBusy, http.StatusServiceUnavailable, "")
+func (h *Handler) refuseBodyRead(w http.ResponseWriter, err error) {
+	if err == nil || dialFailed(err) {
+		h.refuseRetryable(w, ProblemBusy, http.StatusServiceUnavailable, "")
 		return
 	}
 	h.stats.Unknown.Add(1)
-	refuse(w, ProblemUnknown, http.StatusBadGateway, 0, "")
+	writeProblem(w, ProblemUnknown, http.StatusBadGateway, 0, "")
 }
 
-func notRun(res *http.Response) bool {
+func refusedByUpstream(res *http.Response) bool {
 	return res.StatusCode == http.StatusServiceUnavailable && res.Header.Get(HeaderNotRun) != ""
 }
 
-// provablyNotRun tells whether the connection was never made, so that no byte left.
-func provablyNotRun(err error) bool {
+// dialFailed tells whether the connection was never made, so that no byte left.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
@@ -236,8 +236,8 @@
 	}
 }
 
-// pick takes the upstream with the fewest calls from here for its weight, at random among equals.
-func (h *Handler) pick(svc *stoatview.Service, tried map[stoatpaddle.UpstreamKey]bool) *stoatview.Upstream {
+// acquireUpstream takes the upstream with the fewest calls from here for its weight, at random among equals.
+func (h *Handler) acquireUpstream(svc *stoatview.Service, tried map[stoatpaddle.UpstreamKey]bool) *stoatview.Upstream {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ups := svc.Set.Upstreams
@@ -248,29 +248,29 @@
 	start := h.rnd.IntN(len(ups))
 	for i := range ups {
 		u := ups[(start+i)%len(ups)]
-		if tried[u.Key] || h.inflight[u.Key] >= u.Slots {
+		if tried[u.Key] || h.openByUpstream[u.Key] >= u.Slots {
 			continue
 		}
-		if best == nil || h.inflight[u.Key]*int(best.Weight) < h.inflight[best.Key]*int(u.Weight) {
+		if best == nil || h.openByUpstream[u.Key]*int(best.Weight) < h.openByUpstream[best.Key]*int(u.Weight) {
 			best = u
 		}
 	}
 	if best != nil {
-		h.inflight[best.Key]++
+		h.openByUpstream[best.Key]++
 	}
 	return best
 }
 
-func (h *Handler) drop(u *stoatview.Upstream) {
+func (h *Handler) releaseUpstream(u *stoatview.Upstream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.inflight[u.Key]--; h.inflight[u.Key] == 0 {
-		delete(h.inflight, u.Key)
+	if h.openByUpstream[u.Key]--; h.openByUpstream[u.Key] == 0 {
+		delete(h.openByUpstream, u.Key)
 	}
 }
 
-// hopHeaders belong to one connection (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders belong to one connection (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
@@ -285,7 +285,7 @@
 	out.URL.Scheme = "http"
 	out.URL.Host = u.Addr.String()
 	out.RequestURI = ""
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Header.Del(name)
 	}
 	// net/http sends a request again by itself when a reused connection breaks, also a
@@ -298,35 +298,35 @@
 	return h.transport.RoundTrip(out)
 }
 
-// answer streams the answer back. One that is cut short aborts the caller's connection:
-// passed on as if complete, the caller would take half an answer for the whole.
-func (h *Handler) answer(w http.ResponseWriter, res *http.Response) {
+// copyAnswer streams the copyAnswer back. One that is cut short aborts the caller's connection:
+// passed on as if complete, the caller would take half an copyAnswer for the whole.
+func (h *Handler) copyAnswer(w http.ResponseWriter, res *http.Response) {
 	defer func() { _ = res.Body.Close() }()
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		res.Header.Del(name)
 	}
 	for k, v := range res.Header {
 		w.Header()[k] = v
 	}
 	w.WriteHeader(res.StatusCode)
-	if err := h.stream(w, res.Body); err != nil {
+	if err := h.copyBody(w, res.Body); err != nil {
 		h.stats.Cut.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	h.stats.Answered.Add(1)
 }
 
-func (h *Handler) stream(w http.ResponseWriter, body io.Reader) error {
+func (h *Handler) copyBody(w http.ResponseWriter, body io.Reader) error {
 	buf, _ := h.buffers.Get().(*[]byte)
 	defer h.buffers.Put(buf)
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	for {
 		n, err := body.Read(*buf)
 		if n > 0 {
 			if _, werr := w.Write((*buf)[:n]); werr != nil {
 				return werr
 			}
-			_ = flush.Flush()
+			_ = controller.Flush()
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -339,15 +339,15 @@
 
 // trackedBody notes whether a byte of the request's body was read; it survives a failed attempt.
 type trackedBody struct {
-	rc      io.ReadCloser
-	touched atomic.Bool
+	body    io.ReadCloser
+	started atomic.Bool
 }
 
 // Read implements io.Reader.
 func (b *trackedBody) Read(p []byte) (int, error) {
-	n, err := b.rc.Read(p)
+	n, err := b.body.Read(p)
 	if n > 0 {
-		b.touched.Store(true)
+		b.started.Store(true)
 	}
 	return n, err
 }
--- a/stoatcall/problem.go
+++ b/stoatcall/problem.go
@@ -50,8 +50,8 @@
 	Detail string `json:"detail,omitempty"`
 }
 
-// refuse answers with a problem; after is in seconds, 0 for none.
-func refuse(w http.ResponseWriter, e *stoatevent.Entry, status, after int, detail string) {
+// writeProblem answers with a problem; after is in seconds, 0 for none.
+func writeProblem(w http.ResponseWriter, e *stoatevent.Entry, status, retryAfter int, detail string) {
 	body, err := json.Marshal(wireProblem{
 		Type: "urn:stoatpaddle:" + e.Number.String(), Title: e.Title, Status: status, Detail: detail,
 	})
@@ -59,8 +59,8 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Content-Type", "application/problem+json")
-	if after > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(after))
+	if retryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(retryAfter))
 	}
 	w.WriteHeader(status)
 	_, _ = w.Write(body)
