--- a/stoatcommand/centre.go
+++ b/stoatcommand/centre.go
@@ -8,9 +8,9 @@
 )
 
 type centreArgs struct {
-	Evacuate *evacuateArgs `arg:"subcommand:evacuate" help:"have the upstreams of a data centre get no new work"`
-	Restore  *takeBackArgs `arg:"subcommand:restore" help:"take an evacuated data centre back"`
-	List     *listCentres  `arg:"subcommand:list" help:"list the data centres that are evacuated, as an entry sees them"`
+	Evacuate *centreEvacuateArgs `arg:"subcommand:evacuate" help:"have the upstreams of a data centre get no new work"`
+	Restore  *centreRestoreArgs  `arg:"subcommand:restore" help:"take an evacuated data centre back"`
+	List     *centreListArgs     `arg:"subcommand:list" help:"list the data centres that are evacuated, as an entry sees them"`
 }
 
 type centreNameArgs struct {
@@ -18,23 +18,23 @@
 	Centre string `arg:"positional,required" help:"a data centre"`
 }
 
-type evacuateArgs struct{ centreNameArgs }
+type centreEvacuateArgs struct{ centreNameArgs }
 
-func (a *evacuateArgs) run(c *env) error {
+func (a *centreEvacuateArgs) run(c *env) error {
 	answer, err := a.client().Evacuate(c.ctx, stoatpaddle.DataCentreID(a.Centre))
-	return a.report(c, answer, err)
+	return a.printOutcome(c, answer, err)
 }
 
-type takeBackArgs struct{ centreNameArgs }
+type centreRestoreArgs struct{ centreNameArgs }
 
-func (a *takeBackArgs) run(c *env) error {
+func (a *centreRestoreArgs) run(c *env) error {
 	answer, err := a.client().TakeBack(c.ctx, stoatpaddle.DataCentreID(a.Centre))
-	return a.report(c, answer, err)
+	return a.printOutcome(c, answer, err)
 }
 
-type listCentres struct{ entryArgs }
+type centreListArgs struct{ entryArgs }
 
-func (a *listCentres) run(c *env) error {
+func (a *centreListArgs) run(c *env) error {
 	st, err := a.client().Status(c.ctx)
 	if err != nil {
 		return err
--- a/stoatcommand/check.go
+++ b/stoatcommand/check.go
@@ -19,7 +19,7 @@
 // run checks each file by what it holds: a file with a [contract] section is a contract.
 func (a *checkArgs) run(c *env) error {
 	var faults []*stoatpaddle.Fault
-	drafts := map[string]stoatpaddle.Contract{}
+	contracts := map[string]stoatpaddle.Contract{}
 	var all []stoatpaddle.Contract
 	for _, name := range a.Files {
 		data, err := os.ReadFile(name)
@@ -34,12 +34,12 @@
 		draft, err := stoatcontract.Parse(name, data)
 		faults = append(faults, stoatpaddle.FaultsOf(err)...)
 		if err == nil {
-			drafts[name] = draft.Contract
+			contracts[name] = draft.Contract
 			all = append(all, draft.Contract)
 		}
 	}
 	for _, name := range a.Files {
-		if d, ok := drafts[name]; ok {
+		if d, ok := contracts[name]; ok {
 			faults = append(faults, stoatcontract.Conflicts(name, d, all)...)
 		}
 	}
--- a/stoatcommand/command.go
+++ b/stoatcommand/command.go
@@ -17,9 +17,9 @@
 
 // The exit codes.
 const (
-	exitOK    = 0
-	exitFail  = 1 // refused or failed
-	exitUsage = 2
+	exitOK      = 0
+	exitFailure = 1 // refused or failed
+	exitUsage   = 2
 )
 
 type args struct {
@@ -110,7 +110,7 @@
 	if errors.As(err, &usage) || errors.As(err, &settings) {
 		return exitUsage
 	}
-	return exitFail
+	return exitFailure
 }
 
 func (*versionArgs) run(c *env) error {
--- a/stoatcommand/command_test.go
+++ b/stoatcommand/command_test.go
@@ -23,11 +23,11 @@
 		{"contract apply --help", exitOK, "--version"},
 		{"explain SP1004", exitOK, "entry does not answer"},
 		{"explain sp1004", exitOK, "entry does not answer"},
-		{"explain SP9999", exitFail, "SP9999"},
+		{"explain SP9999", exitFailure, "SP9999"},
 		{"check ../stoatsetting/testdata/entry.ini ../stoatcontract/testdata/sawt.ini", exitOK, "no faults"},
-		{"check ../stoatcontract/testdata/bad-five.ini", exitFail, "[upstream giving-b] colour"},
-		{"check testdata/none.ini", exitFail, "none.ini"},
-		{"status --entry 127.0.0.1:1", exitFail, "no answer"},
+		{"check ../stoatcontract/testdata/bad-five.ini", exitFailure, "[upstream giving-b] colour"},
+		{"check testdata/none.ini", exitFailure, "none.ini"},
+		{"status --entry 127.0.0.1:1", exitFailure, "no answer"},
 		{"run -c testdata/bad-settings.ini", exitUsage, "[instance] centre"},
 		{"run -c testdata/bad-settings.ini", exitUsage, "[fabric] kind"},
 		{"run -c testdata/bad-settings.ini", exitUsage, "[platform] colour"},
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestEventsPageIsCurrent(t *testing.T) {
+func TestEventsPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
 		t.Fatal(err)
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -27,20 +27,20 @@
 }
 
 type contractArgs struct {
-	Apply *applyArgs     `arg:"subcommand:apply" help:"create a contract, or amend the version that the file names"`
-	Get   *getArgs       `arg:"subcommand:get" help:"print a contract as apply takes it"`
-	List  *listContracts `arg:"subcommand:list" help:"list the contracts in force"`
-	Rm    *rmArgs        `arg:"subcommand:rm" help:"remove a contract"`
+	Apply *contractApplyArgs `arg:"subcommand:apply" help:"create a contract, or amend the version that the file names"`
+	Get   *contractGetArgs   `arg:"subcommand:get" help:"print a contract as apply takes it"`
+	List  *contractListArgs  `arg:"subcommand:list" help:"list the contracts in force"`
+	Rm    *contractRmArgs    `arg:"subcommand:rm" help:"remove a contract"`
 }
 
-type applyArgs struct {
+type contractApplyArgs struct {
 	entryArgs
 	File    string `arg:"positional,required" help:"the contract; - for standard input"`
 	Version uint64 `help:"the version to amend, if the file names none"`
 	Token   string `help:"of an earlier try whose outcome was unknown"`
 }
 
-func (a *applyArgs) run(c *env) error {
+func (a *contractApplyArgs) run(c *env) error {
 	data, err := readFile(a.File)
 	if err != nil {
 		return err
@@ -54,14 +54,14 @@
 		base = stoatpaddle.Version(a.Version)
 	}
 	answer, err := a.client().Apply(c.ctx, draft.Contract.Customer, data, stoatadmin.Change{Base: base, Token: a.Token})
-	return a.report(c, answer, err)
+	return a.printOutcome(c, answer, err)
 }
 
-// report prints how a change ended.
-func (a entryArgs) report(c *env, answer stoatadmin.Answer, err error) error {
+// printOutcome prints how a change ended.
+func (a entryArgs) printOutcome(c *env, answer stoatadmin.Answer, err error) error {
 	if a.JSON {
-		if perr := printJSON(c.out, answer); perr != nil {
-			return perr
+		if printErr := printJSON(c.out, answer); printErr != nil {
+			return printErr
 		}
 		return err
 	}
@@ -79,12 +79,12 @@
 	return os.ReadFile(name)
 }
 
-type getArgs struct {
+type contractGetArgs struct {
 	entryArgs
 	Customer string `arg:"positional,required"`
 }
 
-func (a *getArgs) run(c *env) error {
+func (a *contractGetArgs) run(c *env) error {
 	text, err := a.client().Contract(c.ctx, stoatpaddle.CustomerID(a.Customer))
 	if err != nil {
 		return err
@@ -93,9 +93,9 @@
 	return err
 }
 
-type listContracts struct{ entryArgs }
+type contractListArgs struct{ entryArgs }
 
-func (a *listContracts) run(c *env) error {
+func (a *contractListArgs) run(c *env) error {
 	list, err := a.client().Contracts(c.ctx)
 	if err != nil {
 		return err
@@ -109,46 +109,46 @@
 	return nil
 }
 
-type rmArgs struct {
+type contractRmArgs struct {
 	entryArgs
 	Customer string `arg:"positional,required"`
 	Version  uint64 `arg:"--version,required" help:"the version to remove"`
 	Token    string `help:"of an earlier try whose outcome was unknown"`
 }
 
-func (a *rmArgs) run(c *env) error {
+func (a *contractRmArgs) run(c *env) error {
 	change := stoatadmin.Change{Base: stoatpaddle.Version(a.Version), Token: a.Token}
 	answer, err := a.client().Remove(c.ctx, stoatpaddle.CustomerID(a.Customer), change)
-	return a.report(c, answer, err)
+	return a.printOutcome(c, answer, err)
 }
 
 type instanceArgs struct {
-	Join  *joinArgs      `arg:"subcommand:join" help:"mark an instance as joining"`
-	Leave *leaveArgs     `arg:"subcommand:leave" help:"mark an instance as leaving"`
-	List  *listInstances `arg:"subcommand:list" help:"list the instances as an entry sees them"`
+	Join  *instanceJoinArgs  `arg:"subcommand:join" help:"mark an instance as joining"`
+	Leave *instanceLeaveArgs `arg:"subcommand:leave" help:"mark an instance as leaving"`
+	List  *instanceListArgs  `arg:"subcommand:list" help:"list the instances as an entry sees them"`
 }
 
-type markArgs struct {
+type instanceStateArgs struct {
 	entryArgs
 	Instance string `arg:"positional,required" help:"an entry or an upstream"`
 }
 
-func (a *markArgs) mark(c *env, state stoatpaddle.State) error {
+func (a *instanceStateArgs) setState(c *env, state stoatpaddle.State) error {
 	answer, err := a.client().Mark(c.ctx, stoatpaddle.InstanceID(a.Instance), state)
-	return a.report(c, answer, err)
+	return a.printOutcome(c, answer, err)
 }
 
-type joinArgs struct{ markArgs }
+type instanceJoinArgs struct{ instanceStateArgs }
 
-func (a *joinArgs) run(c *env) error { return a.mark(c, stoatpaddle.StateJoining) }
+func (a *instanceJoinArgs) run(c *env) error { return a.setState(c, stoatpaddle.StateJoining) }
 
-type leaveArgs struct{ markArgs }
+type instanceLeaveArgs struct{ instanceStateArgs }
 
-func (a *leaveArgs) run(c *env) error { return a.mark(c, stoatpaddle.StateLeaving) }
+func (a *instanceLeaveArgs) run(c *env) error { return a.setState(c, stoatpaddle.StateLeaving) }
 
-type listInstances struct{ entryArgs }
+type instanceListArgs struct{ entryArgs }
 
-func (a *listInstances) run(c *env) error {
+func (a *instanceListArgs) run(c *env) error {
 	list, err := a.client().Instances(c.ctx)
 	if err != nil {
 		return err
@@ -157,12 +157,12 @@
 		return printJSON(c.out, list)
 	}
 	for _, i := range list {
-		_, _ = fmt.Fprintf(c.out, "%-20s %-9s %-12s %-8s %s\n", i.Name, i.Role, i.Centre, i.State, health(i))
+		_, _ = fmt.Fprintf(c.out, "%-20s %-9s %-12s %-8s %s\n", i.Name, i.Role, i.Centre, i.State, reachability(i))
 	}
 	return nil
 }
 
-func health(i stoatstatus.Instance) string {
+func reachability(i stoatstatus.Instance) string {
 	switch {
 	case i.Dead:
 		return "does not answer"
@@ -175,8 +175,8 @@
 
 type statusArgs struct{ entryArgs }
 
-// fleet is what every reachable entry says is in force.
-type fleet struct {
+// clusterStatus is what every reachable entry says is in force.
+type clusterStatus struct {
 	Entries []stoatstatus.Status `json:"entries"`
 	Silent  []string             `json:"silent"` // entries that did not answer
 }
@@ -184,12 +184,12 @@
 // run asks one entry for the list of all, then each for its own status: one call an
 // entry, however many there are.
 func (a *statusArgs) run(c *env) error {
-	var f fleet
+	var f clusterStatus
 	first, err := a.client().Status(c.ctx)
 	if err != nil {
 		return err
 	}
-	f.Silent = eachEntry(first, func(client *stoatadmin.Client) error {
+	f.Silent = queryEntries(first, func(client *stoatadmin.Client) error {
 		st, err := client.Status(c.ctx)
 		if err == nil {
 			f.Entries = append(f.Entries, st)
@@ -203,18 +203,18 @@
 	return nil
 }
 
-// eachEntry asks every entry that the status names and returns those that did not answer.
-func eachEntry(st stoatstatus.Status, ask func(client *stoatadmin.Client) error) []string {
+// queryEntries asks every entry that the status names and returns those that did not answer.
+func queryEntries(st stoatstatus.Status, query func(client *stoatadmin.Client) error) []string {
 	var silent []string
 	for _, i := range st.Instances {
-		if i.Admin != "" && ask(stoatadmin.NewClient(i.Admin)) != nil {
+		if i.Admin != "" && query(stoatadmin.NewClient(i.Admin)) != nil {
 			silent = append(silent, i.Name)
 		}
 	}
 	return silent
 }
 
-func (f *fleet) print(w io.Writer) {
+func (f *clusterStatus) print(w io.Writer) {
 	for _, st := range f.Entries {
 		_, _ = fmt.Fprintf(w, "%-16s ready=%t leaving=%t platform=%t watching=%t", st.Instance, st.Ready, st.Leaving, st.Platform, st.Watching)
 		for _, s := range st.Contracts {
--- a/stoatcommand/report.go
+++ b/stoatcommand/report.go
@@ -16,17 +16,17 @@
 
 type reportArgs struct{ entryArgs }
 
-// burn is one objective and what was used of its error budget.
-type burn struct {
+// budgetUse is one objective and what was used of its error budget.
+type budgetUse struct {
 	What string  `json:"what"`
 	Good int64   `json:"good"`
 	Bad  int64   `json:"bad"`
 	Used float64 `json:"used"` // of the error budget; over 1, the objective is missed
 }
 
-type burnReport struct {
+type errorBudgetReport struct {
 	Total  stoatstatus.Report   `json:"total"`
-	Burns  []burn               `json:"burns"`
+	Burns  []budgetUse          `json:"burns"`
 	Each   []stoatstatus.Report `json:"each"`
 	Silent []string             `json:"silent"`
 }
@@ -36,8 +36,8 @@
 	if err != nil {
 		return err
 	}
-	var out burnReport
-	out.Silent = eachEntry(st, func(client *stoatadmin.Client) error {
+	var out errorBudgetReport
+	out.Silent = queryEntries(st, func(client *stoatadmin.Client) error {
 		r, err := client.Report(c.ctx)
 		if err == nil {
 			out.Each = append(out.Each, r)
@@ -46,10 +46,10 @@
 		return err
 	})
 	t := out.Total
-	out.Burns = []burn{
-		newBurn("flows not reset", t.Opened-t.Reset, t.Reset),
-		newBurn("calls with a whole answer or a true refusal", t.Answered+t.Refused, t.Unknown+t.Cut),
-		newBurn("calls answered", t.Answered, t.Refused+t.Unknown+t.Cut),
+	out.Burns = []budgetUse{
+		newBudgetUse("flows not reset", t.Opened-t.Reset, t.Reset),
+		newBudgetUse("calls with a whole answer or a true refusal", t.Answered+t.Refused, t.Unknown+t.Cut),
+		newBudgetUse("calls answered", t.Answered, t.Refused+t.Unknown+t.Cut),
 	}
 	if a.JSON {
 		return printJSON(c.out, out)
@@ -58,15 +58,15 @@
 	return nil
 }
 
-func newBurn(what string, good, bad int64) burn {
-	b := burn{What: what, Good: max(0, good), Bad: bad}
+func newBudgetUse(what string, good, bad int64) budgetUse {
+	b := budgetUse{What: what, Good: max(0, good), Bad: bad}
 	if total := b.Good + b.Bad; total > 0 {
 		b.Used = float64(b.Bad) / float64(total) / (1 - objective)
 	}
 	return b
 }
 
-func (r *burnReport) print(w io.Writer) {
+func (r *errorBudgetReport) print(w io.Writer) {
 	_, _ = fmt.Fprintf(w, "since each entry started, %d entries, objective %.1f%%\n", len(r.Each), 100*objective)
 	for _, b := range r.Burns {
 		_, _ = fmt.Fprintf(w, "%-46s good %9d  bad %7d  error budget used %7.1f%%\n", b.What, b.Good, b.Bad, 100*b.Used)
--- a/stoatcommand/run_entry.go
+++ b/stoatcommand/run_entry.go
@@ -35,8 +35,8 @@
 	if err != nil {
 		return err
 	}
-	stopped := context.AfterFunc(c.ctx, e.Stop)
-	defer stopped()
+	cancelStop := context.AfterFunc(c.ctx, e.Stop)
+	defer cancelStop()
 	e.Wait()
 	return nil
 }
@@ -61,9 +61,9 @@
 // Of the experiment with Spread: an upstream's slots and a request's work as on the larger
 // deployments, and long enough for the hundredth part to be some hundreds of requests.
 const (
-	spreadSlots = 2
-	spreadWork  = 45 * time.Millisecond
-	spreadLast  = 30 * time.Second
+	spreadSlots       = 2
+	spreadRequestTime = 45 * time.Millisecond
+	spreadDuration    = 30 * time.Second
 )
 
 func (a *measureArgs) run(c *env) error {
@@ -73,7 +73,7 @@
 	}
 	if a.Spread {
 		return stoatmeasure.ReportSpread(c.ctx, stoatmeasure.SpreadConfig{
-			Entries: a.Entries, Upstreams: a.Upstreams, Slots: spreadSlots, Work: spreadWork, Last: spreadLast, Seed: a.Seed,
+			Entries: a.Entries, Upstreams: a.Upstreams, Slots: spreadSlots, Work: spreadRequestTime, Last: spreadDuration, Seed: a.Seed,
 		}, a.JSON, c.out)
 	}
 	if a.Silence {
--- a/stoatcommand/soak.go
+++ b/stoatcommand/soak.go
@@ -34,15 +34,15 @@
 
 // The bounds of a soak.
 const (
-	soakApply  = 3 * time.Second  // as on the smaller deployments
-	soakStable = 4 * time.Second  // the same
-	soakSlack  = time.Second      // for a busy machine
-	soakBack   = 12 * time.Second // until requests are served again
-	soakLeast  = 15 * time.Second // a shorter run has no room for a step
+	soakApplyDelay  = 3 * time.Second  // as on the smaller deployments
+	soakStableDelay = 4 * time.Second  // the same
+	soakSlack       = time.Second      // for a busy machine
+	soakRecovery    = 12 * time.Second // until requests are served again
+	soakMinLength   = 15 * time.Second // a shorter run has no room for a step
 )
 
-// plan reads the steps that a file has, or returns nil: those by the seed are played.
-func (a *soakArgs) plan() ([]stoatsoak.Step, error) {
+// readPlan reads the steps that a file has, or returns nil: those by the seed are played.
+func (a *soakArgs) readPlan() ([]stoatsoak.Step, error) {
 	if a.Plan == "" {
 		return nil, nil
 	}
@@ -59,10 +59,10 @@
 }
 
 func (a *soakArgs) run(c *env) error {
-	if a.Entries < 2 || a.Entries > 100 || a.Runs < 1 || a.Length < soakLeast {
+	if a.Entries < 2 || a.Entries > 100 || a.Runs < 1 || a.Length < soakMinLength {
 		return &UsageError{Problem: "soak needs 2 to 100 entries, a run at least, and a length of 15s at least"}
 	}
-	plan, err := a.plan()
+	plan, err := a.readPlan()
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 		}
 		result, err := stoatsoak.Run(c.ctx, stoatsoak.Config{
 			Program: program, Dir: dir, Seed: seed, Length: a.Length, Entries: a.Entries, Plan: plan, Restores: a.Restores, Out: progress,
-			Bounds: stoatsoak.Bounds{Apply: soakApply, Stable: soakStable, Slack: soakSlack, Back: soakBack},
+			Bounds: stoatsoak.Bounds{Apply: soakApplyDelay, Stable: soakStableDelay, Slack: soakSlack, Back: soakRecovery},
 		})
 		if err != nil {
 			return err
