--- a/stoatcontract/codec.go
+++ b/stoatcontract/codec.go
@@ -8,7 +8,7 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// The wire types of the platform's objects; docs/PLATFORM.md documents them.
+// The wire types of the platform's objects. They are documented in docs/PLATFORM.md.
 type (
 	wireContract struct {
 		Customer string        `json:"customer"`
@@ -62,7 +62,7 @@
 	}
 )
 
-// Encode returns the contract's JSON.
+// Encode returns the contract as JSON.
 func Encode(c stoatpaddle.Contract) ([]byte, error) {
 	w := wireContract{
 		Customer: string(c.Customer), Lean: string(c.Lean),
@@ -93,7 +93,8 @@
 	return w
 }
 
-// Decode reads a contract's JSON, or returns *stoatpaddle.DecodeError.
+// Decode decodes a contract's JSON. It returns *stoatpaddle.DecodeError if that fails, and
+// *stoatpaddle.FaultsError if the contract is not valid.
 func Decode(data []byte) (stoatpaddle.Contract, error) {
 	var w wireContract
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -165,7 +166,7 @@
 	}, err
 }
 
-// EncodeInstance returns the instance's JSON.
+// EncodeInstance returns the instance as JSON.
 func EncodeInstance(i stoatpaddle.Instance) ([]byte, error) {
 	w := wireInstance{
 		Name: string(i.ID), Role: string(i.Role), Centre: string(i.DataCentre), State: string(i.State),
@@ -177,7 +178,7 @@
 	return json.Marshal(w)
 }
 
-// DecodeInstance reads an instance's JSON, or returns *stoatpaddle.DecodeError.
+// DecodeInstance decodes an instance's JSON, or returns *stoatpaddle.DecodeError.
 func DecodeInstance(data []byte) (stoatpaddle.Instance, error) {
 	var w wireInstance
 	if err := json.Unmarshal(data, &w); err != nil {
--- a/stoatcontract/contract_test.go
+++ b/stoatcontract/contract_test.go
@@ -21,7 +21,7 @@
 	return data
 }
 
-// Each testdata/bad-*.ini holds its faults as comments at its end, one a line.
+// Each testdata/bad-*.ini lists the expected faults in comments at its end, one a line.
 func TestFaults(t *testing.T) {
 	for _, name := range []string{"bad-five.ini", "bad-claims.ini", "bad-empty.ini"} {
 		t.Run(name, func(t *testing.T) {
@@ -44,6 +44,7 @@
 	}
 }
 
+// A contract is the same after it was formatted and parsed as INI, or encoded and decoded as JSON.
 func TestRoundTrip(t *testing.T) {
 	draft, err := Parse("sawt.ini", readTestdata(t, "sawt.ini"))
 	if err != nil {
@@ -70,6 +71,7 @@
 	}
 }
 
+// A changed value is reported with its section, once as it was and once as it is.
 func TestDifferences(t *testing.T) {
 	a, err := Parse("sawt.ini", readTestdata(t, "sawt.ini"))
 	if err != nil {
--- a/stoatcontract/doc.go
+++ b/stoatcontract/doc.go
@@ -1,3 +1,3 @@
-// Package stoatcontract reads contracts as operators write them, checks them alone and
-// against each other, and maps them to the platform's JSON.
+// Package stoatcontract parses contracts from operators' INI files, validates them alone and against each
+// other, and encodes them as the JSON that is stored on the platform.
 package stoatcontract
--- a/stoatcontract/format.go
+++ b/stoatcontract/format.go
@@ -7,7 +7,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Format returns the contract as INI, as Parse reads it; base is the version it stands at.
+// Format returns the contract as INI that Parse reads. base is the contract's version on the platform; 0 leaves
+// it out.
 func Format(c stoatpaddle.Contract, base stoatpaddle.Version) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "[contract]\ncustomer = %s\nlean = %s\n", c.Customer, c.Lean)
@@ -49,8 +50,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// Differences lists the lines, each with its section, that stand in one contract only:
-// "-" in a, "+" in b.
+// Differences returns the lines, each with its section, that only one of the contracts has: those of a with
+// "-" and those of b with "+".
 func Differences(a, b stoatpaddle.Contract) []string {
 	left, right := qualifiedLines(Format(a, 0)), qualifiedLines(Format(b, 0))
 	var out []string
@@ -76,7 +77,7 @@
 	return false
 }
 
-// qualifiedLines returns the lines of an INI text with their section's header before each.
+// qualifiedLines returns the lines of an INI text, each with its section's header in front.
 func qualifiedLines(text string) []string {
 	var out []string
 	section := ""
--- a/stoatcontract/parse.go
+++ b/stoatcontract/parse.go
@@ -9,7 +9,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatini"
 )
 
-// The bounds of what a contract may declare.
+// The maximum and default values of a contract's keys.
 const (
 	maxFlows  = 100_000_000
 	maxRate   = 10_000_000
@@ -21,13 +21,13 @@
 	defaultConnections = 2000
 )
 
-// Draft is a contract as an operator wrote it.
+// Draft is a contract that was read from an operator's file.
 type Draft struct {
 	Contract stoatpaddle.Contract
-	Base     stoatpaddle.Version // the version it amends; 0 if the file names none
+	Base     stoatpaddle.Version // the version that it amends; 0 if the file names none
 }
 
-// Parse reads one contract, or returns *stoatpaddle.FaultsError with all its faults.
+// Parse parses one contract, or returns *stoatpaddle.FaultsError with all its faults.
 func Parse(file string, data []byte) (Draft, error) {
 	r := stoatini.Parse(file, data)
 	head := r.Section("contract")
--- a/stoatcontract/retire.go
+++ b/stoatcontract/retire.go
@@ -6,12 +6,12 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// retiredRetention is how long an upstream that was taken out of a contract stays known: as long
-// as an entry remembers an idle flow.
+// retiredRetention is how long a contract keeps an upstream that was removed from it: as long as an entry
+// remembers an idle flow.
 const retiredRetention = 8 * time.Hour
 
-// Retire adds to next the upstreams that an amendment takes out of the standing contract,
-// and those taken out before that may still have flows.
+// Retire returns the contract next with the upstreams that it removes from the current contract listed as
+// retired, and with those that were removed earlier and may still have flows.
 func Retire(now time.Time, current, next stoatpaddle.Contract) stoatpaddle.Contract {
 	services := append([]stoatpaddle.Service(nil), next.Services...)
 	for i := range services {
--- a/stoatcontract/validate.go
+++ b/stoatcontract/validate.go
@@ -9,7 +9,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// checker gathers the faults of one contract.
+// checker collects the faults of one contract.
 type checker struct {
 	file   string
 	faults []*stoatpaddle.Fault
@@ -19,7 +19,7 @@
 	k.faults = append(k.faults, &stoatpaddle.Fault{File: k.file, Section: section, Key: key, Got: got, Want: want})
 }
 
-// Validate returns the faults that can be seen in the contract alone.
+// Validate returns the faults that can be found without other contracts.
 func Validate(file string, c stoatpaddle.Contract) []*stoatpaddle.Fault {
 	k := &checker{file: file}
 	if len(c.Services) == 0 {
@@ -57,15 +57,15 @@
 ) {
 	section := "upstream " + string(u.ID)
 	key := stoatview.UpstreamKeyOf(stoatpaddle.ServiceRef{Customer: c.Customer, Service: s.ID}, u.ID)
-	// Records between entries name an upstream by this key alone: with two alike, a
-	// flow handed over would be sent to the wrong one.
+	// The records between entries identify an upstream by this key only. If two upstreams had the same key, an
+	// entry that takes over a flow might send it to the wrong one.
 	if other, taken := owners[key]; taken && other != u.ID {
 		k.addFault(section, "", string(u.ID), "another name: its key is that of "+string(other))
 	}
 	owners[key] = u.ID
 }
 
-// Claims knows which service has which address, host and upstream.
+// Claims records which service owns which addresses, hosts and upstreams.
 type Claims struct {
 	owners map[string]stoatpaddle.ServiceRef
 }
@@ -73,8 +73,8 @@
 // NewClaims returns an empty Claims.
 func NewClaims() *Claims { return &Claims{owners: map[string]stoatpaddle.ServiceRef{}} }
 
-// Add takes in what the contract claims, unless another service has some of it: then it
-// returns a fault for each and takes nothing in.
+// Add adds the claims of the contract's services. If another service owns any of them, Add returns a fault for
+// each such claim and adds nothing.
 func (c *Claims) Add(file string, contract stoatpaddle.Contract) []*stoatpaddle.Fault {
 	k := &checker{file: file}
 	added := map[string]stoatpaddle.ServiceRef{}
@@ -99,7 +99,8 @@
 	return k.faults
 }
 
-// Conflicts returns what c claims although another service, of it or of the others, has it.
+// Conflicts returns a fault for each claim of a service of c that another service owns, of c itself or of the
+// other contracts. Contracts of c's customer among the others are ignored.
 func Conflicts(file string, c stoatpaddle.Contract, others []stoatpaddle.Contract) []*stoatpaddle.Fault {
 	claimed := NewClaims()
 	for _, o := range others {
@@ -110,7 +111,7 @@
 	return claimed.Add(file, c)
 }
 
-// claimsOf lists the addresses that must belong to one service only.
+// claimsOf returns the names and addresses that no other service may have.
 func claimsOf(s *stoatpaddle.Service) []string {
 	var out []string
 	if s.Kind == stoatpaddle.KindCall && s.Host != "" {
@@ -119,13 +120,13 @@
 	for _, port := range s.Ports {
 		out = append(out, s.Protocol.String()+" "+netip.AddrPortFrom(s.Addr, port).String())
 	}
-	// One server address under two services could hand one customer's packets to the other.
+	// With one server address in two services, one customer's packets could reach the other customer's server.
 	for _, r := range s.Retired {
 		out = append(out, "upstream address "+r.Upstream.Addr.String(), "upstream name "+string(r.Upstream.ID))
 	}
 	for _, u := range s.Upstreams {
 		out = append(out, "upstream address "+u.Addr.String())
-		// Marks name an upstream by its id alone.
+		// Operators mark an upstream as joining or leaving by its id alone.
 		out = append(out, "upstream name "+string(u.ID))
 	}
 	return out
