--- a/stoatcontract/validate.go
+++ b/stoatcontract/validate.go
@@ -99,8 +99,8 @@
 	return k.faults
 }
 
-// Conflicts returns a fault for each claim of a service of c that another service owns, of c itself or of the
-// other contracts. Contracts of c's customer among the others are ignored.
+// Conflicts returns a fault for each claim of c's services that another service owns already, in c itself or in
+// one of the other contracts. Other contracts of c's customer are ignored.
 func Conflicts(file string, c stoatpaddle.Contract, others []stoatpaddle.Contract) []*stoatpaddle.Fault {
 	claimed := NewClaims()
 	for _, o := range others {
