--- a/stoatsetting/doc.go
+++ b/stoatsetting/doc.go
@@ -1,2 +1,2 @@
-// Package stoatsetting reads the settings of one entry instance.
+// Package stoatsetting parses the settings file of one entry instance.
 package stoatsetting
--- a/stoatsetting/setting.go
+++ b/stoatsetting/setting.go
@@ -8,50 +8,51 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatini"
 )
 
-// Settings is everything that one entry instance must be told.
+// Settings are the settings of one entry instance.
 type Settings struct {
 	Instance   stoatpaddle.InstanceID
 	DataCentre stoatpaddle.DataCentreID
 	Cluster    stoatpaddle.ClusterID
-	Tunnel     netip.AddrPort   // packets from the fabric, UDP
-	Relay      netip.AddrPort   // packets from other entries, UDP
-	Peer       netip.AddrPort   // control between entries, TCP
-	Admin      netip.AddrPort   // administration API, HTTP
-	Call       netip.AddrPort   // callers' requests, HTTP
-	Egress     netip.AddrPort   // the fabric's way to callers, for resets, UDP
+	Tunnel     netip.AddrPort   // listener for packets from the fabric, UDP
+	Relay      netip.AddrPort   // listener for packets from other entries, UDP
+	Peer       netip.AddrPort   // listener for control messages from other entries, TCP
+	Admin      netip.AddrPort   // listener of the administration API, HTTP
+	Call       netip.AddrPort   // listener for callers' requests, HTTP
+	Egress     netip.AddrPort   // where the fabric takes packets to callers, such as resets, UDP
 	Platform   netip.AddrPort   // the platform's object API, HTTP
 	Seeds      []netip.AddrPort // peers to ask when the platform does not answer
-	Fabric     Fabric           // what the fabric does for the entries
-	Link       float64          // the bandwidth of its link, Mbit/s; echo fabric only; 0: not known
-	Ready      netip.AddrPort   // the fabric's readiness checks, HTTP; echo fabric only
-	Metrics    netip.AddrPort   // metrics alone, HTTP; echo fabric only; invalid: none
-	Apply      time.Duration    // how soon a change has to be in force; echo fabric only
-	Leave      time.Duration    // how soon a leaving upstream gets no new flows; echo fabric only; 0: as Apply
-	Evacuate   time.Duration    // how soon an evacuation has to be in force; echo fabric only; 0: there are none
-	// Regions are the regions of data centres, for routes that allow only some; echo fabric only.
+	Fabric     Fabric           // the kind of fabric
+	Link       float64          // bandwidth of the instance's link, Mbit/s; echo fabric only; 0: not known
+	Ready      netip.AddrPort   // listener for the fabric's readiness checks, HTTP; echo fabric only
+	Metrics    netip.AddrPort   // listener that serves metrics only, HTTP; echo fabric only; invalid: none
+	Apply      time.Duration    // maximum delay until a change is in force; echo fabric only
+	Leave      time.Duration    // the same for a leaving upstream; echo fabric only; 0: as MaxApplyDelay
+	Evacuate   time.Duration    // the same for an evacuation; echo fabric only; 0: evacuations are not read
+	// Regions are the regions of data centres, for routes that allow only some regions; echo fabric only.
 	Regions map[stoatpaddle.DataCentreID]stoatpaddle.RegionID
-	Memory  float64       // what its machine has, MB; echo fabric only; 0: not known
-	Share   float64       // the part of a core that this instance has; echo fabric only; 0: not known
-	Life    time.Duration // how long a flow lives at most; echo fabric only
-	Return  time.Duration // how long a lapsed registration may take to come back; echo fabric only
-	Dead    time.Duration // of silence, until a peer counts as dead
-	Level   string
-	Stop    time.Duration // a planned stop takes no longer
-	Settle  time.Duration // how long earlier owners are asked after a change
+	Memory  float64       // the machine's memory, MB; echo fabric only; 0: not known
+	Share   float64       // the part of a core that the instance has; echo fabric only; 0: not known
+	Life    time.Duration // maximum lifetime of a flow; echo fabric only
+	Return  time.Duration // how long a lapsed registration has to come back after an outage; echo fabric only
+	Dead    time.Duration // a peer that is silent for longer counts as dead
+	Level   string        // minimum level of log lines
+	Stop    time.Duration // maximum duration of a planned stop
+	Settle  time.Duration // how long after a change other entries are queried about unknown flows
 }
 
-// Fabric tells how flows keep to their upstream.
+// Fabric is the kind of fabric, which decides how an entry finds the upstream of an open flow.
 type Fabric string
 
 // The kinds of fabric.
 const (
-	// FabricTunnel gives nothing back: entries find a flow's upstream by owners and copies.
+	// FabricTunnel carries packets only: entries find a flow's upstream by its owner and by copies of the owner's
+	// records.
 	FabricTunnel Fabric = "tunnel"
-	// FabricEcho brings back with each packet what an entry wrote into the one before.
+	// FabricEcho returns with each packet of a flow what an entry wrote into the packet before.
 	FabricEcho Fabric = "echo"
 )
 
-// The defaults, documented in testdata/entry.ini.
+// The default and maximum values. testdata/entry.ini documents the defaults.
 const (
 	defaultCluster  = "main"
 	defaultTunnel   = "127.0.0.1:6080"
@@ -73,7 +74,7 @@
 	maxMemory       = 1e6
 )
 
-// Bound is how soon anything that the platform says has to be in force.
+// Bound returns the shortest of the maximum delays until a change on the platform is in force.
 func (s Settings) Bound() time.Duration {
 	bound := s.Apply
 	for _, d := range []time.Duration{s.Leave, s.Evacuate} {
@@ -84,13 +85,13 @@
 	return bound
 }
 
-// MemoryBytes is what the instance's machine has, bytes; 0: not known.
+// MemoryBytes returns the machine's memory in bytes; 0: not known.
 func (s Settings) MemoryBytes() uint64 {
 	const megabyte = 1 << 20
 	return uint64(s.Memory * megabyte)
 }
 
-// Parse reads the settings, or returns *stoatpaddle.FaultsError with every fault.
+// Parse parses the settings, or returns *stoatpaddle.FaultsError with all their faults.
 func Parse(file string, data []byte) (Settings, error) {
 	r := stoatini.Parse(file, data)
 	instance := r.Section("instance")
@@ -133,7 +134,7 @@
 	return s, nil
 }
 
-// parseRegions reads the region of each data centre.
+// parseRegions returns the region of each data centre.
 func parseRegions(sec *stoatini.Section) map[stoatpaddle.DataCentreID]stoatpaddle.RegionID {
 	out := map[stoatpaddle.DataCentreID]stoatpaddle.RegionID{}
 	for _, centre := range sec.Keys() {
@@ -142,7 +143,7 @@
 	return out
 }
 
-// checkDistinct reports listeners that would take each other's address.
+// checkDistinct adds a fault for each listener that has the address and transport of another one.
 func checkDistinct(sec *stoatini.Section, s Settings) {
 	type listener struct {
 		key  string
--- a/stoatsetting/template_test.go
+++ b/stoatsetting/template_test.go
@@ -9,8 +9,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// The template that the users' platform fills in, filled in as their pages say, is what
-// deploy/testdata/rendered.ini shows, and its settings have no fault.
+// The settings template, with its placeholders replaced as the users' platform does it, equals
+// deploy/testdata/rendered.ini, and its settings have no fault.
 func TestTemplate(t *testing.T) {
 	template, err := os.ReadFile("../deploy/entry.ini")
 	if err != nil {
@@ -36,7 +36,7 @@
 	).Replace(string(template))
 	_, body, _ := strings.Cut(text, "\n")
 	if _, shown, _ := strings.Cut(string(want), "\n"); body != shown {
-		t.Errorf("filled in:\n%s", body)
+		t.Errorf("rendered template:\n%s", body)
 	}
 	set, err := stoatsetting.Parse("entry.ini", []byte(text))
 	if err != nil || set.Fabric != stoatsetting.FabricEcho || len(set.Seeds) != 3 || set.Share != 0.4 || set.Link != 1000 || set.MemoryBytes() != 284<<20 || set.Bound() != 3*time.Second || !set.Metrics.IsValid() ||
@@ -45,7 +45,7 @@
 	}
 }
 
-// Changes are looked for as often as the soonest bound needs, whichever that is.
+// The platform is read as often as the shortest of the maximum delays requires, whichever that is.
 func TestBound(t *testing.T) {
 	for _, c := range []struct{ apply, leave, evacuate, want time.Duration }{
 		{3 * time.Second, 0, 0, 3 * time.Second},
