--- a/stoatini/doc.go
+++ b/stoatini/doc.go
@@ -1,3 +1,3 @@
-// Package stoatini reads INI files and reports every fault with its file, section
-// and key and what was expected there.
+// Package stoatini parses INI files into typed values. It reports every fault with its file, section and key
+// and with what was expected there.
 package stoatini
--- a/stoatini/reader.go
+++ b/stoatini/reader.go
@@ -12,24 +12,24 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Reader reads one file and gathers its faults.
+// Reader reads the values of one file and collects its faults.
 type Reader struct {
 	file     string
 	sections []*Section
 	faults   []*stoatpaddle.Fault
 }
 
-// Section is one section of the file; its keys count as known once they were read.
+// Section is one section of the file. A key becomes known when its value is requested; Err reports the others.
 type Section struct {
 	Kind      string // first word of the header
 	Name      string // the rest of the header
 	r         *Reader
-	sec       *ini.Section
+	sec       *ini.Section // nil if the file has no such section
 	known     map[string]bool
 	requested bool
 }
 
-// Parse reads the file's content.
+// Parse returns a Reader of the file's content. Syntax errors and duplicate sections become faults.
 func Parse(file string, data []byte) *Reader {
 	r := &Reader{file: file}
 	f, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: true}, data)
@@ -55,12 +55,12 @@
 	return r
 }
 
-// Fault adds a fault.
+// Fault adds a fault at a key of a section. An empty key stands for the section itself.
 func (r *Reader) Fault(section, key, got, want string) {
 	r.faults = append(r.faults, &stoatpaddle.Fault{File: r.file, Section: section, Key: key, Got: got, Want: want})
 }
 
-// Section returns the only section of that kind; a missing one reads as empty.
+// Section returns the section of that kind that has no name. If it is missing, the result is an empty section.
 func (r *Reader) Section(kind string) *Section {
 	for _, s := range r.sections {
 		if s.Kind == kind && s.Name == "" {
@@ -71,7 +71,7 @@
 	return &Section{Kind: kind, r: r, known: map[string]bool{}, requested: true}
 }
 
-// Named returns the sections of that kind which bear a name, in the file's order.
+// Named returns the sections of that kind that have a name, in the order of the file.
 func (r *Reader) Named(kind string) []*Section {
 	var out []*Section
 	for _, s := range r.sections {
@@ -83,7 +83,8 @@
 	return out
 }
 
-// Err returns *stoatpaddle.FaultsError if there was a fault, counting what was never read.
+// Err returns *stoatpaddle.FaultsError if there are faults. Sections and keys that were never requested count
+// as faults.
 func (r *Reader) Err() error {
 	for _, s := range r.sections {
 		if !s.requested {
@@ -104,10 +105,11 @@
 
 func (s *Section) header() string { return strings.TrimSpace(s.Kind + " " + s.Name) }
 
-// Fault adds a fault at a key of the section.
+// Fault adds a fault at a key of the section. An empty key stands for the section itself.
 func (s *Section) Fault(key, got, want string) { s.r.Fault(s.header(), key, got, want) }
 
-// Keys returns the keys of a section whose keys are names, and counts them as known.
+// Keys returns all keys of the section and makes them known. It is for sections whose keys are names that the
+// operator chooses.
 func (s *Section) Keys() []string {
 	if s.sec == nil {
 		return nil
@@ -118,7 +120,7 @@
 	return s.sec.KeyStrings()
 }
 
-// value returns the value and whether the key is there.
+// value returns the key's value and whether the key exists.
 func (s *Section) value(key string) (string, bool) {
 	s.known[key] = true
 	if s.sec == nil || !s.sec.HasKey(key) {
@@ -127,7 +129,8 @@
 	return strings.TrimSpace(s.sec.Key(key).Value()), true
 }
 
-// Word returns a name: letters, digits, dots, hyphens and underscores.
+// Word returns a name of letters, digits, dots, hyphens and underscores. An empty default makes the key
+// required.
 func (s *Section) Word(key, defaultValue string) string {
 	v, ok := s.value(key)
 	if !ok && defaultValue != "" {
@@ -167,7 +170,7 @@
 	return options[0]
 }
 
-// Int returns a whole number from least to most.
+// Int returns a whole number from lowest to highest.
 func (s *Section) Int(key string, defaultValue, lowest, highest int) int {
 	v, ok := s.value(key)
 	if !ok {
@@ -181,7 +184,7 @@
 	return n
 }
 
-// Number returns a number from least to most.
+// Number returns a number from lowest to highest.
 func (s *Section) Number(key string, defaultValue, lowest, highest float64) float64 {
 	v, ok := s.value(key)
 	if !ok {
@@ -209,7 +212,7 @@
 	return d
 }
 
-// Addr returns an IP address.
+// Addr returns an IP address. The key is required.
 func (s *Section) Addr(key string) netip.Addr {
 	v, _ := s.value(key)
 	a, err := netip.ParseAddr(v)
@@ -219,7 +222,7 @@
 	return a
 }
 
-// AddrPort returns an address and port; an empty default makes the key required.
+// AddrPort returns an IP address and port. An empty default makes the key required.
 func (s *Section) AddrPort(key, defaultValue string) netip.AddrPort {
 	v, ok := s.value(key)
 	if !ok {
@@ -232,7 +235,7 @@
 	return a
 }
 
-// Ports returns ports, separated by commas.
+// Ports returns a comma-separated list of ports. The key is required.
 func (s *Section) Ports(key string) []uint16 {
 	v, _ := s.value(key)
 	var out []uint16
@@ -247,7 +250,7 @@
 	return out
 }
 
-// AddrPorts returns addresses and ports, separated by commas; none by default.
+// AddrPorts returns a comma-separated list of IP addresses and ports. The default is none.
 func (s *Section) AddrPorts(key string) []netip.AddrPort {
 	v, ok := s.value(key)
 	if !ok {
