--- a/stoatevent/bounds_test.go
+++ b/stoatevent/bounds_test.go
@@ -8,7 +8,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatevent"
 )
 
-// Nobody reads the log. The writer never waits; what does not fit is counted.
+// Nobody reads the log. Write must not block, and the lines that do not fit into the queue must be counted.
 func TestPipeNeverBlocks(t *testing.T) {
 	p := stoatevent.NewPipe()
 	for range 3000 {
@@ -26,8 +26,8 @@
 	}
 }
 
-// A flood of one event: so many lines a second, the rest is counted; another event without
-// a bound is never left out.
+// One event occurs far more often than its limit of lines a second. The lines over the limit must be counted,
+// and an event without a limit must never be omitted.
 func TestSampler(t *testing.T) {
 	limited := &stoatevent.Entry{Number: 9001}
 	unlimited := &stoatevent.Entry{Number: 9002}
@@ -36,16 +36,16 @@
 	for range 100 {
 		s.Admit(now, limited)
 		if !s.Admit(now, unlimited) {
-			t.Fatal("a change of state was left out")
+			t.Fatal("an event without a limit was omitted")
 		}
 	}
 	if got := s.Take(); len(got) != 1 || got[0] != (stoatevent.LeftOut{Number: 9001, Count: 95}) {
 		t.Error(got)
 	}
 	if len(s.Take()) != 0 || len(s.Total()) != 1 {
-		t.Error("counted twice, or forgotten")
+		t.Error("Take counted a line twice, or Total lost it")
 	}
 	if !s.Admit(now.Add(time.Second), limited) {
-		t.Error("left out in the next second")
+		t.Error("omitted in the next second")
 	}
 }
--- a/stoatevent/catalogue.go
+++ b/stoatevent/catalogue.go
@@ -6,48 +6,49 @@
 	"strings"
 )
 
-// Number is the stable number of an entry, printed as SP and four digits.
+// Number is the stable number of an event or problem, printed as SP and four digits.
 type Number int
 
-// String returns the printed form, such as SP1004.
+// String returns the number's printed form, such as SP1004.
 func (n Number) String() string { return fmt.Sprintf("SP%04d", int(n)) }
 
-// Severity tells how soon a person should look.
+// Severity is how soon an operator should look at an event.
 type Severity string
 
-// The severities.
+// The severities, in ascending order.
 const (
 	Info    Severity = "info"
 	Warning Severity = "warning"
 	Fatal   Severity = "error"
 )
 
-// Entry documents one numbered thing that a user can meet.
+// Entry documents one event or problem.
 type Entry struct {
 	Number   Number
 	Severity Severity
-	Since    string
+	Since    string // the version that introduced it
 	Title    string
 	Text     string // what happened, what the system does by itself, what an operator may do
 }
 
-// DuplicateError reports two entries with one number.
+// DuplicateError reports two catalogue entries with the same number.
 type DuplicateError struct{ Number Number }
 
 // Error names the number.
 func (e *DuplicateError) Error() string {
-	return "two catalogue entries have number " + e.Number.String()
+	return "two catalogue entries have the number " + e.Number.String()
 }
 
-// UnknownError reports a number that no entry has.
+// UnknownError reports a number that no catalogue entry has.
 type UnknownError struct{ Number string }
 
 // Error names the number.
-func (e *UnknownError) Error() string { return "no catalogue entry has number " + e.Number }
+func (e *UnknownError) Error() string { return "no catalogue entry has the number " + e.Number }
 
 var catalogue = map[Number]*Entry{}
 
-// Register adds an entry to the catalogue and panics with *DuplicateError on a number taken.
+// Register adds an entry to the catalogue and returns it. It panics with *DuplicateError if the number is in
+// use.
 func Register(e Entry) *Entry {
 	if _, taken := catalogue[e.Number]; taken {
 		panic(&DuplicateError{Number: e.Number})
@@ -56,7 +57,7 @@
 	return &e
 }
 
-// All returns the entries in ascending order of number.
+// All returns the catalogue's entries, ascending by number.
 func All() []*Entry {
 	out := make([]*Entry, 0, len(catalogue))
 	for _, e := range catalogue {
@@ -66,7 +67,7 @@
 	return out
 }
 
-// Find returns the entry with the printed number, or *UnknownError.
+// Find returns the entry with the number, given in its printed form, or *UnknownError.
 func Find(number string) (*Entry, error) {
 	for _, e := range catalogue {
 		if strings.EqualFold(e.Number.String(), number) {
@@ -76,15 +77,15 @@
 	return nil, &UnknownError{Number: number}
 }
 
-// Explain returns the entry as the explain command prints it.
+// Explain returns the text that the explain command prints.
 func (e *Entry) Explain() string {
 	return fmt.Sprintf("%s  %s\n\n%s\n\nSeverity: %s. Since %s.\n", e.Number, e.Title, e.Text, e.Severity, e.Since)
 }
 
-// Markdown returns docs/EVENTS.md.
+// Markdown returns the whole catalogue as docs/EVENTS.md has it.
 func Markdown() string {
 	var b strings.Builder
-	b.WriteString("# Events and faults\n\nGenerated from the catalogue by `stoatpaddle explain --markdown`; a test keeps both equal.\n")
+	b.WriteString("# Events and faults\n\nGenerated from the catalogue by `stoatpaddle explain --markdown`; a test checks that this page is current.\n")
 	for _, e := range All() {
 		fmt.Fprintf(&b, "\n## %s %s\n\n%s\n\nSeverity: %s. Since %s.\n", e.Number, e.Title, e.Text, e.Severity, e.Since)
 	}
--- a/stoatevent/doc.go
+++ b/stoatevent/doc.go
@@ -1,6 +1,5 @@
-// Package stoatevent holds the catalogue of everything that a user can meet by
-// number, and writes numbered log events.
+// Package stoatevent holds the catalogue of numbered events and problems, and writes events to the log.
 //
-// Each package registers its entries beside the code that emits them; the
-// documentation and the explain command are generated from the catalogue.
+// Each package registers its catalogue entries next to the code that emits them. The explain command and
+// docs/EVENTS.md print the catalogue.
 package stoatevent
--- a/stoatevent/log.go
+++ b/stoatevent/log.go
@@ -12,10 +12,10 @@
 	Value string
 }
 
-// F returns a field.
+// F returns a Field.
 func F(key, value string) Field { return Field{Key: key, Value: value} }
 
-// Sink takes numbered events.
+// Sink receives events.
 type Sink interface {
 	Emit(e *Entry, fields ...Field)
 }
@@ -23,11 +23,11 @@
 // Config configures a Logger.
 type Config struct {
 	Writer   io.Writer
-	Level    string // debug, info, warn or error
-	Instance string
+	Level    string // minimum level: debug, info, warn or error
+	Instance string // written into every line
 }
 
-// Logger writes events as JSON lines.
+// Logger is a Sink that writes events as JSON lines.
 type Logger struct {
 	logger   log.Logger
 	instance string
@@ -41,7 +41,7 @@
 	}
 }
 
-// Emit writes one event.
+// Emit writes one event as a line.
 func (l *Logger) Emit(e *Entry, fields ...Field) {
 	line := l.logger.WithLevel(levelOf(e.Severity)).Str("event", e.Number.String()).Str("instance", l.instance)
 	for _, f := range fields {
--- a/stoatevent/pipe.go
+++ b/stoatevent/pipe.go
@@ -5,20 +5,20 @@
 	"sync/atomic"
 )
 
-// Pipe is an io.Writer that never blocks: lines wait in a bounded queue, and one that finds
-// it full is counted and lost. A log that nobody reads must not stop traffic.
+// Pipe is an io.Writer that never blocks. Lines wait in a bounded queue; lines that do not fit are dropped and
+// counted. A log that nobody reads must not stop traffic.
 type Pipe struct {
 	queue   chan []byte
 	dropped atomic.Int64
 }
 
-// queueLines is how many lines wait at most: a second of the busiest start.
+// queueLines is the capacity of the queue: the lines of one second of the busiest start.
 const queueLines = 1024
 
-// NewPipe returns a Pipe; Run has to be started for it.
+// NewPipe returns a Pipe. The caller has to start its Run method.
 func NewPipe() *Pipe { return &Pipe{queue: make(chan []byte, queueLines)} }
 
-// Write queues a line.
+// Write queues a line, or drops it if the queue is full.
 func (p *Pipe) Write(line []byte) (int, error) {
 	select {
 	case p.queue <- append([]byte(nil), line...):
@@ -28,13 +28,13 @@
 	return len(line), nil
 }
 
-// Lost returns how many lines were lost since the start.
+// Lost returns the number of dropped lines.
 func (p *Pipe) Lost() int64 { return p.dropped.Load() }
 
-// maxBatch bounds what is written at once.
+// maxBatch is the size in bytes from which on a write gets no further lines.
 const maxBatch = 32 << 10
 
-// Run writes the queued lines to w, those that wait together in one write, until Close.
+// Run writes the queued lines to w until Close. Lines that are in the queue together go into one write.
 func (p *Pipe) Run(w io.Writer) error {
 	var batch []byte
 	for line := range p.queue {
@@ -49,5 +49,5 @@
 	return nil
 }
 
-// Close ends Run once it has written what is queued; no Write may follow.
+// Close makes Run return after it has written the queued lines. Write must not be called afterwards.
 func (p *Pipe) Close() { close(p.queue) }
--- a/stoatevent/sampler.go
+++ b/stoatevent/sampler.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Sampler bounds how many lines an event may write a second and counts what it leaves out.
+// Sampler limits how many lines a second are written of an event, and counts the omitted ones.
 type Sampler struct {
 	mu           sync.Mutex
-	limits       map[Number]int // lines a second; an event without a bound is never left out
+	limits       map[Number]int // lines a second; an event without a limit is never omitted
 	admitted     map[Number]int
 	omitted      map[Number]int64
 	totalOmitted map[Number]int64
 	windowStart  time.Time
 }
 
-// NewSampler returns a Sampler with the bounds.
+// NewSampler returns a Sampler with the limits, in lines a second. Events without a limit are never omitted.
 func NewSampler(limits map[Number]int) *Sampler {
 	return &Sampler{limits: limits, admitted: map[Number]int{}, omitted: map[Number]int64{}, totalOmitted: map[Number]int64{}}
 }
 
-// Admit tells whether a line of the event may be written now.
+// Admit reports whether a line of the event may be written at time now, and counts the line as omitted if not.
 func (s *Sampler) Admit(now time.Time, e *Entry) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -42,13 +42,13 @@
 	return true
 }
 
-// LeftOut is how many lines of an event were left out.
+// LeftOut is the number of omitted lines of one event.
 type LeftOut struct {
 	Number Number
 	Count  int64
 }
 
-// Take returns what was left out since the last Take, ascending by number.
+// Take returns the omitted lines since the last Take, ascending by number.
 func (s *Sampler) Take() []LeftOut {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,7 +57,7 @@
 	return out
 }
 
-// Total returns what was left out since the start, ascending by number.
+// Total returns the omitted lines since the start, ascending by number.
 func (s *Sampler) Total() []LeftOut {
 	s.mu.Lock()
 	defer s.mu.Unlock()
