--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -17,7 +17,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// upstreamFunc answers one connection's requests by hand.
+// upstreamFunc answers the first request of a connection.
 type upstreamFunc func(conn net.Conn, r *http.Request)
 
 func startUpstream(t *testing.T, f upstreamFunc) netip.AddrPort {
@@ -85,8 +85,8 @@
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+string(rune('0'+len(body)))+"\r\n\r\n"+string(body))
 }
 
-// The upstream ends its connection in the middle of the answer. The caller must see a
-// broken connection: half an answer that looks whole would be taken for the whole.
+// The upstream closes its connection in the middle of the answer. The caller must see a broken connection,
+// because it would otherwise take the partial answer for the complete one.
 func TestTruncatedAnswerAbortsConnection(t *testing.T) {
 	for name, partial := range map[string]string{
 		"by length": "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
@@ -95,17 +95,17 @@
 		t.Run(name, func(t *testing.T) {
 			h, url := startEntry(t, 10, startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = io.WriteString(conn, partial) }))
 			if _, body, err := sendRequest(t, http.MethodGet, url, ""); err == nil {
-				t.Errorf("the caller took %q for the whole answer", body)
+				t.Errorf("the caller took %q for the complete answer", body)
 			}
 			if h.Stats().Cut.Load() != 1 || h.Stats().Answered.Load() != 0 {
-				t.Error("not counted as cut")
+				t.Error("not counted as truncated")
 			}
 		})
 	}
 }
 
-// The upstream takes a claim, runs it and dies before it answers. Nobody knows whether it
-// ran, so the caller hears "unknown" and the claim is not sent to the other upstream.
+// An upstream runs a claim and dies before it answers. The entry cannot know whether the claim ran, so it must
+// answer "outcome unknown" and must not send the claim to the other upstream.
 func TestUnansweredCallIsNotRetried(t *testing.T) {
 	var ran atomic.Int64
 	dieUnanswered := func(_ net.Conn, r *http.Request) {
@@ -122,8 +122,8 @@
 	}
 }
 
-// Every upstream refuses without starting, or cannot be reached: "not run" is true, and
-// the caller is told when to come back. With one that has room, the caller notices nothing.
+// Every upstream refuses the call without starting it, or cannot be reached. The caller must get "not run" and
+// a Retry-After. If another upstream has a free slot, the caller must get its answer instead.
 func TestRefusals(t *testing.T) {
 	closed := netip.MustParseAddrPort("127.0.0.1:1")
 	h, url := startEntry(t, 10, startUpstream(t, refuseCall), closed)
@@ -144,8 +144,8 @@
 	}
 }
 
-// A customer's calls are over its limit, a service is unknown, an entry is leaving or has
-// just started: each is refused by its own problem type before anything reaches an upstream.
+// A customer's calls exceed its limit, or the entry is leaving or has just started. The call must be refused
+// with the problem type of its reason, and must not reach an upstream.
 func TestRefusedBeforeAnyUpstream(t *testing.T) {
 	var reached atomic.Int64
 	release := make(chan struct{})
@@ -184,11 +184,12 @@
 	w := httptest.NewRecorder()
 	unconfigured.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 	if !strings.Contains(w.Body.String(), "SP1301") {
-		t.Error("fresh:", w.Body)
+		t.Error("unconfigured:", w.Body)
 	}
 }
 
-// A caller leaves in the middle of its upload. The slot is free again, whatever the upstream does.
+// A caller disconnects in the middle of its upload. The slot must become free again, whatever the
+// upstream does.
 func TestCallerDisconnects(t *testing.T) {
 	done := make(chan struct{})
 	h, url := startEntry(t, 10, startUpstream(t, func(_ net.Conn, r *http.Request) {
@@ -206,7 +207,7 @@
 		_ = w.CloseWithError(errors.ErrUnsupported)
 	}()
 	if _, err := http.DefaultClient.Do(req); err == nil {
-		t.Error("an upload cut by its caller was answered")
+		t.Error("an upload that its caller aborted was answered")
 	}
 	<-done
 	for h.Open() > 0 {
--- a/stoatcall/doc.go
+++ b/stoatcall/doc.go
@@ -1,3 +1,3 @@
-// Package stoatcall carries callers' HTTP requests to one upstream each and brings back
-// the whole answer, or says truly what became of the request.
+// Package stoatcall is the HTTP reverse proxy for call services. It forwards each request to one upstream and
+// returns the complete answer, or a problem that says whether the request may have run.
 package stoatcall
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -17,20 +17,20 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// HeaderNotRun is set by an upstream that refused a call without starting it.
+// HeaderNotRun is the header that an upstream sets on a 503 answer if it refused the call without starting it.
 const HeaderNotRun = "Not-Run"
 
 const (
 	responseHeaderTimeout = 30 * time.Second
 	dialTimeout           = 2 * time.Second
-	// maxAttempts bounds the upstreams that one call tries.
+	// maxAttempts is the maximum number of upstreams that one call tries.
 	maxAttempts    = 3
 	copyBufferSize = 64 << 10
-	// retryAfterSeconds is the Retry-After of a refusal, seconds.
+	// retryAfterSeconds is the Retry-After value of a refusal.
 	retryAfterSeconds = 1
 )
 
-// Clock tells the present time; the entry's is the machine's.
+// Clock returns the current time.
 type Clock func() time.Time
 
 // Config configures a Handler.
@@ -40,13 +40,13 @@
 	Seed  uint64
 }
 
-// Handler is the HTTP handler for callers' requests.
+// Handler is the http.Handler for callers' requests.
 type Handler struct {
 	cfg            Config
 	transport      *http.Transport
 	mu             sync.Mutex
 	rnd            *rand.Rand
-	openByUpstream map[stoatpaddle.UpstreamKey]int
+	openByUpstream map[stoatpaddle.UpstreamKey]int // calls in progress; mu guards it, customers and rnd
 	customers      map[stoatpaddle.CustomerID]*customerUsage
 	stopping       atomic.Bool
 	openCalls      atomic.Int64
@@ -54,20 +54,20 @@
 	buffers        sync.Pool
 }
 
-// customerUsage is one customerUsage's use of this entry.
+// customerUsage is what one customer uses of its limits on this entry.
 type customerUsage struct {
-	calls      int
-	tokens     float64
-	refilledAt time.Time
+	calls      int       // in progress
+	tokens     float64   // of the token bucket that limits calls a second
+	refilledAt time.Time // when tokens was last refilled
 }
 
-// Stats counts how calls ended.
+// Stats are the counters of a Handler.
 type Stats struct {
-	Answered atomic.Int64
-	Refused  atomic.Int64
-	Unknown  atomic.Int64
-	Cut      atomic.Int64
-	Attempts atomic.Int64
+	Answered atomic.Int64 // complete answers
+	Refused  atomic.Int64 // calls that did not run
+	Unknown  atomic.Int64 // calls that may have run but got no answer
+	Cut      atomic.Int64 // answers that ended early
+	Attempts atomic.Int64 // upstreams tried
 }
 
 // New returns a Handler.
@@ -87,10 +87,10 @@
 	}
 }
 
-// Stop makes the handler refuse new calls; those in progress go on.
+// Stop makes the handler refuse new calls. Calls in progress continue.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
-// Open returns the number of calls in progress.
+// Open returns the number of requests in progress.
 func (h *Handler) Open() int { return int(h.openCalls.Load()) }
 
 // Stats returns the handler's counters.
@@ -137,7 +137,8 @@
 	return strings.ToLower(host)
 }
 
-// admitCall counts the call against this entry's equal part of the customer's limits.
+// admitCall counts the call against the customer's limits, of which each entry enforces an equal part. It
+// returns false if the call exceeds one of them.
 func (h *Handler) admitCall(v *stoatview.View, svc *stoatview.Service) bool {
 	now := h.cfg.Clock()
 	entries := max(1, len(v.Entries.Members))
@@ -165,7 +166,8 @@
 	h.customers[svc.Ref.Customer].calls--
 }
 
-// tryUpstreams tries upstreams until one runs the request.
+// tryUpstreams tries upstreams until one runs the request. It does not try another one if the request may have
+// run and is not idempotent.
 func (h *Handler) tryUpstreams(w http.ResponseWriter, r *http.Request, svc *stoatview.Service) {
 	body := &trackedBody{body: r.Body}
 	tried := map[stoatpaddle.UpstreamKey]bool{}
@@ -193,7 +195,7 @@
 		if res != nil {
 			_ = res.Body.Close()
 		}
-		// A body that was read in part cannot be sent to another upstream.
+		// A partly read body cannot be sent to another upstream.
 		if body.started.Load() {
 			h.refuseBodyRead(w, err)
 			return
@@ -202,7 +204,8 @@
 	h.refuseRetryable(w, ProblemBusy, http.StatusServiceUnavailable, svc.Ref.String())
 }
 
-// forwardAnswer passes the answer on; the deferred drop also runs when a cut answer aborts.
+// forwardAnswer copies the answer to the caller. The upstream is released in a deferred call because copyAnswer
+// panics if the answer ends early.
 func (h *Handler) forwardAnswer(w http.ResponseWriter, res *http.Response, u *stoatview.Upstream) {
 	defer h.releaseUpstream(u)
 	h.copyAnswer(w, res)
@@ -221,7 +224,7 @@
 	return res.StatusCode == http.StatusServiceUnavailable && res.Header.Get(HeaderNotRun) != ""
 }
 
-// dialFailed tells whether the connection was never made, so that no byte left.
+// dialFailed reports whether err means that there was no connection, so that the upstream got no byte.
 func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
@@ -236,7 +239,8 @@
 	}
 }
 
-// acquireUpstream takes the upstream with the fewest calls from here for its weight, at random among equals.
+// acquireUpstream takes a slot of an upstream that was not tried yet, or returns nil if none has a free slot. It
+// chooses the upstream with the fewest calls of this entry in proportion to its weight, at random among equals.
 func (h *Handler) acquireUpstream(svc *stoatview.Service, tried map[stoatpaddle.UpstreamKey]bool) *stoatview.Upstream {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -269,16 +273,16 @@
 	}
 }
 
-// hopByHopHeaders belong to one connection (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that concern one connection only and are not forwarded (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// send passes the request on.
+// send sends the request to the upstream and returns the answer.
 func (h *Handler) send(r *http.Request, u *stoatview.Upstream, body *trackedBody) (*http.Response, error) {
 	ctx := r.Context()
 	if !idempotent(r.Method) {
-		// A caller that leaves does not stop what may be half done.
+		// A call that may be half done continues if its caller disconnects.
 		ctx = context.WithoutCancel(ctx)
 	}
 	out := r.Clone(ctx)
@@ -288,9 +292,9 @@
 	for _, name := range hopByHopHeaders {
 		out.Header.Del(name)
 	}
-	// net/http sends a request again by itself when a reused connection breaks, also a
-	// POST if it bears an Idempotency-Key and no body: it might run twice. A body that
-	// cannot be rewound keeps it from doing so.
+	// net/http repeats a request by itself if a reused connection breaks, even a POST if it has an
+	// Idempotency-Key and no body, so that the request might run twice. It does not repeat a request whose body
+	// cannot be rewound.
 	if out.Body != http.NoBody || !idempotent(r.Method) {
 		out.Body = body
 	}
@@ -298,8 +302,8 @@
 	return h.transport.RoundTrip(out)
 }
 
-// copyAnswer streams the copyAnswer back. One that is cut short aborts the caller's connection:
-// passed on as if complete, the caller would take half an copyAnswer for the whole.
+// copyAnswer streams the answer to the caller. If the answer ends early, it aborts the caller's connection,
+// because the caller would otherwise take a partial answer for the complete one.
 func (h *Handler) copyAnswer(w http.ResponseWriter, res *http.Response) {
 	defer func() { _ = res.Body.Close() }()
 	for _, name := range hopByHopHeaders {
@@ -337,10 +341,10 @@
 	}
 }
 
-// trackedBody notes whether a byte of the request's body was read; it survives a failed attempt.
+// trackedBody is a request body that records whether any of it was read, and stays open after a failed attempt.
 type trackedBody struct {
 	body    io.ReadCloser
-	started atomic.Bool
+	started atomic.Bool // at least one byte was read
 }
 
 // Read implements io.Reader.
@@ -352,5 +356,5 @@
 	return n, err
 }
 
-// Close leaves the body open for the next attempt; the server closes it.
+// Close does nothing: the next attempt needs the body, and the server closes it.
 func (b *trackedBody) Close() error { return nil }
