--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -211,6 +211,7 @@
 	h.copyAnswer(w, res)
 }
 
+// refuseBodyRead answers a call that cannot be tried again because part of its body was read.
 func (h *Handler) refuseBodyRead(w http.ResponseWriter, err error) {
 	if err == nil || dialFailed(err) {
 		h.refuseRetryable(w, ProblemBusy, http.StatusServiceUnavailable, "")
