--- a/stoatcommand/centre.go
+++ b/stoatcommand/centre.go
@@ -8,14 +8,14 @@
 )
 
 type centreArgs struct {
-	Evacuate *centreEvacuateArgs `arg:"subcommand:evacuate" help:"have the upstreams of a data centre get no new work"`
-	Restore  *centreRestoreArgs  `arg:"subcommand:restore" help:"take an evacuated data centre back"`
-	List     *centreListArgs     `arg:"subcommand:list" help:"list the data centres that are evacuated, as an entry sees them"`
+	Evacuate *centreEvacuateArgs `arg:"subcommand:evacuate" help:"stop new work for the upstreams of a data centre"`
+	Restore  *centreRestoreArgs  `arg:"subcommand:restore" help:"withdraw the evacuation of a data centre"`
+	List     *centreListArgs     `arg:"subcommand:list" help:"list the evacuated data centres that an entry knows"`
 }
 
 type centreNameArgs struct {
 	entryArgs
-	Centre string `arg:"positional,required" help:"a data centre"`
+	Centre string `arg:"positional,required" help:"name of the data centre"`
 }
 
 type centreEvacuateArgs struct{ centreNameArgs }
--- a/stoatcommand/check.go
+++ b/stoatcommand/check.go
@@ -13,10 +13,10 @@
 )
 
 type checkArgs struct {
-	Files []string `arg:"positional,required" help:"settings and contracts; contracts are checked against each other too"`
+	Files []string `arg:"positional,required" help:"settings and contracts; contracts are also checked against each other"`
 }
 
-// run checks each file by what it holds: a file with a [contract] section is a contract.
+// run checks each file: as a contract if it has a [contract] section, else as settings.
 func (a *checkArgs) run(c *env) error {
 	var faults []*stoatpaddle.Fault
 	contracts := map[string]stoatpaddle.Contract{}
@@ -51,7 +51,7 @@
 }
 
 type explainArgs struct {
-	Number   string `arg:"positional" help:"such as SP1004"`
+	Number   string `arg:"positional" help:"number of an event or problem, such as SP1004; all are listed by default"`
 	Markdown bool   `help:"print the whole catalogue as docs/EVENTS.md"`
 }
 
--- a/stoatcommand/command.go
+++ b/stoatcommand/command.go
@@ -19,54 +19,54 @@
 const (
 	exitOK      = 0
 	exitFailure = 1 // refused or failed
-	exitUsage   = 2
+	exitUsage   = 2 // wrong usage or settings
 )
 
 type args struct {
 	Run      *runArgs      `arg:"subcommand:run" help:"run one entry instance"`
-	Demo     *demoArgs     `arg:"subcommand:demo" help:"run the whole system on loopback addresses and break it"`
-	Measure  *measureArgs  `arg:"subcommand:measure" help:"measure the flow engine against a naive one"`
-	Soak     *soakArgs     `arg:"subcommand:soak" help:"run entries as processes under faults, and check what callers see"`
+	Demo     *demoArgs     `arg:"subcommand:demo" help:"run the whole system on loopback addresses and inject faults"`
+	Measure  *measureArgs  `arg:"subcommand:measure" help:"measure the flow engine in comparison with a naive one"`
+	Soak     *soakArgs     `arg:"subcommand:soak" help:"run entries as processes, inject faults and check what callers see"`
 	Contract *contractArgs `arg:"subcommand:contract" help:"write, read and remove contracts"`
 	Instance *instanceArgs `arg:"subcommand:instance" help:"mark instances as joining or leaving"`
-	Centre   *centreArgs   `arg:"subcommand:centre" help:"evacuate data centres and take them back"`
-	Status   *statusArgs   `arg:"subcommand:status" help:"show what is in force where"`
-	Report   *reportArgs   `arg:"subcommand:report" help:"show how much of the error budget was used"`
+	Centre   *centreArgs   `arg:"subcommand:centre" help:"evacuate data centres and withdraw evacuations"`
+	Status   *statusArgs   `arg:"subcommand:status" help:"show the state of every entry and what it has in force"`
+	Report   *reportArgs   `arg:"subcommand:report" help:"show how much of the error budget is used"`
 	Check    *checkArgs    `arg:"subcommand:check" help:"check settings and contracts, and print every fault"`
-	Explain  *explainArgs  `arg:"subcommand:explain" help:"explain a number such as SP1004"`
+	Explain  *explainArgs  `arg:"subcommand:explain" help:"explain an event or problem by its number, such as SP1004"`
 	Show     *versionArgs  `arg:"subcommand:version" help:"print the version"`
 }
 
 // Description implements go-arg's Described.
 func (args) Description() string {
-	return "stoatpaddle shares layer-4 traffic over upstreams, one contract per customer.\n" +
+	return "stoatpaddle balances layer-4 traffic over upstreams, with one contract per customer.\n" +
 		"Exit codes: 0 done, 1 refused or failed, 2 wrong usage or settings."
 }
 
 type versionArgs struct{}
 
-// command is one subcommand with its arguments read.
+// command is a subcommand with its parsed arguments.
 type command interface {
 	run(c *env) error
 }
 
-// env is what a command works with.
+// env is the context and the output streams of a subcommand.
 type env struct {
 	ctx context.Context
 	out io.Writer
 	err io.Writer
 }
 
-// UsageError reports arguments that do not fit together.
+// UsageError reports arguments that are wrong or do not go together.
 type UsageError struct{ Problem string }
 
-// Error tells the problem.
+// Error describes the problem.
 func (e *UsageError) Error() string { return e.Problem }
 
-// SettingsError reports settings that an entry cannot start with; it lists every fault.
+// SettingsError reports settings that an entry cannot start with. Its cause lists every fault.
 type SettingsError struct{ Cause error }
 
-// Error gives the faults, a line each.
+// Error lists the faults, one a line.
 func (e *SettingsError) Error() string { return e.Cause.Error() }
 
 // Unwrap returns the cause.
--- a/stoatcommand/command_test.go
+++ b/stoatcommand/command_test.go
@@ -11,6 +11,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatevent"
 )
 
+// A subcommand returns another exit code than the documented one, or does not print why.
 func TestExitCodes(t *testing.T) {
 	for _, c := range []struct {
 		args string
@@ -51,6 +52,7 @@
 	}
 }
 
+// The catalogue changed, but docs/EVENTS.md was not generated again.
 func TestEventsPageMatchesCatalogue(t *testing.T) {
 	page, err := os.ReadFile("../docs/EVENTS.md")
 	if err != nil {
--- a/stoatcommand/doc.go
+++ b/stoatcommand/doc.go
@@ -1,3 +1,3 @@
-// Package stoatcommand is the command line: it reads the arguments, calls the package
-// that does the work and maps its end to an exit code.
+// Package stoatcommand implements the command line: it parses the arguments, calls the package that does the
+// work and maps the result to an exit code.
 package stoatcommand
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -12,7 +12,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatstatus"
 )
 
-// entryArgs names the entry whose administration API is asked.
+// entryArgs are the arguments of subcommands that call an entry's administration API.
 type entryArgs struct {
 	Entry string `arg:"-e,--entry,env:STOATPADDLE_ENTRY" default:"127.0.0.1:6083" help:"administration address of any entry"`
 	JSON  bool   `arg:"--json" help:"print JSON"`
@@ -27,17 +27,17 @@
 }
 
 type contractArgs struct {
-	Apply *contractApplyArgs `arg:"subcommand:apply" help:"create a contract, or amend the version that the file names"`
-	Get   *contractGetArgs   `arg:"subcommand:get" help:"print a contract as apply takes it"`
+	Apply *contractApplyArgs `arg:"subcommand:apply" help:"create a contract, or amend the version that its file names"`
+	Get   *contractGetArgs   `arg:"subcommand:get" help:"print a contract in the format that apply reads"`
 	List  *contractListArgs  `arg:"subcommand:list" help:"list the contracts in force"`
 	Rm    *contractRmArgs    `arg:"subcommand:rm" help:"remove a contract"`
 }
 
 type contractApplyArgs struct {
 	entryArgs
-	File    string `arg:"positional,required" help:"the contract; - for standard input"`
-	Version uint64 `help:"the version to amend, if the file names none"`
-	Token   string `help:"of an earlier try whose outcome was unknown"`
+	File    string `arg:"positional,required" help:"file with the contract; - for standard input"`
+	Version uint64 `help:"version to amend, if the file names none"`
+	Token   string `help:"token of an earlier attempt whose outcome was unknown"`
 }
 
 func (a *contractApplyArgs) run(c *env) error {
@@ -57,7 +57,7 @@
 	return a.printOutcome(c, answer, err)
 }
 
-// printOutcome prints how a change ended.
+// printOutcome prints the outcome of a change.
 func (a entryArgs) printOutcome(c *env, answer stoatadmin.Answer, err error) error {
 	if a.JSON {
 		if printErr := printJSON(c.out, answer); printErr != nil {
@@ -112,8 +112,8 @@
 type contractRmArgs struct {
 	entryArgs
 	Customer string `arg:"positional,required"`
-	Version  uint64 `arg:"--version,required" help:"the version to remove"`
-	Token    string `help:"of an earlier try whose outcome was unknown"`
+	Version  uint64 `arg:"--version,required" help:"version to remove"`
+	Token    string `help:"token of an earlier attempt whose outcome was unknown"`
 }
 
 func (a *contractRmArgs) run(c *env) error {
@@ -125,12 +125,12 @@
 type instanceArgs struct {
 	Join  *instanceJoinArgs  `arg:"subcommand:join" help:"mark an instance as joining"`
 	Leave *instanceLeaveArgs `arg:"subcommand:leave" help:"mark an instance as leaving"`
-	List  *instanceListArgs  `arg:"subcommand:list" help:"list the instances as an entry sees them"`
+	List  *instanceListArgs  `arg:"subcommand:list" help:"list the instances that an entry knows"`
 }
 
 type instanceStateArgs struct {
 	entryArgs
-	Instance string `arg:"positional,required" help:"an entry or an upstream"`
+	Instance string `arg:"positional,required" help:"name of an entry or an upstream"`
 }
 
 func (a *instanceStateArgs) setState(c *env, state stoatpaddle.State) error {
@@ -175,14 +175,14 @@
 
 type statusArgs struct{ entryArgs }
 
-// clusterStatus is what every reachable entry says is in force.
+// clusterStatus is the status of every entry that answered.
 type clusterStatus struct {
 	Entries []stoatstatus.Status `json:"entries"`
 	Silent  []string             `json:"silent"` // entries that did not answer
 }
 
-// run asks one entry for the list of all, then each for its own status: one call an
-// entry, however many there are.
+// run asks one entry for the list of all entries, then each entry for its own status. The number of calls grows
+// linearly with the number of entries.
 func (a *statusArgs) run(c *env) error {
 	var f clusterStatus
 	first, err := a.client().Status(c.ctx)
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// queryEntries asks every entry that the status names and returns those that did not answer.
+// queryEntries calls query for every entry in the status and returns the names of those that did not answer.
 func queryEntries(st stoatstatus.Status, query func(client *stoatadmin.Client) error) []string {
 	var silent []string
 	for _, i := range st.Instances {
--- a/stoatcommand/report.go
+++ b/stoatcommand/report.go
@@ -8,20 +8,20 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatstatus"
 )
 
-// objective is the part of flows and calls that has to go well.
+// objective is the ratio of flows and calls that have to be good.
 //
-// TODO(objectives): take it from the contract, per customer and over several windows, and
-// keep the counts on the platform, so that they outlive the instances.
+// TODO(objectives): read it from the contract, per customer and for several time windows, and store the counts
+// on the platform, so that they outlive the instances.
 const objective = 0.999
 
 type reportArgs struct{ entryArgs }
 
-// budgetUse is one objective and what was used of its error budget.
+// budgetUse is one objective and how much of its error budget was used.
 type budgetUse struct {
 	What string  `json:"what"`
 	Good int64   `json:"good"`
 	Bad  int64   `json:"bad"`
-	Used float64 `json:"used"` // of the error budget; over 1, the objective is missed
+	Used float64 `json:"used"` // ratio of the error budget; above 1 the objective is missed
 }
 
 type errorBudgetReport struct {
--- a/stoatcommand/run_entry.go
+++ b/stoatcommand/run_entry.go
@@ -15,10 +15,10 @@
 )
 
 type runArgs struct {
-	Config string `arg:"-c,--config,required" placeholder:"FILE.ini" help:"settings; check FILE.ini explains its faults"`
+	Config string `arg:"-c,--config,required" placeholder:"FILE.ini" help:"settings file; stoatpaddle check FILE.ini explains its faults"`
 }
 
-// run serves until a signal asks for a planned stop and that is complete.
+// run serves until a signal starts a planned stop and the stop is complete.
 func (a *runArgs) run(c *env) error {
 	data, err := os.ReadFile(a.Config)
 	if err != nil {
@@ -42,24 +42,24 @@
 }
 
 type measureArgs struct {
-	Entries   int     `default:"9" help:"entry instances, over three data centres"`
-	Upstreams int     `default:"14" help:"upstreams of the service"`
-	Flows     int     `default:"67200" help:"flows open in the steady state"`
-	Opens     float64 `default:"3000" help:"flows opened a second, over all entries"`
-	Lean      string  `default:"balance" help:"flows or balance"`
-	Gain      float64 `help:"weight of load differences; 0 for the engine's own"`
-	Seed      uint64  `default:"1" help:"of the random choices"`
-	Only      string  `help:"the experiments whose names begin so, such as 3 or 3a"`
-	Curve     bool    `help:"measure imbalance against the tracked share instead"`
-	Spread    bool    `help:"measure ways of choosing upstreams on an echo fabric instead"`
-	Silence   bool    `help:"measure how soon a data centre notices upstreams that answer nobody instead"`
-	Overload  bool    `help:"measure what becomes of new flows when callers ask more than upstreams can do instead"`
-	Parallel  int     `default:"4" help:"experiments run at once"`
+	Entries   int     `default:"9" help:"number of entry instances, in three data centres"`
+	Upstreams int     `default:"14" help:"number of upstreams of the service"`
+	Flows     int     `default:"67200" help:"number of open flows in the steady state"`
+	Opens     float64 `default:"3000" help:"new flows a second, over all entries"`
+	Lean      string  `default:"balance" help:"what the customer prefers: flows or balance"`
+	Gain      float64 `help:"weight of load differences; 0 for the engine's default"`
+	Seed      uint64  `default:"1" help:"seed of the random choices"`
+	Only      string  `help:"run only the experiments whose names begin with this, such as 3 or 3a"`
+	Curve     bool    `help:"instead, measure the load imbalance for different shares of tracked flows"`
+	Spread    bool    `help:"instead, compare methods of choosing upstreams on an echo fabric"`
+	Silence   bool    `help:"instead, measure how soon a data centre detects upstreams that do not answer"`
+	Overload  bool    `help:"instead, measure what happens to new flows when upstreams are overloaded"`
+	Parallel  int     `default:"4" help:"number of experiments that run at once"`
 	JSON      bool    `arg:"--json" help:"print JSON"`
 }
 
-// Of the experiment with Spread: an upstream's slots and a request's work as on the larger
-// deployments, and long enough for the hundredth part to be some hundreds of requests.
+// The parameters of the experiment that --spread selects. Slots and request time are those of the larger
+// deployments. The duration is long enough for one percent of the requests to be some hundreds.
 const (
 	spreadSlots       = 2
 	spreadRequestTime = 45 * time.Millisecond
@@ -92,9 +92,9 @@
 }
 
 type demoArgs struct {
-	Flows   int    `default:"3000" help:"flows held open"`
-	Entries int    `default:"9" help:"entry instances, over three data centres"`
-	Seed    uint64 `default:"1" help:"of the random choices"`
+	Flows   int    `default:"3000" help:"number of flows that are kept open"`
+	Entries int    `default:"9" help:"number of entry instances, in three data centres"`
+	Seed    uint64 `default:"1" help:"seed of the random choices"`
 	Events  bool   `help:"print the entries' events to standard error"`
 }
 
--- a/stoatcommand/soak.go
+++ b/stoatcommand/soak.go
@@ -11,37 +11,37 @@
 )
 
 type soakArgs struct {
-	Seed     uint64        `default:"1" help:"of the first run; the faults follow from it"`
-	Runs     int           `default:"1" help:"runs, with one seed after the other"`
-	Length   time.Duration `default:"1m" help:"of a run"`
-	Entries  int           `default:"6" help:"entry processes"`
-	Plan     string        `placeholder:"FILE" help:"steps as a run prints them, in place of those by the seed"`
-	Restores bool          `help:"the store comes back from an older copy now and then, and nothing else fails"`
-	Dir      string        `placeholder:"DIR" help:"where settings and logs are kept; a new one under the system's temporary files by default"`
-	JSON     bool          `arg:"--json" help:"print JSON, a line a run"`
+	Seed     uint64        `default:"1" help:"seed of the first run, which determines its faults"`
+	Runs     int           `default:"1" help:"number of runs; the seed increases by 1 with each run"`
+	Length   time.Duration `default:"1m" help:"duration of a run"`
+	Entries  int           `default:"6" help:"number of entry processes"`
+	Plan     string        `placeholder:"FILE" help:"file with the steps to run, as a run prints them, instead of those that the seed determines"`
+	Restores bool          `help:"restore the store from a backup now and then, and inject no other faults"`
+	Dir      string        `placeholder:"DIR" help:"directory for settings and logs; by default a new one in the system's temporary directory"`
+	JSON     bool          `arg:"--json" help:"print JSON, one line per run"`
 }
 
-// BreachError reports promises that were broken.
+// BreachError reports that a soak violated guarantees of the system.
 type BreachError struct {
 	Breaches int
 	Logs     string
 }
 
-// Error tells how many, and where the logs are.
+// Error gives the number of violations and the directory of the logs.
 func (e *BreachError) Error() string {
-	return fmt.Sprintf("%d promises were broken; logs are in %s", e.Breaches, e.Logs)
+	return fmt.Sprintf("%d guarantees were violated; logs are in %s", e.Breaches, e.Logs)
 }
 
-// The bounds of a soak.
+// The time limits of a soak.
 const (
-	soakApplyDelay  = 3 * time.Second  // as on the smaller deployments
-	soakStableDelay = 4 * time.Second  // the same
-	soakSlack       = time.Second      // for a busy machine
-	soakRecovery    = 12 * time.Second // until requests are served again
-	soakMinLength   = 15 * time.Second // a shorter run has no room for a step
+	soakApplyDelay  = 3 * time.Second  // until a change is in force, as on the smaller deployments
+	soakStableDelay = 4 * time.Second  // from a fault until the guarantees hold again, as on the smaller deployments
+	soakSlack       = time.Second      // allowance for a busy machine
+	soakRecovery    = 12 * time.Second // from a fault until requests are served again
+	soakMinLength   = 15 * time.Second // a shorter run has no time for a step
 )
 
-// readPlan reads the steps that a file has, or returns nil: those by the seed are played.
+// readPlan returns the steps of the plan's file, or nil if there is no file: then the seed determines the steps.
 func (a *soakArgs) readPlan() ([]stoatsoak.Step, error) {
 	if a.Plan == "" {
 		return nil, nil
@@ -60,7 +60,7 @@
 
 func (a *soakArgs) run(c *env) error {
 	if a.Entries < 2 || a.Entries > 100 || a.Runs < 1 || a.Length < soakMinLength {
-		return &UsageError{Problem: "soak needs 2 to 100 entries, a run at least, and a length of 15s at least"}
+		return &UsageError{Problem: "soak needs 2 to 100 entries, at least 1 run and a length of at least 15s"}
 	}
 	plan, err := a.readPlan()
 	if err != nil {
