--- a/cmd/stoatpaddle/doc.go
+++ b/cmd/stoatpaddle/doc.go
@@ -1,2 +1,2 @@
-// Command stoatpaddle is a layer-4 load balancer's entry instance and its operators' tool.
+// Command stoatpaddle runs an entry instance of the layer-4 load balancer, and is the tool of its operators.
 package main
