--- a/contract.go
+++ b/contract.go
@@ -68,8 +68,8 @@
 	Centres   []CentreWeight
 }
 
-// Retired is an upstream that an amendment removed from a contract. The contract keeps it for a while, because
-// entries that start later would otherwise not know where its open flows go.
+// Retired is an upstream that an amendment removed from a contract. The contract keeps it for a
+// while, because entries that start later would otherwise not know where its open flows go.
 type Retired struct {
 	Upstream Upstream
 	Until    time.Time // when the contract no longer needs to keep it
--- a/platform.go
+++ b/platform.go
@@ -45,7 +45,7 @@
 
 // Platform is the provider's object API.
 //
-// Every method returns *UnavailableError if the platform gave no usable answer, and *RateError if the
+// Every method returns *UnavailableError if the platform gave no usable answer, and *RateLimitError if the
 // platform refused the call because of its rate limit.
 type Platform interface {
 	// Get returns the object, or *NotFoundError.
--- a/route.go
+++ b/route.go
@@ -76,7 +76,7 @@
 	// Incarnation is when the upstream started, in Unix milliseconds of its own clock. A server that starts
 	// again under the same id has lost its flows. 0: the upstream does not report it.
 	Incarnation Incarnation
-	// Created is the platform's revision at which the registration was created. If the registration lapses in
-	// an outage, the same incarnation creates a new one.
+	// Created is the platform's revision at which the registration was created. If the registration
+	// lapses in an outage, the same incarnation creates a new one.
 	Created Version
 }
--- a/stoatevent/catalogue.go
+++ b/stoatevent/catalogue.go
@@ -47,8 +47,8 @@
 
 var catalogue = map[Number]*Entry{}
 
-// Register adds an entry to the catalogue and returns it. It panics with *DuplicateError if the number is in
-// use.
+// Register adds an entry to the catalogue and returns it. It panics with *DuplicateNumberError if the number
+// is in use.
 func Register(e Entry) *Entry {
 	if _, taken := catalogue[e.Number]; taken {
 		panic(&DuplicateError{Number: e.Number})
@@ -67,7 +67,7 @@
 	return out
 }
 
-// Find returns the entry with the number, given in its printed form, or *UnknownError.
+// Find returns the entry with the number, given in its printed form, or *UnknownNumberError.
 func Find(number string) (*Entry, error) {
 	for _, e := range catalogue {
 		if strings.EqualFold(e.Number.String(), number) {
--- a/stoatevent/pipe.go
+++ b/stoatevent/pipe.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// Pipe is an io.Writer that never blocks. Lines wait in a bounded queue; lines that do not fit are dropped and
-// counted. A log that nobody reads must not stop traffic.
+// Pipe is an io.Writer that never blocks. Lines wait in a bounded queue; lines that do not fit are
+// dropped and counted. A log that nobody reads must not stop traffic.
 type Pipe struct {
 	queue   chan []byte
 	dropped atomic.Int64
@@ -15,7 +15,7 @@
 // queueLines is the capacity of the queue: the lines of one second of the busiest start.
 const queueLines = 1024
 
-// NewPipe returns a Pipe. The caller has to start its Run method.
+// NewPipe returns an AsyncWriter. The caller has to start its Run method.
 func NewPipe() *Pipe { return &Pipe{queue: make(chan []byte, queueLines)} }
 
 // Write queues a line, or drops it if the queue is full.
--- a/stoatsetting/setting.go
+++ b/stoatsetting/setting.go
@@ -34,7 +34,7 @@
 	Share   float64       // the part of a core that the instance has; echo fabric only; 0: not known
 	Life    time.Duration // maximum lifetime of a flow; echo fabric only
 	Return  time.Duration // how long a lapsed registration has to come back after an outage; echo fabric only
-	Dead    time.Duration // a peer that is silent for longer counts as dead
+	Dead    time.Duration // a peer that is silent for this long counts as dead
 	Level   string        // minimum level of log lines
 	Stop    time.Duration // maximum duration of a planned stop
 	Settle  time.Duration // how long after a change other entries are queried about unknown flows
