--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -175,7 +175,7 @@
 	}
 	close(release)
 	if err := <-first; err != nil {
-		t.Error("a call in progress was cut by the stop:", err)
+		t.Error("the stop ended a call in progress:", err)
 	}
 	if reached.Load() != 1 {
 		t.Error(reached.Load(), "calls reached the upstream")
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -44,9 +44,9 @@
 type Handler struct {
 	cfg            Config
 	transport      *http.Transport
-	mu             sync.Mutex
+	mu             sync.Mutex // guards rnd, openByUpstream and customers
 	rnd            *rand.Rand
-	openByUpstream map[stoatpaddle.UpstreamKey]int // calls in progress; mu guards it, customers and rnd
+	openByUpstream map[stoatpaddle.UpstreamKey]int // calls in progress
 	customers      map[stoatpaddle.CustomerID]*customerUsage
 	stopping       atomic.Bool
 	openCalls      atomic.Int64
