--- a/stoatini/reader.go
+++ b/stoatini/reader.go
@@ -23,7 +23,7 @@
 type Section struct {
 	Kind      string // first word of the header
 	Name      string // the rest of the header
-	r         *Reader
+	reader    *Reader
 	sec       *ini.Section // nil if the file has no such section
 	known     map[string]bool
 	requested bool
@@ -49,7 +49,7 @@
 		}
 		seen[sec.Name()] = true
 		r.sections = append(r.sections, &Section{
-			Kind: kind, Name: strings.TrimSpace(name), r: r, sec: sec, known: map[string]bool{},
+			Kind: kind, Name: strings.TrimSpace(name), reader: r, sec: sec, known: map[string]bool{},
 		})
 	}
 	return r
@@ -68,7 +68,7 @@
 			return s
 		}
 	}
-	return &Section{Kind: kind, r: r, known: map[string]bool{}, requested: true}
+	return &Section{Kind: kind, reader: r, known: map[string]bool{}, requested: true}
 }
 
 // Named returns the sections of that kind that have a name, in the order of the file.
@@ -106,7 +106,7 @@
 func (s *Section) header() string { return strings.TrimSpace(s.Kind + " " + s.Name) }
 
 // Fault adds a fault at a key of the section. An empty key stands for the section itself.
-func (s *Section) Fault(key, got, want string) { s.r.Fault(s.header(), key, got, want) }
+func (s *Section) Fault(key, got, want string) { s.reader.Fault(s.header(), key, got, want) }
 
 // Keys returns all keys of the section and makes them known. It is for sections whose keys are names that the
 // operator chooses.
