--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -240,8 +240,9 @@
 	}
 }
 
-// acquireUpstream takes a slot of an upstream that was not tried yet, or returns nil if none has a free slot. It
-// chooses the upstream with the fewest calls of this entry in proportion to its weight, at random among equals.
+// acquireUpstream takes a slot of an upstream that was not tried yet, or returns nil if none has a free slot.
+// It chooses the upstream with the fewest calls of this entry in proportion to its weight, at random among
+// equals.
 func (h *Handler) acquireUpstream(svc *stoatview.Service, tried map[stoatpaddle.UpstreamKey]bool) *stoatview.Upstream {
 	h.mu.Lock()
 	defer h.mu.Unlock()
