--- a/stoatcommand/check.go
+++ b/stoatcommand/check.go
@@ -39,8 +39,8 @@
 		}
 	}
 	for _, name := range a.Files {
-		if d, ok := contracts[name]; ok {
-			faults = append(faults, stoatcontract.Conflicts(name, d, all)...)
+		if contract, ok := contracts[name]; ok {
+			faults = append(faults, stoatcontract.Conflicts(name, contract, all)...)
 		}
 	}
 	if len(faults) > 0 {
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -156,8 +156,8 @@
 	if a.JSON {
 		return printJSON(c.out, list)
 	}
-	for _, i := range list {
-		_, _ = fmt.Fprintf(c.out, "%-20s %-9s %-12s %-8s %s\n", i.Name, i.Role, i.Centre, i.State, reachability(i))
+	for _, instance := range list {
+		_, _ = fmt.Fprintf(c.out, "%-20s %-9s %-12s %-8s %s\n", instance.Name, instance.Role, instance.Centre, instance.State, reachability(instance))
 	}
 	return nil
 }
@@ -184,38 +184,38 @@
 // run asks one entry for the list of all entries, then each entry for its own status. The number of calls grows
 // linearly with the number of entries.
 func (a *statusArgs) run(c *env) error {
-	var f clusterStatus
+	var cs clusterStatus
 	first, err := a.client().Status(c.ctx)
 	if err != nil {
 		return err
 	}
-	f.Silent = queryEntries(first, func(client *stoatadmin.Client) error {
+	cs.Silent = queryEntries(first, func(client *stoatadmin.Client) error {
 		st, err := client.Status(c.ctx)
 		if err == nil {
-			f.Entries = append(f.Entries, st)
+			cs.Entries = append(cs.Entries, st)
 		}
 		return err
 	})
 	if a.JSON {
-		return printJSON(c.out, f)
+		return printJSON(c.out, cs)
 	}
-	f.print(c.out)
+	cs.print(c.out)
 	return nil
 }
 
 // queryEntries calls query for every entry in the status and returns the names of those that did not answer.
 func queryEntries(st stoatstatus.Status, query func(client *stoatadmin.Client) error) []string {
 	var silent []string
-	for _, i := range st.Instances {
-		if i.Admin != "" && query(stoatadmin.NewClient(i.Admin)) != nil {
-			silent = append(silent, i.Name)
+	for _, instance := range st.Instances {
+		if instance.Admin != "" && query(stoatadmin.NewClient(instance.Admin)) != nil {
+			silent = append(silent, instance.Name)
 		}
 	}
 	return silent
 }
 
-func (f *clusterStatus) print(w io.Writer) {
-	for _, st := range f.Entries {
+func (cs *clusterStatus) print(w io.Writer) {
+	for _, st := range cs.Entries {
 		_, _ = fmt.Fprintf(w, "%-16s ready=%t leaving=%t platform=%t watching=%t", st.Instance, st.Ready, st.Leaving, st.Platform, st.Watching)
 		for _, s := range st.Contracts {
 			_, _ = fmt.Fprintf(w, " %s@%d", s.Customer, s.Version)
@@ -226,7 +226,7 @@
 		}
 		_, _ = fmt.Fprintln(w)
 	}
-	for _, name := range f.Silent {
+	for _, name := range cs.Silent {
 		_, _ = fmt.Fprintf(w, "%-16s does not answer\n", name)
 	}
 }
--- a/stoatcommand/soak.go
+++ b/stoatcommand/soak.go
@@ -41,7 +41,8 @@
 	soakMinLength   = 15 * time.Second // a shorter run has no time for a step
 )
 
-// readPlan returns the steps of the plan's file, or nil if there is no file: then the seed determines the steps.
+// readPlan returns the steps of the plan's file, or nil if no file is given. Then the seed determines the
+// steps.
 func (a *soakArgs) readPlan() ([]stoatsoak.Step, error) {
 	if a.Plan == "" {
 		return nil, nil
