--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -181,8 +181,8 @@
 	Silent  []string             `json:"silent"` // entries that did not answer
 }
 
-// run asks one entry for the list of all entries, then each entry for its own status. The number of calls grows
-// linearly with the number of entries.
+// run asks one entry for the list of all entries, then each entry for its own status. That is one call per
+// entry, however many there are.
 func (a *statusArgs) run(c *env) error {
 	var cs clusterStatus
 	first, err := a.client().Status(c.ctx)
