--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -71,7 +71,7 @@
 	}
 	var sum []stoatoutlier.Report
 	for _, r := range sums {
-		if r.Failed > 0 || r.Entries > 0 {
+		if r.Failed > 0 || r.WaitingEntries > 0 {
 			sum = append(sum, r)
 		}
 	}
@@ -236,7 +236,7 @@
 	var sum []stoatoutlier.Report
 	for _, target := range []stoatpaddle.Target{1, 2, 4, 5, 6, 7} {
 		sum = append(sum, stoatoutlier.Report{Key: stoatroute.KeyOf(target), Silence: stoatoutlier.Silence{
-			Entries: 9, First: w.now.Add(-900 * ms), Second: w.now.Add(-800 * ms),
+			WaitingEntries: 9, FirstWaitSince: w.now.Add(-900 * ms), SecondWaitSince: w.now.Add(-800 * ms),
 		}})
 	}
 	for range 5 {
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -55,11 +55,11 @@
 	placing   chan struct{} // closed when there is the first table that is enough to place flows
 	placed    sync.Once     // of placing
 	place     *place
-	pool      stoatoutlier.Pool
-	observed  chan struct{}       // what entries saw of upstreams changed
-	reports   chan pendingReport  // to the relay parent
-	reporting atomic.Bool         // one is under way
-	rung      stoatoutlier.Stream // what children were woken for; used by the share goroutine only
+	pool      stoatoutlier.Aggregator
+	observed  chan struct{}             // what entries saw of upstreams changed
+	reports   chan pendingReport        // to the relay parent
+	reporting atomic.Bool               // one is under way
+	rung      stoatoutlier.DeltaTracker // what children were woken for; used by the share goroutine only
 	group     *errgroup.Group
 	ctx       context.Context
 	cancel    context.CancelFunc
@@ -85,7 +85,7 @@
 		observed: make(chan struct{}, 1),
 		reports:  make(chan pendingReport, 1),
 		place: newPlace(stoattree.Config{
-			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, Share: cfg.Settings.Share, Link: cfg.Settings.Link,
+			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, CPUShare: cfg.Settings.Share, LinkMbps: cfg.Settings.Link,
 			Rand: rand.New(rand.NewPCG(seed, 2)),
 		}),
 	}
--- a/stoatedge/keeper.go
+++ b/stoatedge/keeper.go
@@ -255,7 +255,7 @@
 	}
 	k.behind[x.topic] = v.Outdated
 	if v.Outdated {
-		k.log(EventBehind, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", k.feeds[x.topic].Position().String()),
+		k.log(EventStaleAnswer, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", k.feeds[x.topic].Position().String()),
 			stoatevent.F("answered", x.result.AsOf.String()),
 			stoatevent.F("list", strconv.FormatBool(x.call.List)), stoatevent.F("exact", strconv.FormatBool(!x.call.AllowStale)))
 	}
--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -31,9 +31,9 @@
 func newEventLog(w io.Writer, set stoatsetting.Settings) *eventLog {
 	l := &eventLog{pipe: stoatevent.NewPipe(), name: string(set.Instance)}
 	l.sampler = stoatevent.NewSampler(map[stoatevent.Number]int{
-		EventOpened.Number: flowLines, EventReset.Number: flowLines,
-		EventDropped.Number: flowLines, EventEjected.Number: flowLines,
-		EventLate.Number: flowLines, EventInvalid.Number: flowLines, EventLife.Number: flowLines,
+		EventFlowPlaced.Number: flowLines, EventFlowReset.Number: flowLines,
+		EventPacketDropped.Number: flowLines, EventUpstreamEjected.Number: flowLines,
+		EventLateAnswer.Number: flowLines, EventInvalidObject.Number: flowLines, EventIncarnation.Number: flowLines,
 	})
 	l.level(set.Level)
 	l.group.Go(func() error { return l.pipe.Run(w) })
@@ -78,7 +78,7 @@
 		l.lost = lost
 	}
 	if len(fields) > 0 {
-		l.write(EventLeftOut, fields...)
+		l.write(EventLinesOmitted, fields...)
 	}
 	return true
 }
--- a/stoatedge/metrics.go
+++ b/stoatedge/metrics.go
@@ -84,7 +84,7 @@
 	set.NewGauge("stoatpaddle_tree_children", func() float64 {
 		e.place.mu.Lock()
 		defer e.place.mu.Unlock()
-		return float64(e.place.tree.Children())
+		return float64(e.place.tree.ChildCount())
 	})
 	set.NewGauge("stoatpaddle_tree_depth", func() float64 { return float64(e.Depth()) })
 	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="sent"}`, func() float64 { return float64(e.place.sent.Load()) })
--- a/stoatedge/parts_test.go
+++ b/stoatedge/parts_test.go
@@ -127,9 +127,9 @@
 
 // What an entry says when it asks arrives as it was meant; what nobody says is refused.
 func TestAskCodec(t *testing.T) {
-	want := stoattree.Ask{
-		From: listen, Centre: "here & there", Known: at(42), Near: true, Within: 1500 * ms,
-		Skip: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:2")},
+	want := stoattree.JoinRequest{
+		From: listen, Centre: "here & there", Position: at(42), LocalOnly: true, MaxAge: 1500 * ms,
+		Tried: []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:2")},
 	}
 	q, err := url.ParseQuery(writeAsk(want))
 	if err != nil {
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -48,7 +48,7 @@
 	if got := s.k.asOf(); !got.Equal(s.now.Add(-100 * ms)) {
 		t.Error(s.now.Sub(got))
 	}
-	if s.events[EventFollows.Number] != 1 || s.events[EventReads.Number] != 0 {
+	if s.events[EventParentFound.Number] != 1 || s.events[EventReadsPlatform.Number] != 0 {
 		t.Error(s.events)
 	}
 	if !s.table.CompleteAsOf.IsZero() {
@@ -101,7 +101,7 @@
 	s.tell(update{from: "other", age: 50 * ms, whole: true, known: at(11)}, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	s.pass(time.Second)
 	s.quiet("told by another one")
-	if s.events[EventFollowsNobody.Number] != 1 || s.events[EventFollows.Number] != 2 {
+	if s.events[EventParentLost.Number] != 1 || s.events[EventParentFound.Number] != 2 {
 		t.Error(s.events)
 	}
 }
@@ -115,7 +115,7 @@
 		s.pass(time.Second)
 		s.step(parentLost{serial: s.k.follow.serial, cause: &refusedError{}})
 	}
-	if s.calls[declarations] == nil || s.events[EventReads.Number] != 1 {
+	if s.calls[declarations] == nil || s.events[EventReadsPlatform.Number] != 1 {
 		t.Fatal(s.calls, s.events)
 	}
 	s.answer(declarations, 10)
--- a/stoatedge/reload.go
+++ b/stoatedge/reload.go
@@ -13,7 +13,7 @@
 func (e *Edge) Reload(set stoatsetting.Settings, err error) {
 	now := clock() // house: the settings were read now
 	if err != nil {
-		e.log.emit(now, EventReloadRefused, stoatevent.F("cause", err.Error()))
+		e.log.emit(now, EventSettingsRejected, stoatevent.F("cause", err.Error()))
 		return
 	}
 	e.reloadMu.Lock()
@@ -28,7 +28,7 @@
 	e.engine.SetRegions(next.Regions)
 	e.engineMu.Unlock()
 	e.post(rebound{apply: next.Bound(), back: next.Return, life: next.Life, seeds: namedSeeds(next)})
-	e.log.emit(now, EventReload, stoatevent.F("applied", strings.Join(applied, ",")), stoatevent.F("kept", strings.Join(kept, ",")))
+	e.log.emit(now, EventSettingsReloaded, stoatevent.F("applied", strings.Join(applied, ",")), stoatevent.F("kept", strings.Join(kept, ",")))
 }
 
 // merge returns the settings in force after a change to next, and names what was applied
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -74,7 +74,7 @@
 	defer cancel()
 	x, err := e.readFormer(ctx)
 	if err != nil {
-		e.log.emit(clock(), EventFormerUnread, stoatevent.F("cause", err.Error()))
+		e.log.emit(clock(), EventFormerLoadFailed, stoatevent.F("cause", err.Error()))
 		return
 	}
 	if len(x.former) > 0 {
@@ -110,7 +110,7 @@
 			return
 		}
 	}
-	e.log.emit(clock(), EventFormerUnwritten, stoatevent.F("version", x.version.String()), stoatevent.F("cause", err.Error()))
+	e.log.emit(clock(), EventFormerSaveFailed, stoatevent.F("version", x.version.String()), stoatevent.F("cause", err.Error()))
 }
 
 func writeFormer(ctx context.Context, p stoatpaddle.Platform, x remember) error {
--- a/stoatedge/share_test.go
+++ b/stoatedge/share_test.go
@@ -37,7 +37,7 @@
 	body, err := msgpack.Marshal(stoatoutlier.Encode(now, []stoatoutlier.Report{{
 		Key: stoatroute.KeyOf(stoatpaddle.Target(0x11)),
 		Silence: stoatoutlier.Silence{
-			Entries: 2, First: now.Add(-800 * time.Millisecond), Second: now.Add(-700 * time.Millisecond),
+			WaitingEntries: 2, FirstWaitSince: now.Add(-800 * time.Millisecond), SecondWaitSince: now.Add(-700 * time.Millisecond),
 		},
 	}}))
 	if err != nil {
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -138,7 +138,7 @@
 	var err error
 	e.transport, err = stoatpeer.New(e.ctx, stoatpeer.Config{
 		Hello: stoatmessage.Hello{Cluster: e.set.Cluster, Instance: e.self},
-		Addr:  e.set.Peer, Handler: e, Log: e.log, Severed: e.cfg.Severed,
+		Addr:  e.set.Peer, Handler: e, Log: e.log, Partitioned: e.cfg.Severed,
 	})
 	return err
 }
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	segment, err := stoattunnel.Build(stoattunnel.Segment{
+	segment, err := stoattunnel.BuildSegment(stoattunnel.Segment{
 		Src: netip.MustParseAddrPort("198.18.0.1:1"), Dst: netip.MustParseAddrPort("203.0.113.1:1"), SYN: true,
 	})
 	if err != nil {
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -53,7 +53,7 @@
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
 	case stoatnode.Hangup:
-		e.transport.Hangup(x.Peer)
+		e.transport.Disconnect(x.Peer)
 	case stoatnode.Send:
 		e.transport.Send(x.To, x.Message)
 	case stoatnode.Deliver:
--- a/stoatmessage/message.go
+++ b/stoatmessage/message.go
@@ -16,8 +16,8 @@
 
 // Digest sums up the versions that an entry holds.
 type Digest struct {
-	Newest stoatpaddle.Version
-	Sum    uint32
+	Newest   stoatpaddle.Version
+	Checksum uint32
 }
 
 // Heartbeat tells that the sender lives and what it holds.
@@ -26,14 +26,14 @@
 	State  stoatpaddle.State // of the sender
 }
 
-// Held is the version of one object.
-type Held struct {
+// ObjectVersion is the version of one object.
+type ObjectVersion struct {
 	Ref     stoatpaddle.Ref
 	Version stoatpaddle.Version
 }
 
 // Have offers objects; the receiver asks for those it lacks.
-type Have struct{ Objects []Held }
+type Have struct{ Objects []ObjectVersion }
 
 // Want asks for objects.
 type Want struct{ Refs []stoatpaddle.Ref }
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -191,7 +191,7 @@
 	var d stoatmessage.Digest
 	for ref, o := range n.objects {
 		d.Newest = max(d.Newest, o.Version)
-		d.Sum ^= uint32(xxhash.Sum64String(ref.String() + "@" + o.Version.String()))
+		d.Checksum ^= uint32(xxhash.Sum64String(ref.String() + "@" + o.Version.String()))
 	}
 	return d
 }
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -73,7 +73,7 @@
 	case "have":
 		m := &stoatmessage.Have{}
 		for _, o := range readObjects(t, f[2:]) {
-			m.Objects = append(m.Objects, stoatmessage.Held{Ref: o.Ref, Version: o.Version})
+			m.Objects = append(m.Objects, stoatmessage.ObjectVersion{Ref: o.Ref, Version: o.Version})
 		}
 		return Received{From: stoatpaddle.InstanceID(f[1]), Message: m}
 	case "objects":
--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -38,7 +38,7 @@
 func (d *decoder) list() int {
 	n := take(d, d.in.DecodeArrayLen)
 	if n < 0 || n > maxList {
-		d.err = &RangeError{Got: n, Most: maxList}
+		d.err = &RangeError{Got: n, Max: maxList}
 		return 0
 	}
 	return n
@@ -82,7 +82,7 @@
 func (d *decoder) heartbeat() *stoatmessage.Heartbeat {
 	m := &stoatmessage.Heartbeat{}
 	m.Digest.Newest = stoatpaddle.Version(d.uint())
-	m.Digest.Sum = uint32(d.uint())
+	m.Digest.Checksum = uint32(d.uint())
 	m.State = d.state()
 	return m
 }
@@ -91,7 +91,7 @@
 	m := &stoatmessage.Have{}
 	for n := d.list(); n > 0 && d.err == nil; n-- {
 		ref := d.ref()
-		m.Objects = append(m.Objects, stoatmessage.Held{Ref: ref, Version: stoatpaddle.Version(d.uint())})
+		m.Objects = append(m.Objects, stoatmessage.ObjectVersion{Ref: ref, Version: stoatpaddle.Version(d.uint())})
 	}
 	return m
 }
@@ -146,7 +146,7 @@
 	for b := d.bytes(); len(b) > 0; {
 		n, size := binary.Uvarint(b)
 		if size <= 0 || n > 1<<31 {
-			d.err = &RangeError{Got: size, Most: 1 << 31}
+			d.err = &RangeError{Got: size, Max: 1 << 31}
 			return l
 		}
 		l.Open = append(l.Open, uint32(n))
--- a/stoatpeer/encode.go
+++ b/stoatpeer/encode.go
@@ -58,7 +58,7 @@
 
 func (e *encoder) heartbeat(m *stoatmessage.Heartbeat) {
 	e.uint(uint64(m.Digest.Newest))
-	e.uint(uint64(m.Digest.Sum))
+	e.uint(uint64(m.Digest.Checksum))
 	e.uint(uint64(stateCode(m.State)))
 }
 
@@ -70,7 +70,7 @@
 func (d *decoder) state() stoatpaddle.State {
 	n := d.uint()
 	if d.err == nil && n >= uint64(len(states)) {
-		d.err = &RangeError{Got: int(n), Most: len(states) - 1}
+		d.err = &RangeError{Got: int(n), Max: len(states) - 1}
 	}
 	if d.err != nil {
 		return ""
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -56,9 +56,9 @@
 	case 0:
 		return &stoatmessage.Hello{Cluster: "c", Instance: instance("e", someAddr)}
 	case 1:
-		return &stoatmessage.Heartbeat{Digest: stoatmessage.Digest{Newest: version, Sum: rapid.Uint32().Draw(t, "sum")}, State: stoatpaddle.StateLeaving}
+		return &stoatmessage.Heartbeat{Digest: stoatmessage.Digest{Newest: version, Checksum: rapid.Uint32().Draw(t, "sum")}, State: stoatpaddle.StateLeaving}
 	case 2:
-		return &stoatmessage.Have{Objects: []stoatmessage.Held{{Ref: ref, Version: version}}}
+		return &stoatmessage.Have{Objects: []stoatmessage.ObjectVersion{{Ref: ref, Version: version}}}
 	case 3:
 		return &stoatmessage.Want{Refs: []stoatpaddle.Ref{ref, ref}}
 	case 4:
@@ -190,9 +190,9 @@
 		t.Fatal(err)
 	}
 	for data, event := range map[string]string{
-		"GET / HTTP/1.1\r\n\r\n": EventFrame.Number.String(),
-		string(huge):             EventFrame.Number.String(),
-		string(other):            EventStranger.Number.String(),
+		"GET / HTTP/1.1\r\n\r\n": EventMalformedFrame.Number.String(),
+		string(huge):             EventMalformedFrame.Number.String(),
+		string(other):            EventPeerRefused.Number.String(),
 	} {
 		conn, err := net.Dial("tcp", addrA.String())
 		if err != nil {
@@ -206,6 +206,6 @@
 	}
 	a.Send("b", &stoatmessage.Want{Refs: []stoatpaddle.Ref{{Kind: "contract", Name: "still"}}})
 	rb.wait("want a still")
-	a.Hangup("b")
+	a.Disconnect("b")
 	rb.wait("disconnected a")
 }
--- a/stoatrelay/bench_test.go
+++ b/stoatrelay/bench_test.go
@@ -33,8 +33,8 @@
 // A message without news, as each child gets one with each proof.
 func BenchmarkHead(b *testing.B) {
 	h := &Head{
-		Known: 1234567, AgeMS: 40, Path: []string{"10.1.0.10:8166", "10.1.0.77:8166", "10.1.0.78:8166"},
-		Relatives: []string{"10.1.0.80:8166", "10.1.0.81:8166", "10.1.0.82:8166"}, Centre: "ruwi",
+		PositionRevision: 1234567, AgeMS: 40, Path: []string{"10.1.0.10:8166", "10.1.0.77:8166", "10.1.0.78:8166"},
+		Siblings: []string{"10.1.0.80:8166", "10.1.0.81:8166", "10.1.0.82:8166"}, Centre: "ruwi",
 	}
 	b.ReportAllocs()
 	for range b.N {
@@ -80,7 +80,7 @@
 			now := time.Unix(1000, 0)
 			b.ReportAllocs()
 			for range b.N {
-				x := toldOver(b, EncodeBody(now, t, Holds{}))
+				x := toldOver(b, EncodeBody(now, t, ChildState{}))
 				stoatroute.NewBuilder(stoatroute.Config{}).Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.Upstreams, Complete: true, UpToDate: true})
 			}
 		})
@@ -96,15 +96,15 @@
 			now := time.Unix(1000, 0)
 			b.ReportAllocs()
 			for i := range b.N {
-				child := HoldsOf(book.Table())
+				child := ChildStateOf(book.Table())
 				d.Version++
 				d.Routes[0].Priority = i
 				book.ApplyDeclaration(d, d.Version)
 				x := toldOver(b, EncodeBody(now, book.Table(), child))
-				if !x.Delta.Fits(held.Version) {
+				if !x.Delta.AppliesTo(held.Version) {
 					b.Fatal("does not fit")
 				}
-				held = x.Delta.Onto(&held)
+				held = x.Delta.ApplyTo(&held)
 			}
 		})
 	}
--- a/stoatrelay/codec_test.go
+++ b/stoatrelay/codec_test.go
@@ -57,8 +57,8 @@
 	b.ApplyDeclaration(*c.declaration, c.revision)
 	b.Register(now, *r.registration, r.revision)
 	first := b.Table()
-	got, err := Decode(&Head{Known: 12}, overTheWire(t, EncodeBody(now.Add(time.Second), first, Holds{})))
-	if err != nil || got.Delta == nil || len(got.Upstreams) != 1 || !got.Whole || got.Known.Revision != 12 {
+	got, err := Decode(&Head{PositionRevision: 12}, overTheWire(t, EncodeBody(now.Add(time.Second), first, ChildState{})))
+	if err != nil || got.Delta == nil || len(got.Upstreams) != 1 || !got.Full || got.Position.Revision != 12 {
 		t.Fatalf("%+v %v", got, err)
 	}
 	a := got.Delta
@@ -71,11 +71,11 @@
 		t.Errorf("%+v", u)
 	}
 	b.MarkGone(now, "i-2", 12)
-	got, err = Decode(&Head{}, overTheWire(t, EncodeBody(now, b.Table(), HoldsOf(first))))
+	got, err = Decode(&Head{}, overTheWire(t, EncodeBody(now, b.Table(), ChildStateOf(first))))
 	if err != nil || got.Delta != nil || len(got.Upstreams) != 1 || got.Upstreams[0].State != stoatroute.Gone || got.Upstreams[0].Revision != 12 {
 		t.Errorf("%+v %v", got, err)
 	}
-	if w := EncodeBody(now, b.Table(), HoldsOf(b.Table())); w != nil {
+	if w := EncodeBody(now, b.Table(), ChildStateOf(b.Table())); w != nil {
 		t.Errorf("told again: %+v", w)
 	}
 	for _, spoil := range []func(w *Body){
@@ -83,9 +83,9 @@
 		func(w *Body) { w.Upstreams[0].Standing = 9 },
 		func(w *Body) { w.Upstreams[0].Service = 99 },
 		func(w *Body) { w.Upstreams[0].Centre = -1 },
-		func(w *Body) { w.Declared.Routes[0].Listen = nil },
+		func(w *Body) { w.Declaration.Routes[0].Listen = nil },
 	} {
-		w := EncodeBody(now, first, Holds{})
+		w := EncodeBody(now, first, ChildState{})
 		spoil(w)
 		if _, err := Decode(&Head{}, w); err == nil {
 			t.Errorf("a faulty parent is believed: %+v", w)
@@ -119,7 +119,7 @@
 	moved.declaration.Routes[0].Backends[0].Service = "other"
 	b.ApplyDeclaration(*first.declaration, first.revision)
 	b.ApplyDeclaration(*moved.declaration, moved.revision)
-	got, err := Decode(&Head{}, overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), Holds{})))
+	got, err := Decode(&Head{}, overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), ChildState{})))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -149,20 +149,20 @@
 	next.Routes = append([]stoatpaddle.Route{route(0, 5)}, old.Routes[2:]...)
 	next.Routes = append(next.Routes, route(5000, 1))
 	b.ApplyDeclaration(next, 20)
-	w := overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), HoldsOf(before)))
-	if len(w.Declared.Routes) != 2 || len(w.Declared.Removed) != 1 || w.Declared.Base != 3 {
-		t.Fatal(len(w.Declared.Routes), len(w.Declared.Removed), w.Declared.Base)
+	w := overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), ChildStateOf(before)))
+	if len(w.Declaration.Routes) != 2 || len(w.Declaration.Removed) != 1 || w.Declaration.Base != 3 {
+		t.Fatal(len(w.Declaration.Routes), len(w.Declaration.Removed), w.Declaration.Base)
 	}
 	got, err := Decode(&Head{}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	made, fits := got.Delta.Onto(&old), got.Delta.Fits(old.Version)
+	made, fits := got.Delta.ApplyTo(&old), got.Delta.AppliesTo(old.Version)
 	byListen := cmpopts.SortSlices(func(a, b stoatpaddle.Route) bool { return a.Listen.Compare(b.Listen) < 0 })
 	if diff := cmp.Diff(next, made, cmp.Comparer(sameAddr), byListen); diff != "" || !fits {
 		t.Error(fits, diff)
 	}
-	if got.Delta.Fits(old.Version + 1) {
+	if got.Delta.AppliesTo(old.Version + 1) {
 		t.Error("fits a version between")
 	}
 }
@@ -176,7 +176,7 @@
 	first := b.Table()
 	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "there", Revision: 9})
 	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 10, Withdrawn: true})
-	for child, want := range map[Holds]int{{}: 2, HoldsOf(first): 2, HoldsOf(b.Table()): 0} {
+	for child, want := range map[ChildState]int{{}: 2, ChildStateOf(first): 2, ChildStateOf(b.Table()): 0} {
 		got := 0
 		if w := EncodeBody(time.Unix(1000, 0), b.Table(), child); w != nil {
 			x, err := Decode(&Head{}, overTheWire(t, w))
@@ -204,7 +204,7 @@
 	r := registered("i-1", 1, 5).registration
 	r.Incarnation, r.Cold, r.Addr = 1_790_000_000_000, 3*time.Second, netip.MustParseAddrPort("10.0.0.1:80")
 	b.Register(now, *r, 5)
-	data, err := Encode(EncodeBody(now, b.Table(), Holds{}))
+	data, err := Encode(EncodeBody(now, b.Table(), ChildState{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	var h Head
-	if err := msgpack.Unmarshal(old, &h); err != nil || h.Known != 7 || h.Centre != "here" || !h.Whole || h.Entries != 0 {
+	if err := msgpack.Unmarshal(old, &h); err != nil || h.PositionRevision != 7 || h.Centre != "here" || !h.FullReports || h.DataCentreEntries != 0 {
 		t.Errorf("%+v %v", h, err)
 	}
 	next, err := Encode(&later{Names: []string{"app", "here"}, Evac: []wireEvacuation{{Centre: 1, Revision: 9}}, New: map[string]int{"x": 1}})
@@ -256,7 +256,7 @@
 		t.Fatal(err)
 	}
 	var w Body
-	if err := msgpack.Unmarshal(next, &w); err != nil || len(w.Names) != 2 || len(w.Evacuated) != 1 || w.Evacuated[0].Revision != 9 {
+	if err := msgpack.Unmarshal(next, &w); err != nil || len(w.Names) != 2 || len(w.Evacuations) != 1 || w.Evacuations[0].Revision != 9 {
 		t.Errorf("%+v %v", w, err)
 	}
 }
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -42,26 +42,26 @@
 	return i
 }
 
-// Holds is what a child has of a table.
-type Holds struct {
+// ChildState is what a child has of a table.
+type ChildState struct {
 	change  uint64              // the table's count; 0: nothing yet
 	version stoatpaddle.Version // of the declaration
 }
 
-// HoldsOf returns what a child has that was sent all of the table.
-func HoldsOf(t *stoatroute.Table) Holds {
-	return Holds{change: t.ChangeSeq, version: t.Declaration.Version}
+// ChildStateOf returns what a child has that was sent all of the table.
+func ChildStateOf(t *stoatroute.Table) ChildState {
+	return ChildState{change: t.ChangeSeq, version: t.Declaration.Version}
 }
 
 // EncodeBody returns what t has that a child does not, or nil if there is nothing.
-func EncodeBody(now time.Time, t *stoatroute.Table, child Holds) *Body {
+func EncodeBody(now time.Time, t *stoatroute.Table, child ChildState) *Body {
 	if child.change == t.ChangeSeq {
 		return nil
 	}
 	n := &names{place: map[string]int{}}
-	w := &Body{Whole: child.change == 0}
+	w := &Body{Full: child.change == 0}
 	if t.DeclarationSeq > child.change {
-		w.Declared = encodeConfig(n, t, child)
+		w.Declaration = encodeConfig(n, t, child)
 	}
 	for _, u := range t.UpstreamsSince(child.change) {
 		r := &u.Registration
@@ -72,7 +72,7 @@
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
-		w.Evacuated = append(w.Evacuated, wireEvacuation{Centre: n.of(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
+		w.Evacuations = append(w.Evacuations, wireEvacuation{Centre: n.of(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
 	}
 	w.Names = n.list
 	return w
@@ -84,7 +84,7 @@
 	return b
 }
 
-func encodeConfig(n *names, t *stoatroute.Table, child Holds) *wireConfig {
+func encodeConfig(n *names, t *stoatroute.Table, child ChildState) *wireConfig {
 	d := &t.Declaration
 	w := &wireConfig{
 		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.Idle.Milliseconds(),
