--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -17,10 +17,10 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// upstreamFunc answers one connection's requests by hand.
+// upstreamFunc answers the first request of a connection.
 type upstreamFunc func(conn net.Conn, r *http.Request)
 
-func listen(t *testing.T, f upstreamFunc) netip.AddrPort {
+func startUpstream(t *testing.T, f upstreamFunc) netip.AddrPort {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func entry(t *testing.T, calls int, ups ...netip.AddrPort) (*Handler, string) {
+func startEntry(t *testing.T, calls int, ups ...netip.AddrPort) (*Handler, string) {
 	c := stoatpaddle.Contract{
 		Customer: "sawt", Limits: stoatpaddle.Limits{Flows: 1, Opens: 1, Calls: calls, Rate: 1000},
 		Services: []stoatpaddle.Service{{ID: "ledger", Kind: stoatpaddle.KindCall, Host: "ledger.example"}},
@@ -61,7 +61,7 @@
 	return h, srv.URL
 }
 
-func call(t *testing.T, method, url, body string) (*http.Response, string, error) {
+func sendRequest(t *testing.T, method, url, body string) (*http.Response, string, error) {
 	req, err := http.NewRequest(method, url+"/claim", strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
@@ -76,44 +76,44 @@
 	return res, string(data), err
 }
 
-func refusing(conn net.Conn, _ *http.Request) {
+func refuseCall(conn net.Conn, _ *http.Request) {
 	_, _ = io.WriteString(conn, "HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-func accepting(conn net.Conn, r *http.Request) {
+func echoBody(conn net.Conn, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: "+string(rune('0'+len(body)))+"\r\n\r\n"+string(body))
 }
 
-// The upstream ends its connection in the middle of the answer. The caller must see a
-// broken connection: half an answer that looks whole would be taken for the whole.
-func TestCutAnswerIsNotPassedOnAsWhole(t *testing.T) {
-	for name, head := range map[string]string{
+// The upstream closes its connection in the middle of the answer. The caller must see a broken connection,
+// because it would otherwise take the partial answer for the complete one.
+func TestTruncatedAnswerAbortsConnection(t *testing.T) {
+	for name, partial := range map[string]string{
 		"by length": "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf",
 		"chunked":   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, url := entry(t, 10, listen(t, func(conn net.Conn, _ *http.Request) { _, _ = io.WriteString(conn, head) }))
-			if _, body, err := call(t, http.MethodGet, url, ""); err == nil {
-				t.Errorf("the caller took %q for the whole answer", body)
+			h, url := startEntry(t, 10, startUpstream(t, func(conn net.Conn, _ *http.Request) { _, _ = io.WriteString(conn, partial) }))
+			if _, body, err := sendRequest(t, http.MethodGet, url, ""); err == nil {
+				t.Errorf("the caller took %q for the complete answer", body)
 			}
 			if h.Stats().Cut.Load() != 1 || h.Stats().Answered.Load() != 0 {
-				t.Error("not counted as cut")
+				t.Error("not counted as truncated")
 			}
 		})
 	}
 }
 
-// The upstream takes a claim, runs it and dies before it answers. Nobody knows whether it
-// ran, so the caller hears "unknown" and the claim is not sent to the other upstream.
-func TestLostAnswerIsUnknownAndRunsOnce(t *testing.T) {
+// An upstream runs a claim and dies before it answers. The entry cannot know whether the claim ran, so it must
+// answer "outcome unknown" and must not send the claim to the other upstream.
+func TestUnansweredCallIsNotRetried(t *testing.T) {
 	var ran atomic.Int64
-	dying := func(_ net.Conn, r *http.Request) {
+	dieUnanswered := func(_ net.Conn, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
 		ran.Add(1)
 	}
-	_, url := entry(t, 10, listen(t, dying), listen(t, dying))
-	res, body, err := call(t, http.MethodPost, url, "keg")
+	_, url := startEntry(t, 10, startUpstream(t, dieUnanswered), startUpstream(t, dieUnanswered))
+	res, body, err := sendRequest(t, http.MethodPost, url, "keg")
 	if err != nil || res.StatusCode != http.StatusBadGateway || !strings.Contains(body, "SP1305") {
 		t.Fatal(res, body, err)
 	}
@@ -122,52 +122,52 @@
 	}
 }
 
-// Every upstream refuses without starting, or cannot be reached: "not run" is true, and
-// the caller is told when to come back. With one that has room, the caller notices nothing.
+// Every upstream refuses the call without starting it, or cannot be reached. The caller must get "not run" and
+// a Retry-After. If another upstream has a free slot, the caller must get its answer instead.
 func TestRefusals(t *testing.T) {
 	closed := netip.MustParseAddrPort("127.0.0.1:1")
-	h, url := entry(t, 10, listen(t, refusing), closed)
-	res, body, err := call(t, http.MethodPost, url, "")
+	h, url := startEntry(t, 10, startUpstream(t, refuseCall), closed)
+	res, body, err := sendRequest(t, http.MethodPost, url, "")
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" || !strings.Contains(body, "SP1304") {
 		t.Fatal(res, body, err)
 	}
 	if h.Stats().Attempts.Load() != 2 {
 		t.Error(h.Stats().Attempts.Load(), "attempts")
 	}
-	_, url = entry(t, 10, listen(t, refusing), closed, listen(t, accepting))
-	if res, _, err := call(t, http.MethodPost, url, ""); err != nil || res.StatusCode != http.StatusOK {
+	_, url = startEntry(t, 10, startUpstream(t, refuseCall), closed, startUpstream(t, echoBody))
+	if res, _, err := sendRequest(t, http.MethodPost, url, ""); err != nil || res.StatusCode != http.StatusOK {
 		t.Fatal(res, err)
 	}
-	_, url = entry(t, 10, listen(t, accepting))
-	if _, body, err := call(t, http.MethodPost, url, "keg"); err != nil || body != "keg" {
+	_, url = startEntry(t, 10, startUpstream(t, echoBody))
+	if _, body, err := sendRequest(t, http.MethodPost, url, "keg"); err != nil || body != "keg" {
 		t.Fatal(body, err)
 	}
 }
 
-// A customer's calls are over its limit, a service is unknown, an entry is leaving or has
-// just started: each is refused by its own problem type before anything reaches an upstream.
+// A customer's calls exceed its limit, or the entry is leaving or has just started. The call must be refused
+// with the problem type of its reason, and must not reach an upstream.
 func TestRefusedBeforeAnyUpstream(t *testing.T) {
 	var reached atomic.Int64
 	release := make(chan struct{})
 	started := make(chan struct{}, 1)
-	slow := listen(t, func(conn net.Conn, r *http.Request) {
+	blocking := startUpstream(t, func(conn net.Conn, r *http.Request) {
 		reached.Add(1)
 		started <- struct{}{}
 		<-release
-		accepting(conn, r)
+		echoBody(conn, r)
 	})
-	h, url := entry(t, 1, slow)
+	h, url := startEntry(t, 1, blocking)
 	first := make(chan error, 1)
 	go func() {
-		_, _, err := call(t, http.MethodGet, url, "")
+		_, _, err := sendRequest(t, http.MethodGet, url, "")
 		first <- err
 	}()
 	<-started
-	if _, body, _ := call(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1303") {
+	if _, body, _ := sendRequest(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1303") {
 		t.Error("limit:", body)
 	}
 	h.Stop()
-	if _, body, _ := call(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1306") {
+	if _, body, _ := sendRequest(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1306") {
 		t.Error("leaving:", body)
 	}
 	if h.Open() != 1 {
@@ -175,23 +175,24 @@
 	}
 	close(release)
 	if err := <-first; err != nil {
-		t.Error("a call in progress was cut by the stop:", err)
+		t.Error("the stop ended a call in progress:", err)
 	}
 	if reached.Load() != 1 {
 		t.Error(reached.Load(), "calls reached the upstream")
 	}
-	fresh := New(Config{View: func() *stoatview.View { return nil }, Clock: time.Now})
+	unconfigured := New(Config{View: func() *stoatview.View { return nil }, Clock: time.Now})
 	w := httptest.NewRecorder()
-	fresh.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
+	unconfigured.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/", nil))
 	if !strings.Contains(w.Body.String(), "SP1301") {
-		t.Error("fresh:", w.Body)
+		t.Error("unconfigured:", w.Body)
 	}
 }
 
-// A caller leaves in the middle of its upload. The slot is free again, whatever the upstream does.
-func TestCallerGone(t *testing.T) {
+// A caller disconnects in the middle of its upload. The slot must become free again, whatever the
+// upstream does.
+func TestCallerDisconnects(t *testing.T) {
 	done := make(chan struct{})
-	h, url := entry(t, 10, listen(t, func(_ net.Conn, r *http.Request) {
+	h, url := startEntry(t, 10, startUpstream(t, func(_ net.Conn, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		close(done)
 	}))
@@ -206,7 +207,7 @@
 		_ = w.CloseWithError(errors.ErrUnsupported)
 	}()
 	if _, err := http.DefaultClient.Do(req); err == nil {
-		t.Error("an upload cut by its caller was answered")
+		t.Error("an upload that its caller aborted was answered")
 	}
 	<-done
 	for h.Open() > 0 {
@@ -214,7 +215,7 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.inflight) != 0 || h.customers["sawt"].calls != 0 {
-		t.Error("a slot is still taken", h.inflight)
+	if len(h.openByUpstream) != 0 || h.customers["sawt"].calls != 0 {
+		t.Error("a slot is still taken", h.openByUpstream)
 	}
 }
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -17,20 +17,20 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// HeaderNotRun is set by an upstream that refused a call without starting it.
+// HeaderNotRun is the header that an upstream sets on a 503 answer if it refused the call without starting it.
 const HeaderNotRun = "Not-Run"
 
 const (
-	answerTimeout = 30 * time.Second
-	dialTimeout   = 2 * time.Second
-	// maxAttempts bounds the upstreams that one call tries.
-	maxAttempts = 3
-	copyBuffer  = 64 << 10
-	// comeBack is the Retry-After of a refusal, seconds.
-	comeBack = 1
+	responseHeaderTimeout = 30 * time.Second
+	dialTimeout           = 2 * time.Second
+	// maxAttempts is the maximum number of upstreams that one call tries.
+	maxAttempts    = 3
+	copyBufferSize = 64 << 10
+	// retryAfterSeconds is the Retry-After value of a refusal.
+	retryAfterSeconds = 1
 )
 
-// Clock tells the present time; the entry's is the machine's.
+// Clock returns the current time.
 type Clock func() time.Time
 
 // Config configures a Handler.
@@ -40,34 +40,34 @@
 	Seed  uint64
 }
 
-// Handler is the HTTP handler for callers' requests.
+// Handler is the http.Handler for callers' requests.
 type Handler struct {
-	cfg       Config
-	transport *http.Transport
-	mu        sync.Mutex
-	rnd       *rand.Rand
-	inflight  map[stoatpaddle.UpstreamKey]int
-	customers map[stoatpaddle.CustomerID]*customer
-	stopping  atomic.Bool
-	open      atomic.Int64
-	stats     Stats
-	buffers   sync.Pool
+	cfg            Config
+	transport      *http.Transport
+	mu             sync.Mutex // guards rnd, openByUpstream and customers
+	rnd            *rand.Rand
+	openByUpstream map[stoatpaddle.UpstreamKey]int // calls in progress
+	customers      map[stoatpaddle.CustomerID]*customerUsage
+	stopping       atomic.Bool
+	openCalls      atomic.Int64
+	stats          Stats
+	buffers        sync.Pool
 }
 
-// customer is one customer's use of this entry.
-type customer struct {
-	calls  int
-	tokens float64
-	filled time.Time
+// customerUsage is what one customer uses of its limits on this entry.
+type customerUsage struct {
+	calls      int       // in progress
+	tokens     float64   // of the token bucket that limits calls a second
+	refilledAt time.Time // when tokens was last refilled
 }
 
-// Stats counts how calls ended.
+// Stats are the counters of a Handler.
 type Stats struct {
-	Answered atomic.Int64
-	Refused  atomic.Int64
-	Unknown  atomic.Int64
-	Cut      atomic.Int64
-	Attempts atomic.Int64
+	Answered atomic.Int64 // complete answers
+	Refused  atomic.Int64 // calls that did not run
+	Unknown  atomic.Int64 // calls that may have run but got no answer
+	Cut      atomic.Int64 // answers that ended early
+	Attempts atomic.Int64 // upstreams tried
 }
 
 // New returns a Handler.
@@ -76,60 +76,60 @@
 		cfg: cfg,
 		transport: &http.Transport{
 			DialContext:           (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			ResponseHeaderTimeout: answerTimeout,
+			ResponseHeaderTimeout: responseHeaderTimeout,
 			MaxIdleConnsPerHost:   16,
 			DisableCompression:    true,
 		},
-		rnd:       rand.New(rand.NewPCG(cfg.Seed, 2)),
-		inflight:  map[stoatpaddle.UpstreamKey]int{},
-		customers: map[stoatpaddle.CustomerID]*customer{},
-		buffers:   sync.Pool{New: func() any { b := make([]byte, copyBuffer); return &b }},
+		rnd:            rand.New(rand.NewPCG(cfg.Seed, 2)),
+		openByUpstream: map[stoatpaddle.UpstreamKey]int{},
+		customers:      map[stoatpaddle.CustomerID]*customerUsage{},
+		buffers:        sync.Pool{New: func() any { b := make([]byte, copyBufferSize); return &b }},
 	}
 }
 
-// Stop makes the handler refuse new calls; those in progress go on.
+// Stop makes the handler refuse new calls. Calls in progress continue.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
-// Open returns the number of calls in progress.
-func (h *Handler) Open() int { return int(h.open.Load()) }
+// Open returns the number of requests in progress.
+func (h *Handler) Open() int { return int(h.openCalls.Load()) }
 
 // Stats returns the handler's counters.
 func (h *Handler) Stats() *Stats { return &h.stats }
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	h.open.Add(1)
-	defer h.open.Add(-1)
+	h.openCalls.Add(1)
+	defer h.openCalls.Add(-1)
 	if h.stopping.Load() {
 		w.Header().Set("Connection", "close")
-		h.refuse(w, ProblemStopping, http.StatusServiceUnavailable, "")
+		h.refuseRetryable(w, ProblemStopping, http.StatusServiceUnavailable, "")
 		return
 	}
 	v := h.cfg.View()
 	if v == nil {
-		h.refuse(w, ProblemNotReady, http.StatusServiceUnavailable, "")
+		h.refuseRetryable(w, ProblemNotReady, http.StatusServiceUnavailable, "")
 		return
 	}
-	svc := v.CallService(hostOf(r))
+	svc := v.CallService(authorityOf(r))
 	if svc == nil {
 		h.stats.Refused.Add(1)
-		refuse(w, ProblemNoService, http.StatusMisdirectedRequest, 0, r.Host)
+		writeProblem(w, ProblemNoService, http.StatusMisdirectedRequest, 0, r.Host)
 		return
 	}
-	if !h.admit(v, svc) {
-		h.refuse(w, ProblemLimit, http.StatusTooManyRequests, svc.Ref.String())
+	if !h.admitCall(v, svc) {
+		h.refuseRetryable(w, ProblemLimit, http.StatusTooManyRequests, svc.Ref.String())
 		return
 	}
-	defer h.leave(svc)
-	h.call(w, r, svc)
+	defer h.releaseCall(svc)
+	h.tryUpstreams(w, r, svc)
 }
 
-func (h *Handler) refuse(w http.ResponseWriter, e *stoatevent.Entry, status int, detail string) {
+func (h *Handler) refuseRetryable(w http.ResponseWriter, e *stoatevent.Entry, status int, detail string) {
 	h.stats.Refused.Add(1)
-	refuse(w, e, status, comeBack, detail)
+	writeProblem(w, e, status, retryAfterSeconds, detail)
 }
 
-func hostOf(r *http.Request) string {
+func authorityOf(r *http.Request) string {
 	host := r.Host
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -137,8 +137,9 @@
 	return strings.ToLower(host)
 }
 
-// admit counts the call against this entry's equal part of the customer's limits.
-func (h *Handler) admit(v *stoatview.View, svc *stoatview.Service) bool {
+// admitCall counts the call against the customer's limits, of which each entry enforces an equal part. It
+// returns false if the call exceeds one of them.
+func (h *Handler) admitCall(v *stoatview.View, svc *stoatview.Service) bool {
 	now := h.cfg.Clock()
 	entries := max(1, len(v.Entries.Members))
 	h.mu.Lock()
@@ -146,11 +147,11 @@
 	c := h.customers[svc.Ref.Customer]
 	rate := max(1, float64(svc.Limits.Rate)/float64(entries))
 	if c == nil {
-		c = &customer{tokens: rate, filled: now}
+		c = &customerUsage{tokens: rate, refilledAt: now}
 		h.customers[svc.Ref.Customer] = c
 	}
-	c.tokens = min(rate, c.tokens+rate*now.Sub(c.filled).Seconds())
-	c.filled = now
+	c.tokens = min(rate, c.tokens+rate*now.Sub(c.refilledAt).Seconds())
+	c.refilledAt = now
 	if c.calls >= max(1, svc.Limits.Calls/entries) || c.tokens < 1 {
 		return false
 	}
@@ -159,32 +160,33 @@
 	return true
 }
 
-func (h *Handler) leave(svc *stoatview.Service) {
+func (h *Handler) releaseCall(svc *stoatview.Service) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.customers[svc.Ref.Customer].calls--
 }
 
-// call tries upstreams until one runs the request.
-func (h *Handler) call(w http.ResponseWriter, r *http.Request, svc *stoatview.Service) {
-	body := &trackedBody{rc: r.Body}
+// tryUpstreams tries upstreams until one runs the request. It does not try another one if the request may have
+// run and is not idempotent.
+func (h *Handler) tryUpstreams(w http.ResponseWriter, r *http.Request, svc *stoatview.Service) {
+	body := &trackedBody{body: r.Body}
 	tried := map[stoatpaddle.UpstreamKey]bool{}
 	for range maxAttempts {
-		u := h.pick(svc, tried)
+		u := h.acquireUpstream(svc, tried)
 		if u == nil {
 			break
 		}
 		tried[u.Key] = true
 		h.stats.Attempts.Add(1)
 		res, err := h.send(r, u, body)
-		if err == nil && !notRun(res) {
-			h.finish(w, res, u)
+		if err == nil && !refusedByUpstream(res) {
+			h.forwardAnswer(w, res, u)
 			return
 		}
-		h.drop(u)
-		if err != nil && !provablyNotRun(err) && !idempotent(r.Method) {
+		h.releaseUpstream(u)
+		if err != nil && !dialFailed(err) && !idempotent(r.Method) {
 			h.stats.Unknown.Add(1)
-			refuse(w, ProblemUnknown, http.StatusBadGateway, 0, "")
+			writeProblem(w, ProblemUnknown, http.StatusBadGateway, 0, "")
 			return
 		}
 		if r.Context().Err() != nil {
@@ -193,36 +195,38 @@
 		if res != nil {
 			_ = res.Body.Close()
 		}
-		// A body that was read in part cannot be sent to another upstream.
-		if body.touched.Load() {
-			h.afterBody(w, err)
+		// A partly read body cannot be sent to another upstream.
+		if body.started.Load() {
+			h.refuseBodyRead(w, err)
 			return
 		}
 	}
-	h.refuse(w, ProblemBusy, http.StatusServiceUnavailable, svc.Ref.String())
+	h.refuseRetryable(w, ProblemBusy, http.StatusServiceUnavailable, svc.Ref.String())
 }
 
-// finish passes the answer on; the deferred drop also runs when a cut answer aborts.
-func (h *Handler) finish(w http.ResponseWriter, res *http.Response, u *stoatview.Upstream) {
-	defer h.drop(u)
-	h.answer(w, res)
+// forwardAnswer copies the answer to the caller. The upstream is released in a deferred call because copyAnswer
+// panics if the answer ends early.
+func (h *Handler) forwardAnswer(w http.ResponseWriter, res *http.Response, u *stoatview.Upstream) {
+	defer h.releaseUpstream(u)
+	h.copyAnswer(w, res)
 }
 
-func (h *Handler) afterBody(w http.ResponseWriter, err error) {
-	if err == nil || provablyNotRun(err) {
-		h.refuse(w, ProblemBusy, http.StatusServiceUnavailable, "")
+// refuseBodyRead answers a call that cannot be tried again because part of its body was read.
+func (h *Handler) refuseBodyRead(w http.ResponseWriter, err error) {
+	if err == nil || dialFailed(err) {
+		h.refuseRetryable(w, ProblemBusy, http.StatusServiceUnavailable, "")
 		return
 	}
 	h.stats.Unknown.Add(1)
-	refuse(w, ProblemUnknown, http.StatusBadGateway, 0, "")
+	writeProblem(w, ProblemUnknown, http.StatusBadGateway, 0, "")
 }
 
-func notRun(res *http.Response) bool {
+func refusedByUpstream(res *http.Response) bool {
 	return res.StatusCode == http.StatusServiceUnavailable && res.Header.Get(HeaderNotRun) != ""
 }
 
-// provablyNotRun tells whether the connection was never made, so that no byte left.
-func provablyNotRun(err error) bool {
+// dialFailed reports whether err means that there was no connection, so that the upstream got no byte.
+func dialFailed(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
@@ -236,8 +240,10 @@
 	}
 }
 
-// pick takes the upstream with the fewest calls from here for its weight, at random among equals.
-func (h *Handler) pick(svc *stoatview.Service, tried map[stoatpaddle.UpstreamKey]bool) *stoatview.Upstream {
+// acquireUpstream takes a slot of an upstream that was not tried yet, or returns nil if none has a free slot.
+// It chooses the upstream with the fewest calls of this entry in proportion to its weight, at random among
+// equals.
+func (h *Handler) acquireUpstream(svc *stoatview.Service, tried map[stoatpaddle.UpstreamKey]bool) *stoatview.Upstream {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	ups := svc.Set.Upstreams
@@ -248,49 +254,49 @@
 	start := h.rnd.IntN(len(ups))
 	for i := range ups {
 		u := ups[(start+i)%len(ups)]
-		if tried[u.Key] || h.inflight[u.Key] >= u.Slots {
+		if tried[u.Key] || h.openByUpstream[u.Key] >= u.Slots {
 			continue
 		}
-		if best == nil || h.inflight[u.Key]*int(best.Weight) < h.inflight[best.Key]*int(u.Weight) {
+		if best == nil || h.openByUpstream[u.Key]*int(best.Weight) < h.openByUpstream[best.Key]*int(u.Weight) {
 			best = u
 		}
 	}
 	if best != nil {
-		h.inflight[best.Key]++
+		h.openByUpstream[best.Key]++
 	}
 	return best
 }
 
-func (h *Handler) drop(u *stoatview.Upstream) {
+func (h *Handler) releaseUpstream(u *stoatview.Upstream) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.inflight[u.Key]--; h.inflight[u.Key] == 0 {
-		delete(h.inflight, u.Key)
+	if h.openByUpstream[u.Key]--; h.openByUpstream[u.Key] == 0 {
+		delete(h.openByUpstream, u.Key)
 	}
 }
 
-// hopHeaders belong to one connection (RFC 9110, 7.6.1).
-var hopHeaders = []string{
+// hopByHopHeaders are the headers that concern one connection only and are not forwarded (RFC 9110, 7.6.1).
+var hopByHopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// send passes the request on.
+// send sends the request to the upstream and returns the answer.
 func (h *Handler) send(r *http.Request, u *stoatview.Upstream, body *trackedBody) (*http.Response, error) {
 	ctx := r.Context()
 	if !idempotent(r.Method) {
-		// A caller that leaves does not stop what may be half done.
+		// A call that may be half done continues if its caller disconnects.
 		ctx = context.WithoutCancel(ctx)
 	}
 	out := r.Clone(ctx)
 	out.URL.Scheme = "http"
 	out.URL.Host = u.Addr.String()
 	out.RequestURI = ""
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Header.Del(name)
 	}
-	// net/http sends a request again by itself when a reused connection breaks, also a
-	// POST if it bears an Idempotency-Key and no body: it might run twice. A body that
-	// cannot be rewound keeps it from doing so.
+	// net/http repeats a request by itself if a reused connection breaks, even a POST if it has an
+	// Idempotency-Key and no body, so that the request might run twice. It does not repeat a request whose body
+	// cannot be rewound.
 	if out.Body != http.NoBody || !idempotent(r.Method) {
 		out.Body = body
 	}
@@ -298,35 +304,35 @@
 	return h.transport.RoundTrip(out)
 }
 
-// answer streams the answer back. One that is cut short aborts the caller's connection:
-// passed on as if complete, the caller would take half an answer for the whole.
-func (h *Handler) answer(w http.ResponseWriter, res *http.Response) {
+// copyAnswer streams the answer to the caller. If the answer ends early, it aborts the caller's connection,
+// because the caller would otherwise take a partial answer for the complete one.
+func (h *Handler) copyAnswer(w http.ResponseWriter, res *http.Response) {
 	defer func() { _ = res.Body.Close() }()
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		res.Header.Del(name)
 	}
 	for k, v := range res.Header {
 		w.Header()[k] = v
 	}
 	w.WriteHeader(res.StatusCode)
-	if err := h.stream(w, res.Body); err != nil {
+	if err := h.copyBody(w, res.Body); err != nil {
 		h.stats.Cut.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	h.stats.Answered.Add(1)
 }
 
-func (h *Handler) stream(w http.ResponseWriter, body io.Reader) error {
+func (h *Handler) copyBody(w http.ResponseWriter, body io.Reader) error {
 	buf, _ := h.buffers.Get().(*[]byte)
 	defer h.buffers.Put(buf)
-	flush := http.NewResponseController(w)
+	controller := http.NewResponseController(w)
 	for {
 		n, err := body.Read(*buf)
 		if n > 0 {
 			if _, werr := w.Write((*buf)[:n]); werr != nil {
 				return werr
 			}
-			_ = flush.Flush()
+			_ = controller.Flush()
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -337,20 +343,20 @@
 	}
 }
 
-// trackedBody notes whether a byte of the request's body was read; it survives a failed attempt.
+// trackedBody is a request body that records whether any of it was read, and stays open after a failed attempt.
 type trackedBody struct {
-	rc      io.ReadCloser
-	touched atomic.Bool
+	body    io.ReadCloser
+	started atomic.Bool // at least one byte was read
 }
 
 // Read implements io.Reader.
 func (b *trackedBody) Read(p []byte) (int, error) {
-	n, err := b.rc.Read(p)
+	n, err := b.body.Read(p)
 	if n > 0 {
-		b.touched.Store(true)
+		b.started.Store(true)
 	}
 	return n, err
 }
 
-// Close leaves the body open for the next attempt; the server closes it.
+// Close does nothing: the next attempt needs the body, and the server closes it.
 func (b *trackedBody) Close() error { return nil }
--- a/stoatcommand/centre.go
+++ b/stoatcommand/centre.go
@@ -8,33 +8,33 @@
 )
 
 type centreArgs struct {
-	Evacuate *evacuateArgs `arg:"subcommand:evacuate" help:"have the upstreams of a data centre get no new work"`
-	Restore  *takeBackArgs `arg:"subcommand:restore" help:"take an evacuated data centre back"`
-	List     *listCentres  `arg:"subcommand:list" help:"list the data centres that are evacuated, as an entry sees them"`
+	Evacuate *centreEvacuateArgs `arg:"subcommand:evacuate" help:"stop new work for the upstreams of a data centre"`
+	Restore  *centreRestoreArgs  `arg:"subcommand:restore" help:"withdraw the evacuation of a data centre"`
+	List     *centreListArgs     `arg:"subcommand:list" help:"list the evacuated data centres that an entry knows"`
 }
 
 type centreNameArgs struct {
 	entryArgs
-	Centre string `arg:"positional,required" help:"a data centre"`
+	Centre string `arg:"positional,required" help:"name of the data centre"`
 }
 
-type evacuateArgs struct{ centreNameArgs }
+type centreEvacuateArgs struct{ centreNameArgs }
 
-func (a *evacuateArgs) run(c *env) error {
+func (a *centreEvacuateArgs) run(c *env) error {
 	answer, err := a.client().Evacuate(c.ctx, stoatpaddle.DataCentreID(a.Centre))
-	return a.report(c, answer, err)
+	return a.printOutcome(c, answer, err)
 }
 
-type takeBackArgs struct{ centreNameArgs }
+type centreRestoreArgs struct{ centreNameArgs }
 
-func (a *takeBackArgs) run(c *env) error {
+func (a *centreRestoreArgs) run(c *env) error {
 	answer, err := a.client().TakeBack(c.ctx, stoatpaddle.DataCentreID(a.Centre))
-	return a.report(c, answer, err)
+	return a.printOutcome(c, answer, err)
 }
 
-type listCentres struct{ entryArgs }
+type centreListArgs struct{ entryArgs }
 
-func (a *listCentres) run(c *env) error {
+func (a *centreListArgs) run(c *env) error {
 	st, err := a.client().Status(c.ctx)
 	if err != nil {
 		return err
--- a/stoatcontract/codec.go
+++ b/stoatcontract/codec.go
@@ -8,7 +8,7 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// The wire types of the platform's objects; docs/PLATFORM.md documents them.
+// The wire types of the platform's objects. They are documented in docs/PLATFORM.md.
 type (
 	wireContract struct {
 		Customer string        `json:"customer"`
@@ -51,18 +51,18 @@
 		Weight uint32 `json:"weight"`
 	}
 	wireInstance struct {
-		Name   string `json:"name"`
-		Role   string `json:"role"`
-		Centre string `json:"centre"`
-		State  string `json:"state"`
-		Life   uint64 `json:"life"`
-		Relay  string `json:"relay,omitempty"`
-		Peer   string `json:"peer,omitempty"`
-		Admin  string `json:"admin,omitempty"`
+		Name        string `json:"name"`
+		Role        string `json:"role"`
+		Centre      string `json:"centre"`
+		State       string `json:"state"`
+		Incarnation uint64 `json:"life"`
+		Relay       string `json:"relay,omitempty"`
+		Peer        string `json:"peer,omitempty"`
+		Admin       string `json:"admin,omitempty"`
 	}
 )
 
-// Encode returns the contract's JSON.
+// Encode returns the contract as JSON.
 func Encode(c stoatpaddle.Contract) ([]byte, error) {
 	w := wireContract{
 		Customer: string(c.Customer), Lean: string(c.Lean),
@@ -93,7 +93,8 @@
 	return w
 }
 
-// Decode reads a contract's JSON, or returns *stoatpaddle.DecodeError.
+// Decode decodes a contract's JSON. It returns *stoatpaddle.DecodeError if that fails, and
+// *stoatpaddle.FaultsError if the contract is not valid.
 func Decode(data []byte) (stoatpaddle.Contract, error) {
 	var w wireContract
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -165,11 +166,11 @@
 	}, err
 }
 
-// EncodeInstance returns the instance's JSON.
+// EncodeInstance returns the instance as JSON.
 func EncodeInstance(i stoatpaddle.Instance) ([]byte, error) {
 	w := wireInstance{
 		Name: string(i.ID), Role: string(i.Role), Centre: string(i.DataCentre), State: string(i.State),
-		Life: uint64(i.Incarnation),
+		Incarnation: uint64(i.Incarnation),
 	}
 	if i.Role == stoatpaddle.RoleEntry {
 		w.Relay, w.Peer, w.Admin = i.Relay.String(), i.Peer.String(), i.Admin.String()
@@ -177,7 +178,7 @@
 	return json.Marshal(w)
 }
 
-// DecodeInstance reads an instance's JSON, or returns *stoatpaddle.DecodeError.
+// DecodeInstance decodes an instance's JSON, or returns *stoatpaddle.DecodeError.
 func DecodeInstance(data []byte) (stoatpaddle.Instance, error) {
 	var w wireInstance
 	if err := json.Unmarshal(data, &w); err != nil {
@@ -185,20 +186,20 @@
 	}
 	i := stoatpaddle.Instance{
 		ID: stoatpaddle.InstanceID(w.Name), Role: stoatpaddle.Role(w.Role), DataCentre: stoatpaddle.DataCentreID(w.Centre),
-		State: stoatpaddle.State(w.State), Incarnation: stoatpaddle.Incarnation(w.Life),
+		State: stoatpaddle.State(w.State), Incarnation: stoatpaddle.Incarnation(w.Incarnation),
 	}
 	if i.Role != stoatpaddle.RoleEntry {
 		return i, nil
 	}
 	for _, a := range []struct {
 		text string
-		into *netip.AddrPort
+		dst  *netip.AddrPort
 	}{{w.Relay, &i.Relay}, {w.Peer, &i.Peer}, {w.Admin, &i.Admin}} {
 		addr, err := netip.ParseAddrPort(a.text)
 		if err != nil {
 			return i, &stoatpaddle.DecodeError{What: "instance " + w.Name, Cause: err}
 		}
-		*a.into = addr
+		*a.dst = addr
 	}
 	return i, nil
 }
--- a/stoatevent/log.go
+++ b/stoatevent/log.go
@@ -12,10 +12,10 @@
 	Value string
 }
 
-// F returns a field.
+// F returns a Field.
 func F(key, value string) Field { return Field{Key: key, Value: value} }
 
-// Sink takes numbered events.
+// Sink receives events.
 type Sink interface {
 	Emit(e *Entry, fields ...Field)
 }
@@ -23,34 +23,34 @@
 // Config configures a Logger.
 type Config struct {
 	Writer   io.Writer
-	Level    string // debug, info, warn or error
-	Instance string
+	Level    string // minimum level: debug, info, warn or error
+	Instance string // written into every line
 }
 
-// Logger writes events as JSON lines.
+// Logger is a Sink that writes events as JSON lines.
 type Logger struct {
-	out      log.Logger
+	logger   log.Logger
 	instance string
 }
 
 // NewLogger returns a Logger for one instance.
 func NewLogger(cfg Config) *Logger {
 	return &Logger{
-		out:      log.Logger{Level: log.ParseLevel(cfg.Level), Writer: &log.IOWriter{Writer: cfg.Writer}},
+		logger:   log.Logger{Level: log.ParseLevel(cfg.Level), Writer: &log.IOWriter{Writer: cfg.Writer}},
 		instance: cfg.Instance,
 	}
 }
 
-// Emit writes one event.
+// Emit writes one event as a line.
 func (l *Logger) Emit(e *Entry, fields ...Field) {
-	line := l.out.WithLevel(level(e.Severity)).Str("event", e.Number.String()).Str("instance", l.instance)
+	line := l.logger.WithLevel(levelOf(e.Severity)).Str("event", e.Number.String()).Str("instance", l.instance)
 	for _, f := range fields {
 		line = line.Str(f.Key, f.Value)
 	}
 	line.Msg(e.Title)
 }
 
-func level(s Severity) log.Level {
+func levelOf(s Severity) log.Level {
 	switch s {
 	case Warning:
 		return log.WarnLevel
--- a/stoatini/reader.go
+++ b/stoatini/reader.go
@@ -12,24 +12,24 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Reader reads one file and gathers its faults.
+// Reader reads the values of one file and collects its faults.
 type Reader struct {
 	file     string
 	sections []*Section
 	faults   []*stoatpaddle.Fault
 }
 
-// Section is one section of the file; its keys count as known once they were read.
+// Section is one section of the file. A key becomes known when its value is requested; Err reports the others.
 type Section struct {
-	Kind string // first word of the header
-	Name string // the rest of the header
-	r    *Reader
-	sec  *ini.Section
-	read map[string]bool
-	used bool
+	Kind      string // first word of the header
+	Name      string // the rest of the header
+	reader    *Reader
+	sec       *ini.Section // nil if the file has no such section
+	known     map[string]bool
+	requested bool
 }
 
-// Parse reads the file's content.
+// Parse returns a Reader of the file's content. Syntax errors and duplicate sections become faults.
 func Parse(file string, data []byte) *Reader {
 	r := &Reader{file: file}
 	f, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: true}, data)
@@ -49,49 +49,50 @@
 		}
 		seen[sec.Name()] = true
 		r.sections = append(r.sections, &Section{
-			Kind: kind, Name: strings.TrimSpace(name), r: r, sec: sec, read: map[string]bool{},
+			Kind: kind, Name: strings.TrimSpace(name), reader: r, sec: sec, known: map[string]bool{},
 		})
 	}
 	return r
 }
 
-// Fault adds a fault.
+// Fault adds a fault at a key of a section. An empty key stands for the section itself.
 func (r *Reader) Fault(section, key, got, want string) {
 	r.faults = append(r.faults, &stoatpaddle.Fault{File: r.file, Section: section, Key: key, Got: got, Want: want})
 }
 
-// Section returns the only section of that kind; a missing one reads as empty.
+// Section returns the section of that kind that has no name. If it is missing, the result is an empty section.
 func (r *Reader) Section(kind string) *Section {
 	for _, s := range r.sections {
 		if s.Kind == kind && s.Name == "" {
-			s.used = true
+			s.requested = true
 			return s
 		}
 	}
-	return &Section{Kind: kind, r: r, read: map[string]bool{}, used: true}
+	return &Section{Kind: kind, reader: r, known: map[string]bool{}, requested: true}
 }
 
-// Named returns the sections of that kind which bear a name, in the file's order.
+// Named returns the sections of that kind that have a name, in the order of the file.
 func (r *Reader) Named(kind string) []*Section {
 	var out []*Section
 	for _, s := range r.sections {
 		if s.Kind == kind && s.Name != "" {
-			s.used = true
+			s.requested = true
 			out = append(out, s)
 		}
 	}
 	return out
 }
 
-// Err returns *stoatpaddle.FaultsError if there was a fault, counting what was never read.
+// Err returns *stoatpaddle.FaultsError if there are faults. Sections and keys that were never requested count
+// as faults.
 func (r *Reader) Err() error {
 	for _, s := range r.sections {
-		if !s.used {
+		if !s.requested {
 			r.Fault(s.header(), "", s.header(), "a known section")
 			continue
 		}
 		for _, k := range s.sec.Keys() {
-			if !s.read[k.Name()] {
+			if !s.known[k.Name()] {
 				r.Fault(s.header(), k.Name(), k.Value(), "a known key")
 			}
 		}
@@ -104,34 +105,36 @@
 
 func (s *Section) header() string { return strings.TrimSpace(s.Kind + " " + s.Name) }
 
-// Fault adds a fault at a key of the section.
-func (s *Section) Fault(key, got, want string) { s.r.Fault(s.header(), key, got, want) }
+// Fault adds a fault at a key of the section. An empty key stands for the section itself.
+func (s *Section) Fault(key, got, want string) { s.reader.Fault(s.header(), key, got, want) }
 
-// Keys returns the keys of a section whose keys are names, and counts them as known.
+// Keys returns all keys of the section and makes them known. It is for sections whose keys are names that the
+// operator chooses.
 func (s *Section) Keys() []string {
 	if s.sec == nil {
 		return nil
 	}
 	for _, k := range s.sec.KeyStrings() {
-		s.read[k] = true
+		s.known[k] = true
 	}
 	return s.sec.KeyStrings()
 }
 
-// raw returns the value and whether the key is there.
-func (s *Section) raw(key string) (string, bool) {
-	s.read[key] = true
+// value returns the key's value and whether the key exists.
+func (s *Section) value(key string) (string, bool) {
+	s.known[key] = true
 	if s.sec == nil || !s.sec.HasKey(key) {
 		return "", false
 	}
 	return strings.TrimSpace(s.sec.Key(key).Value()), true
 }
 
-// Word returns a name: letters, digits, dots, hyphens and underscores.
-func (s *Section) Word(key, standard string) string {
-	v, ok := s.raw(key)
-	if !ok && standard != "" {
-		return standard
+// Word returns a name of letters, digits, dots, hyphens and underscores. An empty default makes the key
+// required.
+func (s *Section) Word(key, defaultValue string) string {
+	v, ok := s.value(key)
+	if !ok && defaultValue != "" {
+		return defaultValue
 	}
 	if !isWord(v) {
 		s.Fault(key, v, "a name of letters, digits, '.', '-' and '_'")
@@ -154,7 +157,7 @@
 
 // Choice returns one of the options; the first is the default.
 func (s *Section) Choice(key string, options ...string) string {
-	v, ok := s.raw(key)
+	v, ok := s.value(key)
 	if !ok {
 		return options[0]
 	}
@@ -167,51 +170,51 @@
 	return options[0]
 }
 
-// Int returns a whole number from least to most.
-func (s *Section) Int(key string, standard, least, most int) int {
-	v, ok := s.raw(key)
+// Int returns a whole number from lowest to highest.
+func (s *Section) Int(key string, defaultValue, lowest, highest int) int {
+	v, ok := s.value(key)
 	if !ok {
-		return standard
+		return defaultValue
 	}
 	n, err := strconv.Atoi(v)
-	if err != nil || n < least || n > most {
-		s.Fault(key, v, fmt.Sprintf("a whole number from %d to %d", least, most))
-		return standard
+	if err != nil || n < lowest || n > highest {
+		s.Fault(key, v, fmt.Sprintf("a whole number from %d to %d", lowest, highest))
+		return defaultValue
 	}
 	return n
 }
 
-// Number returns a number from least to most.
-func (s *Section) Number(key string, standard, least, most float64) float64 {
-	v, ok := s.raw(key)
+// Number returns a number from lowest to highest.
+func (s *Section) Number(key string, defaultValue, lowest, highest float64) float64 {
+	v, ok := s.value(key)
 	if !ok {
-		return standard
+		return defaultValue
 	}
 	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || !(n >= least && n <= most) {
-		s.Fault(key, v, fmt.Sprintf("a number from %g to %g", least, most))
-		return standard
+	if err != nil || !(n >= lowest && n <= highest) {
+		s.Fault(key, v, fmt.Sprintf("a number from %g to %g", lowest, highest))
+		return defaultValue
 	}
 	return n
 }
 
 // Duration returns a positive duration such as 30s.
-func (s *Section) Duration(key string, standard time.Duration) time.Duration {
-	v, ok := s.raw(key)
+func (s *Section) Duration(key string, defaultValue time.Duration) time.Duration {
+	v, ok := s.value(key)
 	if !ok {
-		return standard
+		return defaultValue
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d <= 0 {
 		s.Fault(key, v, "a positive duration such as 30s")
-		return standard
+		return defaultValue
 	}
 	return d
 }
 
-// Addr returns an IP address.
+// Addr returns an IP address. The key is required.
 func (s *Section) Addr(key string) netip.Addr {
-	v, _ := s.raw(key)
+	v, _ := s.value(key)
 	a, err := netip.ParseAddr(v)
 	if err != nil {
 		s.Fault(key, v, "an IP address")
@@ -219,11 +222,11 @@
 	return a
 }
 
-// AddrPort returns an address and port; an empty default makes the key required.
-func (s *Section) AddrPort(key, standard string) netip.AddrPort {
-	v, ok := s.raw(key)
+// AddrPort returns an IP address and port. An empty default makes the key required.
+func (s *Section) AddrPort(key, defaultValue string) netip.AddrPort {
+	v, ok := s.value(key)
 	if !ok {
-		v = standard
+		v = defaultValue
 	}
 	a, err := netip.ParseAddrPort(v)
 	if err != nil || a.Port() == 0 {
@@ -232,9 +235,9 @@
 	return a
 }
 
-// Ports returns ports, separated by commas.
+// Ports returns a comma-separated list of ports. The key is required.
 func (s *Section) Ports(key string) []uint16 {
-	v, _ := s.raw(key)
+	v, _ := s.value(key)
 	var out []uint16
 	for _, part := range strings.Split(v, ",") {
 		n, err := strconv.ParseUint(strings.TrimSpace(part), 10, 16)
@@ -247,9 +250,9 @@
 	return out
 }
 
-// AddrPorts returns addresses and ports, separated by commas; none by default.
+// AddrPorts returns a comma-separated list of IP addresses and ports. The default is none.
 func (s *Section) AddrPorts(key string) []netip.AddrPort {
-	v, ok := s.raw(key)
+	v, ok := s.value(key)
 	if !ok {
 		return nil
 	}
