--- a/contract.go
+++ b/contract.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Kind is the kind of a service: how its traffic is forwarded.
-type Kind string
+// ServiceKind is the kind of a service: how its traffic is forwarded.
+type ServiceKind string
 
 // The kinds of service.
 const (
-	KindFlow Kind = "flow" // opaque TCP or UDP, forwarded packet by packet
-	KindCall Kind = "call" // HTTP, terminated by an entry
+	KindFlow ServiceKind = "flow" // opaque TCP or UDP, forwarded packet by packet
+	KindCall ServiceKind = "call" // HTTP, terminated by an entry
 )
 
-// Lean is what a customer prefers when entries have to trade few tracked flows for an even load.
-type Lean string
+// Preference is what a customer prefers when entries have to trade few tracked flows for an even load.
+type Preference string
 
 // The preferences.
 const (
-	LeanFlows   Lean = "flows"   // as few tracked flows as possible, so that few break when an entry fails
-	LeanBalance Lean = "balance" // a load that is as even as possible
+	PreferFewTracked Preference = "flows"   // as few tracked flows as possible, so that few break when an entry fails
+	PreferBalance    Preference = "balance" // a load that is as even as possible
 )
 
 // Protocol is an IP protocol number (IANA).
@@ -51,26 +51,26 @@
 	Addr        netip.AddrPort
 	Weight      Weight
 	Slots       int // maximum number of calls that run at once
-	Connections int // maximum number of open flows
-	Opens       int // maximum number of new flows a second, over all entries; 0: no limit
+	MaxFlows    int // maximum number of open flows
+	MaxOpenRate int // maximum number of new flows a second, over all entries; 0: no limit
 }
 
 // Service is one service of a customer.
 type Service struct {
-	ID        ServiceID
-	Kind      Kind
-	Addr      netip.Addr // flow services only: the destination address of callers' packets
-	Protocol  Protocol   // flow services only
-	Ports     []uint16   // flow services only, ascending
-	Host      string     // call services only: the authority in callers' requests
-	Upstreams []Upstream // ascending by ID
-	Retired   []Retired  // removed by an amendment, but may still have open flows
-	Centres   []CentreWeight
+	ID            ServiceID
+	Kind          ServiceKind
+	Addr          netip.Addr        // flow services only: the destination address of callers' packets
+	Protocol      Protocol          // flow services only
+	Ports         []uint16          // flow services only, ascending
+	Host          string            // call services only: the authority in callers' requests
+	Upstreams     []Upstream        // ascending by ID
+	Retired       []RetiredUpstream // removed by an amendment, but may still have open flows
+	CentreWeights []CentreWeight
 }
 
-// Retired is an upstream that an amendment removed from a contract. The contract keeps it for a
+// RetiredUpstream is an upstream that an amendment removed from a contract. The contract keeps it for a
 // while, because entries that start later would otherwise not know where its open flows go.
-type Retired struct {
+type RetiredUpstream struct {
 	Upstream Upstream
 	Until    time.Time // when the contract no longer needs to keep it
 }
@@ -83,46 +83,46 @@
 
 // Limits are what one customer may use at most, over all entries.
 type Limits struct {
-	Flows int // open flows
-	Opens int // new flows a second
-	Calls int // calls in progress
-	Rate  int // calls a second
+	Flows    int // open flows
+	OpenRate int // new flows a second
+	Calls    int // calls in progress
+	CallRate int // calls a second
 }
 
 // Contract is what operators declare for one customer.
 type Contract struct {
-	Customer CustomerID
-	Lean     Lean
-	Limits   Limits
-	Services []Service // ascending by ID
+	Customer   CustomerID
+	Preference Preference
+	Limits     Limits
+	Services   []Service // ascending by ID
 }
 
-// Role is the role of an instance.
-type Role string
+// InstanceRole is the role of an instance.
+type InstanceRole string
 
 // The roles of an instance.
 const (
-	RoleEntry    Role = "entry"
-	RoleUpstream Role = "upstream"
+	RoleEntry    InstanceRole = "entry"
+	RoleUpstream InstanceRole = "upstream"
 )
 
-// State is the lifecycle state of an instance, as declared by operators or by the instance itself.
-type State string
+// InstanceState is the lifecycle state of an instance, as declared by operators or by the instance itself.
+type InstanceState string
 
 // The states of an instance.
 const (
-	StateJoining State = "joining"
-	StateLive    State = "live"
-	StateLeaving State = "leaving"
+	StateJoining InstanceState = "joining"
+	StateLive    InstanceState = "live"
+	StateLeaving InstanceState = "leaving"
 )
 
 // Instance is the platform's object for one entry, or for one upstream that operators marked as joining or
 // leaving.
 type Instance struct {
 	ID          InstanceID
-	Role        Role
+	Role        InstanceRole
 	DataCentre  DataCentreID
-	State       State
+	State       InstanceState
 	Incarnation Incarnation
 	Relay       netip.AddrPort // entries only: receives packets relayed by other entries
 	Peer        netip.AddrPort // entries only: accepts connections from peers
--- a/errors.go
+++ b/errors.go
@@ -7,7 +7,7 @@
 )
 
 // NotFoundError reports that an object does not exist.
-type NotFoundError struct{ Ref Ref }
+type NotFoundError struct{ Ref ObjectRef }
 
 // Error names the object.
 func (e *NotFoundError) Error() string { return "no such object: " + e.Ref.String() }
@@ -15,7 +15,7 @@
 // ConflictError reports that a conditional write failed because the object has another version. Current is
 // the present object.
 type ConflictError struct {
-	Ref     Ref
+	Ref     ObjectRef
 	Current Object
 }
 
@@ -38,12 +38,12 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// RateError reports that the platform refused a call because of its rate limit. The call had no effect.
-type RateError struct{ After time.Duration }
+// RateLimitError reports that the platform refused a call because of its rate limit. The call had no effect.
+type RateLimitError struct{ RetryAfter time.Duration }
 
 // Error gives the time until a retry is allowed.
-func (e *RateError) Error() string {
-	return fmt.Sprintf("platform's rate limit is reached: retry after %s", e.After)
+func (e *RateLimitError) Error() string {
+	return fmt.Sprintf("platform's rate limit is reached: retry after %s", e.RetryAfter)
 }
 
 // DecodeError reports a value that cannot be decoded as its kind.
--- a/ids.go
+++ b/ids.go
@@ -31,8 +31,8 @@
 // backup. 0 means that the platform does not report an era.
 type Era uint64
 
-// Token identifies one write attempt, so that the writer recognises its own write after a lost answer.
-type Token string
+// WriteToken identifies one write attempt, so that the writer recognises its own write after a lost answer.
+type WriteToken string
 
 // Incarnation distinguishes the successive starts of one instance id; the higher one is the later.
 type Incarnation uint64
--- a/platform.go
+++ b/platform.go
@@ -15,25 +15,25 @@
 	ObjectCluster  ObjectKind = "cluster"
 	// ObjectEvacuation is named after a data centre, whose upstreams get no new work as long as the object exists.
 	ObjectEvacuation ObjectKind = "evacuation"
-	// ObjectRoutes lists the former services of routes; echo fabric only.
-	ObjectRoutes ObjectKind = "routes"
+	// ObjectFormerServices lists the former services of routes; echo fabric only.
+	ObjectFormerServices ObjectKind = "routes"
 )
 
-// Ref identifies one object.
-type Ref struct {
+// ObjectRef identifies one object.
+type ObjectRef struct {
 	Kind ObjectKind
 	Name string
 }
 
 // String returns kind/name.
-func (r Ref) String() string { return string(r.Kind) + "/" + r.Name }
+func (r ObjectRef) String() string { return string(r.Kind) + "/" + r.Name }
 
 // Object is one versioned value on the platform.
 type Object struct {
-	Ref     Ref
+	Ref     ObjectRef
 	Version Version
-	Token   Token // of the write that created this version
-	Gone    bool  // the object was deleted at Version
+	Token   WriteToken // of the write that created this version
+	Deleted bool       // the object was deleted at Version
 	Value   []byte
 }
 
@@ -49,7 +49,7 @@
 // platform refused the call because of its rate limit.
 type Platform interface {
 	// Get returns the object, or *NotFoundError.
-	Get(ctx context.Context, ref Ref) (Object, error)
+	Get(ctx context.Context, ref ObjectRef) (Object, error)
 	// List returns the objects of all kinds that the system stores.
 	List(ctx context.Context) (Listing, error)
 	// Put writes o if the stored version is o.Version (0: the object must not exist), else it returns
--- a/position.go
+++ b/position.go
@@ -12,8 +12,8 @@
 // Before reports whether p is earlier than o.
 func (p Position) Before(o Position) bool { return p.compare(o) < 0 }
 
-// Later returns the later of the two positions.
-func (p Position) Later(o Position) Position {
+// Max returns the later of the two positions.
+func (p Position) Max(o Position) Position {
 	if p.Before(o) {
 		return o
 	}
--- a/route.go
+++ b/route.go
@@ -13,21 +13,21 @@
 
 // Route defines where new flows to one address go.
 type Route struct {
-	Listen     netip.AddrPort // the destination of callers' packets
-	Backends   []Backend
-	Earlier    []ServiceID   // former services, as reported by another entry; their flows continue
-	Idempotent bool          // its requests may be executed twice
-	Priority   int           // 0 is the most urgent
-	Objective  time.Duration // an answer that takes longer is late; 0: no target is declared
-	Regions    []RegionID    // its flows go only to upstreams in these regions; empty: any region
+	Listen         netip.AddrPort // the destination of callers' packets
+	Backends       []Backend
+	FormerServices []ServiceID   // former services, as reported by another entry; their flows continue
+	Idempotent     bool          // its requests may be executed twice
+	Priority       int           // 0 is the most urgent
+	TargetLatency  time.Duration // an answer that takes longer is late; 0: no target is declared
+	Regions        []RegionID    // its flows go only to upstreams in these regions; empty: any region
 }
 
 // Declaration is the complete configuration that operators declared.
 type Declaration struct {
-	Version Version // assigned by the operators; increases, not necessarily by 1
-	Routes  []Route
-	Caps    map[ServiceID]int // maximum number of flows on one upstream of the service
-	Idle    time.Duration     // a flow that is idle for longer may be forgotten
+	Version     Version // assigned by the operators; increases, not necessarily by 1
+	Routes      []Route
+	MaxFlows    map[ServiceID]int // maximum number of flows on one upstream of the service
+	IdleTimeout time.Duration     // a flow that is idle for longer may be forgotten
 	// ColdRates are the requests a second that one upstream of the service can handle while it is cold, that
 	// is, still slow after its start. Services without a limit are left out.
 	ColdRates map[ServiceID]float64
@@ -59,24 +59,24 @@
 	return e.Revision > o.Revision || e.Revision == o.Revision && e.Withdrawn && !o.Withdrawn
 }
 
-// Target identifies one incarnation of an upstream in a datagram, so that a server that has the same address
+// TargetID identifies one incarnation of an upstream in a datagram, so that a server that has the same address
 // later ignores the datagram.
-type Target uint64
+type TargetID uint64
 
 // Registration is what an upstream declares about itself on the platform.
 type Registration struct {
-	ID         UpstreamID
-	Target     Target
-	Service    ServiceID
-	DataCentre DataCentreID
-	Addr       netip.AddrPort
-	Slots      int
-	Leaving    bool
-	Cold       time.Duration // how much longer it is cold, that is, slow after its start
+	ID            UpstreamID
+	Target        TargetID
+	Service       ServiceID
+	DataCentre    DataCentreID
+	Addr          netip.AddrPort
+	Slots         int
+	Leaving       bool
+	ColdRemaining time.Duration // how much longer it is cold, that is, slow after its start
 	// Incarnation is when the upstream started, in Unix milliseconds of its own clock. A server that starts
 	// again under the same id has lost its flows. 0: the upstream does not report it.
 	Incarnation Incarnation
-	// Created is the platform's revision at which the registration was created. If the registration
+	// CreateRevision is the platform's revision at which the registration was created. If the registration
 	// lapses in an outage, the same incarnation creates a new one.
-	Created Version
+	CreateRevision Version
 }
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -77,8 +77,8 @@
 	reply(w, status, a)
 }
 
-func contractRef(r *http.Request) stoatpaddle.Ref {
-	return stoatpaddle.Ref{Kind: stoatpaddle.ObjectContract, Name: r.PathValue("name")}
+func contractRef(r *http.Request) stoatpaddle.ObjectRef {
+	return stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectContract, Name: r.PathValue("name")}
 }
 
 func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
@@ -183,7 +183,7 @@
 			current = o
 			continue
 		}
-		if other, err := stoatcontract.Decode(o.Value); o.Ref.Kind == stoatpaddle.ObjectContract && !o.Gone && err == nil {
+		if other, err := stoatcontract.Decode(o.Value); o.Ref.Kind == stoatpaddle.ObjectContract && !o.Deleted && err == nil {
 			others = append(others, other)
 		}
 	}
@@ -191,7 +191,7 @@
 		refuse(w, http.StatusUnprocessableEntity, FaultInvalid, Answer{Faults: toFaults(faults)})
 		return
 	}
-	if standing, err := stoatcontract.Decode(current.Value); err == nil && !current.Gone {
+	if standing, err := stoatcontract.Decode(current.Value); err == nil && !current.Deleted {
 		c = stoatcontract.Retire(s.cfg.Clock(), standing, c)
 	}
 	value, err := stoatcontract.Encode(c)
@@ -213,14 +213,14 @@
 		readFailed(w, err)
 		return
 	}
-	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Gone: true}, current)
+	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Deleted: true}, current)
 }
 
 // write does the conditional write and answers what became of it.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, o, current stoatpaddle.Object) {
-	own := stoatpaddle.Token(r.Header.Get(HeaderToken))
+	own := stoatpaddle.WriteToken(r.Header.Get(HeaderToken))
 	if own == "" {
-		own = stoatpaddle.Token(uuid.NewString())
+		own = stoatpaddle.WriteToken(uuid.NewString())
 	} else if stoatplatform.Wrote(current, own) {
 		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version), Token: string(own)})
 		return
@@ -243,7 +243,7 @@
 	}
 }
 
-func (s *Server) put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (s *Server) put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	s.mu.Lock()
 	rnd := rand.New(rand.NewPCG(s.cfg.Rand.Uint64(), 5))
 	s.mu.Unlock()
@@ -267,12 +267,12 @@
 		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
 		return
 	}
-	state := stoatpaddle.State(m.State)
+	state := stoatpaddle.InstanceState(m.State)
 	if state != stoatpaddle.StateLeaving && state != stoatpaddle.StateJoining {
 		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
 		return
 	}
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: r.PathValue("name")}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: r.PathValue("name")}
 	current, err := s.cfg.Platform.Get(r.Context(), ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -294,7 +294,7 @@
 }
 
 // instance returns the instance behind a mark: the object that stands, or an upstream of a contract.
-func (s *Server) instance(ref stoatpaddle.Ref, current stoatpaddle.Object) (stoatpaddle.Instance, bool) {
+func (s *Server) instance(ref stoatpaddle.ObjectRef, current stoatpaddle.Object) (stoatpaddle.Instance, bool) {
 	if i, err := stoatcontract.DecodeInstance(current.Value); current.Version > 0 && err == nil {
 		return i, true
 	}
--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -46,7 +46,7 @@
 
 func startEntry(t *testing.T, calls int, ups ...netip.AddrPort) (*Handler, string) {
 	c := stoatpaddle.Contract{
-		Customer: "sawt", Limits: stoatpaddle.Limits{Flows: 1, Opens: 1, Calls: calls, Rate: 1000},
+		Customer: "sawt", Limits: stoatpaddle.Limits{Flows: 1, OpenRate: 1, Calls: calls, CallRate: 1000},
 		Services: []stoatpaddle.Service{{ID: "ledger", Kind: stoatpaddle.KindCall, Host: "ledger.example"}},
 	}
 	for i, addr := range ups {
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -145,7 +145,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.customers[svc.Ref.Customer]
-	rate := max(1, float64(svc.Limits.Rate)/float64(entries))
+	rate := max(1, float64(svc.Limits.CallRate)/float64(entries))
 	if c == nil {
 		c = &customerUsage{tokens: rate, refilledAt: now}
 		h.customers[svc.Ref.Customer] = c
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -133,7 +133,7 @@
 	Instance string `arg:"positional,required" help:"name of an entry or an upstream"`
 }
 
-func (a *instanceStateArgs) setState(c *env, state stoatpaddle.State) error {
+func (a *instanceStateArgs) setState(c *env, state stoatpaddle.InstanceState) error {
 	answer, err := a.client().Mark(c.ctx, stoatpaddle.InstanceID(a.Instance), state)
 	return a.printOutcome(c, answer, err)
 }
--- a/stoatcontract/retire.go
+++ b/stoatcontract/retire.go
@@ -25,8 +25,8 @@
 	return next
 }
 
-func retiredUpstreams(now time.Time, old, next *stoatpaddle.Service) []stoatpaddle.Retired {
-	var out []stoatpaddle.Retired
+func retiredUpstreams(now time.Time, old, next *stoatpaddle.Service) []stoatpaddle.RetiredUpstream {
+	var out []stoatpaddle.RetiredUpstream
 	for _, r := range old.Retired {
 		if now.Before(r.Until) && !hasUpstream(next, r.Upstream.ID) {
 			out = append(out, r)
@@ -34,7 +34,7 @@
 	}
 	for _, u := range old.Upstreams {
 		if !hasUpstream(next, u.ID) {
-			out = append(out, stoatpaddle.Retired{Upstream: u, Until: now.Add(retiredRetention)})
+			out = append(out, stoatpaddle.RetiredUpstream{Upstream: u, Until: now.Add(retiredRetention)})
 		}
 	}
 	return out
--- a/stoatcontract/validate.go
+++ b/stoatcontract/validate.go
@@ -44,7 +44,7 @@
 	for _, limit := range []struct {
 		key   string
 		value int
-	}{{"flows", l.Flows}, {"opens", l.Opens}, {"calls", l.Calls}, {"rate", l.Rate}} {
+	}{{"flows", l.Flows}, {"opens", l.OpenRate}, {"calls", l.Calls}, {"rate", l.CallRate}} {
 		if limit.value <= 0 {
 			k.addFault("limits", limit.key, fmt.Sprint(limit.value), "a positive number")
 		}
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -120,7 +120,7 @@
 
 func outcomeOf(err error) stoatfeed.Outcome {
 	var history *platform.HistoryError
-	var rate *stoatpaddle.RateError
+	var rate *stoatpaddle.RateLimitError
 	switch {
 	case err == nil:
 		return stoatfeed.Answered
@@ -200,6 +200,6 @@
 		c.fault, c.target = err, platform.TargetOf(o.Meta.Name)
 		return
 	}
-	r.Created = stoatpaddle.Version(o.Meta.CreateRev)
+	r.CreateRevision = stoatpaddle.Version(o.Meta.CreateRev)
 	c.registration = &r
 }
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -21,7 +21,7 @@
 // dropped as forged.
 
 // formerRef names the object that has the former services.
-var formerRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectRoutes, Name: "former"}
+var formerRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectFormerServices, Name: "former"}
 
 const (
 	// maxSavePause spreads the attempts of the seeds: the first one writes, and the others find the object up
--- a/stoatedge/share_test.go
+++ b/stoatedge/share_test.go
@@ -35,7 +35,7 @@
 
 	now := time.Now()
 	body, err := msgpack.Marshal(stoatoutlier.Encode(now, []stoatoutlier.Report{{
-		Key: stoatroute.KeyOf(stoatpaddle.Target(0x11)),
+		Key: stoatroute.KeyOf(stoatpaddle.TargetID(0x11)),
 		Silence: stoatoutlier.Silence{
 			WaitingEntries: 2, FirstWaitSince: now.Add(-800 * time.Millisecond), SecondWaitSince: now.Add(-700 * time.Millisecond),
 		},
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -97,7 +97,7 @@
 	a, setA := startEntry(t, "e1", at, callers.Addr())
 	b, setB := startEntry(t, "e2", at, callers.Addr())
 	c := stoatpaddle.Contract{
-		Customer: "sawt", Lean: stoatpaddle.LeanBalance, Limits: stoatpaddle.Limits{Flows: 1000, Opens: 1000, Calls: 10, Rate: 10},
+		Customer: "sawt", Preference: stoatpaddle.PreferBalance, Limits: stoatpaddle.Limits{Flows: 1000, OpenRate: 1000, Calls: 10, CallRate: 10},
 		Services: []stoatpaddle.Service{{
 			ID: "giving", Kind: stoatpaddle.KindFlow, Addr: vip.Addr(), Protocol: stoatpaddle.ProtocolTCP, Ports: []uint16{vip.Port()},
 		}},
@@ -109,7 +109,7 @@
 		}
 		defer u.Close()
 		c.Services[0].Upstreams = append(c.Services[0].Upstreams, stoatpaddle.Upstream{
-			ID: stoatpaddle.UpstreamID(fmt.Sprint("u", n)), DataCentre: "ruwi", Addr: u.Addr(), Weight: 1, Slots: 3, Connections: 100,
+			ID: stoatpaddle.UpstreamID(fmt.Sprint("u", n)), DataCentre: "ruwi", Addr: u.Addr(), Weight: 1, Slots: 3, MaxFlows: 100,
 		})
 	}
 	until(func() bool { return ready(a, 0, 2) && ready(b, 0, 2) })
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -100,16 +100,16 @@
 
 func (e *Entry) platformFailed(err error) {
 	ev := stoatnode.PlatformFailed{Cause: err.Error()}
-	var rate *stoatpaddle.RateError
+	var rate *stoatpaddle.RateLimitError
 	if errors.As(err, &rate) {
-		ev.After = rate.After
+		ev.After = rate.RetryAfter
 	}
 	var history *platform.HistoryError
 	ev.Forgotten = errors.As(err, &history)
 	e.post(ev)
 }
 
-func token() stoatpaddle.Token { return stoatpaddle.Token(uuid.NewString()) }
+func token() stoatpaddle.WriteToken { return stoatpaddle.WriteToken(uuid.NewString()) }
 
 // register writes the instance's object until the platform has it or the entry ends. It
 // writes what is wanted at each try: an older registration that was held up by an outage
@@ -136,7 +136,7 @@
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: string(i.ID)}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: string(i.ID)}
 	current, err := e.platform.Get(e.ctx, ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -177,7 +177,7 @@
 func (e *Entry) unregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), unregisterTimeout)
 	defer cancel()
-	current, err := e.platform.Get(ctx, stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: string(e.self.ID)})
+	current, err := e.platform.Get(ctx, stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: string(e.self.ID)})
 	if err != nil {
 		return
 	}
