--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -146,11 +146,11 @@
 	if got, err := c[1].Contract(ctx, "sawt"); err != nil || strings.Contains(got, string(gone.ID)) {
 		t.Error(got, err)
 	}
-	later := stoatcontract.Retire(time.Unix(1000, 0).Add(9*time.Hour), stored, less)
+	later := stoatcontract.AddRetired(time.Unix(1000, 0).Add(9*time.Hour), stored, less)
 	if len(later.Services[0].Retired) != 0 {
 		t.Error("retired for good")
 	}
-	if back := stoatcontract.Retire(time.Unix(1000, 0), stored, sawt(t)); len(back.Services[0].Retired) != 0 {
+	if back := stoatcontract.AddRetired(time.Unix(1000, 0), stored, sawt(t)); len(back.Services[0].Retired) != 0 {
 		t.Error("declared again and still retired")
 	}
 }
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -192,7 +192,7 @@
 		return
 	}
 	if standing, err := stoatcontract.Decode(current.Value); err == nil && !current.Deleted {
-		c = stoatcontract.Retire(s.cfg.Clock(), standing, c)
+		c = stoatcontract.AddRetired(s.cfg.Clock(), standing, c)
 	}
 	value, err := stoatcontract.Encode(c)
 	if err != nil {
@@ -257,7 +257,7 @@
 	if errA != nil || errB != nil {
 		return nil
 	}
-	return stoatcontract.Differences(a, b)
+	return stoatcontract.Diff(a, b)
 }
 
 // markInstance marks an instance as joining or leaving.
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	base := draft.Base
+	base := draft.BaseVersion
 	if a.Version > 0 {
 		base = stoatpaddle.Version(a.Version)
 	}
--- a/stoatcontract/contract_test.go
+++ b/stoatcontract/contract_test.go
@@ -52,8 +52,8 @@
 	}
 	addrs := cmpopts.EquateComparable(netip.Addr{}, netip.AddrPort{})
 	reparsed, err := Parse("again", []byte(Format(draft.Contract, 7)))
-	if err != nil || reparsed.Base != 7 {
-		t.Fatal(reparsed.Base, err)
+	if err != nil || reparsed.BaseVersion != 7 {
+		t.Fatal(reparsed.BaseVersion, err)
 	}
 	if d := cmp.Diff(draft.Contract, reparsed.Contract, addrs); d != "" {
 		t.Error("INI:", d)
@@ -80,7 +80,7 @@
 	b := a.Contract
 	b.Limits.Flows++
 	want := []string{"- [limits] flows = 90000", "+ [limits] flows = 90001"}
-	if d := cmp.Diff(want, Differences(a.Contract, b)); d != "" {
+	if d := cmp.Diff(want, Diff(a.Contract, b)); d != "" {
 		t.Error(d)
 	}
 }
--- a/stoatcontract/format.go
+++ b/stoatcontract/format.go
@@ -50,9 +50,9 @@
 	return strings.Join(parts, ", ")
 }
 
-// Differences returns the lines, each with its section, that only one of the contracts has: those of a with
+// Diff returns the lines, each with its section, that only one of the contracts has: those of a with
 // "-" and those of b with "+".
-func Differences(a, b stoatpaddle.Contract) []string {
+func Diff(a, b stoatpaddle.Contract) []string {
 	left, right := qualifiedLines(Format(a, 0)), qualifiedLines(Format(b, 0))
 	var out []string
 	for _, line := range left {
--- a/stoatcontract/parse.go
+++ b/stoatcontract/parse.go
@@ -23,8 +23,8 @@
 
 // Draft is a contract that was read from an operator's file.
 type Draft struct {
-	Contract stoatpaddle.Contract
-	Base     stoatpaddle.Version // the version that it amends; 0 if the file names none
+	Contract    stoatpaddle.Contract
+	BaseVersion stoatpaddle.Version // the version that it amends; 0 if the file names none
 }
 
 // Parse parses one contract, or returns *stoatpaddle.FaultsError with all its faults.
@@ -47,7 +47,7 @@
 	if len(faults) > 0 {
 		return Draft{}, &stoatpaddle.FaultsError{Faults: faults}
 	}
-	return Draft{Contract: c, Base: stoatpaddle.Version(base)}, nil
+	return Draft{Contract: c, BaseVersion: stoatpaddle.Version(base)}, nil
 }
 
 func readLimits(sec *stoatini.Section) stoatpaddle.Limits {
--- a/stoatcontract/retire.go
+++ b/stoatcontract/retire.go
@@ -10,9 +10,9 @@
 // remembers an idle flow.
 const retiredRetention = 8 * time.Hour
 
-// Retire returns the contract next with the upstreams that it removes from the current contract listed as
+// AddRetired returns the contract next with the upstreams that it removes from the current contract listed as
 // retired, and with those that were removed earlier and may still have flows.
-func Retire(now time.Time, current, next stoatpaddle.Contract) stoatpaddle.Contract {
+func AddRetired(now time.Time, current, next stoatpaddle.Contract) stoatpaddle.Contract {
 	services := append([]stoatpaddle.Service(nil), next.Services...)
 	for i := range services {
 		old := findService(&current, services[i].ID)
