--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -35,7 +35,7 @@
 		EventPacketDropped.Number: maxPacketLines, EventUpstreamEjected.Number: maxPacketLines,
 		EventLateAnswer.Number: maxPacketLines, EventInvalidObject.Number: maxPacketLines, EventIncarnation.Number: maxPacketLines,
 	})
-	l.setLevel(set.Level)
+	l.setLevel(set.LogLevel)
 	l.group.Go(func() error { return l.pipe.Run(w) })
 	return l
 }
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -102,7 +102,7 @@
 
 // saveFormer saves the former services, unless another entry has saved those of the same or a later version.
 func (e *Edge) saveFormer(x saveFormer) {
-	client := stoatplatform.New(stoatplatform.Config{Addr: e.settings().Platform})
+	client := stoatplatform.New(stoatplatform.Config{Addr: e.settings().PlatformAddr})
 	var err error
 	for range saveAttempts {
 		if !stoatplatform.Pause(e.ctx, time.Duration(rand.Int64N(int64(maxSavePause)))) {
--- a/stoatedge/run_parent.go
+++ b/stoatedge/run_parent.go
@@ -145,7 +145,7 @@
 			}
 			return accepted, &unreachableError{addr: addr, cause: err}
 		}
-		silence := stoatfeed.Fraction(e.settings().Bound(), silenceShare)
+		silence := stoatfeed.Fraction(e.settings().MaxDelay(), silenceShare)
 		watchdog.Stop()
 		watchdog = time.AfterFunc(silence, func() { cancel(&silentError{after: silence}) })
 		accepted = true
--- a/stoatentry/restore_test.go
+++ b/stoatentry/restore_test.go
@@ -26,7 +26,7 @@
 	a, setA := startEntry(t, "e1", at, netip.MustParseAddrPort("127.0.0.1:9"))
 	b, _ := startEntry(t, "e2", at, netip.MustParseAddrPort("127.0.0.1:9"))
 	until(func() bool { return ready(a, 0, 2) && ready(b, 0, 2) })
-	client := stoatadmin.NewClient(setA.Admin.String())
+	client := stoatadmin.NewClient(setA.AdminAddr.String())
 	c := stoatpaddle.Contract{
 		Customer: "sawt", Preference: stoatpaddle.PreferBalance, Limits: stoatpaddle.Limits{Flows: 100, OpenRate: 1000, Calls: 10, CallRate: 10},
 		Services: []stoatpaddle.Service{{
--- a/stoatsetting/setting.go
+++ b/stoatsetting/setting.go
@@ -10,46 +10,46 @@
 
 // Settings are the settings of one entry instance.
 type Settings struct {
-	Instance   stoatpaddle.InstanceID
-	DataCentre stoatpaddle.DataCentreID
-	Cluster    stoatpaddle.ClusterID
-	Tunnel     netip.AddrPort   // listener for packets from the fabric, UDP
-	Relay      netip.AddrPort   // listener for packets from other entries, UDP
-	Peer       netip.AddrPort   // listener for control messages from other entries, TCP
-	Admin      netip.AddrPort   // listener of the administration API, HTTP
-	Call       netip.AddrPort   // listener for callers' requests, HTTP
-	Egress     netip.AddrPort   // where the fabric takes packets to callers, such as resets, UDP
-	Platform   netip.AddrPort   // the platform's object API, HTTP
-	Seeds      []netip.AddrPort // peers to ask when the platform does not answer
-	Fabric     Fabric           // the kind of fabric
-	Link       float64          // bandwidth of the instance's link, Mbit/s; echo fabric only; 0: not known
-	Ready      netip.AddrPort   // listener for the fabric's readiness checks, HTTP; echo fabric only
-	Metrics    netip.AddrPort   // listener that serves metrics only, HTTP; echo fabric only; invalid: none
-	Apply      time.Duration    // maximum delay until a change is in force; echo fabric only
-	Leave      time.Duration    // the same for a leaving upstream; echo fabric only; 0: as MaxApplyDelay
-	Evacuate   time.Duration    // the same for an evacuation; echo fabric only; 0: evacuations are not read
+	Instance         stoatpaddle.InstanceID
+	DataCentre       stoatpaddle.DataCentreID
+	Cluster          stoatpaddle.ClusterID
+	TunnelAddr       netip.AddrPort   // listener for packets from the fabric, UDP
+	RelayAddr        netip.AddrPort   // listener for packets from other entries, UDP
+	PeerAddr         netip.AddrPort   // listener for control messages from other entries, TCP
+	AdminAddr        netip.AddrPort   // listener of the administration API, HTTP
+	CallAddr         netip.AddrPort   // listener for callers' requests, HTTP
+	EgressAddr       netip.AddrPort   // where the fabric takes packets to callers, such as resets, UDP
+	PlatformAddr     netip.AddrPort   // the platform's object API, HTTP
+	Seeds            []netip.AddrPort // peers to ask when the platform does not answer
+	Fabric           FabricKind       // the kind of fabric
+	LinkMbps         float64          // bandwidth of the instance's link, Mbit/s; echo fabric only; 0: not known
+	ReadyAddr        netip.AddrPort   // listener for the fabric's readiness checks, HTTP; echo fabric only
+	MetricsAddr      netip.AddrPort   // listener that serves metrics only, HTTP; echo fabric only; invalid: none
+	MaxApplyDelay    time.Duration    // maximum delay until a change is in force; echo fabric only
+	MaxLeaveDelay    time.Duration    // the same for a leaving upstream; echo fabric only; 0: as MaxApplyDelay
+	MaxEvacuateDelay time.Duration    // the same for an evacuation; echo fabric only; 0: evacuations are not read
 	// Regions are the regions of data centres, for routes that allow only some regions; echo fabric only.
-	Regions map[stoatpaddle.DataCentreID]stoatpaddle.RegionID
-	Memory  float64       // the machine's memory, MB; echo fabric only; 0: not known
-	Share   float64       // the part of a core that the instance has; echo fabric only; 0: not known
-	Life    time.Duration // maximum lifetime of a flow; echo fabric only
-	Return  time.Duration // how long a lapsed registration has to come back after an outage; echo fabric only
-	Dead    time.Duration // a peer that is silent for this long counts as dead
-	Level   string        // minimum level of log lines
-	Stop    time.Duration // maximum duration of a planned stop
-	Settle  time.Duration // how long after a change other entries are queried about unknown flows
+	Regions      map[stoatpaddle.DataCentreID]stoatpaddle.RegionID
+	MemoryMB     float64       // the machine's memory, MB; echo fabric only; 0: not known
+	CPUShare     float64       // the part of a core that the instance has; echo fabric only; 0: not known
+	FlowLifetime time.Duration // maximum lifetime of a flow; echo fabric only
+	GracePeriod  time.Duration // how long a lapsed registration has to come back after an outage; echo fabric only
+	PeerTimeout  time.Duration // a peer that is silent for this long counts as dead
+	LogLevel     string        // minimum level of log lines
+	StopDeadline time.Duration // maximum duration of a planned stop
+	SettleTime   time.Duration // how long after a change other entries are queried about unknown flows
 }
 
-// Fabric is the kind of fabric, which decides how an entry finds the upstream of an open flow.
-type Fabric string
+// FabricKind is the kind of fabric, which decides how an entry finds the upstream of an open flow.
+type FabricKind string
 
 // The kinds of fabric.
 const (
 	// FabricTunnel carries packets only: entries find a flow's upstream by its owner and by copies of the owner's
 	// records.
-	FabricTunnel Fabric = "tunnel"
+	FabricTunnel FabricKind = "tunnel"
 	// FabricEcho returns with each packet of a flow what an entry wrote into the packet before.
-	FabricEcho Fabric = "echo"
+	FabricEcho FabricKind = "echo"
 )
 
 // The default and maximum values. testdata/entry.ini documents the defaults.
@@ -74,10 +74,10 @@
 	maxMemory       = 1e6
 )
 
-// Bound returns the shortest of the maximum delays until a change on the platform is in force.
-func (s Settings) Bound() time.Duration {
-	bound := s.Apply
-	for _, d := range []time.Duration{s.Leave, s.Evacuate} {
+// MaxDelay returns the shortest of the maximum delays until a change on the platform is in force.
+func (s Settings) MaxDelay() time.Duration {
+	bound := s.MaxApplyDelay
+	for _, d := range []time.Duration{s.MaxLeaveDelay, s.MaxEvacuateDelay} {
 		if d > 0 {
 			bound = min(bound, d)
 		}
@@ -88,7 +88,7 @@
 // MemoryBytes returns the machine's memory in bytes; 0: not known.
 func (s Settings) MemoryBytes() uint64 {
 	const megabyte = 1 << 20
-	return uint64(s.Memory * megabyte)
+	return uint64(s.MemoryMB * megabyte)
 }
 
 // Parse parses the settings, or returns *stoatpaddle.FaultsError with all their faults.
@@ -97,35 +97,35 @@
 	instance := r.Section("instance")
 	listen := r.Section("listen")
 	s := Settings{
-		Instance:   stoatpaddle.InstanceID(instance.Word("id", "")),
-		DataCentre: stoatpaddle.DataCentreID(instance.Word("centre", "")),
-		Cluster:    stoatpaddle.ClusterID(instance.Word("cluster", defaultCluster)),
-		Tunnel:     listen.AddrPort("tunnel", defaultTunnel),
-		Relay:      listen.AddrPort("relay", defaultRelay),
-		Peer:       listen.AddrPort("peer", defaultPeer),
-		Admin:      listen.AddrPort("admin", defaultAdmin),
-		Call:       listen.AddrPort("call", defaultCall),
-		Egress:     r.Section("fabric").AddrPort("egress", defaultEgress),
-		Fabric:     Fabric(r.Section("fabric").Choice("kind", string(FabricTunnel), string(FabricEcho))),
-		Ready:      listen.AddrPort("ready", defaultReady),
-		Apply:      r.Section("platform").Duration("apply", defaultApply),
-		Leave:      r.Section("platform").Duration("leave", 0),
-		Evacuate:   r.Section("platform").Duration("evacuate", 0),
-		Regions:    parseRegions(r.Section("regions")),
-		Share:      instance.Number("share", 0, 0, maxShare),
-		Link:       instance.Number("link", 0, 0, maxLink),
-		Memory:     instance.Number("memory", 0, 0, maxMemory),
-		Return:     r.Section("platform").Duration("return", defaultReturn),
-		Life:       r.Section("flow").Duration("life", defaultLife),
-		Platform:   r.Section("platform").AddrPort("address", defaultPlatform),
-		Seeds:      r.Section("peer").AddrPorts("seeds"),
-		Dead:       r.Section("peer").Duration("dead", defaultDead),
-		Level:      r.Section("log").Choice("level", "info", "debug", "warn", "error"),
-		Stop:       r.Section("stop").Duration("deadline", defaultStop),
-		Settle:     r.Section("flow").Duration("settle", defaultSettle),
+		Instance:         stoatpaddle.InstanceID(instance.Word("id", "")),
+		DataCentre:       stoatpaddle.DataCentreID(instance.Word("centre", "")),
+		Cluster:          stoatpaddle.ClusterID(instance.Word("cluster", defaultCluster)),
+		TunnelAddr:       listen.AddrPort("tunnel", defaultTunnel),
+		RelayAddr:        listen.AddrPort("relay", defaultRelay),
+		PeerAddr:         listen.AddrPort("peer", defaultPeer),
+		AdminAddr:        listen.AddrPort("admin", defaultAdmin),
+		CallAddr:         listen.AddrPort("call", defaultCall),
+		EgressAddr:       r.Section("fabric").AddrPort("egress", defaultEgress),
+		Fabric:           FabricKind(r.Section("fabric").Choice("kind", string(FabricTunnel), string(FabricEcho))),
+		ReadyAddr:        listen.AddrPort("ready", defaultReady),
+		MaxApplyDelay:    r.Section("platform").Duration("apply", defaultApply),
+		MaxLeaveDelay:    r.Section("platform").Duration("leave", 0),
+		MaxEvacuateDelay: r.Section("platform").Duration("evacuate", 0),
+		Regions:          parseRegions(r.Section("regions")),
+		CPUShare:         instance.Number("share", 0, 0, maxShare),
+		LinkMbps:         instance.Number("link", 0, 0, maxLink),
+		MemoryMB:         instance.Number("memory", 0, 0, maxMemory),
+		GracePeriod:      r.Section("platform").Duration("return", defaultReturn),
+		FlowLifetime:     r.Section("flow").Duration("life", defaultLife),
+		PlatformAddr:     r.Section("platform").AddrPort("address", defaultPlatform),
+		Seeds:            r.Section("peer").AddrPorts("seeds"),
+		PeerTimeout:      r.Section("peer").Duration("dead", defaultDead),
+		LogLevel:         r.Section("log").Choice("level", "info", "debug", "warn", "error"),
+		StopDeadline:     r.Section("stop").Duration("deadline", defaultStop),
+		SettleTime:       r.Section("flow").Duration("settle", defaultSettle),
 	}
 	if list := listen.AddrPorts("metrics"); len(list) > 0 {
-		s.Metrics = list[0]
+		s.MetricsAddr = list[0]
 	}
 	checkDistinct(listen, s)
 	if err := r.Err(); err != nil {
@@ -151,13 +151,13 @@
 		addr netip.AddrPort
 	}
 	list := []listener{
-		{"tunnel", true, s.Tunnel},
-		{"relay", true, s.Relay},
-		{"peer", false, s.Peer},
-		{"admin", false, s.Admin},
-		{"call", false, s.Call},
-		{"ready", false, s.Ready},
-		{"metrics", false, s.Metrics},
+		{"tunnel", true, s.TunnelAddr},
+		{"relay", true, s.RelayAddr},
+		{"peer", false, s.PeerAddr},
+		{"admin", false, s.AdminAddr},
+		{"call", false, s.CallAddr},
+		{"ready", false, s.ReadyAddr},
+		{"metrics", false, s.MetricsAddr},
 	}
 	for i, a := range list {
 		for _, b := range list[:i] {
