--- a/stoatcontract/parse.go
+++ b/stoatcontract/parse.go
@@ -83,7 +83,7 @@
 		keys := sec.Keys()
 		slices.Sort(keys)
 		if s == nil {
-			sec.Fault("", sec.Name, "the name of a [service ...] section")
+			sec.AddFault("", sec.Name, "the name of a [service ...] section")
 			continue
 		}
 		for _, key := range keys {
@@ -109,7 +109,7 @@
 		}
 		s := findService(c, stoatpaddle.ServiceID(name))
 		if s == nil {
-			sec.Fault("service", name, "the name of a [service ...] section")
+			sec.AddFault("service", name, "the name of a [service ...] section")
 			continue
 		}
 		s.Upstreams = append(s.Upstreams, u)
--- a/stoatini/reader.go
+++ b/stoatini/reader.go
@@ -34,7 +34,7 @@
 	r := &Reader{file: file}
 	f, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: true}, data)
 	if err != nil {
-		r.Fault("", "", err.Error(), "an INI file: [section] and key = value lines")
+		r.AddFault("", "", err.Error(), "an INI file: [section] and key = value lines")
 		return r
 	}
 	seen := map[string]bool{}
@@ -44,7 +44,7 @@
 		}
 		kind, name, _ := strings.Cut(sec.Name(), " ")
 		if seen[sec.Name()] {
-			r.Fault(sec.Name(), "", sec.Name(), "each section once")
+			r.AddFault(sec.Name(), "", sec.Name(), "each section once")
 			continue
 		}
 		seen[sec.Name()] = true
@@ -55,8 +55,8 @@
 	return r
 }
 
-// Fault adds a fault at a key of a section. An empty key stands for the section itself.
-func (r *Reader) Fault(section, key, got, want string) {
+// AddFault adds a fault at a key of a section. An empty key stands for the section itself.
+func (r *Reader) AddFault(section, key, got, want string) {
 	r.faults = append(r.faults, &stoatpaddle.Fault{File: r.file, Section: section, Key: key, Got: got, Want: want})
 }
 
@@ -88,12 +88,12 @@
 func (r *Reader) Err() error {
 	for _, s := range r.sections {
 		if !s.requested {
-			r.Fault(s.header(), "", s.header(), "a known section")
+			r.AddFault(s.header(), "", s.header(), "a known section")
 			continue
 		}
 		for _, k := range s.sec.Keys() {
 			if !s.known[k.Name()] {
-				r.Fault(s.header(), k.Name(), k.Value(), "a known key")
+				r.AddFault(s.header(), k.Name(), k.Value(), "a known key")
 			}
 		}
 	}
@@ -105,8 +105,8 @@
 
 func (s *Section) header() string { return strings.TrimSpace(s.Kind + " " + s.Name) }
 
-// Fault adds a fault at a key of the section. An empty key stands for the section itself.
-func (s *Section) Fault(key, got, want string) { s.reader.Fault(s.header(), key, got, want) }
+// AddFault adds a fault at a key of the section. An empty key stands for the section itself.
+func (s *Section) AddFault(key, got, want string) { s.reader.AddFault(s.header(), key, got, want) }
 
 // Keys returns all keys of the section and makes them known. It is for sections whose keys are names that the
 // operator chooses.
@@ -137,7 +137,7 @@
 		return defaultValue
 	}
 	if !isWord(v) {
-		s.Fault(key, v, "a name of letters, digits, '.', '-' and '_'")
+		s.AddFault(key, v, "a name of letters, digits, '.', '-' and '_'")
 	}
 	return v
 }
@@ -166,7 +166,7 @@
 			return v
 		}
 	}
-	s.Fault(key, v, "one of "+strings.Join(options, ", "))
+	s.AddFault(key, v, "one of "+strings.Join(options, ", "))
 	return options[0]
 }
 
@@ -178,7 +178,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < lowest || n > highest {
-		s.Fault(key, v, fmt.Sprintf("a whole number from %d to %d", lowest, highest))
+		s.AddFault(key, v, fmt.Sprintf("a whole number from %d to %d", lowest, highest))
 		return defaultValue
 	}
 	return n
@@ -192,7 +192,7 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= lowest && n <= highest) {
-		s.Fault(key, v, fmt.Sprintf("a number from %g to %g", lowest, highest))
+		s.AddFault(key, v, fmt.Sprintf("a number from %g to %g", lowest, highest))
 		return defaultValue
 	}
 	return n
@@ -206,7 +206,7 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d <= 0 {
-		s.Fault(key, v, "a positive duration such as 30s")
+		s.AddFault(key, v, "a positive duration such as 30s")
 		return defaultValue
 	}
 	return d
@@ -217,7 +217,7 @@
 	v, _ := s.value(key)
 	a, err := netip.ParseAddr(v)
 	if err != nil {
-		s.Fault(key, v, "an IP address")
+		s.AddFault(key, v, "an IP address")
 	}
 	return a
 }
@@ -230,7 +230,7 @@
 	}
 	a, err := netip.ParseAddrPort(v)
 	if err != nil || a.Port() == 0 {
-		s.Fault(key, v, "an IP address and port such as 127.0.0.1:7000")
+		s.AddFault(key, v, "an IP address and port such as 127.0.0.1:7000")
 	}
 	return a
 }
@@ -242,7 +242,7 @@
 	for _, part := range strings.Split(v, ",") {
 		n, err := strconv.ParseUint(strings.TrimSpace(part), 10, 16)
 		if err != nil || n == 0 {
-			s.Fault(key, v, "ports from 1 to 65535, separated by commas")
+			s.AddFault(key, v, "ports from 1 to 65535, separated by commas")
 			return nil
 		}
 		out = append(out, uint16(n))
@@ -260,7 +260,7 @@
 	for _, part := range strings.Split(v, ",") {
 		a, err := netip.ParseAddrPort(strings.TrimSpace(part))
 		if err != nil || a.Port() == 0 {
-			s.Fault(key, v, "IP addresses and ports, separated by commas")
+			s.AddFault(key, v, "IP addresses and ports, separated by commas")
 			return nil
 		}
 		out = append(out, a)
--- a/stoatsetting/setting.go
+++ b/stoatsetting/setting.go
@@ -162,7 +162,7 @@
 	for i, a := range list {
 		for _, b := range list[:i] {
 			if a.addr.IsValid() && a.udp == b.udp && a.addr == b.addr {
-				sec.Fault(a.key, a.addr.String(), "an address that "+b.key+" does not have")
+				sec.AddFault(a.key, a.addr.String(), "an address that "+b.key+" does not have")
 			}
 		}
 	}
