--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -72,7 +72,7 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-func refuse(w http.ResponseWriter, status int, e *stoatevent.Entry, a Answer) {
+func refuse(w http.ResponseWriter, status int, e *stoatevent.Definition, a Answer) {
 	a.Outcome, a.Number, a.Title = Refused, e.Number.String(), e.Title
 	reply(w, status, a)
 }
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -124,7 +124,7 @@
 	h.tryUpstreams(w, r, svc)
 }
 
-func (h *Handler) refuseRetryable(w http.ResponseWriter, e *stoatevent.Entry, status int, detail string) {
+func (h *Handler) refuseRetryable(w http.ResponseWriter, e *stoatevent.Definition, status int, detail string) {
 	h.stats.Refused.Add(1)
 	writeProblem(w, e, status, retryAfterSeconds, detail)
 }
--- a/stoatcall/problem.go
+++ b/stoatcall/problem.go
@@ -10,32 +10,32 @@
 
 // The problems that a caller can get instead of an answer. Their numbers are part of the problem types.
 var (
-	ProblemNotReady = stoatevent.Register(stoatevent.Entry{
+	ProblemNotReady = stoatevent.Register(stoatevent.Definition{
 		Number: 1301, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "not run: entry has no configuration yet",
 		Text:  "The entry has just started and has not received the contracts from the platform or a peer yet. The call was not run and may be sent again.",
 	})
-	ProblemNoService = stoatevent.Register(stoatevent.Entry{
+	ProblemNoService = stoatevent.Register(stoatevent.Definition{
 		Number: 1302, Severity: stoatevent.Info, Since: "0.1",
 		Title: "not run: no such service",
 		Text:  "No contract has a call service with the authority of the request. The call was not run. Check the host of the call service in the contract.",
 	})
-	ProblemLimit = stoatevent.Register(stoatevent.Entry{
+	ProblemLimit = stoatevent.Register(stoatevent.Definition{
 		Number: 1303, Severity: stoatevent.Info, Since: "0.1",
 		Title: "not run: over the contract's limit",
 		Text:  "The customer's limit on concurrent calls or on calls a second is reached on this entry. The call was not run; Retry-After says when to retry.",
 	})
-	ProblemBusy = stoatevent.Register(stoatevent.Entry{
+	ProblemBusy = stoatevent.Register(stoatevent.Definition{
 		Number: 1304, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "not run: no upstream has room",
 		Text:  "Every upstream of the service refused the call or has all its slots in use. The call was not run; Retry-After says when to retry.",
 	})
-	ProblemUnknown = stoatevent.Register(stoatevent.Entry{
+	ProblemUnknown = stoatevent.Register(stoatevent.Definition{
 		Number: 1305, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "outcome unknown",
 		Text:  "The upstream may have started the call, and did not answer. A call that is not idempotent may have run; the entry does not send it to another upstream.",
 	})
-	ProblemStopping = stoatevent.Register(stoatevent.Entry{
+	ProblemStopping = stoatevent.Register(stoatevent.Definition{
 		Number: 1306, Severity: stoatevent.Info, Since: "0.1",
 		Title: "not run: entry is leaving",
 		Text:  "The entry is in its planned stop. The call was not run and may be sent again at once; another entry takes it.",
@@ -51,7 +51,7 @@
 }
 
 // writeProblem answers with a problem. retryAfter is in seconds; 0 sends no Retry-After.
-func writeProblem(w http.ResponseWriter, e *stoatevent.Entry, status, retryAfter int, detail string) {
+func writeProblem(w http.ResponseWriter, e *stoatevent.Definition, status, retryAfter int, detail string) {
 	body, err := json.Marshal(wireProblem{
 		Type: "urn:stoatpaddle:" + e.Number.String(), Title: e.Title, Status: status, Detail: detail,
 	})
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -129,7 +129,7 @@
 	publishTable struct{ table *stoatroute.Table }
 	// logEvent logs a numbered event.
 	logEvent struct {
-		entry  *stoatevent.Entry
+		entry  *stoatevent.Definition
 		fields []stoatevent.Field
 	}
 )
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -200,7 +200,7 @@
 
 // logFlow logs an event of one flow: the flow, the upstream, and the version and age of the state that
 // decided.
-func (e *Edge) logFlow(now time.Time, entry *stoatevent.Entry, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
+func (e *Edge) logFlow(now time.Time, entry *stoatevent.Definition, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
 	if !e.log.admit(now, entry) {
 		return
 	}
--- a/stoatevent/async_writer.go
+++ b/stoatevent/async_writer.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// Pipe is an io.Writer that never blocks. Lines wait in a bounded queue; lines that do not fit are
+// AsyncWriter is an io.Writer that never blocks. Lines wait in a bounded queue; lines that do not fit are
 // dropped and counted. A log that nobody reads must not stop traffic.
-type Pipe struct {
+type AsyncWriter struct {
 	queue   chan []byte
 	dropped atomic.Int64
 }
@@ -15,11 +15,11 @@
 // queueLines is the capacity of the queue: the lines of one second of the busiest start.
 const queueLines = 1024
 
-// NewPipe returns an AsyncWriter. The caller has to start its Run method.
-func NewPipe() *Pipe { return &Pipe{queue: make(chan []byte, queueLines)} }
+// NewAsyncWriter returns an AsyncWriter. The caller has to start its Run method.
+func NewAsyncWriter() *AsyncWriter { return &AsyncWriter{queue: make(chan []byte, queueLines)} }
 
 // Write queues a line, or drops it if the queue is full.
-func (p *Pipe) Write(line []byte) (int, error) {
+func (p *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case p.queue <- append([]byte(nil), line...):
 	default:
@@ -28,14 +28,14 @@
 	return len(line), nil
 }
 
-// Lost returns the number of dropped lines.
-func (p *Pipe) Lost() int64 { return p.dropped.Load() }
+// Dropped returns the number of dropped lines.
+func (p *AsyncWriter) Dropped() int64 { return p.dropped.Load() }
 
 // maxBatch is the size in bytes from which on a write gets no further lines.
 const maxBatch = 32 << 10
 
 // Run writes the queued lines to w until Close. Lines that are in the queue together go into one write.
-func (p *Pipe) Run(w io.Writer) error {
+func (p *AsyncWriter) Run(w io.Writer) error {
 	var batch []byte
 	for line := range p.queue {
 		batch = append(batch[:0], line...)
@@ -50,4 +50,4 @@
 }
 
 // Close makes Run return after it has written the queued lines. Write must not be called afterwards.
-func (p *Pipe) Close() { close(p.queue) }
+func (p *AsyncWriter) Close() { close(p.queue) }
--- a/stoatevent/bounds_test.go
+++ b/stoatevent/bounds_test.go
@@ -10,14 +10,14 @@
 
 // Nobody reads the log. Write must not block, and the lines that do not fit into the queue must be counted.
 func TestPipeNeverBlocks(t *testing.T) {
-	p := stoatevent.NewPipe()
+	p := stoatevent.NewAsyncWriter()
 	for range 3000 {
 		if n, err := p.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	if p.Lost() != 3000-1024 {
-		t.Error(p.Lost())
+	if p.Dropped() != 3000-1024 {
+		t.Error(p.Dropped())
 	}
 	var out bytes.Buffer
 	p.Close()
@@ -29,23 +29,23 @@
 // One event occurs far more often than its limit of lines a second. The lines over the limit must be counted,
 // and an event without a limit must never be omitted.
 func TestSampler(t *testing.T) {
-	limited := &stoatevent.Entry{Number: 9001}
-	unlimited := &stoatevent.Entry{Number: 9002}
+	limited := &stoatevent.Definition{Number: 9001}
+	unlimited := &stoatevent.Definition{Number: 9002}
 	s := stoatevent.NewSampler(map[stoatevent.Number]int{9001: 5})
 	now := time.Unix(1000, 0)
 	for range 100 {
-		s.Admit(now, limited)
-		if !s.Admit(now, unlimited) {
+		s.Allow(now, limited)
+		if !s.Allow(now, unlimited) {
 			t.Fatal("an event without a limit was omitted")
 		}
 	}
-	if got := s.Take(); len(got) != 1 || got[0] != (stoatevent.LeftOut{Number: 9001, Count: 95}) {
+	if got := s.TakeOmitted(); len(got) != 1 || got[0] != (stoatevent.OmittedLines{Number: 9001, Count: 95}) {
 		t.Error(got)
 	}
-	if len(s.Take()) != 0 || len(s.Total()) != 1 {
+	if len(s.TakeOmitted()) != 0 || len(s.TotalOmitted()) != 1 {
 		t.Error("Take counted a line twice, or Total lost it")
 	}
-	if !s.Admit(now.Add(time.Second), limited) {
+	if !s.Allow(now.Add(time.Second), limited) {
 		t.Error("omitted in the next second")
 	}
 }
--- a/stoatevent/catalogue.go
+++ b/stoatevent/catalogue.go
@@ -19,11 +19,11 @@
 const (
 	Info    Severity = "info"
 	Warning Severity = "warning"
-	Fatal   Severity = "error"
+	Error   Severity = "error"
 )
 
-// Entry documents one event or problem.
-type Entry struct {
+// Definition documents one event or problem.
+type Definition struct {
 	Number   Number
 	Severity Severity
 	Since    string // the version that introduced it
@@ -31,35 +31,35 @@
 	Text     string // what happened, what the system does by itself, what an operator may do
 }
 
-// DuplicateError reports two catalogue entries with the same number.
-type DuplicateError struct{ Number Number }
+// DuplicateNumberError reports two catalogue entries with the same number.
+type DuplicateNumberError struct{ Number Number }
 
 // Error names the number.
-func (e *DuplicateError) Error() string {
+func (e *DuplicateNumberError) Error() string {
 	return "two catalogue entries have the number " + e.Number.String()
 }
 
-// UnknownError reports a number that no catalogue entry has.
-type UnknownError struct{ Number string }
+// UnknownNumberError reports a number that no catalogue entry has.
+type UnknownNumberError struct{ Number string }
 
 // Error names the number.
-func (e *UnknownError) Error() string { return "no catalogue entry has the number " + e.Number }
+func (e *UnknownNumberError) Error() string { return "no catalogue entry has the number " + e.Number }
 
-var catalogue = map[Number]*Entry{}
+var catalogue = map[Number]*Definition{}
 
 // Register adds an entry to the catalogue and returns it. It panics with *DuplicateNumberError if the number
 // is in use.
-func Register(e Entry) *Entry {
+func Register(e Definition) *Definition {
 	if _, taken := catalogue[e.Number]; taken {
-		panic(&DuplicateError{Number: e.Number})
+		panic(&DuplicateNumberError{Number: e.Number})
 	}
 	catalogue[e.Number] = &e
 	return &e
 }
 
 // All returns the catalogue's entries, ascending by number.
-func All() []*Entry {
-	out := make([]*Entry, 0, len(catalogue))
+func All() []*Definition {
+	out := make([]*Definition, 0, len(catalogue))
 	for _, e := range catalogue {
 		out = append(out, e)
 	}
@@ -67,18 +67,18 @@
 	return out
 }
 
-// Find returns the entry with the number, given in its printed form, or *UnknownNumberError.
-func Find(number string) (*Entry, error) {
+// Lookup returns the entry with the number, given in its printed form, or *UnknownNumberError.
+func Lookup(number string) (*Definition, error) {
 	for _, e := range catalogue {
 		if strings.EqualFold(e.Number.String(), number) {
 			return e, nil
 		}
 	}
-	return nil, &UnknownError{Number: number}
+	return nil, &UnknownNumberError{Number: number}
 }
 
 // Explain returns the text that the explain command prints.
-func (e *Entry) Explain() string {
+func (e *Definition) Explain() string {
 	return fmt.Sprintf("%s  %s\n\n%s\n\nSeverity: %s. Since %s.\n", e.Number, e.Title, e.Text, e.Severity, e.Since)
 }
 
--- a/stoatevent/sampler.go
+++ b/stoatevent/sampler.go
@@ -21,8 +21,8 @@
 	return &Sampler{limits: limits, admitted: map[Number]int{}, omitted: map[Number]int64{}, totalOmitted: map[Number]int64{}}
 }
 
-// Admit reports whether a line of the event may be written at time now, and counts the line as omitted if not.
-func (s *Sampler) Admit(now time.Time, e *Entry) bool {
+// Allow reports whether a line of the event may be written at time now, and counts the line as omitted if not.
+func (s *Sampler) Allow(now time.Time, e *Definition) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	limit, limited := s.limits[e.Number]
@@ -42,14 +42,14 @@
 	return true
 }
 
-// LeftOut is the number of omitted lines of one event.
-type LeftOut struct {
+// OmittedLines is the number of omitted lines of one event.
+type OmittedLines struct {
 	Number Number
 	Count  int64
 }
 
-// Take returns the omitted lines since the last Take, ascending by number.
-func (s *Sampler) Take() []LeftOut {
+// TakeOmitted returns the omitted lines since the last TakeOmitted, ascending by number.
+func (s *Sampler) TakeOmitted() []OmittedLines {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := sortedOmitted(s.omitted)
@@ -57,17 +57,17 @@
 	return out
 }
 
-// Total returns the omitted lines since the start, ascending by number.
-func (s *Sampler) Total() []LeftOut {
+// TotalOmitted returns the omitted lines since the start, ascending by number.
+func (s *Sampler) TotalOmitted() []OmittedLines {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return sortedOmitted(s.totalOmitted)
 }
 
-func sortedOmitted(m map[Number]int64) []LeftOut {
-	out := make([]LeftOut, 0, len(m))
+func sortedOmitted(m map[Number]int64) []OmittedLines {
+	out := make([]OmittedLines, 0, len(m))
 	for n, c := range m {
-		out = append(out, LeftOut{Number: n, Count: c})
+		out = append(out, OmittedLines{Number: n, Count: c})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Number < out[j].Number })
 	return out
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -127,7 +127,7 @@
 
 func (n *Node) do(e Effect) { n.effects = append(n.effects, e) }
 
-func (n *Node) log(e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (n *Node) log(e *stoatevent.Definition, fields ...stoatevent.Field) {
 	n.do(Log{Entry: e, Fields: fields})
 }
 
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -153,8 +153,10 @@
 
 func (r *recorder) Connected(h stoatmessage.Hello) { r.record("connected " + string(h.Instance.ID)) }
 
-func (r *recorder) Disconnected(id stoatpaddle.InstanceID)          { r.record("disconnected " + string(id)) }
-func (r *recorder) Emit(e *stoatevent.Entry, _ ...stoatevent.Field) { r.record(e.Number.String()) }
+func (r *recorder) Disconnected(id stoatpaddle.InstanceID) { r.record("disconnected " + string(id)) }
+
+func (r *recorder) Emit(e *stoatevent.Definition, _ ...stoatevent.Field) { r.record(e.Number.String()) }
+
 func (r *recorder) Received(from stoatpaddle.InstanceID, m stoatmessage.Message) {
 	if w, ok := m.(*stoatmessage.Want); ok {
 		r.record("want " + string(from) + " " + w.Refs[0].Name)
