--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -97,7 +97,7 @@
 			if _, body, err := sendRequest(t, http.MethodGet, url, ""); err == nil {
 				t.Errorf("the caller took %q for the complete answer", body)
 			}
-			if h.Stats().Cut.Load() != 1 || h.Stats().Answered.Load() != 0 {
+			if h.Stats().Truncated.Load() != 1 || h.Stats().Answered.Load() != 0 {
 				t.Error("not counted as truncated")
 			}
 		})
@@ -166,12 +166,12 @@
 	if _, body, _ := sendRequest(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1303") {
 		t.Error("limit:", body)
 	}
-	h.Stop()
+	h.Drain()
 	if _, body, _ := sendRequest(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1306") {
 		t.Error("leaving:", body)
 	}
-	if h.Open() != 1 {
-		t.Error(h.Open(), "calls open")
+	if h.OpenCalls() != 1 {
+		t.Error(h.OpenCalls(), "calls open")
 	}
 	close(release)
 	if err := <-first; err != nil {
@@ -210,7 +210,7 @@
 		t.Error("an upload that its caller aborted was answered")
 	}
 	<-done
-	for h.Open() > 0 {
+	for h.OpenCalls() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.mu.Lock()
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -63,11 +63,11 @@
 
 // Stats are the counters of a Handler.
 type Stats struct {
-	Answered atomic.Int64 // complete answers
-	Refused  atomic.Int64 // calls that did not run
-	Unknown  atomic.Int64 // calls that may have run but got no answer
-	Cut      atomic.Int64 // answers that ended early
-	Attempts atomic.Int64 // upstreams tried
+	Answered       atomic.Int64 // complete answers
+	Refused        atomic.Int64 // calls that did not run
+	UnknownOutcome atomic.Int64 // calls that may have run but got no answer
+	Truncated      atomic.Int64 // answers that ended early
+	Attempts       atomic.Int64 // upstreams tried
 }
 
 // New returns a Handler.
@@ -87,11 +87,11 @@
 	}
 }
 
-// Stop makes the handler refuse new calls. Calls in progress continue.
-func (h *Handler) Stop() { h.stopping.Store(true) }
+// Drain makes the handler refuse new calls. Calls in progress continue.
+func (h *Handler) Drain() { h.stopping.Store(true) }
 
-// Open returns the number of requests in progress.
-func (h *Handler) Open() int { return int(h.openCalls.Load()) }
+// OpenCalls returns the number of requests in progress.
+func (h *Handler) OpenCalls() int { return int(h.openCalls.Load()) }
 
 // Stats returns the handler's counters.
 func (h *Handler) Stats() *Stats { return &h.stats }
@@ -117,7 +117,7 @@
 		return
 	}
 	if !h.admitCall(v, svc) {
-		h.refuseRetryable(w, ProblemLimit, http.StatusTooManyRequests, svc.Ref.String())
+		h.refuseRetryable(w, ProblemOverLimit, http.StatusTooManyRequests, svc.Ref.String())
 		return
 	}
 	defer h.releaseCall(svc)
@@ -185,8 +185,8 @@
 		}
 		h.releaseUpstream(u)
 		if err != nil && !dialFailed(err) && !idempotent(r.Method) {
-			h.stats.Unknown.Add(1)
-			writeProblem(w, ProblemUnknown, http.StatusBadGateway, 0, "")
+			h.stats.UnknownOutcome.Add(1)
+			writeProblem(w, ProblemUnknownOutcome, http.StatusBadGateway, 0, "")
 			return
 		}
 		if r.Context().Err() != nil {
@@ -201,7 +201,7 @@
 			return
 		}
 	}
-	h.refuseRetryable(w, ProblemBusy, http.StatusServiceUnavailable, svc.Ref.String())
+	h.refuseRetryable(w, ProblemNoCapacity, http.StatusServiceUnavailable, svc.Ref.String())
 }
 
 // forwardAnswer copies the answer to the caller. The upstream is released in a deferred call because copyAnswer
@@ -214,11 +214,11 @@
 // refuseBodyRead answers a call that cannot be tried again because part of its body was read.
 func (h *Handler) refuseBodyRead(w http.ResponseWriter, err error) {
 	if err == nil || dialFailed(err) {
-		h.refuseRetryable(w, ProblemBusy, http.StatusServiceUnavailable, "")
+		h.refuseRetryable(w, ProblemNoCapacity, http.StatusServiceUnavailable, "")
 		return
 	}
-	h.stats.Unknown.Add(1)
-	writeProblem(w, ProblemUnknown, http.StatusBadGateway, 0, "")
+	h.stats.UnknownOutcome.Add(1)
+	writeProblem(w, ProblemUnknownOutcome, http.StatusBadGateway, 0, "")
 }
 
 func refusedByUpstream(res *http.Response) bool {
@@ -316,7 +316,7 @@
 	}
 	w.WriteHeader(res.StatusCode)
 	if err := h.copyBody(w, res.Body); err != nil {
-		h.stats.Cut.Add(1)
+		h.stats.Truncated.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	h.stats.Answered.Add(1)
--- a/stoatcall/problem.go
+++ b/stoatcall/problem.go
@@ -20,17 +20,17 @@
 		Title: "not run: no such service",
 		Text:  "No contract has a call service with the authority of the request. The call was not run. Check the host of the call service in the contract.",
 	})
-	ProblemLimit = stoatevent.Register(stoatevent.Definition{
+	ProblemOverLimit = stoatevent.Register(stoatevent.Definition{
 		Number: 1303, Severity: stoatevent.Info, Since: "0.1",
 		Title: "not run: over the contract's limit",
 		Text:  "The customer's limit on concurrent calls or on calls a second is reached on this entry. The call was not run; Retry-After says when to retry.",
 	})
-	ProblemBusy = stoatevent.Register(stoatevent.Definition{
+	ProblemNoCapacity = stoatevent.Register(stoatevent.Definition{
 		Number: 1304, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "not run: no upstream has room",
 		Text:  "Every upstream of the service refused the call or has all its slots in use. The call was not run; Retry-After says when to retry.",
 	})
-	ProblemUnknown = stoatevent.Register(stoatevent.Definition{
+	ProblemUnknownOutcome = stoatevent.Register(stoatevent.Definition{
 		Number: 1305, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "outcome unknown",
 		Text:  "The upstream may have started the call, and did not answer. A call that is not idempotent may have run; the entry does not send it to another upstream.",
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -206,7 +206,7 @@
 
 // handOver stops new calls and tells how long the flows' records will take.
 func (e *Entry) handOver() {
-	e.calls.Stop()
+	e.calls.Drain()
 	e.handing.Store(true)
 	e.log.Emit(EventHandOver, stoatevent.F("estimate", e.engine.HandoverTime().String()))
 }
@@ -236,7 +236,7 @@
 			}
 		}
 		if e.handing.Load() && e.drained(v) {
-			e.post(stoatnode.Handed{CallsOpen: e.calls.Open()})
+			e.post(stoatnode.Handed{CallsOpen: e.calls.OpenCalls()})
 		}
 		if now.Sub(ticked) >= stoatnode.TickEvery {
 			ticked = now
