--- a/stoatentry/control.go
+++ b/stoatentry/control.go
@@ -13,20 +13,20 @@
 // statusQuery asks the control actor for its status.
 type statusQuery struct{}
 
-// control is the actor that owns the node: one event at a time, so that the reducer
+// controlActor is the actor that owns the node: one event at a time, so that the reducer
 // needs no lock.
-type control struct {
-	node  *stoatnode.Node
-	clock func() time.Time
-	do    func(stoatnode.Effect)
+type controlActor struct {
+	node    *stoatnode.Node
+	clock   func() time.Time
+	perform func(stoatnode.Effect)
 }
 
 // Receive implements actor.Actor.
-func (c *control) Receive(ctx actor.Context) {
+func (c *controlActor) Receive(ctx actor.Context) {
 	switch m := ctx.Message().(type) {
 	case stoatnode.Event:
 		for _, e := range c.node.Step(c.clock(), m) {
-			c.do(e)
+			c.perform(e)
 		}
 	case statusQuery:
 		ctx.Respond(c.node.Status())
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -42,30 +42,30 @@
 
 // Entry is one running entry instance.
 type Entry struct {
-	cfg       Config
-	set       stoatsetting.Settings
-	self      stoatpaddle.Instance
-	log       *stoatevent.Logger
-	view      atomic.Pointer[stoatview.View]
-	engine    *stoatflow.Engine
-	calls     *stoatcall.Handler
-	platform  *stoatplatform.Client
-	transport *stoatpeer.Transport
-	system    *actor.ActorSystem
-	pid       *actor.PID
-	metrics   *metrics.Set
-	drops     [stoatpacket.DropCount]atomic.Int64
-	forwarded atomic.Int64
-	handing   atomic.Bool
-	wanted    atomic.Pointer[stoatpaddle.Instance]
-	tunnel    *net.UDPConn
-	relay     *net.UDPConn
-	servers   []*http.Server
-	group     *errgroup.Group
-	ctx       context.Context
-	cancel    context.CancelFunc
-	killed    atomic.Bool
-	ended     sync.Once
+	cfg          Config
+	settings     stoatsetting.Settings
+	self         stoatpaddle.Instance
+	log          *stoatevent.Logger
+	view         atomic.Pointer[stoatview.View]
+	engine       *stoatflow.Engine
+	calls        *stoatcall.Handler
+	platform     *stoatplatform.Client
+	transport    *stoatpeer.Transport
+	system       *actor.ActorSystem
+	pid          *actor.PID
+	metrics      *metrics.Set
+	drops        [stoatpacket.DropCount]atomic.Int64
+	forwarded    atomic.Int64
+	handingOver  atomic.Bool
+	registration atomic.Pointer[stoatpaddle.Instance]
+	tunnel       *net.UDPConn
+	relay        *net.UDPConn
+	servers      []*http.Server
+	group        *errgroup.Group
+	ctx          context.Context
+	cancel       context.CancelFunc
+	killed       atomic.Bool
+	releaseOnce  sync.Once
 }
 
 // Start opens the sockets and begins to work.
@@ -78,75 +78,75 @@
 	now := clock()
 	seed := uint64(now.UnixNano())
 	e := &Entry{
-		cfg: cfg, set: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
+		cfg: cfg, settings: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
 		log:      stoatevent.NewLogger(stoatevent.Config{Writer: cfg.Log, Level: cfg.Settings.Level, Instance: string(cfg.Settings.Instance)}),
 		platform: stoatplatform.New(stoatplatform.Config{Addr: cfg.Settings.Platform}),
 		system:   newSystem(),
-		self:     instanceOf(cfg.Settings, now),
+		self:     newInstance(cfg.Settings, now),
 	}
-	e.engine = stoatflow.New(stoatflow.Config{Self: e.self.ID, Start: now, Settle: e.set.Settle, Seed: seed})
+	e.engine = stoatflow.New(stoatflow.Config{Self: e.self.ID, Start: now, Settle: e.settings.Settle, Seed: seed})
 	e.calls = stoatcall.New(stoatcall.Config{View: e.view.Load, Clock: clock, Seed: seed})
 	e.metrics = e.newMetrics()
-	if err := e.open(); err != nil {
+	if err := e.openSockets(); err != nil {
 		e.Kill()
 		return nil, err
 	}
 	node := stoatnode.New(stoatnode.Config{
-		Self: e.self, Cluster: e.set.Cluster, Seeds: e.set.Seeds, Random: seed, Stop: e.set.Stop, Dead: e.set.Dead,
+		Self: e.self, Cluster: e.settings.Cluster, Seeds: e.settings.Seeds, Random: seed, Stop: e.settings.Stop, Dead: e.settings.Dead,
 	})
 	e.pid = e.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
-		return &control{node: node, clock: clock, do: e.do}
+		return &controlActor{node: node, clock: clock, perform: e.perform}
 	}))
-	if err := e.openPeers(); err != nil {
+	if err := e.startTransport(); err != nil {
 		e.Kill()
 		return nil, err
 	}
-	e.log.Emit(EventListen, stoatevent.F("tunnel", e.set.Tunnel.String()), stoatevent.F("admin", e.set.Admin.String()))
+	e.log.Emit(EventListen, stoatevent.F("tunnel", e.settings.Tunnel.String()), stoatevent.F("admin", e.settings.Admin.String()))
 	e.post(stoatnode.Started{})
-	e.serve()
+	e.startWorkers()
 	return e, nil
 }
 
-// instanceOf describes this life of the instance. The start time as incarnation needs
+// newInstance describes this life of the instance. The start time as incarnation needs
 // nobody's answer and grows from life to life.
-func instanceOf(s stoatsetting.Settings, now time.Time) stoatpaddle.Instance {
+func newInstance(s stoatsetting.Settings, now time.Time) stoatpaddle.Instance {
 	return stoatpaddle.Instance{
 		ID: s.Instance, Role: stoatpaddle.RoleEntry, DataCentre: s.DataCentre, State: stoatpaddle.StateJoining,
 		Incarnation: stoatpaddle.Incarnation(now.UnixMilli()), Relay: s.Relay, Peer: s.Peer, Admin: s.Admin,
 	}
 }
 
-func (e *Entry) open() error {
+func (e *Entry) openSockets() error {
 	var err error
-	if e.tunnel, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.set.Tunnel)); err != nil {
+	if e.tunnel, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.settings.Tunnel)); err != nil {
 		return err
 	}
-	if e.relay, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.set.Relay)); err != nil {
+	if e.relay, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.settings.Relay)); err != nil {
 		return err
 	}
 	admin := stoatadmin.New(stoatadmin.Config{
 		Platform: e.platform, Status: e.status, Metrics: e.writeMetrics, Report: e.report, Clock: clock,
 		Rand: rand.New(rand.NewPCG(uint64(e.self.Incarnation), 3)),
 	})
-	if err = e.listen(e.set.Admin, admin); err != nil {
+	if err = e.serveHTTP(e.settings.Admin, admin); err != nil {
 		return err
 	}
-	return e.listen(e.set.Call, e.calls)
+	return e.serveHTTP(e.settings.Call, e.calls)
 }
 
-func (e *Entry) openPeers() error {
+func (e *Entry) startTransport() error {
 	var err error
 	e.transport, err = stoatpeer.New(e.ctx, stoatpeer.Config{
-		Hello: stoatmessage.Hello{Cluster: e.set.Cluster, Instance: e.self},
-		Addr:  e.set.Peer, Handler: e, Log: e.log, Severed: e.cfg.Severed,
+		Hello: stoatmessage.Hello{Cluster: e.settings.Cluster, Instance: e.self},
+		Addr:  e.settings.Peer, Handler: e, Log: e.log, Severed: e.cfg.Severed,
 	})
 	return err
 }
 
 const headerTimeout = 10 * time.Second
 
-// listen serves HTTP/1.1 and h2c.
-func (e *Entry) listen(addr netip.AddrPort, h http.Handler) error {
+// serveHTTP serves HTTP/1.1 and h2c.
+func (e *Entry) serveHTTP(addr netip.AddrPort, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return err
@@ -187,7 +187,7 @@
 func (e *Entry) Wait() {
 	<-e.ctx.Done()
 	e.Kill()
-	e.ended.Do(e.release)
+	e.releaseOnce.Do(e.release)
 }
 
 // release ends the parts in the order of who starts goroutines for whom: the control actor
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -40,12 +40,12 @@
 }
 
 func startEntry(t *testing.T, id string, platform, egress netip.AddrPort, seeds ...netip.AddrPort) (*stoatentry.Entry, stoatsetting.Settings) {
-	set := stoatsetting.Settings{
+	settings := stoatsetting.Settings{
 		Instance: stoatpaddle.InstanceID(id), DataCentre: "ruwi", Cluster: "test", Platform: platform, Egress: egress, Seeds: seeds,
 		Tunnel: freeAddr(t), Relay: freeAddr(t), Peer: freeAddr(t), Admin: freeAddr(t), Call: freeAddr(t),
 		Level: "info", Stop: time.Minute, Settle: time.Minute, Dead: time.Minute,
 	}
-	e, err := stoatentry.Start(context.Background(), stoatentry.Config{Settings: set, Log: io.Discard})
+	e, err := stoatentry.Start(context.Background(), stoatentry.Config{Settings: settings, Log: io.Discard})
 	if err != nil {
 		t.Log("another process took a port meanwhile:", err)
 		return startEntry(t, id, platform, egress, seeds...)
@@ -54,7 +54,7 @@
 		e.Kill()
 		e.Wait()
 	})
-	return e, set
+	return e, settings
 }
 
 // ready tells whether the entry serves, holds the contracts and knows the entries to be live.
@@ -80,7 +80,7 @@
 	platform := stoatfake.NewPlatform()
 	srv := httptest.NewServer(platform)
 	t.Cleanup(srv.Close)
-	at := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
+	platformAddr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
 	fabric, err := stoatfake.NewFabric(1)
 	if err != nil {
 		t.Fatal(err)
@@ -94,8 +94,8 @@
 		t.Fatal(err)
 	}
 	defer callers.Close()
-	a, setA := startEntry(t, "e1", at, callers.Addr())
-	b, setB := startEntry(t, "e2", at, callers.Addr())
+	a, setA := startEntry(t, "e1", platformAddr, callers.Addr())
+	b, setB := startEntry(t, "e2", platformAddr, callers.Addr())
 	c := stoatpaddle.Contract{
 		Customer: "sawt", Lean: stoatpaddle.LeanBalance, Limits: stoatpaddle.Limits{Flows: 1000, Opens: 1000, Calls: 10, Rate: 10},
 		Services: []stoatpaddle.Service{{
@@ -123,7 +123,7 @@
 	until(func() bool { return callers.Counts().Open == 60 })
 
 	platform.Set(stoatfake.Trouble{Down: true})
-	third, setC := startEntry(t, "e3", at, callers.Addr(), setB.Peer)
+	third, setC := startEntry(t, "e3", platformAddr, callers.Addr(), setB.Peer)
 	until(func() bool { return ready(third, 1, 3) })
 	fabric.Set([]netip.AddrPort{setA.Tunnel, setB.Tunnel, setC.Tunnel})
 	a.Stop()
@@ -133,10 +133,10 @@
 	})
 	fabric.Set([]netip.AddrPort{setB.Tunnel, setC.Tunnel})
 	a.Wait()
-	seen := callers.Counts()
+	before := callers.Counts()
 	until(func() bool { return third.Engine().Stats().Relayed.Load()+b.Engine().Stats().Relayed.Load() > 100 })
-	if now := callers.Counts(); now.Broken > 0 || now.Open < seen.Open || now.Open != 60 {
-		t.Errorf("%+v, then %+v", seen, now)
+	if now := callers.Counts(); now.Broken > 0 || now.Open < before.Open || now.Open != 60 {
+		t.Errorf("%+v, then %+v", before, now)
 	}
 }
 
@@ -145,8 +145,8 @@
 func TestBadPacketsAreDropped(t *testing.T) {
 	platform := httptest.NewServer(stoatfake.NewPlatform())
 	t.Cleanup(platform.Close)
-	at := netip.MustParseAddrPort(strings.TrimPrefix(platform.URL, "http://"))
-	e, set := startEntry(t, "e1", at, freeAddr(t))
+	platformAddr := netip.MustParseAddrPort(strings.TrimPrefix(platform.URL, "http://"))
+	e, set := startEntry(t, "e1", platformAddr, freeAddr(t))
 	until(func() bool { return ready(e, 0, 1) })
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/stoatentry/restore_test.go
+++ b/stoatentry/restore_test.go
@@ -22,9 +22,9 @@
 	platform := stoatfake.NewPlatform()
 	srv := httptest.NewServer(platform)
 	t.Cleanup(srv.Close)
-	at := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
-	a, setA := startEntry(t, "e1", at, netip.MustParseAddrPort("127.0.0.1:9"))
-	b, _ := startEntry(t, "e2", at, netip.MustParseAddrPort("127.0.0.1:9"))
+	platformAddr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
+	a, setA := startEntry(t, "e1", platformAddr, netip.MustParseAddrPort("127.0.0.1:9"))
+	b, _ := startEntry(t, "e2", platformAddr, netip.MustParseAddrPort("127.0.0.1:9"))
 	until(func() bool { return ready(a, 0, 2) && ready(b, 0, 2) })
 	client := stoatadmin.NewClient(setA.Admin.String())
 	c := stoatpaddle.Contract{
@@ -43,7 +43,7 @@
 		}
 		return stoatpaddle.Version(answer.Version)
 	}
-	stands := func() (int, stoatpaddle.Version) {
+	stored := func() (int, stoatpaddle.Version) {
 		for _, o := range platform.Objects() {
 			if got, err := stoatcontract.Decode(o.Value); err == nil && o.Ref.Kind == stoatpaddle.ObjectContract {
 				return got.Limits.Flows, o.Version
@@ -52,27 +52,27 @@
 		return 0, 0
 	}
 	first := apply(100, 0)
-	copied := platform.Save()
+	backup := platform.Save()
 	second := apply(200, first)
 	inForce := func(version stoatpaddle.Version) func() bool {
-		return func() bool { return has(a, version) && has(b, version) }
+		return func() bool { return hasVersion(a, version) && hasVersion(b, version) }
 	}
 	until(inForce(second))
-	platform.Restore(copied)
-	if flows, _ := stands(); flows != 100 {
+	platform.Restore(backup)
+	if flows, _ := stored(); flows != 100 {
 		t.Fatal("the copy has", flows)
 	}
-	until(func() bool { flows, _ := stands(); return flows == 200 })
-	_, again := stands()
-	until(inForce(again))
-	if again <= second {
-		t.Error("written again at", again, "after", second)
+	until(func() bool { flows, _ := stored(); return flows == 200 })
+	_, rewritten := stored()
+	until(inForce(rewritten))
+	if rewritten <= second {
+		t.Error("written again at", rewritten, "after", second)
 	}
-	until(inForce(apply(300, again)))
+	until(inForce(apply(300, rewritten)))
 }
 
-// has tells whether the entry's one contract is in force at that version or a later one.
-func has(e *stoatentry.Entry, version stoatpaddle.Version) bool {
+// hasVersion tells whether the entry's one contract is in force at that version or a later one.
+func hasVersion(e *stoatentry.Entry, version stoatpaddle.Version) bool {
 	st, err := e.Status()
 	return err == nil && len(st.Contracts) == 1 && st.Contracts[0].Version >= version
 }
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -22,34 +22,34 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change: it costs one call a wait.
-	watchWait    = 30 * time.Second
-	advanceEvery = 100 * time.Millisecond
-	seedBytes    = 16
+	// watchTimeout is how long a watch waits for a change: it costs one call a wait.
+	watchTimeout    = 30 * time.Second
+	advanceInterval = 100 * time.Millisecond
+	seedBytes       = 16
 )
 
 func clock() time.Time { return time.Now() }
 
-// do performs one effect; what waits for others runs in the group.
-func (e *Entry) do(effect stoatnode.Effect) {
+// perform performs one effect; what waits for others runs in the group.
+func (e *Entry) perform(effect stoatnode.Effect) {
 	switch x := effect.(type) {
 	case stoatnode.Publish:
 		e.engine.Prepare(clock(), x.View)
 		e.view.Store(x.View)
 	case stoatnode.List:
-		e.later(x.After, e.list)
+		e.runAfter(x.After, e.list)
 	case stoatnode.Watch:
-		e.later(x.After, func() { e.watch(x.From) })
+		e.runAfter(x.After, func() { e.watch(x.From) })
 	case stoatnode.Register:
-		e.wanted.Store(&x.Instance)
+		e.registration.Store(&x.Instance)
 		e.transport.SetInstance(x.Instance)
-		e.later(0, e.register)
+		e.runAfter(0, e.register)
 	case stoatnode.Rewrite:
-		e.later(0, func() { e.rewrite(x.Object) })
+		e.runAfter(0, func() { e.rewrite(x.Object) })
 	case stoatnode.Unregister:
 		e.unregister()
 	case stoatnode.MakeSeed:
-		e.later(0, e.makeSeed)
+		e.runAfter(0, e.makeSeed)
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
 	case stoatnode.Hangup:
@@ -71,7 +71,7 @@
 	}
 }
 
-func (e *Entry) later(after time.Duration, f func()) {
+func (e *Entry) runAfter(after time.Duration, f func()) {
 	e.group.Go(func() error {
 		if stoatplatform.Pause(e.ctx, after) {
 			f()
@@ -83,49 +83,49 @@
 func (e *Entry) list() {
 	l, err := e.platform.List(e.ctx)
 	if err != nil {
-		e.platformFailed(err)
+		e.postPlatformFailure(err)
 		return
 	}
 	e.post(stoatnode.Listed{Listing: l})
 }
 
 func (e *Entry) watch(from stoatpaddle.Version) {
-	l, err := e.platform.Watch(e.ctx, from, watchWait)
+	l, err := e.platform.Watch(e.ctx, from, watchTimeout)
 	if err != nil {
-		e.platformFailed(err)
+		e.postPlatformFailure(err)
 		return
 	}
 	e.post(stoatnode.Watched{Listing: l})
 }
 
-func (e *Entry) platformFailed(err error) {
-	ev := stoatnode.PlatformFailed{Cause: err.Error()}
-	var rate *stoatpaddle.RateError
-	if errors.As(err, &rate) {
-		ev.After = rate.After
+func (e *Entry) postPlatformFailure(err error) {
+	event := stoatnode.PlatformFailed{Cause: err.Error()}
+	var rateErr *stoatpaddle.RateError
+	if errors.As(err, &rateErr) {
+		event.After = rateErr.After
 	}
-	var history *platform.HistoryError
-	ev.Forgotten = errors.As(err, &history)
-	e.post(ev)
+	var historyErr *platform.HistoryError
+	event.Forgotten = errors.As(err, &historyErr)
+	e.post(event)
 }
 
-func token() stoatpaddle.Token { return stoatpaddle.Token(uuid.NewString()) }
+func newToken() stoatpaddle.Token { return stoatpaddle.Token(uuid.NewString()) }
 
 // register writes the instance's object until the platform has it or the entry ends. It
 // writes what is wanted at each try: an older registration that was held up by an outage
 // must not undo a later one.
 func (e *Entry) register() {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 4))
-	for n := 0; e.ctx.Err() == nil; n++ {
-		o, err := e.writeInstance(*e.wanted.Load(), rnd)
+	for attempt := 0; e.ctx.Err() == nil; attempt++ {
+		o, err := e.writeInstance(*e.registration.Load(), rnd)
 		if err == nil {
 			e.post(stoatnode.Wrote{Object: o})
 			return
 		}
-		if n == 0 {
+		if attempt == 0 {
 			e.log.Emit(EventWriteUnknown, stoatevent.F("cause", err.Error()))
 		}
-		if !stoatplatform.Pause(e.ctx, stoatplatform.Backoff(rnd, n)) {
+		if !stoatplatform.Pause(e.ctx, stoatplatform.Backoff(rnd, attempt)) {
 			return
 		}
 	}
@@ -142,7 +142,7 @@
 	if err != nil && !errors.As(err, &missing) {
 		return stoatpaddle.Object{}, err
 	}
-	own := token()
+	own := newToken()
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
 	return w.Put(e.ctx, stoatpaddle.Object{
 		Ref: ref, Version: current.Version, Token: stoatplatform.Trail(own, current.Token), Value: value,
@@ -152,15 +152,15 @@
 // rewrite writes an object again until it stands or another one that follows it does.
 func (e *Entry) rewrite(o stoatpaddle.Object) {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 6))
-	own := token()
+	own := newToken()
 	o.Token = stoatplatform.Trail(own, o.Token)
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
-	for n := 0; stoatplatform.Pause(e.ctx, time.Duration(min(n, 1))*stoatplatform.Backoff(rnd, n)); n++ {
-		done, err := w.Put(e.ctx, o, own)
+	for attempt := 0; stoatplatform.Pause(e.ctx, time.Duration(min(attempt, 1))*stoatplatform.Backoff(rnd, attempt)); attempt++ {
+		written, err := w.Put(e.ctx, o, own)
 		var conflict *stoatpaddle.ConflictError
 		switch {
 		case err == nil:
-			e.post(stoatnode.Wrote{Object: done})
+			e.post(stoatnode.Wrote{Object: written})
 			return
 		case errors.As(err, &conflict):
 			// Whoever watches beside this entry was first, or an operator was.
@@ -181,7 +181,7 @@
 	if err != nil {
 		return
 	}
-	current.Token = stoatplatform.Trail(token(), current.Token)
+	current.Token = stoatplatform.Trail(newToken(), current.Token)
 	_, _ = e.platform.Delete(ctx, current)
 }
 
@@ -191,7 +191,7 @@
 	if _, err := rand.Read(raw); err != nil {
 		return
 	}
-	own := token()
+	own := newToken()
 	o, err := e.platform.Put(e.ctx, stoatpaddle.Object{
 		Ref: stoatnode.SeedRef, Token: own, Value: []byte(strconv.Quote(hex.EncodeToString(raw))),
 	})
@@ -207,21 +207,21 @@
 // handOver stops new calls and tells how long the flows' records will take.
 func (e *Entry) handOver() {
 	e.calls.Stop()
-	e.handing.Store(true)
+	e.handingOver.Store(true)
 	e.log.Emit(EventHandOver, stoatevent.F("estimate", e.engine.HandoverTime().String()))
 }
 
-// drained tells whether a leaving entry has nothing left to hand over; one that never
+// handoverComplete tells whether a leaving entry has nothing left to hand over; one that never
 // served has nothing.
-func (e *Entry) drained(v *stoatview.View) bool {
+func (e *Entry) handoverComplete(v *stoatview.View) bool {
 	return v == nil || v.Entries.Find(e.self.ID) == nil && e.engine.Drained(v)
 }
 
-// advance does the flow engine's periodic work and the control reducer's ticks.
-func (e *Entry) advance() error {
-	t := time.NewTicker(advanceEvery)
+// runTimer does the flow engine's periodic work and the control reducer's ticks.
+func (e *Entry) runTimer() error {
+	t := time.NewTicker(advanceInterval)
 	defer t.Stop()
-	ticked := clock()
+	lastTick := clock()
 	for {
 		select {
 		case <-e.ctx.Done():
@@ -235,11 +235,11 @@
 				e.transport.Send(b.To, &stoatmessage.Flows{Batch: b})
 			}
 		}
-		if e.handing.Load() && e.drained(v) {
+		if e.handingOver.Load() && e.handoverComplete(v) {
 			e.post(stoatnode.Handed{CallsOpen: e.calls.Open()})
 		}
-		if now.Sub(ticked) >= stoatnode.TickEvery {
-			ticked = now
+		if now.Sub(lastTick) >= stoatnode.TickEvery {
+			lastTick = now
 			e.post(stoatnode.Ticked{})
 		}
 	}
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -14,18 +14,18 @@
 // maxPacket is the longest datagram.
 const maxPacket = 65536
 
-func (e *Entry) serve() {
+func (e *Entry) startWorkers() {
 	for range e.cfg.Workers {
 		e.group.Go(func() error {
-			e.fromFabric()
+			e.readTunnel()
 			return nil
 		})
 		e.group.Go(func() error {
-			e.fromEntries()
+			e.readRelay()
 			return nil
 		})
 	}
-	e.group.Go(e.advance)
+	e.group.Go(e.runTimer)
 	e.group.Go(func() error {
 		// The sockets close with the context, so that their readers return.
 		<-e.ctx.Done()
@@ -45,8 +45,8 @@
 	return &worker{parser: stoattunnel.NewParser(), buf: make([]byte, stoatflow.HeaderSize+maxPacket)}
 }
 
-// fromFabric reads encapsulated packets.
-func (e *Entry) fromFabric() {
+// readTunnel reads encapsulated packets.
+func (e *Entry) readTunnel() {
 	w := newWorker()
 	for {
 		n, _, err := e.tunnel.ReadFromUDPAddrPort(w.buf[stoatflow.HeaderSize:])
@@ -56,12 +56,12 @@
 			}
 			continue
 		}
-		e.handle(w, n, stoatflow.Header{}, netip.AddrPort{})
+		e.handlePacket(w, n, stoatflow.Header{}, netip.AddrPort{})
 	}
 }
 
-// fromEntries reads packets that other entries relayed.
-func (e *Entry) fromEntries() {
+// readRelay reads packets that other entries relayed.
+func (e *Entry) readRelay() {
 	w := newWorker()
 	for {
 		n, from, err := e.relay.ReadFromUDPAddrPort(w.buf)
@@ -74,55 +74,55 @@
 		from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 		h, err := stoatflow.DecodeHeader(w.buf[:n])
 		if err != nil {
-			e.drop(stoatpacket.DropUnauthenticated)
+			e.countDrop(stoatpacket.DropUnauthenticated)
 			continue
 		}
 		if h.Kind == stoatflow.KindNotice {
-			e.learn(w.buf[:n])
+			e.receiveNotice(w.buf[:n])
 			continue
 		}
-		e.handle(w, n-stoatflow.HeaderSize, h, from)
+		e.handlePacket(w, n-stoatflow.HeaderSize, h, from)
 	}
 }
 
-// learn takes in the answer to a question about a flow.
-func (e *Entry) learn(data []byte) {
+// receiveNotice takes in the answer to a question about a flow.
+func (e *Entry) receiveNotice(data []byte) {
 	v := e.view.Load()
 	if v == nil {
 		return
 	}
 	r, ok := stoatflow.DecodeNotice(data, v.Seed)
 	if !ok {
-		e.drop(stoatpacket.DropUnauthenticated)
+		e.countDrop(stoatpacket.DropUnauthenticated)
 		return
 	}
 	e.engine.ReceiveNotice(clock(), v, r)
 }
 
-func (e *Entry) drop(r stoatpacket.DropReason) { e.drops[r].Add(1) }
+func (e *Entry) countDrop(r stoatpacket.DropReason) { e.drops[r].Add(1) }
 
-// handle decides about the packet in w and carries the decision out.
-func (e *Entry) handle(w *worker, n int, h stoatflow.Header, from netip.AddrPort) {
+// handlePacket decides about the packet in w and carries the decision out.
+func (e *Entry) handlePacket(w *worker, n int, h stoatflow.Header, from netip.AddrPort) {
 	v := e.view.Load()
 	if v == nil {
-		e.drop(stoatpacket.DropUnknownService)
+		e.countDrop(stoatpacket.DropUnknownService)
 		return
 	}
 	data := w.buf[stoatflow.HeaderSize : stoatflow.HeaderSize+n]
 	if reason := w.parser.Parse(data, &w.packet); reason != stoatpacket.DropNone {
-		e.drop(reason)
+		e.countDrop(reason)
 		return
 	}
 	svc := v.FlowService(w.packet.Tuple.Dst, w.packet.Tuple.Protocol)
 	if svc == nil {
-		e.drop(stoatpacket.DropUnknownService)
+		e.countDrop(stoatpacket.DropUnknownService)
 		return
 	}
 	k := v.Seed.Hash(w.packet.Tuple)
 	// Only entries may say what a packet is: a stranger's header could make this entry
 	// decide for flows that others own.
 	if h.Kind != stoatflow.KindFabric && !stoatflow.VerifyTag(w.buf, v.Seed, k) {
-		e.drop(stoatpacket.DropUnauthenticated)
+		e.countDrop(stoatpacket.DropUnauthenticated)
 		return
 	}
 	in := stoatflow.Inbound{Packet: &w.packet, Key: k, Service: svc, Header: h, From: from}
@@ -130,45 +130,45 @@
 	switch a.Verdict {
 	case stoatflow.Forward:
 		e.forwarded.Add(1)
-		e.send(e.tunnel, data, a.Upstream.Addr)
+		e.sendDatagram(e.tunnel, data, a.Upstream.Addr)
 		if a.NotifyAddr.IsValid() {
 			n := stoatflow.EncodeNotice(w.buf, v.Seed, k, a.Upstream.Key)
-			e.send(e.relay, w.buf[:n], a.NotifyAddr)
+			e.sendDatagram(e.relay, w.buf[:n], a.NotifyAddr)
 		}
 	case stoatflow.Relay:
 		a.Header.Encode(w.buf, v.Seed, k)
-		e.send(e.relay, w.buf[:stoatflow.HeaderSize+n], a.To)
+		e.sendDatagram(e.relay, w.buf[:stoatflow.HeaderSize+n], a.To)
 	case stoatflow.Reset:
-		e.drop(a.Reason)
-		e.reset(w, data, a)
+		e.countDrop(a.Reason)
+		e.sendReset(w, data, a)
 	case stoatflow.Drop:
-		e.drop(a.Reason)
+		e.countDrop(a.Reason)
 	}
 }
 
-// reset refuses the flow to the caller, and ends it at the upstream if it was open there.
-func (e *Entry) reset(w *worker, packet []byte, a stoatflow.Action) {
+// sendReset refuses the flow to the caller, and ends it at the upstream if it was open there.
+func (e *Entry) sendReset(w *worker, packet []byte, a stoatflow.Action) {
 	if w.packet.ICMP || w.packet.Reset {
 		return
 	}
 	if w.packet.Tuple.Protocol == stoatpaddle.ProtocolUDP {
 		if data, err := stoattunnel.Unreachable(&w.packet, packet); err == nil {
-			e.send(e.tunnel, data, e.set.Egress)
+			e.sendDatagram(e.tunnel, data, e.settings.Egress)
 		}
 		return
 	}
 	if data, err := stoattunnel.ResetFor(&w.packet); err == nil {
-		e.send(e.tunnel, data, e.set.Egress)
+		e.sendDatagram(e.tunnel, data, e.settings.Egress)
 	}
 	if a.Upstream == nil {
 		return
 	}
 	if data, err := stoattunnel.ResetTo(&w.packet); err == nil {
-		e.send(e.tunnel, data, a.Upstream.Addr)
+		e.sendDatagram(e.tunnel, data, a.Upstream.Addr)
 	}
 }
 
-// send writes a datagram; the network may drop it, as it may any packet.
-func (e *Entry) send(conn *net.UDPConn, data []byte, to netip.AddrPort) {
+// sendDatagram writes a datagram; the network may drop it, as it may any packet.
+func (e *Entry) sendDatagram(conn *net.UDPConn, data []byte, to netip.AddrPort) {
 	_, _ = conn.WriteToUDPAddrPort(data, to)
 }
