--- a/stoatentry/catalogue.go
+++ b/stoatentry/catalogue.go
@@ -2,21 +2,21 @@
 
 import "github.com/stoatpaddle/stoatpaddle/stoatevent"
 
-// The numbered events of an entry's sockets.
+// The numbered events of an entry's sockets, of its handover and of writes to the platform.
 var (
 	EventListen = stoatevent.Register(stoatevent.Entry{
 		Number: 1201, Severity: stoatevent.Info, Since: "0.1",
-		Title: "entry listens",
+		Title: "entry is listening",
 		Text:  "All sockets of the entry are open.",
 	})
 	EventHandOver = stoatevent.Register(stoatevent.Entry{
 		Number: 1202, Severity: stoatevent.Info, Since: "0.1",
-		Title: "handing over",
-		Text:  "The entry sends its tracked flows to their next owners within the byte budget; the event estimates how long that takes.",
+		Title: "flow handover begins",
+		Text:  "The entry is stopping and sends its tracked flows to their next owners, at the rate that the control budget allows. Estimate is how long that should take.",
 	})
 	EventWriteUnknown = stoatevent.Register(stoatevent.Entry{
 		Number: 1203, Severity: stoatevent.Warning, Since: "0.1",
-		Title: "own write unanswered",
-		Text:  "The platform did not answer a write of the entry's own object. Peers know the entry from its hello meanwhile; the write is tried again.",
+		Title: "write to the platform failed",
+		Text:  "A write of the entry's own object, or of an object that a restored platform had lost, failed or got no answer. The entry retries it with backoff. Until a write of its own object succeeds, peers know the entry from the hello message that it sends them.",
 	})
 )
--- a/stoatentry/control.go
+++ b/stoatentry/control.go
@@ -10,11 +10,10 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatnode"
 )
 
-// statusQuery asks the control actor for its status.
+// statusQuery asks the control actor for the node's status.
 type statusQuery struct{}
 
-// controlActor is the actor that owns the node: one event at a time, so that the reducer
-// needs no lock.
+// controlActor owns the node. It handles one message at a time, so the node needs no lock.
 type controlActor struct {
 	node    *stoatnode.Node
 	clock   func() time.Time
--- a/stoatentry/doc.go
+++ b/stoatentry/doc.go
@@ -1,3 +1,3 @@
-// Package stoatentry joins the parts of one entry instance: sockets, the control
-// reducer in its actor, the flow engine, callers' requests and administration.
+// Package stoatentry assembles a running entry from its components: the sockets, the control state machine
+// in an actor, the flow engine, the proxy for calls, the peer transport and the administration API.
 package stoatentry
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -33,8 +33,8 @@
 type Config struct {
 	Settings stoatsetting.Settings
 	Log      io.Writer
-	Workers  int // goroutines a socket; default 2
-	// Severed tells that the network towards a peer is cut; tests set it.
+	Workers  int // number of goroutines that read each UDP socket; 0 means 2
+	// Severed reports whether the network between this entry and a peer is cut. Only tests set it.
 	Severed func(id stoatpaddle.InstanceID) bool
 }
 
@@ -68,7 +68,7 @@
 	releaseOnce  sync.Once
 }
 
-// Start opens the sockets and begins to work.
+// Start opens the sockets and starts the entry's goroutines. It fails if a socket can't be opened.
 func Start(ctx context.Context, cfg Config) (*Entry, error) {
 	if cfg.Workers == 0 {
 		cfg.Workers = defaultWorkers
@@ -107,8 +107,8 @@
 	return e, nil
 }
 
-// newInstance describes this life of the instance. The start time as incarnation needs
-// nobody's answer and grows from life to life.
+// newInstance describes this run of the instance. Its incarnation is the start time, which grows from one run
+// to the next and can be known without asking the platform or a peer.
 func newInstance(s stoatsetting.Settings, now time.Time) stoatpaddle.Instance {
 	return stoatpaddle.Instance{
 		ID: s.Instance, Role: stoatpaddle.RoleEntry, DataCentre: s.DataCentre, State: stoatpaddle.StateJoining,
@@ -145,7 +145,7 @@
 
 const headerTimeout = 10 * time.Second
 
-// serveHTTP serves HTTP/1.1 and h2c.
+// serveHTTP serves HTTP/1.1 and unencrypted HTTP/2 (h2c) on addr.
 func (e *Entry) serveHTTP(addr netip.AddrPort, h http.Handler) error {
 	ln, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -163,10 +163,10 @@
 	return nil
 }
 
-// Stop begins the planned stop; Wait returns when it is complete.
+// Stop begins the planned stop. Wait returns when the stop is complete.
 func (e *Entry) Stop() { e.post(stoatnode.StopAsked{}) }
 
-// Kill ends the entry at once, as a crash would.
+// Kill ends the entry at once, without a handover, as a crash would.
 func (e *Entry) Kill() {
 	if !e.killed.CompareAndSwap(false, true) {
 		return
@@ -190,8 +190,8 @@
 	e.releaseOnce.Do(e.release)
 }
 
-// release ends the parts in the order of who starts goroutines for whom: the control actor
-// starts them in both groups, and a group that is waited for must not get new ones.
+// release stops the components. The control actor must end first: it starts goroutines in the transport's
+// group and in the entry's, and a group must not get new goroutines while it is being waited for.
 func (e *Entry) release() {
 	if e.pid != nil {
 		_ = e.system.Root.StopFuture(e.pid).Wait()
@@ -203,32 +203,32 @@
 	e.system.Shutdown()
 }
 
-// Engine returns the flow engine, for tests and the demo.
+// Engine returns the flow engine; it is exposed for tests.
 func (e *Entry) Engine() *stoatflow.Engine { return e.engine }
 
-// Calls returns the call handler, for tests and the demo.
+// Calls returns the call handler; it is exposed for tests.
 func (e *Entry) Calls() *stoatcall.Handler { return e.calls }
 
-// ControlBytes returns the bytes of control frames sent since the start.
+// ControlBytes returns the number of bytes sent to peers in control frames since the start.
 func (e *Entry) ControlBytes() int64 {
 	sent, _ := e.transport.Bytes()
 	return sent
 }
 
-// Dropped returns the number of packets dropped for the reason.
+// Dropped returns the number of packets dropped for the given reason.
 func (e *Entry) Dropped(r stoatpacket.DropReason) int64 { return e.drops[r].Load() }
 
 const statusTimeout = 2 * time.Second
 
-// status asks the control actor; it is the only reader of the node's state.
+// status asks the control actor for the node's status, because only that actor may read the node's state.
 func (e *Entry) status() (stoatnode.Status, error) {
-	answer, err := e.system.Root.RequestFuture(e.pid, statusQuery{}, statusTimeout).Result()
+	response, err := e.system.Root.RequestFuture(e.pid, statusQuery{}, statusTimeout).Result()
 	if err != nil {
 		return stoatnode.Status{}, &stoatpaddle.UnavailableError{Op: "status", Cause: err}
 	}
-	s, _ := answer.(stoatnode.Status)
+	s, _ := response.(stoatnode.Status)
 	return s, nil
 }
 
-// Status returns what is in force on this entry.
+// Status returns the configuration in force on this entry and what it knows of instances and the platform.
 func (e *Entry) Status() (stoatnode.Status, error) { return e.status() }
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -32,7 +32,7 @@
 	return addr
 }
 
-// until polls; a condition that never comes about ends by go test's own limit.
+// until polls until ok holds. A condition that never holds is ended by the timeout of go test.
 func until(ok func() bool) {
 	for !ok() {
 		time.Sleep(5 * time.Millisecond)
@@ -47,7 +47,7 @@
 	}
 	e, err := stoatentry.Start(context.Background(), stoatentry.Config{Settings: settings, Log: io.Discard})
 	if err != nil {
-		t.Log("another process took a port meanwhile:", err)
+		t.Log("another process has taken a port; trying other ports:", err)
 		return startEntry(t, id, platform, egress, seeds...)
 	}
 	t.Cleanup(func() {
@@ -57,7 +57,8 @@
 	return e, settings
 }
 
-// ready tells whether the entry serves, holds the contracts and knows the entries to be live.
+// ready reports whether the entry serves, has at least this number of contracts, and sees at least this number
+// of entries as live.
 func ready(e *stoatentry.Entry, contracts, entries int) bool {
 	st, err := e.Status()
 	if err != nil || !st.Ready || len(st.Contracts) < contracts {
@@ -72,9 +73,9 @@
 	return live >= entries
 }
 
-// Callers hold flows over two entries. A third entry joins while the platform is down and
-// takes the contract from its peers; then one of the first two is stopped as planned. No
-// caller sees a flow broken, and the stopped entry ends by itself.
+// Callers have open flows through two entries. A third entry joins while the platform is down and gets the
+// contract from its peers; then one of the first two entries is stopped. No flow may break, and the stopped
+// entry must end without help.
 func TestPlannedStopAndJoinWithoutPlatform(t *testing.T) {
 	var group errgroup.Group
 	platform := stoatfake.NewPlatform()
@@ -136,12 +137,12 @@
 	before := callers.Counts()
 	until(func() bool { return third.Engine().Stats().Relayed.Load()+b.Engine().Stats().Relayed.Load() > 100 })
 	if now := callers.Counts(); now.Broken > 0 || now.Open < before.Open || now.Open != 60 {
-		t.Errorf("%+v, then %+v", before, now)
+		t.Errorf("callers' counts were %+v, and later %+v", before, now)
 	}
 }
 
-// Packets that no entry or fabric would send, on both UDP sockets: each is counted by its
-// reason, none is forwarded, and the entry goes on.
+// Both UDP sockets get packets that no entry or fabric sends. Each must be counted with the reason of its drop,
+// and the entry must keep running.
 func TestBadPacketsAreDropped(t *testing.T) {
 	platform := httptest.NewServer(stoatfake.NewPlatform())
 	t.Cleanup(platform.Close)
@@ -180,9 +181,8 @@
 	}
 }
 
-// An entry that never served, because neither the platform nor a peer answered, is stopped
-// as planned. It has nothing to hand over, so it ends by itself and does not wait for the
-// operator's deadline.
+// An entry never served, because neither the platform nor a peer answered, and gets a planned stop. It has
+// nothing to hand over, so it must end without waiting for the stop deadline.
 func TestPlannedStopBeforeServing(t *testing.T) {
 	e, _ := startEntry(t, "e1", freeAddr(t), freeAddr(t))
 	e.Stop()
--- a/stoatentry/metrics.go
+++ b/stoatentry/metrics.go
@@ -10,7 +10,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatstatus"
 )
 
-// newMetrics names what /metrics shows.
+// newMetrics registers the entry's own metrics, which GET /metrics exposes.
 func (e *Entry) newMetrics() *metrics.Set {
 	set := metrics.NewSet()
 	gauge := func(name string, value func() int64) {
@@ -46,7 +46,7 @@
 	return set
 }
 
-// report sums up what became of flows and calls.
+// report returns the counts of flows and calls by their outcome.
 func (e *Entry) report() stoatstatus.Report {
 	flows, calls := e.engine.Stats(), e.calls.Stats()
 	return stoatstatus.Report{
--- a/stoatentry/restore_test.go
+++ b/stoatentry/restore_test.go
@@ -14,10 +14,10 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-// An operator amends a contract, the amendment is accepted and in force at both entries, and the platform
-// comes back from a copy of before. The copy's contract has a later place in the platform's history, and
-// entries that went by that would go back to it: the customer would have the limits that were replaced.
-// The amendment stays in force and stands on the platform again, and the next one goes on top of it.
+// An operator amends a contract, both entries apply the amendment, and then the platform is restored from an
+// older backup. The backup's contract has a later position in the platform's history, so entries that compare
+// positions alone would bring back the limits that the amendment replaced. The amendment must stay in force,
+// be written to the platform again, and be the base of the next amendment.
 func TestContractOutlivesARestore(t *testing.T) {
 	platform := stoatfake.NewPlatform()
 	srv := httptest.NewServer(platform)
@@ -60,18 +60,18 @@
 	until(inForce(second))
 	platform.Restore(backup)
 	if flows, _ := stored(); flows != 100 {
-		t.Fatal("the copy has", flows)
+		t.Fatal("limit of flows in the restored backup:", flows)
 	}
 	until(func() bool { flows, _ := stored(); return flows == 200 })
 	_, rewritten := stored()
 	until(inForce(rewritten))
 	if rewritten <= second {
-		t.Error("written again at", rewritten, "after", second)
+		t.Error("the amendment was written again at version", rewritten, "not after version", second)
 	}
 	until(inForce(apply(300, rewritten)))
 }
 
-// hasVersion tells whether the entry's one contract is in force at that version or a later one.
+// hasVersion reports whether the entry has one contract, in force at this version or a later one.
 func hasVersion(e *stoatentry.Entry, version stoatpaddle.Version) bool {
 	st, err := e.Status()
 	return err == nil && len(st.Contracts) == 1 && st.Contracts[0].Version >= version
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -22,7 +22,7 @@
 )
 
 const (
-	// watchTimeout is how long a watch waits for a change: it costs one call a wait.
+	// watchTimeout is how long a watch waits for a change. Each wait costs one call to the platform.
 	watchTimeout    = 30 * time.Second
 	advanceInterval = 100 * time.Millisecond
 	seedBytes       = 16
@@ -30,7 +30,8 @@
 
 func clock() time.Time { return time.Now() }
 
-// perform performs one effect; what waits for others runs in the group.
+// perform carries out one effect. Calls to the platform run in goroutines of the group, so that the control
+// actor doesn't wait for them; it waits only for Unregister, at the end of a planned stop.
 func (e *Entry) perform(effect stoatnode.Effect) {
 	switch x := effect.(type) {
 	case stoatnode.Publish:
@@ -71,6 +72,7 @@
 	}
 }
 
+// runAfter calls f in a goroutine of the group after a pause, unless the entry ends first.
 func (e *Entry) runAfter(after time.Duration, f func()) {
 	e.group.Go(func() error {
 		if stoatplatform.Pause(e.ctx, after) {
@@ -111,9 +113,8 @@
 
 func newToken() stoatpaddle.Token { return stoatpaddle.Token(uuid.NewString()) }
 
-// register writes the instance's object until the platform has it or the entry ends. It
-// writes what is wanted at each try: an older registration that was held up by an outage
-// must not undo a later one.
+// register writes the instance's object and retries until the platform has it or the entry ends. Each attempt
+// writes the latest registration: an older one that was delayed by an outage must not overwrite a later one.
 func (e *Entry) register() {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 4))
 	for attempt := 0; e.ctx.Err() == nil; attempt++ {
@@ -149,7 +150,8 @@
 	}, own)
 }
 
-// rewrite writes an object again until it stands or another one that follows it does.
+// rewrite writes an object that a restored platform has lost. It retries until the platform has this version of
+// the object or a later one.
 func (e *Entry) rewrite(o stoatpaddle.Object) {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 6))
 	own := newToken()
@@ -163,7 +165,7 @@
 			e.post(stoatnode.Wrote{Object: written})
 			return
 		case errors.As(err, &conflict):
-			// Whoever watches beside this entry was first, or an operator was.
+			// Another entry wrote the object again first, or an operator changed it.
 			e.post(stoatnode.Wrote{Object: conflict.Current})
 			return
 		}
@@ -173,7 +175,8 @@
 
 const unregisterTimeout = 2 * time.Second
 
-// unregister removes the instance's object; if that fails, peers see it dead soon.
+// unregister deletes the instance's object in a single attempt. If the attempt fails, the peers soon find the
+// entry dead, because its heartbeats stop.
 func (e *Entry) unregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), unregisterTimeout)
 	defer cancel()
@@ -185,7 +188,7 @@
 	_, _ = e.platform.Delete(ctx, current)
 }
 
-// makeSeed creates the cluster's key; if another entry was first, the watch brings its key.
+// makeSeed creates the cluster's hash key. If another entry has created one first, that one is used.
 func (e *Entry) makeSeed() {
 	raw := make([]byte, seedBytes)
 	if _, err := rand.Read(raw); err != nil {
@@ -204,20 +207,20 @@
 	}
 }
 
-// handOver stops new calls and tells how long the flows' records will take.
+// handOver stops taking new calls and logs how long the handover of the flow records should take.
 func (e *Entry) handOver() {
 	e.calls.Stop()
 	e.handingOver.Store(true)
 	e.log.Emit(EventHandOver, stoatevent.F("estimate", e.engine.HandoverTime().String()))
 }
 
-// handoverComplete tells whether a leaving entry has nothing left to hand over; one that never
-// served has nothing.
+// handoverComplete reports whether a leaving entry has nothing left to hand over. An entry without a view has
+// never served, so it has nothing to hand over.
 func (e *Entry) handoverComplete(v *stoatview.View) bool {
 	return v == nil || v.Entries.Find(e.self.ID) == nil && e.engine.Drained(v)
 }
 
-// runTimer does the flow engine's periodic work and the control reducer's ticks.
+// runTimer runs the flow engine's periodic work and posts the node's ticks until the entry ends.
 func (e *Entry) runTimer() error {
 	t := time.NewTicker(advanceInterval)
 	defer t.Stop()
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -11,7 +11,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattunnel"
 )
 
-// maxPacket is the longest datagram.
+// maxPacket is the largest size of a UDP datagram, bytes.
 const maxPacket = 65536
 
 func (e *Entry) startWorkers() {
@@ -34,18 +34,18 @@
 	})
 }
 
-// worker is what one traffic goroutine needs; nothing in it is shared.
+// worker holds the state of one goroutine that handles packets; goroutines share none of it.
 type worker struct {
 	parser *stoattunnel.Parser
 	packet stoatpacket.Packet
-	buf    []byte // HeaderSize bytes of room, then the packet
+	buf    []byte // HeaderSize bytes for the relay header, then the packet
 }
 
 func newWorker() *worker {
 	return &worker{parser: stoattunnel.NewParser(), buf: make([]byte, stoatflow.HeaderSize+maxPacket)}
 }
 
-// readTunnel reads encapsulated packets.
+// readTunnel reads encapsulated packets from the tunnel socket until the entry ends.
 func (e *Entry) readTunnel() {
 	w := newWorker()
 	for {
@@ -60,7 +60,8 @@
 	}
 }
 
-// readRelay reads packets that other entries relayed.
+// readRelay reads what other entries send to the relay socket, relayed packets and notices, until the entry
+// ends.
 func (e *Entry) readRelay() {
 	w := newWorker()
 	for {
@@ -85,7 +86,7 @@
 	}
 }
 
-// receiveNotice takes in the answer to a question about a flow.
+// receiveNotice passes a notice, which says to which upstream a flow goes, to the flow engine.
 func (e *Entry) receiveNotice(data []byte) {
 	v := e.view.Load()
 	if v == nil {
@@ -101,7 +102,8 @@
 
 func (e *Entry) countDrop(r stoatpacket.DropReason) { e.drops[r].Add(1) }
 
-// handlePacket decides about the packet in w and carries the decision out.
+// handlePacket has the flow engine decide what to do with the packet in w and carries out that decision.
+// The packet has n bytes; h and from are the header and the sender of a relayed packet.
 func (e *Entry) handlePacket(w *worker, n int, h stoatflow.Header, from netip.AddrPort) {
 	v := e.view.Load()
 	if v == nil {
@@ -119,8 +121,8 @@
 		return
 	}
 	k := v.Seed.Hash(w.packet.Tuple)
-	// Only entries may say what a packet is: a stranger's header could make this entry
-	// decide for flows that others own.
+	// A relayed packet's header must carry a valid tag. A forged one could make this entry decide about flows
+	// that other entries own.
 	if h.Kind != stoatflow.KindFabric && !stoatflow.VerifyTag(w.buf, v.Seed, k) {
 		e.countDrop(stoatpacket.DropUnauthenticated)
 		return
@@ -146,7 +148,9 @@
 	}
 }
 
-// sendReset refuses the flow to the caller, and ends it at the upstream if it was open there.
+// sendReset tells the caller that the flow is refused, with an ICMP port unreachable message for UDP and with
+// a TCP reset otherwise. If a TCP flow was open at an upstream, the upstream gets a reset too. ICMP packets and
+// resets are not answered.
 func (e *Entry) sendReset(w *worker, packet []byte, a stoatflow.Action) {
 	if w.packet.ICMP || w.packet.Reset {
 		return
@@ -168,7 +172,7 @@
 	}
 }
 
-// sendDatagram writes a datagram; the network may drop it, as it may any packet.
+// sendDatagram sends a datagram. Errors are ignored, because the network may drop any packet as well.
 func (e *Entry) sendDatagram(conn *net.UDPConn, data []byte, to netip.AddrPort) {
 	_, _ = conn.WriteToUDPAddrPort(data, to)
 }
--- a/stoatentry/system.go
+++ b/stoatentry/system.go
@@ -6,9 +6,9 @@
 	"github.com/asynkron/protoactor-go/actor"
 )
 
-// newSystem returns an actor system that keeps its own log lines to itself: everything a
-// user should see is a numbered event.
+// newSystem returns an actor system whose own log lines are discarded, because everything that an operator
+// should see is logged as a numbered event.
 func newSystem() *actor.ActorSystem {
-	quiet := func(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
-	return actor.NewActorSystem(actor.WithLoggerFactory(quiet))
+	discard := func(*actor.ActorSystem) *slog.Logger { return slog.New(slog.DiscardHandler) }
+	return actor.NewActorSystem(actor.WithLoggerFactory(discard))
 }
