--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -41,7 +41,7 @@
 	return p, clients
 }
 
-func sawt(t *testing.T) stoatpaddle.Contract {
+func sampleContract(t *testing.T) stoatpaddle.Contract {
 	data, err := os.ReadFile("../stoatcontract/testdata/sawt.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -67,25 +67,25 @@
 // accepted; the other is told which version stands and what differs, and nothing is lost.
 func TestTwoOperators(t *testing.T) {
 	ctx := context.Background()
-	_, c := twoEntries(t)
-	one := sawt(t)
-	first, err := c[0].Apply(ctx, "sawt", text(one), stoatadmin.Change{})
+	_, clients := twoEntries(t)
+	one := sampleContract(t)
+	first, err := clients[0].Apply(ctx, "sawt", text(one), stoatadmin.Change{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	base := stoatpaddle.Version(first.Version)
 	one.Limits.Flows = 111
-	if _, err := c[0].Apply(ctx, "sawt", text(one), stoatadmin.Change{Base: base}); err != nil {
+	if _, err := clients[0].Apply(ctx, "sawt", text(one), stoatadmin.Change{Base: base}); err != nil {
 		t.Fatal(err)
 	}
-	two := sawt(t)
+	two := sampleContract(t)
 	two.Limits.Flows = 222
-	_, err = c[1].Apply(ctx, "sawt", text(two), stoatadmin.Change{Base: base})
+	_, err = clients[1].Apply(ctx, "sawt", text(two), stoatadmin.Change{Base: base})
 	r := refusal(t, err)
 	if r.Status != 409 || r.Answer.Version != 2 || strings.Join(r.Answer.Differs, " ") != "- [limits] flows = 111 + [limits] flows = 222" {
 		t.Errorf("%+v", r)
 	}
-	if got, err := c[1].Contract(ctx, "sawt"); err != nil || !strings.Contains(got, "flows = 111") || !strings.Contains(got, "version = 2") {
+	if got, err := clients[1].Contract(ctx, "sawt"); err != nil || !strings.Contains(got, "flows = 111") || !strings.Contains(got, "version = 2") {
 		t.Error(got, err)
 	}
 }
@@ -95,17 +95,17 @@
 // asking again with it once the platform is back applies the change once.
 func TestUnknownThenAccepted(t *testing.T) {
 	ctx := context.Background()
-	p, c := twoEntries(t)
+	p, clients := twoEntries(t)
 	p.Set(stoatfake.Trouble{LoseWrites: 1})
-	a, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{})
+	a, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{})
 	if err != nil || a.Version != 1 {
 		t.Fatal(a, err)
 	}
 	p.Set(stoatfake.Trouble{LoseWrites: 9})
-	amended := sawt(t)
+	amended := sampleContract(t)
 	amended.Limits.Flows = 5
 	change := stoatadmin.Change{Base: 1, Token: "mine"}
-	if _, err = c[0].Apply(ctx, "sawt", text(amended), change); err != nil {
+	if _, err = clients[0].Apply(ctx, "sawt", text(amended), change); err != nil {
 		// Every answer was lost; the write itself took effect.
 		r := refusal(t, err)
 		if r.Answer.Outcome != stoatadmin.Unknown || r.Answer.Token != "mine" {
@@ -113,12 +113,12 @@
 		}
 	}
 	p.Set(stoatfake.Trouble{})
-	a, err = c[1].Apply(ctx, "sawt", text(amended), change)
+	a, err = clients[1].Apply(ctx, "sawt", text(amended), change)
 	if err != nil || a.Version != 2 {
 		t.Fatal(a, err)
 	}
 	p.Set(stoatfake.Trouble{Down: true})
-	_, err = c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{Base: 2})
+	_, err = clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{Base: 2})
 	if r := refusal(t, err); r.Answer.Number != stoatadmin.FaultPlatform.Number.String() {
 		t.Errorf("%+v", r)
 	}
@@ -129,97 +129,97 @@
 // operator does not see it, and nobody else can claim its address yet.
 func TestUpstreamTakenOutIsRetired(t *testing.T) {
 	ctx := context.Background()
-	p, c := twoEntries(t)
-	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{}); err != nil {
+	p, clients := twoEntries(t)
+	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}); err != nil {
 		t.Fatal(err)
 	}
-	less := sawt(t)
-	gone := less.Services[0].Upstreams[1]
-	less.Services[0].Upstreams = less.Services[0].Upstreams[:1]
-	if _, err := c[0].Apply(ctx, "sawt", text(less), stoatadmin.Change{Base: 1}); err != nil {
+	reduced := sampleContract(t)
+	removed := reduced.Services[0].Upstreams[1]
+	reduced.Services[0].Upstreams = reduced.Services[0].Upstreams[:1]
+	if _, err := clients[0].Apply(ctx, "sawt", text(reduced), stoatadmin.Change{Base: 1}); err != nil {
 		t.Fatal(err)
 	}
 	stored, err := stoatcontract.Decode(p.Objects()[0].Value)
-	if err != nil || len(stored.Services[0].Retired) != 1 || stored.Services[0].Retired[0].Upstream != gone {
+	if err != nil || len(stored.Services[0].Retired) != 1 || stored.Services[0].Retired[0].Upstream != removed {
 		t.Fatalf("%+v %v", stored.Services[0].Retired, err)
 	}
-	if got, err := c[1].Contract(ctx, "sawt"); err != nil || strings.Contains(got, string(gone.ID)) {
+	if got, err := clients[1].Contract(ctx, "sawt"); err != nil || strings.Contains(got, string(removed.ID)) {
 		t.Error(got, err)
 	}
-	later := stoatcontract.Retire(time.Unix(1000, 0).Add(9*time.Hour), stored, less)
+	later := stoatcontract.Retire(time.Unix(1000, 0).Add(9*time.Hour), stored, reduced)
 	if len(later.Services[0].Retired) != 0 {
 		t.Error("retired for good")
 	}
-	if back := stoatcontract.Retire(time.Unix(1000, 0), stored, sawt(t)); len(back.Services[0].Retired) != 0 {
+	if back := stoatcontract.Retire(time.Unix(1000, 0), stored, sampleContract(t)); len(back.Services[0].Retired) != 0 {
 		t.Error("declared again and still retired")
 	}
 }
 
 func TestRefusedChanges(t *testing.T) {
 	ctx := context.Background()
-	_, c := twoEntries(t)
-	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{}); err != nil {
+	_, clients := twoEntries(t)
+	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}); err != nil {
 		t.Fatal(err)
 	}
-	thief := sawt(t)
-	thief.Customer = "barrilete"
-	for name, try := range map[string]struct {
+	conflicting := sampleContract(t)
+	conflicting.Customer = "barrilete"
+	for name, tc := range map[string]struct {
 		number string
 		err    error
 	}{
-		"claims what another has": {"SP2001", second(c[0].Apply(ctx, "barrilete", text(thief), stoatadmin.Change{}))},
-		"names another customer":  {"SP2001", second(c[0].Apply(ctx, "other", text(sawt(t)), stoatadmin.Change{}))},
-		"broken":                  {"SP2001", second(c[0].Apply(ctx, "sawt", []byte("[contract]\nx=1"), stoatadmin.Change{Base: 1}))},
-		"created twice":           {"SP2002", second(c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{}))},
-		"removed unseen":          {"SP2006", second(c[0].Remove(ctx, "sawt", stoatadmin.Change{}))},
-		"removed at old version":  {"SP2002", second(c[0].Remove(ctx, "sawt", stoatadmin.Change{Base: 7}))},
-		"removed, none there":     {"SP2005", second(c[0].Remove(ctx, "none", stoatadmin.Change{Base: 7}))},
-		"unknown instance":        {"SP2005", second(c[0].Mark(ctx, "nobody", stoatpaddle.StateLeaving))},
-		"unknown state":           {"SP2007", second(c[0].Mark(ctx, "giving-a", "dancing"))},
+		"claims what another has": {"SP2001", errorOf(clients[0].Apply(ctx, "barrilete", text(conflicting), stoatadmin.Change{}))},
+		"names another customer":  {"SP2001", errorOf(clients[0].Apply(ctx, "other", text(sampleContract(t)), stoatadmin.Change{}))},
+		"broken":                  {"SP2001", errorOf(clients[0].Apply(ctx, "sawt", []byte("[contract]\nx=1"), stoatadmin.Change{Base: 1}))},
+		"created twice":           {"SP2002", errorOf(clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}))},
+		"removed unseen":          {"SP2006", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.Change{}))},
+		"removed at old version":  {"SP2002", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.Change{Base: 7}))},
+		"removed, none there":     {"SP2005", errorOf(clients[0].Remove(ctx, "none", stoatadmin.Change{Base: 7}))},
+		"unknown instance":        {"SP2005", errorOf(clients[0].Mark(ctx, "nobody", stoatpaddle.StateLeaving))},
+		"unknown state":           {"SP2007", errorOf(clients[0].Mark(ctx, "giving-a", "dancing"))},
 	} {
-		if r := refusal(t, try.err); r.Answer.Number != try.number {
+		if r := refusal(t, tc.err); r.Answer.Number != tc.number {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
-	if a, err := c[0].Mark(ctx, "giving-a", stoatpaddle.StateLeaving); err != nil || a.Version != 2 {
+	if a, err := clients[0].Mark(ctx, "giving-a", stoatpaddle.StateLeaving); err != nil || a.Version != 2 {
 		t.Error(a, err)
 	}
-	if _, err := c[1].Remove(ctx, "sawt", stoatadmin.Change{Base: 1}); err != nil {
+	if _, err := clients[1].Remove(ctx, "sawt", stoatadmin.Change{Base: 1}); err != nil {
 		t.Error(err)
 	}
 }
 
-func second[T any](_ T, err error) error { return err }
+func errorOf[T any](_ T, err error) error { return err }
 
 // Operators evacuate a data centre through one entry and take it back through another one. A name that no
 // entry or upstream has would evacuate nothing, and is refused; asked twice it is one evacuation.
 func TestEvacuation(t *testing.T) {
 	ctx := context.Background()
-	p, c := twoEntries(t)
-	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{}); err != nil {
+	p, clients := twoEntries(t)
+	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := second(c[0].Evacuate(ctx, "ruvi")); refusal(t, err).Answer.Number != "SP2005" {
+	if err := errorOf(clients[0].Evacuate(ctx, "ruvi")); refusal(t, err).Answer.Number != "SP2005" {
 		t.Error(err)
 	}
-	if err := second(c[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2005" {
+	if err := errorOf(clients[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2005" {
 		t.Error(err)
 	}
-	first, err := c[0].Evacuate(ctx, "ruwi")
+	first, err := clients[0].Evacuate(ctx, "ruwi")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if again, err := c[1].Evacuate(ctx, "ruwi"); err != nil || again.Version != first.Version {
+	if again, err := clients[1].Evacuate(ctx, "ruwi"); err != nil || again.Version != first.Version {
 		t.Error(again, err)
 	}
-	if _, err := c[1].TakeBack(ctx, "ruwi"); err != nil {
+	if _, err := clients[1].TakeBack(ctx, "ruwi"); err != nil {
 		t.Error(err)
 	}
-	if again, err := c[0].Evacuate(ctx, "ruwi"); err != nil || again.Version <= first.Version {
+	if again, err := clients[0].Evacuate(ctx, "ruwi"); err != nil || again.Version <= first.Version {
 		t.Error("evacuated a second time:", again, err)
 	}
 	p.Set(stoatfake.Trouble{Down: true})
-	if err := second(c[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2004" {
+	if err := errorOf(clients[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2004" {
 		t.Error(err)
 	}
 }
--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -57,19 +57,19 @@
 	Token string              // empty for a new change
 }
 
-func (c *Client) do(ctx context.Context, method, path string, body []byte, ch *Change) (int, []byte, error) {
+func (c *Client) do(ctx context.Context, method, path string, body []byte, opts *Change) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, &stoatpaddle.UnavailableError{Op: path, Cause: err}
 	}
-	if ch != nil {
-		if ch.Base == 0 {
+	if opts != nil {
+		if opts.Base == 0 {
 			req.Header.Set("If-None-Match", "*")
 		} else {
-			req.Header.Set("If-Match", strconv.Quote(ch.Base.String()))
+			req.Header.Set("If-Match", strconv.Quote(opts.Base.String()))
 		}
-		if ch.Token != "" {
-			req.Header.Set(HeaderToken, ch.Token)
+		if opts.Token != "" {
+			req.Header.Set(HeaderToken, opts.Token)
 		}
 	}
 	res, err := c.http.Do(req)
@@ -85,8 +85,8 @@
 }
 
 // change sends a change; an answer other than accepted is *RefusedError.
-func (c *Client) change(ctx context.Context, method, path string, body []byte, ch *Change) (Answer, error) {
-	status, data, err := c.do(ctx, method, path, body, ch)
+func (c *Client) change(ctx context.Context, method, path string, body []byte, opts *Change) (Answer, error) {
+	status, data, err := c.do(ctx, method, path, body, opts)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -107,7 +107,7 @@
 		return err
 	}
 	if status != http.StatusOK {
-		return refused(status, data)
+		return refusedError(status, data)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
 		return &stoatpaddle.DecodeError{What: path, Cause: err}
@@ -115,7 +115,7 @@
 	return nil
 }
 
-func refused(status int, data []byte) error {
+func refusedError(status int, data []byte) error {
 	var a Answer
 	if err := json.Unmarshal(data, &a); err != nil {
 		return &stoatpaddle.DecodeError{What: "answer", Cause: err}
@@ -124,13 +124,13 @@
 }
 
 // Apply creates or amends a contract from its INI text.
-func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, ch Change) (Answer, error) {
-	return c.change(ctx, http.MethodPut, "/v1/contracts/"+string(customer), text, &ch)
+func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, opts Change) (Answer, error) {
+	return c.change(ctx, http.MethodPut, "/v1/contracts/"+string(customer), text, &opts)
 }
 
 // Remove removes a contract.
-func (c *Client) Remove(ctx context.Context, customer stoatpaddle.CustomerID, ch Change) (Answer, error) {
-	return c.change(ctx, http.MethodDelete, "/v1/contracts/"+string(customer), nil, &ch)
+func (c *Client) Remove(ctx context.Context, customer stoatpaddle.CustomerID, opts Change) (Answer, error) {
+	return c.change(ctx, http.MethodDelete, "/v1/contracts/"+string(customer), nil, &opts)
 }
 
 // Contract returns a contract's INI text with its version.
@@ -140,7 +140,7 @@
 		return "", err
 	}
 	if status != http.StatusOK {
-		return "", refused(status, data)
+		return "", refusedError(status, data)
 	}
 	return string(data), nil
 }
--- a/stoatadmin/evacuation.go
+++ b/stoatadmin/evacuation.go
@@ -9,38 +9,40 @@
 
 // evacuate has the upstreams of a data centre get no new work. Asked twice it is one evacuation.
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request) {
-	if !s.knowsCentre(stoatpaddle.DataCentreID(r.PathValue("name"))) {
+	if !s.isKnownCentre(stoatpaddle.DataCentreID(r.PathValue("name"))) {
 		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
 		return
 	}
 	s.changeEvacuation(w, r, false)
 }
 
-// takeBack ends an evacuation.
-func (s *Server) takeBack(w http.ResponseWriter, r *http.Request) { s.changeEvacuation(w, r, true) }
+// endEvacuation ends an evacuation.
+func (s *Server) endEvacuation(w http.ResponseWriter, r *http.Request) {
+	s.changeEvacuation(w, r, true)
+}
 
-func (s *Server) changeEvacuation(w http.ResponseWriter, r *http.Request, gone bool) {
+func (s *Server) changeEvacuation(w http.ResponseWriter, r *http.Request, remove bool) {
 	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectEvacuation, Name: r.PathValue("name")}
 	current, err := s.cfg.Platform.Get(r.Context(), ref)
 	var missing *stoatpaddle.NotFoundError
 	absent := errors.As(err, &missing)
 	switch {
 	case err != nil && !absent:
-		readFailed(w, err)
+		replyReadError(w, err)
 		return
-	case absent && gone:
+	case absent && remove:
 		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
 		return
-	case !absent && !gone:
+	case !absent && !remove:
 		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version)})
 		return
 	}
-	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Gone: gone, Value: []byte("{}")}, current)
+	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Gone: remove, Value: []byte("{}")}, current)
 }
 
-// knowsCentre tells whether an entry or an upstream is in the data centre: a name that is mistyped would be
+// isKnownCentre tells whether an entry or an upstream is in the data centre: a name that is mistyped would be
 // accepted and evacuate nothing.
-func (s *Server) knowsCentre(dc stoatpaddle.DataCentreID) bool {
+func (s *Server) isKnownCentre(dc stoatpaddle.DataCentreID) bool {
 	st, err := s.cfg.Status()
 	if err != nil {
 		return false
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -39,8 +39,8 @@
 	mu  sync.Mutex // guards cfg.Rand
 }
 
-// maxContract bounds a contract's text: the platform holds values up to a megabyte.
-const maxContract = 1 << 20
+// maxContractBytes bounds a contract's text: the platform holds values up to a megabyte.
+const maxContractBytes = 1 << 20
 
 // New returns a Server.
 func New(cfg Config) *Server {
@@ -52,7 +52,7 @@
 	s.mux.HandleFunc("GET /v1/instances", s.listInstances)
 	s.mux.HandleFunc("PUT /v1/instances/{name}", s.markInstance)
 	s.mux.HandleFunc("PUT /v1/evacuations/{name}", s.evacuate)
-	s.mux.HandleFunc("DELETE /v1/evacuations/{name}", s.takeBack)
+	s.mux.HandleFunc("DELETE /v1/evacuations/{name}", s.endEvacuation)
 	s.mux.HandleFunc("GET /v1/status", s.getStatus)
 	s.mux.HandleFunc("GET /v1/report", func(w http.ResponseWriter, _ *http.Request) { reply(w, http.StatusOK, cfg.Report()) })
 	s.mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { cfg.Metrics(w) })
@@ -109,8 +109,8 @@
 	reply(w, http.StatusOK, toStatus(st).Instances)
 }
 
-// readFailed answers a failed read that a change depends on.
-func readFailed(w http.ResponseWriter, err error) {
+// replyReadError answers a failed read that a change depends on.
+func replyReadError(w http.ResponseWriter, err error) {
 	var missing *stoatpaddle.NotFoundError
 	if errors.As(err, &missing) {
 		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
@@ -123,7 +123,7 @@
 func (s *Server) getContract(w http.ResponseWriter, r *http.Request) {
 	o, err := s.cfg.Platform.Get(r.Context(), contractRef(r))
 	if err != nil {
-		readFailed(w, err)
+		replyReadError(w, err)
 		return
 	}
 	c, err := stoatcontract.Decode(o.Value)
@@ -136,8 +136,8 @@
 	_, _ = io.WriteString(w, stoatcontract.Format(c, o.Version))
 }
 
-// condition reads the version that a change is conditional on; create is version 0.
-func condition(r *http.Request) (stoatpaddle.Version, bool) {
+// parseCondition reads the version that a change is conditional on; create is version 0.
+func parseCondition(r *http.Request) (stoatpaddle.Version, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, true
 	}
@@ -146,12 +146,12 @@
 }
 
 func (s *Server) putContract(w http.ResponseWriter, r *http.Request) {
-	base, ok := condition(r)
+	base, ok := parseCondition(r)
 	if !ok {
 		refuse(w, http.StatusPreconditionRequired, FaultCondition, Answer{})
 		return
 	}
-	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxContract))
+	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxContractBytes))
 	if err != nil {
 		refuse(w, http.StatusRequestEntityTooLarge, FaultInvalid, Answer{})
 		return
@@ -166,19 +166,19 @@
 		refuse(w, http.StatusUnprocessableEntity, FaultInvalid, Answer{Faults: toFaults(faults)})
 		return
 	}
-	s.accept(w, r, draft.Contract, base)
+	s.applyContract(w, r, draft.Contract, base)
 }
 
-// accept checks the contract against all others and writes it.
-func (s *Server) accept(w http.ResponseWriter, r *http.Request, c stoatpaddle.Contract, base stoatpaddle.Version) {
-	l, err := s.cfg.Platform.List(r.Context())
+// applyContract checks the contract against all others and writes it.
+func (s *Server) applyContract(w http.ResponseWriter, r *http.Request, c stoatpaddle.Contract, base stoatpaddle.Version) {
+	listing, err := s.cfg.Platform.List(r.Context())
 	if err != nil {
-		readFailed(w, err)
+		replyReadError(w, err)
 		return
 	}
 	var others []stoatpaddle.Contract
 	var current stoatpaddle.Object
-	for _, o := range l.Objects {
+	for _, o := range listing.Objects {
 		if o.Ref == contractRef(r) {
 			current = o
 			continue
@@ -191,8 +191,8 @@
 		refuse(w, http.StatusUnprocessableEntity, FaultInvalid, Answer{Faults: toFaults(faults)})
 		return
 	}
-	if standing, err := stoatcontract.Decode(current.Value); err == nil && !current.Gone {
-		c = stoatcontract.Retire(s.cfg.Clock(), standing, c)
+	if stored, err := stoatcontract.Decode(current.Value); err == nil && !current.Gone {
+		c = stoatcontract.Retire(s.cfg.Clock(), stored, c)
 	}
 	value, err := stoatcontract.Encode(c)
 	if err != nil {
@@ -203,14 +203,14 @@
 }
 
 func (s *Server) deleteContract(w http.ResponseWriter, r *http.Request) {
-	base, ok := condition(r)
+	base, ok := parseCondition(r)
 	if !ok || base == 0 {
 		refuse(w, http.StatusPreconditionRequired, FaultCondition, Answer{})
 		return
 	}
 	current, err := s.cfg.Platform.Get(r.Context(), contractRef(r))
 	if err != nil {
-		readFailed(w, err)
+		replyReadError(w, err)
 		return
 	}
 	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Gone: true}, current)
@@ -218,56 +218,56 @@
 
 // write does the conditional write and answers what became of it.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, o, current stoatpaddle.Object) {
-	own := stoatpaddle.Token(r.Header.Get(HeaderToken))
-	if own == "" {
-		own = stoatpaddle.Token(uuid.NewString())
-	} else if stoatplatform.Wrote(current, own) {
-		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version), Token: string(own)})
+	token := stoatpaddle.Token(r.Header.Get(HeaderToken))
+	if token == "" {
+		token = stoatpaddle.Token(uuid.NewString())
+	} else if stoatplatform.Wrote(current, token) {
+		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version), Token: string(token)})
 		return
 	}
-	o.Token = stoatplatform.Trail(own, current.Token)
-	done, err := s.put(r.Context(), o, own)
+	o.Token = stoatplatform.Trail(token, current.Token)
+	written, err := s.put(r.Context(), o, token)
 	var conflict *stoatpaddle.ConflictError
 	switch {
 	case err == nil:
-		w.Header().Set("ETag", strconv.Quote(done.Version.String()))
-		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(done.Version), Token: string(own)})
+		w.Header().Set("ETag", strconv.Quote(written.Version.String()))
+		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(written.Version), Token: string(token)})
 	case errors.As(err, &conflict):
 		refuse(w, http.StatusConflict, FaultConflict, Answer{
-			Version: uint64(conflict.Current.Version), Differs: differs(o, conflict.Current),
+			Version: uint64(conflict.Current.Version), Differs: differences(o, conflict.Current),
 		})
 	default:
 		reply(w, http.StatusGatewayTimeout, Answer{
-			Outcome: Unknown, Number: FaultUnknown.Number.String(), Title: FaultUnknown.Title, Token: string(own),
+			Outcome: Unknown, Number: FaultUnknown.Number.String(), Title: FaultUnknown.Title, Token: string(token),
 		})
 	}
 }
 
-func (s *Server) put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (s *Server) put(ctx context.Context, o stoatpaddle.Object, token stoatpaddle.Token) (stoatpaddle.Object, error) {
 	s.mu.Lock()
 	rnd := rand.New(rand.NewPCG(s.cfg.Rand.Uint64(), 5))
 	s.mu.Unlock()
 	writer := &stoatplatform.Writer{Platform: s.cfg.Platform, Rand: rnd}
-	return writer.Put(ctx, o, own)
+	return writer.Put(ctx, o, token)
 }
 
-func differs(sent, standing stoatpaddle.Object) []string {
-	a, errA := stoatcontract.Decode(standing.Value)
-	b, errB := stoatcontract.Decode(sent.Value)
-	if errA != nil || errB != nil {
+func differences(sent, stored stoatpaddle.Object) []string {
+	old, errOld := stoatcontract.Decode(stored.Value)
+	amended, errAmended := stoatcontract.Decode(sent.Value)
+	if errOld != nil || errAmended != nil {
 		return nil
 	}
-	return stoatcontract.Differences(a, b)
+	return stoatcontract.Differences(old, amended)
 }
 
 // markInstance marks an instance as joining or leaving.
 func (s *Server) markInstance(w http.ResponseWriter, r *http.Request) {
-	var m Mark
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxContract)).Decode(&m); err != nil {
+	var body Mark
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxContractBytes)).Decode(&body); err != nil {
 		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
 		return
 	}
-	state := stoatpaddle.State(m.State)
+	state := stoatpaddle.State(body.State)
 	if state != stoatpaddle.StateLeaving && state != stoatpaddle.StateJoining {
 		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
 		return
@@ -276,16 +276,16 @@
 	current, err := s.cfg.Platform.Get(r.Context(), ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
-		readFailed(w, err)
+		replyReadError(w, err)
 		return
 	}
-	i, known := s.instance(ref, current)
-	if !known {
+	instance, found := s.findInstance(ref, current)
+	if !found {
 		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
 		return
 	}
-	i.State = state
-	value, err := stoatcontract.EncodeInstance(i)
+	instance.State = state
+	value, err := stoatcontract.EncodeInstance(instance)
 	if err != nil {
 		refuse(w, http.StatusInternalServerError, FaultState, Answer{})
 		return
@@ -293,9 +293,9 @@
 	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Value: value}, current)
 }
 
-// instance returns the instance behind a mark: the object that stands, or an upstream of a contract.
-func (s *Server) instance(ref stoatpaddle.Ref, current stoatpaddle.Object) (stoatpaddle.Instance, bool) {
-	if i, err := stoatcontract.DecodeInstance(current.Value); current.Version > 0 && err == nil {
+// findInstance returns the findInstance behind a mark: the object that stands, or an upstream of a contract.
+func (s *Server) findInstance(ref stoatpaddle.Ref, stored stoatpaddle.Object) (stoatpaddle.Instance, bool) {
+	if i, err := stoatcontract.DecodeInstance(stored.Value); stored.Version > 0 && err == nil {
 		return i, true
 	}
 	st, err := s.cfg.Status()
