--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -20,7 +20,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatplatform"
 )
 
-// twoEntries returns a platform and the clients of two entries' administration APIs.
+// twoEntries returns a platform and clients of the administration APIs of two entries.
 func twoEntries(t *testing.T) (*stoatfake.Platform, [2]*stoatadmin.Client) {
 	p := stoatfake.NewPlatform()
 	platform := httptest.NewServer(p)
@@ -55,16 +55,17 @@
 
 func text(c stoatpaddle.Contract) []byte { return []byte(stoatcontract.Format(c, 0)) }
 
+// refusal returns err as a RefusedError and fails the test if it is none.
 func refusal(t *testing.T, err error) *stoatadmin.RefusedError {
 	var r *stoatadmin.RefusedError
 	if !errors.As(err, &r) {
-		t.Fatal("not refused:", err)
+		t.Fatal("error is not a RefusedError:", err)
 	}
 	return r
 }
 
-// Two operators amend one contract from the same version through two entries. One is
-// accepted; the other is told which version stands and what differs, and nothing is lost.
+// Two operators amend the same version of a contract through two entries. One change is accepted; the other
+// must be refused, with the stored version and the differences, and must not overwrite the first.
 func TestTwoOperators(t *testing.T) {
 	ctx := context.Background()
 	_, clients := twoEntries(t)
@@ -90,9 +91,9 @@
 	}
 }
 
-// The write takes effect and its answer is lost: the operator hears "accepted" all the
-// same. With the platform down for longer, the operator hears "unknown" with a token, and
-// asking again with it once the platform is back applies the change once.
+// A write takes effect and the platform's answer is lost: the operator must still get "accepted". If every
+// answer is lost, the operator gets "unknown" with a token, and repeating the change with that token once the
+// platform answers again must apply the change once. With the platform down, a change is refused unsent.
 func TestUnknownThenAccepted(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
@@ -106,7 +107,7 @@
 	amended.Limits.Flows = 5
 	change := stoatadmin.Change{Base: 1, Token: "mine"}
 	if _, err = clients[0].Apply(ctx, "sawt", text(amended), change); err != nil {
-		// Every answer was lost; the write itself took effect.
+		// Every answer was lost, but the write took effect.
 		r := refusal(t, err)
 		if r.Answer.Outcome != stoatadmin.Unknown || r.Answer.Token != "mine" {
 			t.Fatalf("%+v", r)
@@ -124,9 +125,9 @@
 	}
 }
 
-// An amendment takes an upstream out while callers' flows are open on it. The platform's
-// object still names it, so that an entry which starts later can send those flows on; the
-// operator does not see it, and nobody else can claim its address yet.
+// An amendment removes an upstream that still has open flows. The stored contract must still name it, so that
+// an entry that starts later can forward those flows; an operator who gets the contract must not see it.
+// It is forgotten later, or when it is declared again.
 func TestUpstreamTakenOutIsRetired(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
@@ -148,13 +149,15 @@
 	}
 	later := stoatcontract.Retire(time.Unix(1000, 0).Add(9*time.Hour), stored, reduced)
 	if len(later.Services[0].Retired) != 0 {
-		t.Error("retired for good")
+		t.Error("still retired nine hours later")
 	}
 	if back := stoatcontract.Retire(time.Unix(1000, 0), stored, sampleContract(t)); len(back.Services[0].Retired) != 0 {
-		t.Error("declared again and still retired")
+		t.Error("still retired after it was declared again")
 	}
 }
 
+// The API refuses changes that conflict with another contract, can't be parsed, lack their condition or name a
+// version, an object or a state that doesn't exist; each reply must have the number of its problem.
 func TestRefusedChanges(t *testing.T) {
 	ctx := context.Background()
 	_, clients := twoEntries(t)
@@ -189,10 +192,12 @@
 	}
 }
 
+// errorOf drops the first of two results.
 func errorOf[T any](_ T, err error) error { return err }
 
-// Operators evacuate a data centre through one entry and take it back through another one. A name that no
-// entry or upstream has would evacuate nothing, and is refused; asked twice it is one evacuation.
+// Operators begin the evacuation of a data centre through one entry and end it through another. A data centre
+// without entries and upstreams must be refused, because nothing would be evacuated, and a second request for
+// the same evacuation must not change it.
 func TestEvacuation(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
@@ -216,7 +221,7 @@
 		t.Error(err)
 	}
 	if again, err := clients[0].Evacuate(ctx, "ruwi"); err != nil || again.Version <= first.Version {
-		t.Error("evacuated a second time:", again, err)
+		t.Error("second evacuation, after the end of the first:", again, err)
 	}
 	p.Set(stoatfake.Trouble{Down: true})
 	if err := errorOf(clients[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2004" {
--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -14,7 +14,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatstatus"
 )
 
-// Client calls the administration API of one entry.
+// Client is a client of the administration API of one entry.
 type Client struct {
 	base string
 	http *http.Client
@@ -27,20 +27,21 @@
 	return &Client{base: "http://" + addr, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// RefusedError reports an answer other than accepted.
+// RefusedError reports that a change was refused, that its outcome is unknown, or that a read was refused.
 type RefusedError struct {
 	Status int
 	Answer Answer
 }
 
-// Error gives the number, the title and the faults, a line each.
+// Error returns the outcome, number and title in one line, followed by a line for each fault and each difference
+// from the stored contract.
 func (e *RefusedError) Error() string {
 	text := fmt.Sprintf("%s: %s %s", e.Answer.Outcome, e.Answer.Number, e.Answer.Title)
 	if e.Answer.Version > 0 {
-		text += fmt.Sprintf(" (version %d stands)", e.Answer.Version)
+		text += fmt.Sprintf(" (the stored version is %d)", e.Answer.Version)
 	}
 	if e.Answer.Outcome == Unknown {
-		text += "; ask again with --token " + e.Answer.Token
+		text += "; repeat the change with --token " + e.Answer.Token
 	}
 	for _, f := range e.Answer.Faults {
 		text += "\n" + (&stoatpaddle.Fault{File: f.File, Section: f.Section, Key: f.Key, Got: f.Got, Want: f.Want}).Error()
@@ -51,12 +52,14 @@
 	return text
 }
 
-// Change is a conditional change.
+// Change holds the options of a conditional change.
 type Change struct {
-	Base  stoatpaddle.Version // 0 creates
-	Token string              // empty for a new change
+	Base  stoatpaddle.Version // version that the change amends; 0 means that the object must not exist yet
+	Token string              // idempotency token of an earlier attempt; empty for a new change
 }
 
+// do sends a request and returns the status code and the body of the reply. opts is nil for an unconditional
+// request.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, opts *Change) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
@@ -84,7 +87,7 @@
 	return res.StatusCode, data, nil
 }
 
-// change sends a change; an answer other than accepted is *RefusedError.
+// change sends a change. It returns a *RefusedError unless the outcome is OutcomeAccepted.
 func (c *Client) change(ctx context.Context, method, path string, body []byte, opts *Change) (Answer, error) {
 	status, data, err := c.do(ctx, method, path, body, opts)
 	if err != nil {
@@ -100,7 +103,7 @@
 	return a, nil
 }
 
-// read gets a JSON document.
+// read gets a JSON document and decodes it into the value that into points to.
 func (c *Client) read(ctx context.Context, path string, into any) error {
 	status, data, err := c.do(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
@@ -123,7 +126,7 @@
 	return &RefusedError{Status: status, Answer: a}
 }
 
-// Apply creates or amends a contract from its INI text.
+// Apply creates or amends a contract, which is given as INI text.
 func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, opts Change) (Answer, error) {
 	return c.change(ctx, http.MethodPut, "/v1/contracts/"+string(customer), text, &opts)
 }
@@ -133,7 +136,7 @@
 	return c.change(ctx, http.MethodDelete, "/v1/contracts/"+string(customer), nil, &opts)
 }
 
-// Contract returns a contract's INI text with its version.
+// Contract returns a contract as INI text, which contains its version.
 func (c *Client) Contract(ctx context.Context, customer stoatpaddle.CustomerID) (string, error) {
 	status, data, err := c.do(ctx, http.MethodGet, "/v1/contracts/"+string(customer), nil, nil)
 	if err != nil {
@@ -152,28 +155,28 @@
 	return out, err
 }
 
-// Instances lists the instances as the entry sees them.
+// Instances lists the instances that the entry knows, with their states as the entry sees them.
 func (c *Client) Instances(ctx context.Context) ([]stoatstatus.Instance, error) {
 	var out []stoatstatus.Instance
 	err := c.read(ctx, "/v1/instances", &out)
 	return out, err
 }
 
-// Status returns what is in force on the entry.
+// Status returns the configuration in force on the entry and what it knows of instances and the platform.
 func (c *Client) Status(ctx context.Context) (stoatstatus.Status, error) {
 	var out stoatstatus.Status
 	err := c.read(ctx, "/v1/status", &out)
 	return out, err
 }
 
-// Report returns what became of flows and calls on the entry.
+// Report returns the entry's counts of flows and calls by their outcome.
 func (c *Client) Report(ctx context.Context) (stoatstatus.Report, error) {
 	var out stoatstatus.Report
 	err := c.read(ctx, "/v1/report", &out)
 	return out, err
 }
 
-// Mark marks an instance.
+// Mark sets the state of an instance, which must be joining or leaving.
 func (c *Client) Mark(ctx context.Context, id stoatpaddle.InstanceID, state stoatpaddle.State) (Answer, error) {
 	body, err := json.Marshal(Mark{State: string(state)})
 	if err != nil {
@@ -182,7 +185,7 @@
 	return c.change(ctx, http.MethodPut, "/v1/instances/"+string(id), body, nil)
 }
 
-// Evacuate has the upstreams of a data centre get no new work.
+// Evacuate begins the evacuation of a data centre, whose upstreams then get no new work.
 func (c *Client) Evacuate(ctx context.Context, dc stoatpaddle.DataCentreID) (Answer, error) {
 	return c.change(ctx, http.MethodPut, "/v1/evacuations/"+string(dc), nil, nil)
 }
--- a/stoatadmin/doc.go
+++ b/stoatadmin/doc.go
@@ -1,5 +1,6 @@
-// Package stoatadmin is the administration API of an entry and its client.
+// Package stoatadmin implements the administration API of an entry, and a client of that API.
 //
-// Contracts travel as INI, as operators write them; everything else is JSON. Changes are
-// conditional on a version, so that two operators who amend at once lose nothing.
+// Contracts are sent as INI, the format in which operators write them; everything else is JSON. A change of a
+// contract is conditional on its version, so that operators who amend it at the same time don't overwrite each
+// other's changes.
 package stoatadmin
--- a/stoatadmin/evacuation.go
+++ b/stoatadmin/evacuation.go
@@ -7,7 +7,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// evacuate has the upstreams of a data centre get no new work. Asked twice it is one evacuation.
+// evacuate begins the evacuation of a data centre, whose upstreams then get no new work. A second request for
+// the same data centre changes nothing.
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request) {
 	if !s.isKnownCentre(stoatpaddle.DataCentreID(r.PathValue("name"))) {
 		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
@@ -16,11 +17,11 @@
 	s.changeEvacuation(w, r, false)
 }
 
-// endEvacuation ends an evacuation.
 func (s *Server) endEvacuation(w http.ResponseWriter, r *http.Request) {
 	s.changeEvacuation(w, r, true)
 }
 
+// changeEvacuation writes or removes the object of an evacuation.
 func (s *Server) changeEvacuation(w http.ResponseWriter, r *http.Request, remove bool) {
 	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectEvacuation, Name: r.PathValue("name")}
 	current, err := s.cfg.Platform.Get(r.Context(), ref)
@@ -40,8 +41,8 @@
 	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Gone: remove, Value: []byte("{}")}, current)
 }
 
-// isKnownCentre tells whether an entry or an upstream is in the data centre: a name that is mistyped would be
-// accepted and evacuate nothing.
+// isKnownCentre reports whether an entry or an upstream is in the data centre. Without this check a mistyped
+// name would be accepted and evacuate nothing.
 func (s *Server) isKnownCentre(dc stoatpaddle.DataCentreID) bool {
 	st, err := s.cfg.Status()
 	if err != nil {
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -29,17 +29,17 @@
 	Metrics  func(w io.Writer)
 	Report   func() stoatstatus.Report
 	Clock    func() time.Time
-	Rand     *rand.Rand // of the pauses between tries
+	Rand     *rand.Rand // seeds the jitter of the pauses between retries of a write
 }
 
-// Server is the administration API; it is an http.Handler.
+// Server serves the administration API; it implements http.Handler.
 type Server struct {
 	cfg Config
 	mux *http.ServeMux
 	mu  sync.Mutex // guards cfg.Rand
 }
 
-// maxContractBytes bounds a contract's text: the platform holds values up to a megabyte.
+// maxContractBytes is the largest request body: the platform stores values of up to a megabyte.
 const maxContractBytes = 1 << 20
 
 // New returns a Server.
@@ -72,6 +72,7 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
+// refuse replies that the change or the read was refused, with the number and title of a catalogue entry.
 func refuse(w http.ResponseWriter, status int, e *stoatevent.Entry, a Answer) {
 	a.Outcome, a.Number, a.Title = Refused, e.Number.String(), e.Title
 	reply(w, status, a)
@@ -90,7 +91,8 @@
 	reply(w, http.StatusOK, toStatus(st))
 }
 
-// listContracts and listInstances answer from what is in force, so they work while the platform is down.
+// listContracts, like listInstances, answers from the entry's own state, so both work while the platform is
+// down.
 func (s *Server) listContracts(w http.ResponseWriter, _ *http.Request) {
 	st, err := s.cfg.Status()
 	if err != nil {
@@ -109,7 +111,7 @@
 	reply(w, http.StatusOK, toStatus(st).Instances)
 }
 
-// replyReadError answers a failed read that a change depends on.
+// replyReadError replies to a request that needs an object or a list that the platform did not return.
 func replyReadError(w http.ResponseWriter, err error) {
 	var missing *stoatpaddle.NotFoundError
 	if errors.As(err, &missing) {
@@ -136,7 +138,8 @@
 	_, _ = io.WriteString(w, stoatcontract.Format(c, o.Version))
 }
 
-// parseCondition reads the version that a change is conditional on; create is version 0.
+// parseCondition returns the version on which a change is conditional; 0 means that the object must not exist
+// yet. It returns false if the request has no valid condition.
 func parseCondition(r *http.Request) (stoatpaddle.Version, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, true
@@ -169,7 +172,8 @@
 	s.applyContract(w, r, draft.Contract, base)
 }
 
-// applyContract checks the contract against all others and writes it.
+// applyContract checks the contract against all others and writes it. Upstreams that the change takes out are
+// kept in the stored contract as retired.
 func (s *Server) applyContract(w http.ResponseWriter, r *http.Request, c stoatpaddle.Contract, base stoatpaddle.Version) {
 	listing, err := s.cfg.Platform.List(r.Context())
 	if err != nil {
@@ -216,7 +220,8 @@
 	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Gone: true}, current)
 }
 
-// write does the conditional write and answers what became of it.
+// write does a conditional write and replies with its outcome. If the request's token shows that an earlier
+// attempt has taken effect, write replies that the change was accepted and writes nothing.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, o, current stoatpaddle.Object) {
 	token := stoatpaddle.Token(r.Header.Get(HeaderToken))
 	if token == "" {
@@ -251,6 +256,7 @@
 	return writer.Put(ctx, o, token)
 }
 
+// differences lists how the contract that was sent differs from the stored one; it is empty for other objects.
 func differences(sent, stored stoatpaddle.Object) []string {
 	old, errOld := stoatcontract.Decode(stored.Value)
 	amended, errAmended := stoatcontract.Decode(sent.Value)
--- a/stoatadmin/wire.go
+++ b/stoatadmin/wire.go
@@ -6,7 +6,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatstatus"
 )
 
-// HeaderToken names a change, so that asking again about it is safe.
+// HeaderToken is the header with a change's idempotency token: a request that is repeated with the same token
+// is applied once at most.
 const HeaderToken = "Token"
 
 // Outcome is how a change ended.
@@ -14,19 +15,19 @@
 
 // The outcomes of a change.
 const (
-	Accepted Outcome = "accepted" // the platform has it
-	Refused  Outcome = "refused"  // it took no effect
-	Unknown  Outcome = "unknown"  // ask again with the token
+	Accepted Outcome = "accepted" // the platform has stored the change
+	Refused  Outcome = "refused"  // the change took no effect
+	Unknown  Outcome = "unknown"  // the change may have taken effect; repeat it with the token
 )
 
-// Answer is the API's answer to a change.
+// Answer is the API's reply to a change, and to a read that was refused.
 type Answer struct {
 	Outcome Outcome     `json:"outcome"`
-	Number  string      `json:"number,omitempty"` // of the catalogue entry
+	Number  string      `json:"number,omitempty"` // number of the catalogue entry that explains the outcome
 	Title   string      `json:"title,omitempty"`
-	Version uint64      `json:"version,omitempty"` // that stands
+	Version uint64      `json:"version,omitempty"` // version of the stored object
 	Token   string      `json:"token,omitempty"`
-	Differs []string    `json:"differs,omitempty"`
+	Differs []string    `json:"differs,omitempty"` // after a conflict: how the contract sent differs from the stored one
 	Faults  []wireFault `json:"faults,omitempty"`
 }
 
@@ -38,7 +39,7 @@
 	Want    string `json:"want"`
 }
 
-// Mark is the body of a change of an instance's state.
+// Mark is the body of a request to change an instance's state.
 type Mark struct {
 	State string `json:"state"`
 }
