--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -126,8 +126,8 @@
 }
 
 // An amendment removes an upstream that still has open flows. The stored contract must still name it, so that
-// an entry that starts later can forward those flows; an operator who gets the contract must not see it.
-// It is forgotten later, or when it is declared again.
+// an entry that starts later can forward those flows; an operator who gets the contract must not see it. Until
+// the upstream is forgotten, or declared again, no other customer can claim its address.
 func TestUpstreamTakenOutIsRetired(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
@@ -170,15 +170,15 @@
 		number string
 		err    error
 	}{
-		"claims what another has": {"SP2001", errorOf(clients[0].Apply(ctx, "barrilete", text(conflicting), stoatadmin.Change{}))},
-		"names another customer":  {"SP2001", errorOf(clients[0].Apply(ctx, "other", text(sampleContract(t)), stoatadmin.Change{}))},
-		"broken":                  {"SP2001", errorOf(clients[0].Apply(ctx, "sawt", []byte("[contract]\nx=1"), stoatadmin.Change{Base: 1}))},
-		"created twice":           {"SP2002", errorOf(clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}))},
-		"removed unseen":          {"SP2006", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.Change{}))},
-		"removed at old version":  {"SP2002", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.Change{Base: 7}))},
-		"removed, none there":     {"SP2005", errorOf(clients[0].Remove(ctx, "none", stoatadmin.Change{Base: 7}))},
-		"unknown instance":        {"SP2005", errorOf(clients[0].Mark(ctx, "nobody", stoatpaddle.StateLeaving))},
-		"unknown state":           {"SP2007", errorOf(clients[0].Mark(ctx, "giving-a", "dancing"))},
+		"claims another contract's upstreams": {"SP2001", errorOf(clients[0].Apply(ctx, "barrilete", text(conflicting), stoatadmin.Change{}))},
+		"names another customer":              {"SP2001", errorOf(clients[0].Apply(ctx, "other", text(sampleContract(t)), stoatadmin.Change{}))},
+		"malformed":                           {"SP2001", errorOf(clients[0].Apply(ctx, "sawt", []byte("[contract]\nx=1"), stoatadmin.Change{Base: 1}))},
+		"created twice":                       {"SP2002", errorOf(clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}))},
+		"removed without a version":           {"SP2006", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.Change{}))},
+		"removed at a wrong version":          {"SP2002", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.Change{Base: 7}))},
+		"removed, not there":                  {"SP2005", errorOf(clients[0].Remove(ctx, "none", stoatadmin.Change{Base: 7}))},
+		"unknown instance":                    {"SP2005", errorOf(clients[0].Mark(ctx, "nobody", stoatpaddle.StateLeaving))},
+		"unknown state":                       {"SP2007", errorOf(clients[0].Mark(ctx, "giving-a", "dancing"))},
 	} {
 		if r := refusal(t, tc.err); r.Answer.Number != tc.number {
 			t.Errorf("%s: %+v", name, r)
--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -16,15 +16,15 @@
 
 // Client is a client of the administration API of one entry.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
 const clientTimeout = 30 * time.Second
 
 // NewClient returns a client of the entry whose administration API is at addr (host:port).
 func NewClient(addr string) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Timeout: clientTimeout}}
+	return &Client{baseURL: "http://" + addr, http: &http.Client{Timeout: clientTimeout}}
 }
 
 // RefusedError reports that a change was refused, that its outcome is unknown, or that a read was refused.
@@ -61,7 +61,7 @@
 // do sends a request and returns the status code and the body of the reply. opts is nil for an unconditional
 // request.
 func (c *Client) do(ctx context.Context, method, path string, body []byte, opts *Change) (int, []byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, &stoatpaddle.UnavailableError{Op: path, Cause: err}
 	}
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -50,7 +50,7 @@
 	s.mux.HandleFunc("PUT /v1/contracts/{name}", s.putContract)
 	s.mux.HandleFunc("DELETE /v1/contracts/{name}", s.deleteContract)
 	s.mux.HandleFunc("GET /v1/instances", s.listInstances)
-	s.mux.HandleFunc("PUT /v1/instances/{name}", s.markInstance)
+	s.mux.HandleFunc("PUT /v1/instances/{name}", s.setInstanceState)
 	s.mux.HandleFunc("PUT /v1/evacuations/{name}", s.evacuate)
 	s.mux.HandleFunc("DELETE /v1/evacuations/{name}", s.endEvacuation)
 	s.mux.HandleFunc("GET /v1/status", s.getStatus)
@@ -172,8 +172,8 @@
 	s.applyContract(w, r, draft.Contract, base)
 }
 
-// applyContract checks the contract against all others and writes it. Upstreams that the change takes out are
-// kept in the stored contract as retired.
+// applyContract checks the contract against all others and writes it. Upstreams that the change takes out stay
+// in the stored contract as retired, because flows may still be open on them.
 func (s *Server) applyContract(w http.ResponseWriter, r *http.Request, c stoatpaddle.Contract, base stoatpaddle.Version) {
 	listing, err := s.cfg.Platform.List(r.Context())
 	if err != nil {
@@ -266,8 +266,8 @@
 	return stoatcontract.Differences(old, amended)
 }
 
-// markInstance marks an instance as joining or leaving.
-func (s *Server) markInstance(w http.ResponseWriter, r *http.Request) {
+// setInstanceState sets the state of an instance to joining or leaving.
+func (s *Server) setInstanceState(w http.ResponseWriter, r *http.Request) {
 	var body Mark
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxContractBytes)).Decode(&body); err != nil {
 		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
@@ -299,7 +299,8 @@
 	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Value: value}, current)
 }
 
-// findInstance returns the findInstance behind a mark: the object that stands, or an upstream of a contract.
+// findInstance returns the instance that ref names: the stored object, or else an upstream that a contract
+// declares.
 func (s *Server) findInstance(ref stoatpaddle.Ref, stored stoatpaddle.Object) (stoatpaddle.Instance, bool) {
 	if i, err := stoatcontract.DecodeInstance(stored.Value); stored.Version > 0 && err == nil {
 		return i, true
