--- a/stoatprocess/doc.go
+++ b/stoatprocess/doc.go
@@ -1,3 +1,3 @@
-// Package stoatprocess runs one entry on an echo fabric as a process: it reads the settings
-// file, follows its changes and the signals, and ends when the entry has stopped.
+// Package stoatprocess runs one entry on an echo fabric as a process. It reads the settings file, applies later
+// changes of that file, begins the planned stop on a signal, and returns when the entry has stopped.
 package stoatprocess
--- a/stoatprocess/lean_test.go
+++ b/stoatprocess/lean_test.go
@@ -15,10 +15,10 @@
 
 const entryProgram = "github.com/stoatpaddle/stoatpaddle/cmd/stoatpaddle-entry"
 
-// All entries lose power, and the machines have a tenth of a core. What a program links builds
-// its tables before main, used or not: with the libraries below, the first packet went on a
-// quarter of a second later, and callers with 0.8 s had given up.
-func TestEntryLinksOnlyWhatItRuns(t *testing.T) {
+// All entries lose power and start again on machines with a tenth of a core. Linked packages build their tables
+// before main, whether or not the program uses them. With the libraries below, an entry forwarded its first
+// packet a quarter of a second later, when callers with a timeout of 0.8 s had given up.
+func TestEntryDependencies(t *testing.T) {
 	out, err := exec.Command("go", "list", "-deps", entryProgram).Output()
 	if err != nil {
 		t.Fatal(err)
@@ -30,21 +30,22 @@
 	} {
 		for _, dep := range deps {
 			if strings.Contains(dep, banned) {
-				t.Errorf("an entry links %s", dep)
+				t.Errorf("the entry program links %s", dep)
 			}
 		}
 	}
 	if !strings.Contains(string(out), "stoatedge") {
-		t.Error("the list is not that of an entry")
+		t.Error("the dependencies lack stoatedge, so they are not those of the entry program")
 	}
 }
 
-// maxInit is what the packages of an entry may allocate before main, bytes: 118 kB when this
-// was written, 568 kB with the actor library and the layers of packets.
-const maxInit = 180_000
+// maxInitBytes is the limit for what the packages of the entry program allocate before main, bytes. They
+// allocate about 118 kB, and would allocate 568 kB with the actor library and gopacket's layers.
+const maxInitBytes = 180_000
 
-// A library that is linked tomorrow must not bring the tables back unnoticed.
-func TestEntryStartsWithLittle(t *testing.T) {
+// A library that is not on the list above can bring large tables too, and delay the first packet in the same
+// way after a power loss.
+func TestEntryInitAllocations(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "entry")
 	if text, err := exec.Command("go", "build", "-o", program, entryProgram).CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, text)
@@ -65,11 +66,12 @@
 		}
 		sum += n
 	}
-	if len(lines) == 0 || sum > maxInit {
-		t.Errorf("%d bytes in %d packages, at most %d\n%s", sum, len(lines), maxInit, trace.String())
+	if len(lines) == 0 || sum > maxInitBytes {
+		t.Errorf("%d bytes allocated before main by %d packages, limit %d\n%s", sum, len(lines), maxInitBytes, trace.String())
 	}
 }
 
+// Each way in which the program can end before it serves must have its exit code and print its cause.
 func TestExitCodes(t *testing.T) {
 	write := func(text string) string {
 		file := filepath.Join(t.TempDir(), "entry.ini")
--- a/stoatprocess/main.go
+++ b/stoatprocess/main.go
@@ -14,10 +14,10 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// The exit codes, those of the whole program.
+// The exit codes are the same as those of the stoatpaddle program.
 const (
 	exitOK    = 0
-	exitFail  = 1 // it could not serve
+	exitFail  = 1 // the entry could not serve
 	exitUsage = 2 // wrong usage or settings
 )
 
@@ -27,14 +27,14 @@
 
 // Description implements go-arg's Described.
 func (args) Description() string {
-	return "stoatpaddle-entry runs one entry instance on an echo fabric, and holds nothing that an entry does not need.\n" +
+	return "stoatpaddle-entry runs one entry instance on an echo fabric. It contains only the code that such an entry needs.\n" +
 		"Exit codes: 0 stopped as planned, 1 could not serve, 2 wrong usage or settings."
 }
 
-// Main runs the program and returns its exit code.
+// Main runs the program with the arguments in argv and returns its exit code.
 func Main(argv []string, stdout, stderr io.Writer) int {
-	var a args
-	p, err := arg.NewParser(arg.Config{Program: "stoatpaddle-entry", Out: stderr}, &a)
+	var parsed args
+	p, err := arg.NewParser(arg.Config{Program: "stoatpaddle-entry", Out: stderr}, &parsed)
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
@@ -46,35 +46,35 @@
 		p.WriteUsage(stderr)
 		return fail(stderr, exitUsage, err)
 	}
-	data, err := os.ReadFile(a.Config)
+	data, err := os.ReadFile(parsed.Config)
 	if err != nil {
 		return fail(stderr, exitFail, err)
 	}
-	set, err := stoatsetting.Parse(a.Config, data)
-	if err == nil && set.Fabric != stoatsetting.FabricEcho {
-		err = &FabricError{Fabric: set.Fabric}
+	settings, err := stoatsetting.Parse(parsed.Config, data)
+	if err == nil && settings.Fabric != stoatsetting.FabricEcho {
+		err = &FabricError{Fabric: settings.Fabric}
 	}
 	if err != nil {
 		return fail(stderr, exitUsage, err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := Run(ctx, Config{File: a.Config, Text: data, Settings: set, Log: stdout}); err != nil {
+	if err := Run(ctx, Config{File: parsed.Config, Text: data, Settings: settings, Log: stdout}); err != nil {
 		return fail(stderr, exitFail, err)
 	}
 	return exitOK
 }
 
 func fail(stderr io.Writer, code int, err error) int {
-	// Whoever closed standard error does not want to know.
+	// A write error is ignored: there is nowhere left to report it.
 	_, _ = fmt.Fprintf(stderr, "stoatpaddle-entry: %v\n", err)
 	return code
 }
 
-// FabricError reports settings for another fabric than the one that this program serves.
+// FabricError reports that the settings are for a kind of fabric that this program can't serve.
 type FabricError struct{ Fabric stoatsetting.Fabric }
 
-// Error names the fabric and the program that serves it.
+// Error returns a message that names the kind of fabric and the command that serves it.
 func (e *FabricError) Error() string {
 	return fmt.Sprintf("[fabric] kind is %q; this program serves %q only: use stoatpaddle run", e.Fabric, stoatsetting.FabricEcho)
 }
--- a/stoatprocess/process.go
+++ b/stoatprocess/process.go
@@ -15,16 +15,16 @@
 
 // Config configures Run.
 type Config struct {
-	File     string // settings
-	Text     []byte // of File, as Settings was read from it
+	File     string // path of the settings file
+	Text     []byte // contents of File from which Settings was parsed
 	Settings stoatsetting.Settings
 	Log      io.Writer
 }
 
-// Run serves until ctx ends and the planned stop that follows is complete. A hangup signal, or
-// a change of the file without one, has the settings read again.
+// Run serves until ctx ends and the planned stop that follows is complete. Meanwhile it reads the settings file
+// again at each hangup signal and at regular intervals, and applies the settings if the file has changed.
 func Run(ctx context.Context, cfg Config) error {
-	e, err := stoatedge.Start(context.WithoutCancel(ctx), stoatedge.Config{Settings: cfg.Settings, Log: cfg.Log})
+	entry, err := stoatedge.Start(context.WithoutCancel(ctx), stoatedge.Config{Settings: cfg.Settings, Log: cfg.Log})
 	if err != nil {
 		return err
 	}
@@ -32,15 +32,15 @@
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
 	var g errgroup.Group
-	watch := &settingsWatch{file: cfg.File, text: cfg.Text, reload: e.Reload}
-	watching, done := context.WithCancel(context.Background())
+	watcher := &settingsWatcher{file: cfg.File, text: cfg.Text, reload: entry.Reload}
+	watchCtx, stopWatching := context.WithCancel(context.Background())
 	g.Go(func() error {
-		watch.run(watching, hangup)
+		watcher.run(watchCtx, hangup)
 		return nil
 	})
-	stopped := context.AfterFunc(ctx, e.Stop)
-	defer stopped()
-	e.Wait()
-	done()
+	cancelStop := context.AfterFunc(ctx, entry.Stop)
+	defer cancelStop()
+	entry.Wait()
+	stopWatching()
 	return g.Wait()
 }
--- a/stoatprocess/settings.go
+++ b/stoatprocess/settings.go
@@ -9,19 +9,19 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// settingsWatch notices changes of the settings file, with or without a signal.
-type settingsWatch struct {
+// settingsWatcher applies changes of the settings file, whether or not a signal announces them.
+type settingsWatcher struct {
 	file   string
-	text   []byte
+	text   []byte // contents of the file when it was read last
 	reload func(set stoatsetting.Settings, err error)
 }
 
-// settingsEvery is how often the file is read again: what it holds changes rarely, and a
-// signal tells of most changes.
-const settingsEvery = 5 * time.Second
+// pollInterval is the time between two reads of the file. It can be long, because the settings change rarely
+// and a signal announces most changes.
+const pollInterval = 5 * time.Second
 
-func (w *settingsWatch) run(ctx context.Context, hangup <-chan os.Signal) {
-	t := time.NewTicker(settingsEvery)
+func (w *settingsWatcher) run(ctx context.Context, hangup <-chan os.Signal) {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -34,8 +34,9 @@
 	}
 }
 
-// check reads the file and hands it over if its text changed.
-func (w *settingsWatch) check() {
+// check reads the file and passes its settings to reload if the contents changed. An error of the read is
+// passed to reload each time.
+func (w *settingsWatcher) check() {
 	text, err := os.ReadFile(w.file)
 	if err != nil {
 		w.reload(stoatsetting.Settings{}, err)
--- a/stoatprocess/start_test.go
+++ b/stoatprocess/start_test.go
@@ -17,8 +17,9 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-// rig is a store with a configuration and upstreams, and a caller's and an upstream's socket.
-type rig struct {
+// fixture holds a store with a configuration and registered upstreams, the sockets of a caller and of an
+// upstream, and the address on which the entry listens.
+type fixture struct {
 	b        *testing.B
 	store    string
 	caller   *net.UDPConn
@@ -26,43 +27,43 @@
 	tunnel   netip.AddrPort
 }
 
-const upstreams = 18
+const upstreamCount = 18
 
-func newRig(b *testing.B) *rig {
-	r := &rig{b: b}
+func newFixture(b *testing.B) *fixture {
+	f := &fixture{b: b}
 	store := stoatfake.NewPlatform()
 	srv := httptest.NewServer(store)
 	b.Cleanup(srv.Close)
-	r.store = strings.TrimPrefix(srv.URL, "http://")
-	r.caller, r.upstream = r.listen("127.0.0.3:0"), r.listen("127.0.0.4:0")
-	to := r.upstream.LocalAddr().(*net.UDPAddr).AddrPort()
-	d := stoatpaddle.Declaration{Version: 1, Idle: time.Minute, Routes: []stoatpaddle.Route{{
+	f.store = strings.TrimPrefix(srv.URL, "http://")
+	f.caller, f.upstream = f.listen("127.0.0.3:0"), f.listen("127.0.0.4:0")
+	upstreamAddr := f.upstream.LocalAddr().(*net.UDPAddr).AddrPort()
+	declaration := stoatpaddle.Declaration{Version: 1, Idle: time.Minute, Routes: []stoatpaddle.Route{{
 		Listen: netip.MustParseAddrPort("198.18.0.1:443"), Objective: time.Second, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
 	}}}
-	store.Write(platform.KindConfig, platform.NameConfig, platform.DeclarationSpec(&d))
-	for i := range upstreams {
-		reg := stoatpaddle.Registration{Service: "app", Addr: to, DataCentre: "here", Slots: 2}
+	store.Write(platform.KindConfig, platform.NameConfig, platform.DeclarationSpec(&declaration))
+	for i := range upstreamCount {
+		reg := stoatpaddle.Registration{Service: "app", Addr: upstreamAddr, DataCentre: "here", Slots: 2}
 		store.Write(platform.KindUpstream, fmt.Sprintf("i-%08x", i+1), platform.RegistrationSpec(&reg))
 	}
 	addr, err := stoatfake.FreeAddr()
 	if err != nil {
 		b.Fatal(err)
 	}
-	r.tunnel = addr
-	return r
+	f.tunnel = addr
+	return f
 }
 
-func (r *rig) listen(addr string) *net.UDPConn {
+func (f *fixture) listen(addr string) *net.UDPConn {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.MustParseAddrPort(addr)))
 	if err != nil {
-		r.b.Fatal(err)
+		f.b.Fatal(err)
 	}
-	r.b.Cleanup(func() { _ = conn.Close() })
+	f.b.Cleanup(func() { _ = conn.Close() })
 	return conn
 }
 
-// build compiles a program as the deploy file does.
-func build(b *testing.B, pkg string) string {
+// buildProgram compiles a program with the linker flags of deploy/system.toml and returns its path.
+func buildProgram(b *testing.B, pkg string) string {
 	b.Helper()
 	out := filepath.Join(b.TempDir(), "program")
 	if text, err := exec.Command("go", "build", "-ldflags=-linkmode=external", "-o", out, pkg).CombinedOutput(); err != nil {
@@ -71,72 +72,73 @@
 	return out
 }
 
-// settings writes those of an entry and returns the file's name.
-func (r *rig) settings() string {
+// writeSettings writes the settings file of an entry and returns its path.
+func (f *fixture) writeSettings() string {
 	free := func() netip.AddrPort {
 		a, err := stoatfake.FreeAddr()
 		if err != nil {
-			r.b.Fatal(err)
+			f.b.Fatal(err)
 		}
 		return a
 	}
 	text := fmt.Sprintf("[instance]\nid = edge-1\ncentre = here\n[fabric]\nkind = echo\n[listen]\ntunnel = %s\nready = %s\nadmin = %s\n[platform]\naddress = %s\n",
-		r.tunnel, free(), free(), r.store)
-	file := filepath.Join(r.b.TempDir(), "entry.ini")
+		f.tunnel, free(), free(), f.store)
+	file := filepath.Join(f.b.TempDir(), "entry.ini")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		r.b.Fatal(err)
+		f.b.Fatal(err)
 	}
 	return file
 }
 
-// once starts the program, sends it openings until one arrives at the upstream, and returns
-// the processor time that it used until then.
-func (r *rig) once(argv ...string) time.Duration {
+// startOnce starts the program, sends it opening segments until one arrives at the upstream, kills it, and
+// returns the processor time that it has used.
+func (f *fixture) startOnce(argv ...string) time.Duration {
 	cmd := exec.Command(argv[0], argv[1:]...)
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "GOMAXPROCS=1"}
 	if err := cmd.Start(); err != nil {
-		r.b.Fatal(err)
+		f.b.Fatal(err)
 	}
 	buf := make([]byte, 2048)
 	for port := uint16(1024); ; port++ {
-		opening := platform.AppendSegment(nil, &platform.Segment{
+		segment := platform.AppendSegment(nil, &platform.Segment{
 			Src: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.3"), port), Dst: netip.MustParseAddrPort("198.18.0.1:443"), Opens: true,
 		})
-		if _, err := r.caller.WriteToUDPAddrPort(opening, r.tunnel); err != nil {
-			r.b.Fatal(err)
+		if _, err := f.caller.WriteToUDPAddrPort(segment, f.tunnel); err != nil {
+			f.b.Fatal(err)
 		}
-		_ = r.upstream.SetReadDeadline(time.Now().Add(2 * time.Millisecond))
-		if _, err := r.upstream.Read(buf); err == nil {
+		_ = f.upstream.SetReadDeadline(time.Now().Add(2 * time.Millisecond))
+		if _, err := f.upstream.Read(buf); err == nil {
 			break
 		}
 	}
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
-	for _ = r.upstream.SetReadDeadline(time.Now().Add(10 * time.Millisecond)); ; {
-		if _, err := r.upstream.Read(buf); err != nil {
+	for _ = f.upstream.SetReadDeadline(time.Now().Add(10 * time.Millisecond)); ; {
+		if _, err := f.upstream.Read(buf); err != nil {
 			break
 		}
 	}
 	return cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
 }
 
-func (r *rig) measure(b *testing.B, argv ...string) {
+// measure runs startOnce b.N times and reports the mean processor time.
+func (f *fixture) measure(b *testing.B, argv ...string) {
 	var sum time.Duration
 	for range b.N {
-		sum += r.once(argv...)
+		sum += f.startOnce(argv...)
 	}
 	b.ReportMetric(float64(sum.Microseconds())/float64(b.N)/1000, "cpu-ms/op")
 }
 
-// The processor time from exec to the first packet that goes on: after a power loss a machine
-// with a tenth of a core serves nobody for ten times as long.
+// BenchmarkStart measures the processor time from exec to the first forwarded packet. After a power loss, a
+// machine with a tenth of a core serves nobody for ten times as long.
 func BenchmarkStart(b *testing.B) {
-	r := newRig(b)
-	entry, whole, bare := build(b, "../cmd/stoatpaddle-entry"), build(b, "../cmd/stoatpaddle"), build(b, "./testdata/bare")
+	f := newFixture(b)
+	entry, whole, bare := buildProgram(b, "../cmd/stoatpaddle-entry"), buildProgram(b, "../cmd/stoatpaddle"), buildProgram(b, "./testdata/bare")
 	b.Run("bare", func(b *testing.B) {
-		to := r.upstream.LocalAddr().String()
-		r.measure(b, bare, r.tunnel.String(), to, "http://"+r.store+"/-/objects/"+platform.KindUpstream)
+		to := f.upstream.LocalAddr().String()
+		f.measure(b, bare, f.tunnel.String(), to, "http://"+f.store+"/-/objects/"+platform.KindUpstream)
 	})
-	b.Run("entry", func(b *testing.B) { r.measure(b, entry, "-c", r.settings()) })
-	b.Run("whole", func(b *testing.B) { r.measure(b, whole, "run", "-c", r.settings()) })
+	b.Run("entry", func(b *testing.B) { f.measure(b, entry, "-c", f.writeSettings()) })
+	b.Run("whole", func(b *testing.B) { f.measure(b, whole, "run", "-c", f.writeSettings()) })
 }
--- a/stoatprocess/testdata/bare/doc.go
+++ b/stoatprocess/testdata/bare/doc.go
@@ -1,3 +1,3 @@
-// Bare is the least that an entry could be: one UDP socket, one list of the platform, and the
-// first packet goes on. BenchmarkStart measures entries against it.
+// Bare is a minimal entry: it opens one UDP socket, lists the upstreams from the platform once, and forwards
+// each packet to one upstream. BenchmarkStart uses it as the baseline for entries.
 package main
