--- a/stoatcount/count.go
+++ b/stoatcount/count.go
@@ -5,10 +5,10 @@
 	"sync/atomic"
 )
 
-// Reader adds what is read from R to N, bytes.
+// Reader reads from R and counts the bytes.
 type Reader struct {
 	R io.Reader
-	N *atomic.Int64
+	N *atomic.Int64 // the number of bytes read is added here
 }
 
 // Read implements io.Reader.
@@ -18,10 +18,10 @@
 	return n, err
 }
 
-// Writer adds what is written to W to N, bytes.
+// Writer writes to W and counts the bytes.
 type Writer struct {
 	W io.Writer
-	N *atomic.Int64
+	N *atomic.Int64 // the number of bytes written is added here
 }
 
 // Write implements io.Writer.
--- a/stoatcount/doc.go
+++ b/stoatcount/doc.go
@@ -1,2 +1,2 @@
-// Package stoatcount counts the bytes that pass a reader or a writer.
+// Package stoatcount wraps readers and writers to count the bytes that pass through them.
 package stoatcount
