--- a/deploy/regress.sh
+++ b/deploy/regress.sh
@@ -61,7 +61,7 @@
 	fi
 	days "$site" "$work/$site" >"$work/days"
 	grep -v $'\tfresh-' "$work/days" >>"$work/table"
-	# awk reads the accepted table first, so that it can report the days that are missing now.
+	# awk reads the accepted table first, so that it can report days that are missing now, which is a failure.
 	awk -F'\t' -v site="$site" -v most=0.03 '
 		FNR == NR { if ($1 == site) { worth[$2] = $3; served[$2] = $4; left[$2] = 1 }; next }
 		!($2 in worth) { printf "%-12s worth %.3f             served %.3f\n", $2, $3, $4; next }
--- a/deploy/regress_test.go
+++ b/deploy/regress_test.go
@@ -66,7 +66,7 @@
 	} {
 		out, ok, after := play(t, c.printed, c.table)
 		if ok != c.ok {
-			t.Errorf("%s: success is %t, want %t:\n%s", name, ok, c.ok, out)
+			t.Errorf("%s: success is %t:\n%s", name, ok, out)
 		}
 		if after != c.table {
 			t.Errorf("%s: the table changed without --accept: %s", name, after)
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -147,7 +147,7 @@
 
 // serveHTTP serves HTTP/1.1 and unencrypted HTTP/2 (h2c) on addr.
 func (e *Entry) serveHTTP(addr netip.AddrPort, h http.Handler) error {
-	ln, err := net.Listen("tcp", addr.String())
+	listener, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return err
 	}
@@ -157,7 +157,7 @@
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, Protocols: &protocols}
 	e.servers = append(e.servers, srv)
 	e.group.Go(func() error {
-		_ = srv.Serve(ln)
+		_ = srv.Serve(listener)
 		return nil
 	})
 	return nil
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -83,21 +83,21 @@
 }
 
 func (e *Entry) list() {
-	l, err := e.platform.List(e.ctx)
+	listing, err := e.platform.List(e.ctx)
 	if err != nil {
 		e.postPlatformFailure(err)
 		return
 	}
-	e.post(stoatnode.Listed{Listing: l})
+	e.post(stoatnode.Listed{Listing: listing})
 }
 
 func (e *Entry) watch(from stoatpaddle.Version) {
-	l, err := e.platform.Watch(e.ctx, from, watchTimeout)
+	changes, err := e.platform.Watch(e.ctx, from, watchTimeout)
 	if err != nil {
 		e.postPlatformFailure(err)
 		return
 	}
-	e.post(stoatnode.Watched{Listing: l})
+	e.post(stoatnode.Watched{Listing: changes})
 }
 
 func (e *Entry) postPlatformFailure(err error) {
@@ -143,22 +143,22 @@
 	if err != nil && !errors.As(err, &missing) {
 		return stoatpaddle.Object{}, err
 	}
-	own := newToken()
+	token := newToken()
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
 	return w.Put(e.ctx, stoatpaddle.Object{
-		Ref: ref, Version: current.Version, Token: stoatplatform.Trail(own, current.Token), Value: value,
-	}, own)
+		Ref: ref, Version: current.Version, Token: stoatplatform.Trail(token, current.Token), Value: value,
+	}, token)
 }
 
 // rewrite writes an object that a restored platform has lost. It retries until the platform has this version of
 // the object or a later one.
 func (e *Entry) rewrite(o stoatpaddle.Object) {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 6))
-	own := newToken()
-	o.Token = stoatplatform.Trail(own, o.Token)
+	token := newToken()
+	o.Token = stoatplatform.Trail(token, o.Token)
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
 	for attempt := 0; stoatplatform.Pause(e.ctx, time.Duration(min(attempt, 1))*stoatplatform.Backoff(rnd, attempt)); attempt++ {
-		written, err := w.Put(e.ctx, o, own)
+		written, err := w.Put(e.ctx, o, token)
 		var conflict *stoatpaddle.ConflictError
 		switch {
 		case err == nil:
@@ -194,9 +194,9 @@
 	if _, err := rand.Read(raw); err != nil {
 		return
 	}
-	own := newToken()
+	token := newToken()
 	o, err := e.platform.Put(e.ctx, stoatpaddle.Object{
-		Ref: stoatnode.SeedRef, Token: own, Value: []byte(strconv.Quote(hex.EncodeToString(raw))),
+		Ref: stoatnode.SeedRef, Token: token, Value: []byte(strconv.Quote(hex.EncodeToString(raw))),
 	})
 	var conflict *stoatpaddle.ConflictError
 	switch {
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -11,9 +11,11 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattunnel"
 )
 
-// maxPacket is the largest size of a UDP datagram, bytes.
+// maxPacket is the room for the longest UDP datagram, bytes.
 const maxPacket = 65536
 
+// startWorkers starts the goroutines that read the UDP sockets, the timer, and one that closes the sockets when
+// the entry's context ends.
 func (e *Entry) startWorkers() {
 	for range e.cfg.Workers {
 		e.group.Go(func() error {
@@ -27,7 +29,7 @@
 	}
 	e.group.Go(e.runTimer)
 	e.group.Go(func() error {
-		// The sockets close with the context, so that their readers return.
+		// Closing the sockets makes their readers return.
 		<-e.ctx.Done()
 		e.Kill()
 		return nil
