--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -147,11 +147,11 @@
 	if got, err := clients[1].Contract(ctx, "sawt"); err != nil || strings.Contains(got, string(removed.ID)) {
 		t.Error(got, err)
 	}
-	later := stoatcontract.Retire(time.Unix(1000, 0).Add(9*time.Hour), stored, reduced)
+	later := stoatcontract.AddRetired(time.Unix(1000, 0).Add(9*time.Hour), stored, reduced)
 	if len(later.Services[0].Retired) != 0 {
 		t.Error("still retired nine hours later")
 	}
-	if back := stoatcontract.Retire(time.Unix(1000, 0), stored, sampleContract(t)); len(back.Services[0].Retired) != 0 {
+	if back := stoatcontract.AddRetired(time.Unix(1000, 0), stored, sampleContract(t)); len(back.Services[0].Retired) != 0 {
 		t.Error("still retired after it was declared again")
 	}
 }
--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -177,7 +177,7 @@
 }
 
 // Mark sets the state of an instance, which must be joining or leaving.
-func (c *Client) Mark(ctx context.Context, id stoatpaddle.InstanceID, state stoatpaddle.State) (Answer, error) {
+func (c *Client) Mark(ctx context.Context, id stoatpaddle.InstanceID, state stoatpaddle.InstanceState) (Answer, error) {
 	body, err := json.Marshal(Mark{State: string(state)})
 	if err != nil {
 		return Answer{}, &stoatpaddle.DecodeError{What: "mark", Cause: err}
--- a/stoatadmin/evacuation.go
+++ b/stoatadmin/evacuation.go
@@ -23,7 +23,7 @@
 
 // changeEvacuation writes or removes the object of an evacuation.
 func (s *Server) changeEvacuation(w http.ResponseWriter, r *http.Request, remove bool) {
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectEvacuation, Name: r.PathValue("name")}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectEvacuation, Name: r.PathValue("name")}
 	current, err := s.cfg.Platform.Get(r.Context(), ref)
 	var missing *stoatpaddle.NotFoundError
 	absent := errors.As(err, &missing)
@@ -38,7 +38,7 @@
 		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version)})
 		return
 	}
-	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Gone: remove, Value: []byte("{}")}, current)
+	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Deleted: remove, Value: []byte("{}")}, current)
 }
 
 // isKnownCentre reports whether an entry or an upstream is in the data centre. Without this check a mistyped
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -73,13 +73,13 @@
 }
 
 // refuse replies that the change or the read was refused, with the number and title of a catalogue entry.
-func refuse(w http.ResponseWriter, status int, e *stoatevent.Entry, a Answer) {
+func refuse(w http.ResponseWriter, status int, e *stoatevent.Definition, a Answer) {
 	a.Outcome, a.Number, a.Title = Refused, e.Number.String(), e.Title
 	reply(w, status, a)
 }
 
-func contractRef(r *http.Request) stoatpaddle.Ref {
-	return stoatpaddle.Ref{Kind: stoatpaddle.ObjectContract, Name: r.PathValue("name")}
+func contractRef(r *http.Request) stoatpaddle.ObjectRef {
+	return stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectContract, Name: r.PathValue("name")}
 }
 
 func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
@@ -187,7 +187,7 @@
 			current = o
 			continue
 		}
-		if other, err := stoatcontract.Decode(o.Value); o.Ref.Kind == stoatpaddle.ObjectContract && !o.Gone && err == nil {
+		if other, err := stoatcontract.Decode(o.Value); o.Ref.Kind == stoatpaddle.ObjectContract && !o.Deleted && err == nil {
 			others = append(others, other)
 		}
 	}
@@ -195,8 +195,8 @@
 		refuse(w, http.StatusUnprocessableEntity, FaultInvalid, Answer{Faults: toFaults(faults)})
 		return
 	}
-	if stored, err := stoatcontract.Decode(current.Value); err == nil && !current.Gone {
-		c = stoatcontract.Retire(s.cfg.Clock(), stored, c)
+	if stored, err := stoatcontract.Decode(current.Value); err == nil && !current.Deleted {
+		c = stoatcontract.AddRetired(s.cfg.Clock(), stored, c)
 	}
 	value, err := stoatcontract.Encode(c)
 	if err != nil {
@@ -217,15 +217,15 @@
 		replyReadError(w, err)
 		return
 	}
-	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Gone: true}, current)
+	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Deleted: true}, current)
 }
 
 // write does a conditional write and replies with its outcome. If the request's token shows that an earlier
 // attempt has taken effect, write replies that the change was accepted and writes nothing.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, o, current stoatpaddle.Object) {
-	token := stoatpaddle.Token(r.Header.Get(HeaderToken))
+	token := stoatpaddle.WriteToken(r.Header.Get(HeaderToken))
 	if token == "" {
-		token = stoatpaddle.Token(uuid.NewString())
+		token = stoatpaddle.WriteToken(uuid.NewString())
 	} else if stoatplatform.Wrote(current, token) {
 		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version), Token: string(token)})
 		return
@@ -248,7 +248,7 @@
 	}
 }
 
-func (s *Server) put(ctx context.Context, o stoatpaddle.Object, token stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (s *Server) put(ctx context.Context, o stoatpaddle.Object, token stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	s.mu.Lock()
 	rnd := rand.New(rand.NewPCG(s.cfg.Rand.Uint64(), 5))
 	s.mu.Unlock()
@@ -263,7 +263,7 @@
 	if errOld != nil || errAmended != nil {
 		return nil
 	}
-	return stoatcontract.Differences(old, amended)
+	return stoatcontract.Diff(old, amended)
 }
 
 // setInstanceState sets the state of an instance to joining or leaving.
@@ -273,12 +273,12 @@
 		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
 		return
 	}
-	state := stoatpaddle.State(body.State)
+	state := stoatpaddle.InstanceState(body.State)
 	if state != stoatpaddle.StateLeaving && state != stoatpaddle.StateJoining {
 		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
 		return
 	}
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: r.PathValue("name")}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: r.PathValue("name")}
 	current, err := s.cfg.Platform.Get(r.Context(), ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -301,7 +301,7 @@
 
 // findInstance returns the instance that ref names: the stored object, or else an upstream that a contract
 // declares.
-func (s *Server) findInstance(ref stoatpaddle.Ref, stored stoatpaddle.Object) (stoatpaddle.Instance, bool) {
+func (s *Server) findInstance(ref stoatpaddle.ObjectRef, stored stoatpaddle.Object) (stoatpaddle.Instance, bool) {
 	if i, err := stoatcontract.DecodeInstance(stored.Value); stored.Version > 0 && err == nil {
 		return i, true
 	}
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	base := draft.Base
+	base := draft.BaseVersion
 	if a.Version > 0 {
 		base = stoatpaddle.Version(a.Version)
 	}
@@ -133,7 +133,7 @@
 	Instance string `arg:"positional,required" help:"an entry or an upstream"`
 }
 
-func (a *markArgs) mark(c *env, state stoatpaddle.State) error {
+func (a *markArgs) mark(c *env, state stoatpaddle.InstanceState) error {
 	answer, err := a.client().Mark(c.ctx, stoatpaddle.InstanceID(a.Instance), state)
 	return a.report(c, answer, err)
 }
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -79,12 +79,12 @@
 	seed := uint64(now.UnixNano())
 	e := &Entry{
 		cfg: cfg, settings: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
-		log:      stoatevent.NewLogger(stoatevent.Config{Writer: cfg.Log, Level: cfg.Settings.Level, Instance: string(cfg.Settings.Instance)}),
-		platform: stoatplatform.New(stoatplatform.Config{Addr: cfg.Settings.Platform}),
+		log:      stoatevent.NewLogger(stoatevent.Config{Writer: cfg.Log, Level: cfg.Settings.LogLevel, Instance: string(cfg.Settings.Instance)}),
+		platform: stoatplatform.New(stoatplatform.Config{Addr: cfg.Settings.PlatformAddr}),
 		system:   newSystem(),
 		self:     newInstance(cfg.Settings, now),
 	}
-	e.engine = stoatflow.New(stoatflow.Config{Self: e.self.ID, Start: now, Settle: e.settings.Settle, Seed: seed})
+	e.engine = stoatflow.New(stoatflow.Config{Self: e.self.ID, Start: now, Settle: e.settings.SettleTime, Seed: seed})
 	e.calls = stoatcall.New(stoatcall.Config{View: e.view.Load, Clock: clock, Seed: seed})
 	e.metrics = e.newMetrics()
 	if err := e.openSockets(); err != nil {
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	node := stoatnode.New(stoatnode.Config{
-		Self: e.self, Cluster: e.settings.Cluster, Seeds: e.settings.Seeds, Random: seed, Stop: e.settings.Stop, Dead: e.settings.Dead,
+		Self: e.self, Cluster: e.settings.Cluster, Seeds: e.settings.Seeds, Random: seed, Stop: e.settings.StopDeadline, Dead: e.settings.PeerTimeout,
 	})
 	e.pid = e.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
 		return &controlActor{node: node, clock: clock, perform: e.perform}
@@ -101,7 +101,7 @@
 		e.Kill()
 		return nil, err
 	}
-	e.log.Emit(EventListen, stoatevent.F("tunnel", e.settings.Tunnel.String()), stoatevent.F("admin", e.settings.Admin.String()))
+	e.log.Emit(EventListen, stoatevent.F("tunnel", e.settings.TunnelAddr.String()), stoatevent.F("admin", e.settings.AdminAddr.String()))
 	e.post(stoatnode.Started{})
 	e.startWorkers()
 	return e, nil
@@ -112,33 +112,33 @@
 func newInstance(s stoatsetting.Settings, now time.Time) stoatpaddle.Instance {
 	return stoatpaddle.Instance{
 		ID: s.Instance, Role: stoatpaddle.RoleEntry, DataCentre: s.DataCentre, State: stoatpaddle.StateJoining,
-		Incarnation: stoatpaddle.Incarnation(now.UnixMilli()), Relay: s.Relay, Peer: s.Peer, Admin: s.Admin,
+		Incarnation: stoatpaddle.Incarnation(now.UnixMilli()), Relay: s.RelayAddr, Peer: s.PeerAddr, Admin: s.AdminAddr,
 	}
 }
 
 func (e *Entry) openSockets() error {
 	var err error
-	if e.tunnel, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.settings.Tunnel)); err != nil {
+	if e.tunnel, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.settings.TunnelAddr)); err != nil {
 		return err
 	}
-	if e.relay, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.settings.Relay)); err != nil {
+	if e.relay, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.settings.RelayAddr)); err != nil {
 		return err
 	}
 	admin := stoatadmin.New(stoatadmin.Config{
 		Platform: e.platform, Status: e.status, Metrics: e.writeMetrics, Report: e.report, Clock: clock,
 		Rand: rand.New(rand.NewPCG(uint64(e.self.Incarnation), 3)),
 	})
-	if err = e.serveHTTP(e.settings.Admin, admin); err != nil {
+	if err = e.serveHTTP(e.settings.AdminAddr, admin); err != nil {
 		return err
 	}
-	return e.serveHTTP(e.settings.Call, e.calls)
+	return e.serveHTTP(e.settings.CallAddr, e.calls)
 }
 
 func (e *Entry) startTransport() error {
 	var err error
 	e.transport, err = stoatpeer.New(e.ctx, stoatpeer.Config{
 		Hello: stoatmessage.Hello{Cluster: e.settings.Cluster, Instance: e.self},
-		Addr:  e.settings.Peer, Handler: e, Log: e.log, Severed: e.cfg.Severed,
+		Addr:  e.settings.PeerAddr, Handler: e, Log: e.log, Partitioned: e.cfg.Severed,
 	})
 	return err
 }
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -54,7 +54,7 @@
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
 	case stoatnode.Hangup:
-		e.transport.Hangup(x.Peer)
+		e.transport.Disconnect(x.Peer)
 	case stoatnode.Send:
 		e.transport.Send(x.To, x.Message)
 	case stoatnode.Deliver:
@@ -102,16 +102,16 @@
 
 func (e *Entry) postPlatformFailure(err error) {
 	event := stoatnode.PlatformFailed{Cause: err.Error()}
-	var rateErr *stoatpaddle.RateError
+	var rateErr *stoatpaddle.RateLimitError
 	if errors.As(err, &rateErr) {
-		event.After = rateErr.After
+		event.After = rateErr.RetryAfter
 	}
 	var historyErr *platform.HistoryError
 	event.Forgotten = errors.As(err, &historyErr)
 	e.post(event)
 }
 
-func newToken() stoatpaddle.Token { return stoatpaddle.Token(uuid.NewString()) }
+func newToken() stoatpaddle.WriteToken { return stoatpaddle.WriteToken(uuid.NewString()) }
 
 // register writes the instance's object and retries until the platform has it or the entry ends. Each attempt
 // writes the latest registration: an older one that was delayed by an outage must not overwrite a later one.
@@ -137,7 +137,7 @@
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: string(i.ID)}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: string(i.ID)}
 	current, err := e.platform.Get(e.ctx, ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -180,7 +180,7 @@
 func (e *Entry) unregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), unregisterTimeout)
 	defer cancel()
-	current, err := e.platform.Get(ctx, stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: string(e.self.ID)})
+	current, err := e.platform.Get(ctx, stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: string(e.self.ID)})
 	if err != nil {
 		return
 	}
@@ -209,7 +209,7 @@
 
 // handOver stops taking new calls and logs how long the handover of the flow records should take.
 func (e *Entry) handOver() {
-	e.calls.Stop()
+	e.calls.Drain()
 	e.handingOver.Store(true)
 	e.log.Emit(EventHandOver, stoatevent.F("estimate", e.engine.HandoverTime().String()))
 }
@@ -239,7 +239,7 @@
 			}
 		}
 		if e.handingOver.Load() && e.handoverComplete(v) {
-			e.post(stoatnode.Handed{CallsOpen: e.calls.Open()})
+			e.post(stoatnode.Handed{CallsOpen: e.calls.OpenCalls()})
 		}
 		if now.Sub(lastTick) >= stoatnode.TickEvery {
 			lastTick = now
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -158,18 +158,18 @@
 		return
 	}
 	if w.packet.Tuple.Protocol == stoatpaddle.ProtocolUDP {
-		if data, err := stoattunnel.Unreachable(&w.packet, packet); err == nil {
-			e.sendDatagram(e.tunnel, data, e.settings.Egress)
+		if data, err := stoattunnel.PortUnreachable(&w.packet, packet); err == nil {
+			e.sendDatagram(e.tunnel, data, e.settings.EgressAddr)
 		}
 		return
 	}
-	if data, err := stoattunnel.ResetFor(&w.packet); err == nil {
-		e.sendDatagram(e.tunnel, data, e.settings.Egress)
+	if data, err := stoattunnel.ResetToCaller(&w.packet); err == nil {
+		e.sendDatagram(e.tunnel, data, e.settings.EgressAddr)
 	}
 	if a.Upstream == nil {
 		return
 	}
-	if data, err := stoattunnel.ResetTo(&w.packet); err == nil {
+	if data, err := stoattunnel.ResetToUpstream(&w.packet); err == nil {
 		e.sendDatagram(e.tunnel, data, a.Upstream.Addr)
 	}
 }
--- a/stoatnode/effect.go
+++ b/stoatnode/effect.go
@@ -64,7 +64,7 @@
 
 // Log writes a numbered event.
 type Log struct {
-	Entry  *stoatevent.Entry
+	Entry  *stoatevent.Definition
 	Fields []stoatevent.Field
 }
 
--- a/stoatnode/members.go
+++ b/stoatnode/members.go
@@ -10,7 +10,7 @@
 
 func (n *Node) applyInstance(now time.Time, o stoatpaddle.Object) {
 	id := stoatpaddle.InstanceID(o.Ref.Name)
-	if o.Gone {
+	if o.Deleted {
 		n.instanceGone(id)
 		return
 	}
@@ -76,7 +76,7 @@
 
 // rank orders the states of one life of an entry: what is said late, by a hello or a
 // lagging list, must not take it back to an earlier one.
-func rank(s stoatpaddle.State) int {
+func rank(s stoatpaddle.InstanceState) int {
 	switch s {
 	case stoatpaddle.StateLeaving:
 		return 2
@@ -89,7 +89,7 @@
 
 // stated notes the state that a peer says it is in, which works while the platform is
 // down. Leaving is never taken back within one life.
-func (n *Node) stated(id stoatpaddle.InstanceID, s stoatpaddle.State) {
+func (n *Node) stated(id stoatpaddle.InstanceID, s stoatpaddle.InstanceState) {
 	i, known := n.instances[id]
 	if !known || rank(s) <= rank(i.State) {
 		return
--- a/stoatnode/status.go
+++ b/stoatnode/status.go
@@ -12,9 +12,9 @@
 // Standing is how one instance looks from here.
 type Standing struct {
 	ID         stoatpaddle.InstanceID
-	Role       stoatpaddle.Role
+	Role       stoatpaddle.InstanceRole
 	DataCentre stoatpaddle.DataCentreID
-	State      stoatpaddle.State
+	State      stoatpaddle.InstanceState
 	Admin      string
 	Dead       bool
 	Connected  bool
--- a/stoatplatform/client.go
+++ b/stoatplatform/client.go
@@ -39,13 +39,13 @@
 }
 
 // Get implements stoatpaddle.Platform.
-func (c *Client) Get(ctx context.Context, ref stoatpaddle.Ref) (stoatpaddle.Object, error) {
+func (c *Client) Get(ctx context.Context, ref stoatpaddle.ObjectRef) (stoatpaddle.Object, error) {
 	res, err := c.call(ctx, http.MethodGet, target(ref), nil)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
 	o, err := readObject(ref, res)
-	if err == nil && o.Gone {
+	if err == nil && o.Deleted {
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
 	}
 	return o, err
@@ -105,7 +105,7 @@
 			return stoatpaddle.Listing{}, err
 		}
 		// Nothing of the system deletes for good; an operator's hand may.
-		o.Gone = o.Gone || ev.Deleted
+		o.Deleted = o.Deleted || ev.Deleted
 		l.Objects = append(l.Objects, o)
 	}
 	return l, nil
@@ -141,7 +141,7 @@
 	}
 	made, err := c.write(ctx, http.MethodPost, o)
 	standing, conflicts := conflictOf(err)
-	if conflicts && standing.Gone {
+	if conflicts && standing.Deleted {
 		o.Version = standing.Version
 		return c.write(ctx, http.MethodPut, o)
 	}
@@ -150,7 +150,7 @@
 
 // Delete implements stoatpaddle.Platform: it leaves a tombstone.
 func (c *Client) Delete(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
-	o.Gone = true
+	o.Deleted = true
 	return c.write(ctx, http.MethodPut, o)
 }
 
@@ -200,10 +200,10 @@
 	return res, err
 }
 
-func target(ref stoatpaddle.Ref) string { return Kind + "/" + nameOf(ref) }
+func target(ref stoatpaddle.ObjectRef) string { return Kind + "/" + nameOf(ref) }
 
 // readObject reads the answer to a call about one object.
-func readObject(ref stoatpaddle.Ref, res platform.Response) (stoatpaddle.Object, error) {
+func readObject(ref stoatpaddle.ObjectRef, res platform.Response) (stoatpaddle.Object, error) {
 	switch res.Status {
 	case http.StatusNotFound:
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
--- a/stoatplatform/retry.go
+++ b/stoatplatform/retry.go
@@ -33,18 +33,18 @@
 // Trail returns the token of a write that follows the one that made prev: it names the
 // last few writers, so that a writer whose answer was lost finds its own write even
 // after others have followed it.
-func Trail(own, prev stoatpaddle.Token) stoatpaddle.Token {
+func Trail(own, prev stoatpaddle.WriteToken) stoatpaddle.WriteToken {
 	parts := strings.Split(string(prev), trailMark)
 	if len(parts) >= trailLength {
 		parts = parts[:trailLength-1]
 	}
-	return stoatpaddle.Token(strings.TrimSuffix(string(own)+trailMark+strings.Join(parts, trailMark), trailMark))
+	return stoatpaddle.WriteToken(strings.TrimSuffix(string(own)+trailMark+strings.Join(parts, trailMark), trailMark))
 }
 
 const trailMark = ","
 
 // Wrote tells whether the writer with token own is among those that the object names.
-func Wrote(o stoatpaddle.Object, own stoatpaddle.Token) bool {
+func Wrote(o stoatpaddle.Object, own stoatpaddle.WriteToken) bool {
 	return slices.Contains(strings.Split(string(o.Token), trailMark), string(own))
 }
 
@@ -59,7 +59,7 @@
 // UnknownError reports a write of which nobody can say now whether it took effect.
 // Repeating it with the same token is safe.
 type UnknownError struct {
-	Token stoatpaddle.Token
+	Token stoatpaddle.WriteToken
 	Cause error
 }
 
@@ -83,7 +83,7 @@
 // Put writes o on top of the version it names. After a lost answer it looks for its own
 // token before it tries again, so that nothing is applied twice and nothing that took
 // effect is reported as refused. Errors: *stoatpaddle.ConflictError, *UnknownError.
-func (w *Writer) Put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (w *Writer) Put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	tries := w.Tries
 	if tries == 0 {
 		tries = defaultTries
@@ -103,7 +103,7 @@
 	return stoatpaddle.Object{}, &UnknownError{Token: own, Cause: cause}
 }
 
-func (w *Writer) once(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (w *Writer) once(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	done, err := w.send(ctx, o)
 	var conflict *stoatpaddle.ConflictError
 	if errors.As(err, &conflict) && Wrote(conflict.Current, own) {
@@ -113,7 +113,7 @@
 }
 
 func (w *Writer) send(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
-	if o.Gone {
+	if o.Deleted {
 		return w.Platform.Delete(ctx, o)
 	}
 	return w.Platform.Put(ctx, o)
--- a/stoatprocess/main.go
+++ b/stoatprocess/main.go
@@ -72,7 +72,7 @@
 }
 
 // FabricError reports that the settings are for a kind of fabric that this program can't serve.
-type FabricError struct{ Fabric stoatsetting.Fabric }
+type FabricError struct{ Fabric stoatsetting.FabricKind }
 
 // Error returns a message that names the kind of fabric and the command that serves it.
 func (e *FabricError) Error() string {
--- a/stoatprocess/start_test.go
+++ b/stoatprocess/start_test.go
@@ -37,8 +37,8 @@
 	f.store = strings.TrimPrefix(srv.URL, "http://")
 	f.caller, f.upstream = f.listen("127.0.0.3:0"), f.listen("127.0.0.4:0")
 	upstreamAddr := f.upstream.LocalAddr().(*net.UDPAddr).AddrPort()
-	declaration := stoatpaddle.Declaration{Version: 1, Idle: time.Minute, Routes: []stoatpaddle.Route{{
-		Listen: netip.MustParseAddrPort("198.18.0.1:443"), Objective: time.Second, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
+	declaration := stoatpaddle.Declaration{Version: 1, IdleTimeout: time.Minute, Routes: []stoatpaddle.Route{{
+		Listen: netip.MustParseAddrPort("198.18.0.1:443"), TargetLatency: time.Second, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
 	}}}
 	store.Write(platform.KindConfig, platform.NameConfig, platform.DeclarationSpec(&declaration))
 	for i := range upstreamCount {
