--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -14,33 +14,34 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatstatus"
 )
 
-// Client calls the administration API of one entry.
+// Client is a client of the administration API of one entry.
 type Client struct {
-	base string
-	http *http.Client
+	baseURL string
+	http    *http.Client
 }
 
 const clientTimeout = 30 * time.Second
 
 // NewClient returns a client of the entry whose administration API is at addr (host:port).
 func NewClient(addr string) *Client {
-	return &Client{base: "http://" + addr, http: &http.Client{Timeout: clientTimeout}}
+	return &Client{baseURL: "http://" + addr, http: &http.Client{Timeout: clientTimeout}}
 }
 
-// RefusedError reports an answer other than accepted.
+// RefusedError reports that a change was refused, that its outcome is unknown, or that a read was refused.
 type RefusedError struct {
 	Status int
 	Answer Answer
 }
 
-// Error gives the number, the title and the faults, a line each.
+// Error returns the outcome, number and title in one line, followed by a line for each fault and each difference
+// from the stored contract.
 func (e *RefusedError) Error() string {
 	text := fmt.Sprintf("%s: %s %s", e.Answer.Outcome, e.Answer.Number, e.Answer.Title)
 	if e.Answer.Version > 0 {
-		text += fmt.Sprintf(" (version %d stands)", e.Answer.Version)
+		text += fmt.Sprintf(" (the stored version is %d)", e.Answer.Version)
 	}
 	if e.Answer.Outcome == Unknown {
-		text += "; ask again with --token " + e.Answer.Token
+		text += "; repeat the change with --token " + e.Answer.Token
 	}
 	for _, f := range e.Answer.Faults {
 		text += "\n" + (&stoatpaddle.Fault{File: f.File, Section: f.Section, Key: f.Key, Got: f.Got, Want: f.Want}).Error()
@@ -51,25 +52,27 @@
 	return text
 }
 
-// Change is a conditional change.
+// Change holds the options of a conditional change.
 type Change struct {
-	Base  stoatpaddle.Version // 0 creates
-	Token string              // empty for a new change
+	Base  stoatpaddle.Version // version that the change amends; 0 means that the object must not exist yet
+	Token string              // idempotency token of an earlier attempt; empty for a new change
 }
 
-func (c *Client) do(ctx context.Context, method, path string, body []byte, ch *Change) (int, []byte, error) {
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+// do sends a request and returns the status code and the body of the reply. opts is nil for an unconditional
+// request.
+func (c *Client) do(ctx context.Context, method, path string, body []byte, opts *Change) (int, []byte, error) {
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, &stoatpaddle.UnavailableError{Op: path, Cause: err}
 	}
-	if ch != nil {
-		if ch.Base == 0 {
+	if opts != nil {
+		if opts.Base == 0 {
 			req.Header.Set("If-None-Match", "*")
 		} else {
-			req.Header.Set("If-Match", strconv.Quote(ch.Base.String()))
+			req.Header.Set("If-Match", strconv.Quote(opts.Base.String()))
 		}
-		if ch.Token != "" {
-			req.Header.Set(HeaderToken, ch.Token)
+		if opts.Token != "" {
+			req.Header.Set(HeaderToken, opts.Token)
 		}
 	}
 	res, err := c.http.Do(req)
@@ -84,9 +87,9 @@
 	return res.StatusCode, data, nil
 }
 
-// change sends a change; an answer other than accepted is *RefusedError.
-func (c *Client) change(ctx context.Context, method, path string, body []byte, ch *Change) (Answer, error) {
-	status, data, err := c.do(ctx, method, path, body, ch)
+// change sends a change. It returns a *RefusedError unless the outcome is OutcomeAccepted.
+func (c *Client) change(ctx context.Context, method, path string, body []byte, opts *Change) (Answer, error) {
+	status, data, err := c.do(ctx, method, path, body, opts)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -100,14 +103,14 @@
 	return a, nil
 }
 
-// read gets a JSON document.
+// read gets a JSON document and decodes it into the value that into points to.
 func (c *Client) read(ctx context.Context, path string, into any) error {
 	status, data, err := c.do(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
 		return err
 	}
 	if status != http.StatusOK {
-		return refused(status, data)
+		return refusedError(status, data)
 	}
 	if err := json.Unmarshal(data, into); err != nil {
 		return &stoatpaddle.DecodeError{What: path, Cause: err}
@@ -115,7 +118,7 @@
 	return nil
 }
 
-func refused(status int, data []byte) error {
+func refusedError(status int, data []byte) error {
 	var a Answer
 	if err := json.Unmarshal(data, &a); err != nil {
 		return &stoatpaddle.DecodeError{What: "answer", Cause: err}
@@ -123,24 +126,24 @@
 	return &RefusedError{Status: status, Answer: a}
 }
 
-// Apply creates or amends a contract from its INI text.
-func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, ch Change) (Answer, error) {
-	return c.change(ctx, http.MethodPut, "/v1/contracts/"+string(customer), text, &ch)
+// Apply creates or amends a contract, which is given as INI text.
+func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, opts Change) (Answer, error) {
+	return c.change(ctx, http.MethodPut, "/v1/contracts/"+string(customer), text, &opts)
 }
 
 // Remove removes a contract.
-func (c *Client) Remove(ctx context.Context, customer stoatpaddle.CustomerID, ch Change) (Answer, error) {
-	return c.change(ctx, http.MethodDelete, "/v1/contracts/"+string(customer), nil, &ch)
+func (c *Client) Remove(ctx context.Context, customer stoatpaddle.CustomerID, opts Change) (Answer, error) {
+	return c.change(ctx, http.MethodDelete, "/v1/contracts/"+string(customer), nil, &opts)
 }
 
-// Contract returns a contract's INI text with its version.
+// Contract returns a contract as INI text, which contains its version.
 func (c *Client) Contract(ctx context.Context, customer stoatpaddle.CustomerID) (string, error) {
 	status, data, err := c.do(ctx, http.MethodGet, "/v1/contracts/"+string(customer), nil, nil)
 	if err != nil {
 		return "", err
 	}
 	if status != http.StatusOK {
-		return "", refused(status, data)
+		return "", refusedError(status, data)
 	}
 	return string(data), nil
 }
@@ -152,28 +155,28 @@
 	return out, err
 }
 
-// Instances lists the instances as the entry sees them.
+// Instances lists the instances that the entry knows, with their states as the entry sees them.
 func (c *Client) Instances(ctx context.Context) ([]stoatstatus.Instance, error) {
 	var out []stoatstatus.Instance
 	err := c.read(ctx, "/v1/instances", &out)
 	return out, err
 }
 
-// Status returns what is in force on the entry.
+// Status returns the configuration in force on the entry and what it knows of instances and the platform.
 func (c *Client) Status(ctx context.Context) (stoatstatus.Status, error) {
 	var out stoatstatus.Status
 	err := c.read(ctx, "/v1/status", &out)
 	return out, err
 }
 
-// Report returns what became of flows and calls on the entry.
+// Report returns the entry's counts of flows and calls by their outcome.
 func (c *Client) Report(ctx context.Context) (stoatstatus.Report, error) {
 	var out stoatstatus.Report
 	err := c.read(ctx, "/v1/report", &out)
 	return out, err
 }
 
-// Mark marks an instance.
+// Mark sets the state of an instance, which must be joining or leaving.
 func (c *Client) Mark(ctx context.Context, id stoatpaddle.InstanceID, state stoatpaddle.InstanceState) (Answer, error) {
 	body, err := json.Marshal(Mark{State: string(state)})
 	if err != nil {
@@ -182,7 +185,7 @@
 	return c.change(ctx, http.MethodPut, "/v1/instances/"+string(id), body, nil)
 }
 
-// Evacuate has the upstreams of a data centre get no new work.
+// Evacuate begins the evacuation of a data centre, whose upstreams then get no new work.
 func (c *Client) Evacuate(ctx context.Context, dc stoatpaddle.DataCentreID) (Answer, error) {
 	return c.change(ctx, http.MethodPut, "/v1/evacuations/"+string(dc), nil, nil)
 }
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -33,8 +33,8 @@
 type Config struct {
 	Settings stoatsetting.Settings
 	Log      io.Writer
-	Workers  int // goroutines a socket; default 2
-	// Severed tells that the network towards a peer is cut; tests set it.
+	Workers  int // number of goroutines that read each UDP socket; 0 means 2
+	// Severed reports whether the network between this entry and a peer is cut. Only tests set it.
 	Severed func(id stoatpaddle.InstanceID) bool
 }
 
@@ -42,33 +42,33 @@
 
 // Entry is one running entry instance.
 type Entry struct {
-	cfg       Config
-	set       stoatsetting.Settings
-	self      stoatpaddle.Instance
-	log       *stoatevent.Logger
-	view      atomic.Pointer[stoatview.View]
-	engine    *stoatflow.Engine
-	calls     *stoatcall.Handler
-	platform  *stoatplatform.Client
-	transport *stoatpeer.Transport
-	system    *actor.ActorSystem
-	pid       *actor.PID
-	metrics   *metrics.Set
-	drops     [stoatpacket.DropCount]atomic.Int64
-	forwarded atomic.Int64
-	handing   atomic.Bool
-	wanted    atomic.Pointer[stoatpaddle.Instance]
-	tunnel    *net.UDPConn
-	relay     *net.UDPConn
-	servers   []*http.Server
-	group     *errgroup.Group
-	ctx       context.Context
-	cancel    context.CancelFunc
-	killed    atomic.Bool
-	ended     sync.Once
+	cfg          Config
+	settings     stoatsetting.Settings
+	self         stoatpaddle.Instance
+	log          *stoatevent.Logger
+	view         atomic.Pointer[stoatview.View]
+	engine       *stoatflow.Engine
+	calls        *stoatcall.Handler
+	platform     *stoatplatform.Client
+	transport    *stoatpeer.Transport
+	system       *actor.ActorSystem
+	pid          *actor.PID
+	metrics      *metrics.Set
+	drops        [stoatpacket.DropCount]atomic.Int64
+	forwarded    atomic.Int64
+	handingOver  atomic.Bool
+	registration atomic.Pointer[stoatpaddle.Instance]
+	tunnel       *net.UDPConn
+	relay        *net.UDPConn
+	servers      []*http.Server
+	group        *errgroup.Group
+	ctx          context.Context
+	cancel       context.CancelFunc
+	killed       atomic.Bool
+	releaseOnce  sync.Once
 }
 
-// Start opens the sockets and begins to work.
+// Start opens the sockets and starts the entry's goroutines. It fails if a socket can't be opened.
 func Start(ctx context.Context, cfg Config) (*Entry, error) {
 	if cfg.Workers == 0 {
 		cfg.Workers = defaultWorkers
@@ -78,76 +78,76 @@
 	now := clock()
 	seed := uint64(now.UnixNano())
 	e := &Entry{
-		cfg: cfg, set: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
+		cfg: cfg, settings: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
 		log:      stoatevent.NewLogger(stoatevent.Config{Writer: cfg.Log, Level: cfg.Settings.LogLevel, Instance: string(cfg.Settings.Instance)}),
 		platform: stoatplatform.New(stoatplatform.Config{Addr: cfg.Settings.PlatformAddr}),
 		system:   newSystem(),
-		self:     instanceOf(cfg.Settings, now),
+		self:     newInstance(cfg.Settings, now),
 	}
-	e.engine = stoatflow.New(stoatflow.Config{Self: e.self.ID, Start: now, Settle: e.set.SettleTime, Seed: seed})
+	e.engine = stoatflow.New(stoatflow.Config{Self: e.self.ID, Start: now, Settle: e.settings.SettleTime, Seed: seed})
 	e.calls = stoatcall.New(stoatcall.Config{View: e.view.Load, Clock: clock, Seed: seed})
 	e.metrics = e.newMetrics()
-	if err := e.open(); err != nil {
+	if err := e.openSockets(); err != nil {
 		e.Kill()
 		return nil, err
 	}
 	node := stoatnode.New(stoatnode.Config{
-		Self: e.self, Cluster: e.set.Cluster, Seeds: e.set.Seeds, Random: seed, Stop: e.set.StopDeadline, Dead: e.set.PeerTimeout,
+		Self: e.self, Cluster: e.settings.Cluster, Seeds: e.settings.Seeds, Random: seed, Stop: e.settings.StopDeadline, Dead: e.settings.PeerTimeout,
 	})
 	e.pid = e.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
-		return &control{node: node, clock: clock, do: e.do}
+		return &controlActor{node: node, clock: clock, perform: e.perform}
 	}))
-	if err := e.openPeers(); err != nil {
+	if err := e.startTransport(); err != nil {
 		e.Kill()
 		return nil, err
 	}
-	e.log.Emit(EventListen, stoatevent.F("tunnel", e.set.TunnelAddr.String()), stoatevent.F("admin", e.set.AdminAddr.String()))
+	e.log.Emit(EventListen, stoatevent.F("tunnel", e.settings.TunnelAddr.String()), stoatevent.F("admin", e.settings.AdminAddr.String()))
 	e.post(stoatnode.Started{})
-	e.serve()
+	e.startWorkers()
 	return e, nil
 }
 
-// instanceOf describes this life of the instance. The start time as incarnation needs
-// nobody's answer and grows from life to life.
-func instanceOf(s stoatsetting.Settings, now time.Time) stoatpaddle.Instance {
+// newInstance describes this run of the instance. Its incarnation is the start time, which grows from one run
+// to the next and can be known without asking the platform or a peer.
+func newInstance(s stoatsetting.Settings, now time.Time) stoatpaddle.Instance {
 	return stoatpaddle.Instance{
 		ID: s.Instance, Role: stoatpaddle.RoleEntry, DataCentre: s.DataCentre, State: stoatpaddle.StateJoining,
 		Incarnation: stoatpaddle.Incarnation(now.UnixMilli()), Relay: s.RelayAddr, Peer: s.PeerAddr, Admin: s.AdminAddr,
 	}
 }
 
-func (e *Entry) open() error {
+func (e *Entry) openSockets() error {
 	var err error
-	if e.tunnel, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.set.TunnelAddr)); err != nil {
+	if e.tunnel, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.settings.TunnelAddr)); err != nil {
 		return err
 	}
-	if e.relay, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.set.RelayAddr)); err != nil {
+	if e.relay, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.settings.RelayAddr)); err != nil {
 		return err
 	}
 	admin := stoatadmin.New(stoatadmin.Config{
 		Platform: e.platform, Status: e.status, Metrics: e.writeMetrics, Report: e.report, Clock: clock,
 		Rand: rand.New(rand.NewPCG(uint64(e.self.Incarnation), 3)),
 	})
-	if err = e.listen(e.set.AdminAddr, admin); err != nil {
+	if err = e.serveHTTP(e.settings.AdminAddr, admin); err != nil {
 		return err
 	}
-	return e.listen(e.set.CallAddr, e.calls)
+	return e.serveHTTP(e.settings.CallAddr, e.calls)
 }
 
-func (e *Entry) openPeers() error {
+func (e *Entry) startTransport() error {
 	var err error
 	e.transport, err = stoatpeer.New(e.ctx, stoatpeer.Config{
-		Hello: stoatmessage.Hello{Cluster: e.set.Cluster, Instance: e.self},
-		Addr:  e.set.PeerAddr, Handler: e, Log: e.log, Partitioned: e.cfg.Severed,
+		Hello: stoatmessage.Hello{Cluster: e.settings.Cluster, Instance: e.self},
+		Addr:  e.settings.PeerAddr, Handler: e, Log: e.log, Partitioned: e.cfg.Severed,
 	})
 	return err
 }
 
 const headerTimeout = 10 * time.Second
 
-// listen serves HTTP/1.1 and h2c.
-func (e *Entry) listen(addr netip.AddrPort, h http.Handler) error {
-	ln, err := net.Listen("tcp", addr.String())
+// serveHTTP serves HTTP/1.1 and unencrypted HTTP/2 (h2c) on addr.
+func (e *Entry) serveHTTP(addr netip.AddrPort, h http.Handler) error {
+	listener, err := net.Listen("tcp", addr.String())
 	if err != nil {
 		return err
 	}
@@ -157,16 +157,16 @@
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout, Protocols: &protocols}
 	e.servers = append(e.servers, srv)
 	e.group.Go(func() error {
-		_ = srv.Serve(ln)
+		_ = srv.Serve(listener)
 		return nil
 	})
 	return nil
 }
 
-// Stop begins the planned stop; Wait returns when it is complete.
+// Stop begins the planned stop. Wait returns when the stop is complete.
 func (e *Entry) Stop() { e.post(stoatnode.StopAsked{}) }
 
-// Kill ends the entry at once, as a crash would.
+// Kill ends the entry at once, without a handover, as a crash would.
 func (e *Entry) Kill() {
 	if !e.killed.CompareAndSwap(false, true) {
 		return
@@ -187,11 +187,11 @@
 func (e *Entry) Wait() {
 	<-e.ctx.Done()
 	e.Kill()
-	e.ended.Do(e.release)
+	e.releaseOnce.Do(e.release)
 }
 
-// release ends the parts in the order of who starts goroutines for whom: the control actor
-// starts them in both groups, and a group that is waited for must not get new ones.
+// release stops the components. The control actor must end first: it starts goroutines in the transport's
+// group and in the entry's, and a group must not get new goroutines while it is being waited for.
 func (e *Entry) release() {
 	if e.pid != nil {
 		_ = e.system.Root.StopFuture(e.pid).Wait()
@@ -203,32 +203,32 @@
 	e.system.Shutdown()
 }
 
-// Engine returns the flow engine, for tests and the demo.
+// Engine returns the flow engine; it is exposed for tests.
 func (e *Entry) Engine() *stoatflow.Engine { return e.engine }
 
-// Calls returns the call handler, for tests and the demo.
+// Calls returns the call handler; it is exposed for tests.
 func (e *Entry) Calls() *stoatcall.Handler { return e.calls }
 
-// ControlBytes returns the bytes of control frames sent since the start.
+// ControlBytes returns the number of bytes sent to peers in control frames since the start.
 func (e *Entry) ControlBytes() int64 {
 	sent, _ := e.transport.Bytes()
 	return sent
 }
 
-// Dropped returns the number of packets dropped for the reason.
+// Dropped returns the number of packets dropped for the given reason.
 func (e *Entry) Dropped(r stoatpacket.DropReason) int64 { return e.drops[r].Load() }
 
 const statusTimeout = 2 * time.Second
 
-// status asks the control actor; it is the only reader of the node's state.
+// status asks the control actor for the node's status, because only that actor may read the node's state.
 func (e *Entry) status() (stoatnode.Status, error) {
-	answer, err := e.system.Root.RequestFuture(e.pid, statusQuery{}, statusTimeout).Result()
+	response, err := e.system.Root.RequestFuture(e.pid, statusQuery{}, statusTimeout).Result()
 	if err != nil {
 		return stoatnode.Status{}, &stoatpaddle.UnavailableError{Op: "status", Cause: err}
 	}
-	s, _ := answer.(stoatnode.Status)
+	s, _ := response.(stoatnode.Status)
 	return s, nil
 }
 
-// Status returns what is in force on this entry.
+// Status returns the configuration in force on this entry and what it knows of instances and the platform.
 func (e *Entry) Status() (stoatnode.Status, error) { return e.status() }
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -32,7 +32,7 @@
 	return addr
 }
 
-// until polls; a condition that never comes about ends by go test's own limit.
+// until polls until ok holds. A condition that never holds is ended by the timeout of go test.
 func until(ok func() bool) {
 	for !ok() {
 		time.Sleep(5 * time.Millisecond)
@@ -40,24 +40,25 @@
 }
 
 func startEntry(t *testing.T, id string, platform, egress netip.AddrPort, seeds ...netip.AddrPort) (*stoatentry.Entry, stoatsetting.Settings) {
-	set := stoatsetting.Settings{
+	settings := stoatsetting.Settings{
 		Instance: stoatpaddle.InstanceID(id), DataCentre: "ruwi", Cluster: "test", PlatformAddr: platform, EgressAddr: egress, Seeds: seeds,
 		TunnelAddr: freeAddr(t), RelayAddr: freeAddr(t), PeerAddr: freeAddr(t), AdminAddr: freeAddr(t), CallAddr: freeAddr(t),
 		LogLevel: "info", StopDeadline: time.Minute, SettleTime: time.Minute, PeerTimeout: time.Minute,
 	}
-	e, err := stoatentry.Start(context.Background(), stoatentry.Config{Settings: set, Log: io.Discard})
+	e, err := stoatentry.Start(context.Background(), stoatentry.Config{Settings: settings, Log: io.Discard})
 	if err != nil {
-		t.Log("another process took a port meanwhile:", err)
+		t.Log("another process has taken a port; trying other ports:", err)
 		return startEntry(t, id, platform, egress, seeds...)
 	}
 	t.Cleanup(func() {
 		e.Kill()
 		e.Wait()
 	})
-	return e, set
+	return e, settings
 }
 
-// ready tells whether the entry serves, holds the contracts and knows the entries to be live.
+// ready reports whether the entry serves, has at least this number of contracts, and sees at least this number
+// of entries as live.
 func ready(e *stoatentry.Entry, contracts, entries int) bool {
 	st, err := e.Status()
 	if err != nil || !st.Ready || len(st.Contracts) < contracts {
@@ -72,15 +73,15 @@
 	return live >= entries
 }
 
-// Callers hold flows over two entries. A third entry joins while the platform is down and
-// takes the contract from its peers; then one of the first two is stopped as planned. No
-// caller sees a flow broken, and the stopped entry ends by itself.
+// Callers have open flows through two entries. A third entry joins while the platform is down and gets the
+// contract from its peers; then one of the first two entries is stopped. No flow may break, and the stopped
+// entry must end without help.
 func TestPlannedStopAndJoinWithoutPlatform(t *testing.T) {
 	var group errgroup.Group
 	platform := stoatfake.NewPlatform()
 	srv := httptest.NewServer(platform)
 	t.Cleanup(srv.Close)
-	at := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
+	platformAddr := netip.MustParseAddrPort(strings.TrimPrefix(srv.URL, "http://"))
 	fabric, err := stoatfake.NewFabric(1)
 	if err != nil {
 		t.Fatal(err)
@@ -94,8 +95,8 @@
 		t.Fatal(err)
 	}
 	defer callers.Close()
-	a, setA := startEntry(t, "e1", at, callers.Addr())
-	b, setB := startEntry(t, "e2", at, callers.Addr())
+	a, setA := startEntry(t, "e1", platformAddr, callers.Addr())
+	b, setB := startEntry(t, "e2", platformAddr, callers.Addr())
 	c := stoatpaddle.Contract{
 		Customer: "sawt", Preference: stoatpaddle.PreferBalance, Limits: stoatpaddle.Limits{Flows: 1000, OpenRate: 1000, Calls: 10, CallRate: 10},
 		Services: []stoatpaddle.Service{{
@@ -123,7 +124,7 @@
 	until(func() bool { return callers.Counts().Open == 60 })
 
 	platform.Set(stoatfake.Trouble{Down: true})
-	third, setC := startEntry(t, "e3", at, callers.Addr(), setB.PeerAddr)
+	third, setC := startEntry(t, "e3", platformAddr, callers.Addr(), setB.PeerAddr)
 	until(func() bool { return ready(third, 1, 3) })
 	fabric.Set([]netip.AddrPort{setA.TunnelAddr, setB.TunnelAddr, setC.TunnelAddr})
 	a.Stop()
@@ -133,20 +134,20 @@
 	})
 	fabric.Set([]netip.AddrPort{setB.TunnelAddr, setC.TunnelAddr})
 	a.Wait()
-	seen := callers.Counts()
+	before := callers.Counts()
 	until(func() bool { return third.Engine().Stats().Relayed.Load()+b.Engine().Stats().Relayed.Load() > 100 })
-	if now := callers.Counts(); now.Broken > 0 || now.Open < seen.Open || now.Open != 60 {
-		t.Errorf("%+v, then %+v", seen, now)
+	if now := callers.Counts(); now.Broken > 0 || now.Open < before.Open || now.Open != 60 {
+		t.Errorf("callers' counts were %+v, and later %+v", before, now)
 	}
 }
 
-// Packets that no entry or fabric would send, on both UDP sockets: each is counted by its
-// reason, none is forwarded, and the entry goes on.
+// Both UDP sockets get packets that no entry or fabric sends. Each must be counted with the reason of its drop,
+// and the entry must keep running.
 func TestBadPacketsAreDropped(t *testing.T) {
 	platform := httptest.NewServer(stoatfake.NewPlatform())
 	t.Cleanup(platform.Close)
-	at := netip.MustParseAddrPort(strings.TrimPrefix(platform.URL, "http://"))
-	e, set := startEntry(t, "e1", at, freeAddr(t))
+	platformAddr := netip.MustParseAddrPort(strings.TrimPrefix(platform.URL, "http://"))
+	e, set := startEntry(t, "e1", platformAddr, freeAddr(t))
 	until(func() bool { return ready(e, 0, 1) })
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -180,9 +181,8 @@
 	}
 }
 
-// An entry that never served, because neither the platform nor a peer answered, is stopped
-// as planned. It has nothing to hand over, so it ends by itself and does not wait for the
-// operator's deadline.
+// An entry never served, because neither the platform nor a peer answered, and gets a planned stop. It has
+// nothing to hand over, so it must end without waiting for the stop deadline.
 func TestPlannedStopBeforeServing(t *testing.T) {
 	e, _ := startEntry(t, "e1", freeAddr(t), freeAddr(t))
 	e.Stop()
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -22,34 +22,35 @@
 )
 
 const (
-	// watchWait is how long a watch waits for a change: it costs one call a wait.
-	watchWait    = 30 * time.Second
-	advanceEvery = 100 * time.Millisecond
-	seedBytes    = 16
+	// watchTimeout is how long a watch waits for a change. Each wait costs one call to the platform.
+	watchTimeout    = 30 * time.Second
+	advanceInterval = 100 * time.Millisecond
+	seedBytes       = 16
 )
 
 func clock() time.Time { return time.Now() }
 
-// do performs one effect; what waits for others runs in the group.
-func (e *Entry) do(effect stoatnode.Effect) {
+// perform carries out one effect. Calls to the platform run in goroutines of the group, so that the control
+// actor doesn't wait for them; it waits only for Unregister, at the end of a planned stop.
+func (e *Entry) perform(effect stoatnode.Effect) {
 	switch x := effect.(type) {
 	case stoatnode.Publish:
 		e.engine.Prepare(clock(), x.View)
 		e.view.Store(x.View)
 	case stoatnode.List:
-		e.later(x.After, e.list)
+		e.runAfter(x.After, e.list)
 	case stoatnode.Watch:
-		e.later(x.After, func() { e.watch(x.From) })
+		e.runAfter(x.After, func() { e.watch(x.From) })
 	case stoatnode.Register:
-		e.wanted.Store(&x.Instance)
+		e.registration.Store(&x.Instance)
 		e.transport.SetInstance(x.Instance)
-		e.later(0, e.register)
+		e.runAfter(0, e.register)
 	case stoatnode.Rewrite:
-		e.later(0, func() { e.rewrite(x.Object) })
+		e.runAfter(0, func() { e.rewrite(x.Object) })
 	case stoatnode.Unregister:
 		e.unregister()
 	case stoatnode.MakeSeed:
-		e.later(0, e.makeSeed)
+		e.runAfter(0, e.makeSeed)
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
 	case stoatnode.Hangup:
@@ -71,7 +72,8 @@
 	}
 }
 
-func (e *Entry) later(after time.Duration, f func()) {
+// runAfter calls f in a goroutine of the group after a pause, unless the entry ends first.
+func (e *Entry) runAfter(after time.Duration, f func()) {
 	e.group.Go(func() error {
 		if stoatplatform.Pause(e.ctx, after) {
 			f()
@@ -81,51 +83,50 @@
 }
 
 func (e *Entry) list() {
-	l, err := e.platform.List(e.ctx)
+	listing, err := e.platform.List(e.ctx)
 	if err != nil {
-		e.platformFailed(err)
+		e.postPlatformFailure(err)
 		return
 	}
-	e.post(stoatnode.Listed{Listing: l})
+	e.post(stoatnode.Listed{Listing: listing})
 }
 
 func (e *Entry) watch(from stoatpaddle.Version) {
-	l, err := e.platform.Watch(e.ctx, from, watchWait)
+	changes, err := e.platform.Watch(e.ctx, from, watchTimeout)
 	if err != nil {
-		e.platformFailed(err)
+		e.postPlatformFailure(err)
 		return
 	}
-	e.post(stoatnode.Watched{Listing: l})
+	e.post(stoatnode.Watched{Listing: changes})
 }
 
-func (e *Entry) platformFailed(err error) {
-	ev := stoatnode.PlatformFailed{Cause: err.Error()}
-	var rate *stoatpaddle.RateLimitError
-	if errors.As(err, &rate) {
-		ev.After = rate.RetryAfter
+func (e *Entry) postPlatformFailure(err error) {
+	event := stoatnode.PlatformFailed{Cause: err.Error()}
+	var rateErr *stoatpaddle.RateLimitError
+	if errors.As(err, &rateErr) {
+		event.After = rateErr.RetryAfter
 	}
-	var history *platform.HistoryError
-	ev.Forgotten = errors.As(err, &history)
-	e.post(ev)
+	var historyErr *platform.HistoryError
+	event.Forgotten = errors.As(err, &historyErr)
+	e.post(event)
 }
 
-func token() stoatpaddle.WriteToken { return stoatpaddle.WriteToken(uuid.NewString()) }
+func newToken() stoatpaddle.WriteToken { return stoatpaddle.WriteToken(uuid.NewString()) }
 
-// register writes the instance's object until the platform has it or the entry ends. It
-// writes what is wanted at each try: an older registration that was held up by an outage
-// must not undo a later one.
+// register writes the instance's object and retries until the platform has it or the entry ends. Each attempt
+// writes the latest registration: an older one that was delayed by an outage must not overwrite a later one.
 func (e *Entry) register() {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 4))
-	for n := 0; e.ctx.Err() == nil; n++ {
-		o, err := e.writeInstance(*e.wanted.Load(), rnd)
+	for attempt := 0; e.ctx.Err() == nil; attempt++ {
+		o, err := e.writeInstance(*e.registration.Load(), rnd)
 		if err == nil {
 			e.post(stoatnode.Wrote{Object: o})
 			return
 		}
-		if n == 0 {
+		if attempt == 0 {
 			e.log.Emit(EventWriteUnknown, stoatevent.F("cause", err.Error()))
 		}
-		if !stoatplatform.Pause(e.ctx, stoatplatform.Backoff(rnd, n)) {
+		if !stoatplatform.Pause(e.ctx, stoatplatform.Backoff(rnd, attempt)) {
 			return
 		}
 	}
@@ -142,28 +143,29 @@
 	if err != nil && !errors.As(err, &missing) {
 		return stoatpaddle.Object{}, err
 	}
-	own := token()
+	token := newToken()
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
 	return w.Put(e.ctx, stoatpaddle.Object{
-		Ref: ref, Version: current.Version, Token: stoatplatform.Trail(own, current.Token), Value: value,
-	}, own)
+		Ref: ref, Version: current.Version, Token: stoatplatform.Trail(token, current.Token), Value: value,
+	}, token)
 }
 
-// rewrite writes an object again until it stands or another one that follows it does.
+// rewrite writes an object that a restored platform has lost. It retries until the platform has this version of
+// the object or a later one.
 func (e *Entry) rewrite(o stoatpaddle.Object) {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 6))
-	own := token()
-	o.Token = stoatplatform.Trail(own, o.Token)
+	token := newToken()
+	o.Token = stoatplatform.Trail(token, o.Token)
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
-	for n := 0; stoatplatform.Pause(e.ctx, time.Duration(min(n, 1))*stoatplatform.Backoff(rnd, n)); n++ {
-		done, err := w.Put(e.ctx, o, own)
+	for attempt := 0; stoatplatform.Pause(e.ctx, time.Duration(min(attempt, 1))*stoatplatform.Backoff(rnd, attempt)); attempt++ {
+		written, err := w.Put(e.ctx, o, token)
 		var conflict *stoatpaddle.ConflictError
 		switch {
 		case err == nil:
-			e.post(stoatnode.Wrote{Object: done})
+			e.post(stoatnode.Wrote{Object: written})
 			return
 		case errors.As(err, &conflict):
-			// Whoever watches beside this entry was first, or an operator was.
+			// Another entry wrote the object again first, or an operator changed it.
 			e.post(stoatnode.Wrote{Object: conflict.Current})
 			return
 		}
@@ -173,7 +175,8 @@
 
 const unregisterTimeout = 2 * time.Second
 
-// unregister removes the instance's object; if that fails, peers see it dead soon.
+// unregister deletes the instance's object in a single attempt. If the attempt fails, the peers soon find the
+// entry dead, because its heartbeats stop.
 func (e *Entry) unregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), unregisterTimeout)
 	defer cancel()
@@ -181,19 +184,19 @@
 	if err != nil {
 		return
 	}
-	current.Token = stoatplatform.Trail(token(), current.Token)
+	current.Token = stoatplatform.Trail(newToken(), current.Token)
 	_, _ = e.platform.Delete(ctx, current)
 }
 
-// makeSeed creates the cluster's key; if another entry was first, the watch brings its key.
+// makeSeed creates the cluster's hash key. If another entry has created one first, that one is used.
 func (e *Entry) makeSeed() {
 	raw := make([]byte, seedBytes)
 	if _, err := rand.Read(raw); err != nil {
 		return
 	}
-	own := token()
+	token := newToken()
 	o, err := e.platform.Put(e.ctx, stoatpaddle.Object{
-		Ref: stoatnode.SeedRef, Token: own, Value: []byte(strconv.Quote(hex.EncodeToString(raw))),
+		Ref: stoatnode.SeedRef, Token: token, Value: []byte(strconv.Quote(hex.EncodeToString(raw))),
 	})
 	var conflict *stoatpaddle.ConflictError
 	switch {
@@ -204,24 +207,24 @@
 	}
 }
 
-// handOver stops new calls and tells how long the flows' records will take.
+// handOver stops taking new calls and logs how long the handover of the flow records should take.
 func (e *Entry) handOver() {
 	e.calls.Drain()
-	e.handing.Store(true)
+	e.handingOver.Store(true)
 	e.log.Emit(EventHandOver, stoatevent.F("estimate", e.engine.HandoverTime().String()))
 }
 
-// drained tells whether a leaving entry has nothing left to hand over; one that never
-// served has nothing.
-func (e *Entry) drained(v *stoatview.View) bool {
+// handoverComplete reports whether a leaving entry has nothing left to hand over. An entry without a view has
+// never served, so it has nothing to hand over.
+func (e *Entry) handoverComplete(v *stoatview.View) bool {
 	return v == nil || v.Entries.Find(e.self.ID) == nil && e.engine.Drained(v)
 }
 
-// advance does the flow engine's periodic work and the control reducer's ticks.
-func (e *Entry) advance() error {
-	t := time.NewTicker(advanceEvery)
+// runTimer runs the flow engine's periodic work and posts the node's ticks until the entry ends.
+func (e *Entry) runTimer() error {
+	t := time.NewTicker(advanceInterval)
 	defer t.Stop()
-	ticked := clock()
+	lastTick := clock()
 	for {
 		select {
 		case <-e.ctx.Done():
@@ -235,11 +238,11 @@
 				e.transport.Send(b.To, &stoatmessage.Flows{Batch: b})
 			}
 		}
-		if e.handing.Load() && e.drained(v) {
+		if e.handingOver.Load() && e.handoverComplete(v) {
 			e.post(stoatnode.Handed{CallsOpen: e.calls.OpenCalls()})
 		}
-		if now.Sub(ticked) >= stoatnode.TickEvery {
-			ticked = now
+		if now.Sub(lastTick) >= stoatnode.TickEvery {
+			lastTick = now
 			e.post(stoatnode.Ticked{})
 		}
 	}
