--- a/stoatdemo/run_world.go
+++ b/stoatdemo/run_world.go
@@ -195,7 +195,7 @@
 	e := w.entries[i]
 	w.entries = append(w.entries[:i:i], w.entries[i+1:]...)
 	w.sets = append(w.sets[:i:i], w.sets[i+1:]...)
-	w.retired += e.ControlBytes()
+	w.retired += e.ControlBytesSent()
 	return e
 }
 
@@ -217,7 +217,7 @@
 	defer w.mu.Unlock()
 	total := w.retired
 	for _, e := range w.entries {
-		total += e.ControlBytes()
+		total += e.ControlBytesSent()
 	}
 	return total
 }
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -34,8 +34,8 @@
 	Settings stoatsetting.Settings
 	Log      io.Writer
 	Workers  int // number of goroutines that read each UDP socket; 0 means 2
-	// Severed reports whether the network between this entry and a peer is cut. Only tests set it.
-	Severed func(id stoatpaddle.InstanceID) bool
+	// Partitioned reports whether the network between this entry and a peer is cut. Only tests set it.
+	Partitioned func(id stoatpaddle.InstanceID) bool
 }
 
 const defaultWorkers = 2
@@ -101,7 +101,7 @@
 		e.Kill()
 		return nil, err
 	}
-	e.log.Emit(EventListen, stoatevent.F("tunnel", e.settings.TunnelAddr.String()), stoatevent.F("admin", e.settings.AdminAddr.String()))
+	e.log.Emit(EventListening, stoatevent.F("tunnel", e.settings.TunnelAddr.String()), stoatevent.F("admin", e.settings.AdminAddr.String()))
 	e.post(stoatnode.Started{})
 	e.startWorkers()
 	return e, nil
@@ -138,7 +138,7 @@
 	var err error
 	e.transport, err = stoatpeer.New(e.ctx, stoatpeer.Config{
 		Hello: stoatmessage.Hello{Cluster: e.settings.Cluster, Instance: e.self},
-		Addr:  e.settings.PeerAddr, Handler: e, Log: e.log, Partitioned: e.cfg.Severed,
+		Addr:  e.settings.PeerAddr, Handler: e, Log: e.log, Partitioned: e.cfg.Partitioned,
 	})
 	return err
 }
@@ -209,14 +209,14 @@
 // Calls returns the call handler; it is exposed for tests.
 func (e *Entry) Calls() *stoatcall.Handler { return e.calls }
 
-// ControlBytes returns the number of bytes sent to peers in control frames since the start.
-func (e *Entry) ControlBytes() int64 {
+// ControlBytesSent returns the number of bytes sent to peers in control frames since the start.
+func (e *Entry) ControlBytesSent() int64 {
 	sent, _ := e.transport.Bytes()
 	return sent
 }
 
-// Dropped returns the number of packets dropped for the given reason.
-func (e *Entry) Dropped(r stoatpacket.DropReason) int64 { return e.drops[r].Load() }
+// DroppedPackets returns the number of packets dropped for the given reason.
+func (e *Entry) DroppedPackets(r stoatpacket.DropReason) int64 { return e.drops[r].Load() }
 
 const statusTimeout = 2 * time.Second
 
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -172,11 +172,11 @@
 		{set.TunnelAddr, segment, stoatpacket.DropUnknownService},
 		{set.RelayAddr, segment, stoatpacket.DropUnauthenticated},
 	} {
-		before := e.Dropped(c.reason)
+		before := e.DroppedPackets(c.reason)
 		until(func() bool {
 			_, _ = conn.WriteToUDPAddrPort(c.data, c.to)
 			time.Sleep(time.Millisecond)
-			return e.Dropped(c.reason) > before
+			return e.DroppedPackets(c.reason) > before
 		})
 	}
 }
--- a/stoatentry/metrics.go
+++ b/stoatentry/metrics.go
@@ -41,7 +41,7 @@
 		if e.transport == nil {
 			return 0
 		}
-		return e.ControlBytes()
+		return e.ControlBytesSent()
 	})
 	return set
 }
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -124,7 +124,7 @@
 			return
 		}
 		if attempt == 0 {
-			e.log.Emit(EventWriteUnknown, stoatevent.F("cause", err.Error()))
+			e.log.Emit(EventWriteFailed, stoatevent.F("cause", err.Error()))
 		}
 		if !stoatplatform.Pause(e.ctx, stoatplatform.Backoff(rnd, attempt)) {
 			return
@@ -169,7 +169,7 @@
 			e.post(stoatnode.Wrote{Object: conflict.Current})
 			return
 		}
-		e.log.Emit(EventWriteUnknown, stoatevent.F("cause", err.Error()))
+		e.log.Emit(EventWriteFailed, stoatevent.F("cause", err.Error()))
 	}
 }
 
@@ -211,7 +211,7 @@
 func (e *Entry) handOver() {
 	e.calls.Drain()
 	e.handingOver.Store(true)
-	e.log.Emit(EventHandOver, stoatevent.F("estimate", e.engine.HandoverTime().String()))
+	e.log.Emit(EventHandover, stoatevent.F("estimate", e.engine.HandoverTime().String()))
 }
 
 // handoverComplete reports whether a leaving entry has nothing left to hand over. An entry without a view has
