--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -70,20 +70,20 @@
 	ctx := context.Background()
 	_, clients := twoEntries(t)
 	one := sampleContract(t)
-	first, err := clients[0].Apply(ctx, "sawt", text(one), stoatadmin.Change{})
+	first, err := clients[0].Apply(ctx, "sawt", text(one), stoatadmin.ChangeOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	base := stoatpaddle.Version(first.Version)
 	one.Limits.Flows = 111
-	if _, err := clients[0].Apply(ctx, "sawt", text(one), stoatadmin.Change{Base: base}); err != nil {
+	if _, err := clients[0].Apply(ctx, "sawt", text(one), stoatadmin.ChangeOptions{Base: base}); err != nil {
 		t.Fatal(err)
 	}
 	two := sampleContract(t)
 	two.Limits.Flows = 222
-	_, err = clients[1].Apply(ctx, "sawt", text(two), stoatadmin.Change{Base: base})
+	_, err = clients[1].Apply(ctx, "sawt", text(two), stoatadmin.ChangeOptions{Base: base})
 	r := refusal(t, err)
-	if r.Status != 409 || r.Answer.Version != 2 || strings.Join(r.Answer.Differs, " ") != "- [limits] flows = 111 + [limits] flows = 222" {
+	if r.Status != 409 || r.Response.Version != 2 || strings.Join(r.Response.Differences, " ") != "- [limits] flows = 111 + [limits] flows = 222" {
 		t.Errorf("%+v", r)
 	}
 	if got, err := clients[1].Contract(ctx, "sawt"); err != nil || !strings.Contains(got, "flows = 111") || !strings.Contains(got, "version = 2") {
@@ -98,18 +98,18 @@
 	ctx := context.Background()
 	p, clients := twoEntries(t)
 	p.Set(stoatfake.Trouble{LoseWrites: 1})
-	a, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{})
+	a, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{})
 	if err != nil || a.Version != 1 {
 		t.Fatal(a, err)
 	}
 	p.Set(stoatfake.Trouble{LoseWrites: 9})
 	amended := sampleContract(t)
 	amended.Limits.Flows = 5
-	change := stoatadmin.Change{Base: 1, Token: "mine"}
+	change := stoatadmin.ChangeOptions{Base: 1, Token: "mine"}
 	if _, err = clients[0].Apply(ctx, "sawt", text(amended), change); err != nil {
 		// Every answer was lost, but the write took effect.
 		r := refusal(t, err)
-		if r.Answer.Outcome != stoatadmin.Unknown || r.Answer.Token != "mine" {
+		if r.Response.Outcome != stoatadmin.OutcomeUnknown || r.Response.Token != "mine" {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -119,8 +119,8 @@
 		t.Fatal(a, err)
 	}
 	p.Set(stoatfake.Trouble{Down: true})
-	_, err = clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{Base: 2})
-	if r := refusal(t, err); r.Answer.Number != stoatadmin.FaultPlatform.Number.String() {
+	_, err = clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{Base: 2})
+	if r := refusal(t, err); r.Response.Number != stoatadmin.ProblemPlatformUnavailable.Number.String() {
 		t.Errorf("%+v", r)
 	}
 }
@@ -131,13 +131,13 @@
 func TestUpstreamTakenOutIsRetired(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
-	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}); err != nil {
+	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	reduced := sampleContract(t)
 	removed := reduced.Services[0].Upstreams[1]
 	reduced.Services[0].Upstreams = reduced.Services[0].Upstreams[:1]
-	if _, err := clients[0].Apply(ctx, "sawt", text(reduced), stoatadmin.Change{Base: 1}); err != nil {
+	if _, err := clients[0].Apply(ctx, "sawt", text(reduced), stoatadmin.ChangeOptions{Base: 1}); err != nil {
 		t.Fatal(err)
 	}
 	stored, err := stoatcontract.Decode(p.Objects()[0].Value)
@@ -161,7 +161,7 @@
 func TestRefusedChanges(t *testing.T) {
 	ctx := context.Background()
 	_, clients := twoEntries(t)
-	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}); err != nil {
+	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	conflicting := sampleContract(t)
@@ -170,24 +170,24 @@
 		number string
 		err    error
 	}{
-		"claims another contract's upstreams": {"SP2001", errorOf(clients[0].Apply(ctx, "barrilete", text(conflicting), stoatadmin.Change{}))},
-		"names another customer":              {"SP2001", errorOf(clients[0].Apply(ctx, "other", text(sampleContract(t)), stoatadmin.Change{}))},
-		"malformed":                           {"SP2001", errorOf(clients[0].Apply(ctx, "sawt", []byte("[contract]\nx=1"), stoatadmin.Change{Base: 1}))},
-		"created twice":                       {"SP2002", errorOf(clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}))},
-		"removed without a version":           {"SP2006", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.Change{}))},
-		"removed at a wrong version":          {"SP2002", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.Change{Base: 7}))},
-		"removed, not there":                  {"SP2005", errorOf(clients[0].Remove(ctx, "none", stoatadmin.Change{Base: 7}))},
-		"unknown instance":                    {"SP2005", errorOf(clients[0].Mark(ctx, "nobody", stoatpaddle.StateLeaving))},
-		"unknown state":                       {"SP2007", errorOf(clients[0].Mark(ctx, "giving-a", "dancing"))},
+		"claims another contract's upstreams": {"SP2001", errorOf(clients[0].Apply(ctx, "barrilete", text(conflicting), stoatadmin.ChangeOptions{}))},
+		"names another customer":              {"SP2001", errorOf(clients[0].Apply(ctx, "other", text(sampleContract(t)), stoatadmin.ChangeOptions{}))},
+		"malformed":                           {"SP2001", errorOf(clients[0].Apply(ctx, "sawt", []byte("[contract]\nx=1"), stoatadmin.ChangeOptions{Base: 1}))},
+		"created twice":                       {"SP2002", errorOf(clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{}))},
+		"removed without a version":           {"SP2006", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.ChangeOptions{}))},
+		"removed at a wrong version":          {"SP2002", errorOf(clients[0].Remove(ctx, "sawt", stoatadmin.ChangeOptions{Base: 7}))},
+		"removed, not there":                  {"SP2005", errorOf(clients[0].Remove(ctx, "none", stoatadmin.ChangeOptions{Base: 7}))},
+		"unknown instance":                    {"SP2005", errorOf(clients[0].SetInstanceState(ctx, "nobody", stoatpaddle.StateLeaving))},
+		"unknown state":                       {"SP2007", errorOf(clients[0].SetInstanceState(ctx, "giving-a", "dancing"))},
 	} {
-		if r := refusal(t, tc.err); r.Answer.Number != tc.number {
+		if r := refusal(t, tc.err); r.Response.Number != tc.number {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
-	if a, err := clients[0].Mark(ctx, "giving-a", stoatpaddle.StateLeaving); err != nil || a.Version != 2 {
+	if a, err := clients[0].SetInstanceState(ctx, "giving-a", stoatpaddle.StateLeaving); err != nil || a.Version != 2 {
 		t.Error(a, err)
 	}
-	if _, err := clients[1].Remove(ctx, "sawt", stoatadmin.Change{Base: 1}); err != nil {
+	if _, err := clients[1].Remove(ctx, "sawt", stoatadmin.ChangeOptions{Base: 1}); err != nil {
 		t.Error(err)
 	}
 }
@@ -201,13 +201,13 @@
 func TestEvacuation(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
-	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.Change{}); err != nil {
+	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := errorOf(clients[0].Evacuate(ctx, "ruvi")); refusal(t, err).Answer.Number != "SP2005" {
+	if err := errorOf(clients[0].Evacuate(ctx, "ruvi")); refusal(t, err).Response.Number != "SP2005" {
 		t.Error(err)
 	}
-	if err := errorOf(clients[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2005" {
+	if err := errorOf(clients[0].EndEvacuation(ctx, "ruwi")); refusal(t, err).Response.Number != "SP2005" {
 		t.Error(err)
 	}
 	first, err := clients[0].Evacuate(ctx, "ruwi")
@@ -217,14 +217,14 @@
 	if again, err := clients[1].Evacuate(ctx, "ruwi"); err != nil || again.Version != first.Version {
 		t.Error(again, err)
 	}
-	if _, err := clients[1].TakeBack(ctx, "ruwi"); err != nil {
+	if _, err := clients[1].EndEvacuation(ctx, "ruwi"); err != nil {
 		t.Error(err)
 	}
 	if again, err := clients[0].Evacuate(ctx, "ruwi"); err != nil || again.Version <= first.Version {
 		t.Error("second evacuation, after the end of the first:", again, err)
 	}
 	p.Set(stoatfake.Trouble{Down: true})
-	if err := errorOf(clients[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2004" {
+	if err := errorOf(clients[0].EndEvacuation(ctx, "ruwi")); refusal(t, err).Response.Number != "SP2004" {
 		t.Error(err)
 	}
 }
--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -29,38 +29,38 @@
 
 // RefusedError reports that a change was refused, that its outcome is unknown, or that a read was refused.
 type RefusedError struct {
-	Status int
-	Answer Answer
+	Status   int
+	Response Response
 }
 
 // Error returns the outcome, number and title in one line, followed by a line for each fault and each difference
 // from the stored contract.
 func (e *RefusedError) Error() string {
-	text := fmt.Sprintf("%s: %s %s", e.Answer.Outcome, e.Answer.Number, e.Answer.Title)
-	if e.Answer.Version > 0 {
-		text += fmt.Sprintf(" (the stored version is %d)", e.Answer.Version)
+	text := fmt.Sprintf("%s: %s %s", e.Response.Outcome, e.Response.Number, e.Response.Title)
+	if e.Response.Version > 0 {
+		text += fmt.Sprintf(" (the stored version is %d)", e.Response.Version)
 	}
-	if e.Answer.Outcome == Unknown {
-		text += "; repeat the change with --token " + e.Answer.Token
+	if e.Response.Outcome == OutcomeUnknown {
+		text += "; repeat the change with --token " + e.Response.Token
 	}
-	for _, f := range e.Answer.Faults {
+	for _, f := range e.Response.Faults {
 		text += "\n" + (&stoatpaddle.Fault{File: f.File, Section: f.Section, Key: f.Key, Got: f.Got, Want: f.Want}).Error()
 	}
-	for _, line := range e.Answer.Differs {
+	for _, line := range e.Response.Differences {
 		text += "\n" + line
 	}
 	return text
 }
 
-// Change holds the options of a conditional change.
-type Change struct {
+// ChangeOptions holds the options of a conditional change.
+type ChangeOptions struct {
 	Base  stoatpaddle.Version // version that the change amends; 0 means that the object must not exist yet
 	Token string              // idempotency token of an earlier attempt; empty for a new change
 }
 
 // do sends a request and returns the status code and the body of the reply. opts is nil for an unconditional
 // request.
-func (c *Client) do(ctx context.Context, method, path string, body []byte, opts *Change) (int, []byte, error) {
+func (c *Client) do(ctx context.Context, method, path string, body []byte, opts *ChangeOptions) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, &stoatpaddle.UnavailableError{Op: path, Cause: err}
@@ -88,17 +88,17 @@
 }
 
 // change sends a change. It returns a *RefusedError unless the outcome is OutcomeAccepted.
-func (c *Client) change(ctx context.Context, method, path string, body []byte, opts *Change) (Answer, error) {
+func (c *Client) change(ctx context.Context, method, path string, body []byte, opts *ChangeOptions) (Response, error) {
 	status, data, err := c.do(ctx, method, path, body, opts)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	var a Answer
+	var a Response
 	if err := json.Unmarshal(data, &a); err != nil {
-		return Answer{}, &stoatpaddle.DecodeError{What: "answer", Cause: err}
+		return Response{}, &stoatpaddle.DecodeError{What: "answer", Cause: err}
 	}
-	if a.Outcome != Accepted {
-		return a, &RefusedError{Status: status, Answer: a}
+	if a.Outcome != OutcomeAccepted {
+		return a, &RefusedError{Status: status, Response: a}
 	}
 	return a, nil
 }
@@ -119,20 +119,20 @@
 }
 
 func refusedError(status int, data []byte) error {
-	var a Answer
+	var a Response
 	if err := json.Unmarshal(data, &a); err != nil {
 		return &stoatpaddle.DecodeError{What: "answer", Cause: err}
 	}
-	return &RefusedError{Status: status, Answer: a}
+	return &RefusedError{Status: status, Response: a}
 }
 
 // Apply creates or amends a contract, which is given as INI text.
-func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, opts Change) (Answer, error) {
+func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, opts ChangeOptions) (Response, error) {
 	return c.change(ctx, http.MethodPut, "/v1/contracts/"+string(customer), text, &opts)
 }
 
 // Remove removes a contract.
-func (c *Client) Remove(ctx context.Context, customer stoatpaddle.CustomerID, opts Change) (Answer, error) {
+func (c *Client) Remove(ctx context.Context, customer stoatpaddle.CustomerID, opts ChangeOptions) (Response, error) {
 	return c.change(ctx, http.MethodDelete, "/v1/contracts/"+string(customer), nil, &opts)
 }
 
@@ -176,21 +176,21 @@
 	return out, err
 }
 
-// Mark sets the state of an instance, which must be joining or leaving.
-func (c *Client) Mark(ctx context.Context, id stoatpaddle.InstanceID, state stoatpaddle.InstanceState) (Answer, error) {
-	body, err := json.Marshal(Mark{State: string(state)})
+// SetInstanceState sets the state of an instance, which must be joining or leaving.
+func (c *Client) SetInstanceState(ctx context.Context, id stoatpaddle.InstanceID, state stoatpaddle.InstanceState) (Response, error) {
+	body, err := json.Marshal(StateChange{State: string(state)})
 	if err != nil {
-		return Answer{}, &stoatpaddle.DecodeError{What: "mark", Cause: err}
+		return Response{}, &stoatpaddle.DecodeError{What: "mark", Cause: err}
 	}
 	return c.change(ctx, http.MethodPut, "/v1/instances/"+string(id), body, nil)
 }
 
 // Evacuate begins the evacuation of a data centre, whose upstreams then get no new work.
-func (c *Client) Evacuate(ctx context.Context, dc stoatpaddle.DataCentreID) (Answer, error) {
+func (c *Client) Evacuate(ctx context.Context, dc stoatpaddle.DataCentreID) (Response, error) {
 	return c.change(ctx, http.MethodPut, "/v1/evacuations/"+string(dc), nil, nil)
 }
 
-// TakeBack ends the evacuation of a data centre.
-func (c *Client) TakeBack(ctx context.Context, dc stoatpaddle.DataCentreID) (Answer, error) {
+// EndEvacuation ends the evacuation of a data centre.
+func (c *Client) EndEvacuation(ctx context.Context, dc stoatpaddle.DataCentreID) (Response, error) {
 	return c.change(ctx, http.MethodDelete, "/v1/evacuations/"+string(dc), nil, nil)
 }
--- a/stoatadmin/evacuation.go
+++ b/stoatadmin/evacuation.go
@@ -11,7 +11,7 @@
 // the same data centre changes nothing.
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request) {
 	if !s.isKnownCentre(stoatpaddle.DataCentreID(r.PathValue("name"))) {
-		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
+		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
 		return
 	}
 	s.changeEvacuation(w, r, false)
@@ -32,10 +32,10 @@
 		replyReadError(w, err)
 		return
 	case absent && remove:
-		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
+		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
 		return
 	case !absent && !remove:
-		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version)})
+		reply(w, http.StatusOK, Response{Outcome: OutcomeAccepted, Version: uint64(current.Version)})
 		return
 	}
 	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Deleted: remove, Value: []byte("{}")}, current)
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -73,8 +73,8 @@
 }
 
 // refuse replies that the change or the read was refused, with the number and title of a catalogue entry.
-func refuse(w http.ResponseWriter, status int, e *stoatevent.Definition, a Answer) {
-	a.Outcome, a.Number, a.Title = Refused, e.Number.String(), e.Title
+func refuse(w http.ResponseWriter, status int, e *stoatevent.Definition, a Response) {
+	a.Outcome, a.Number, a.Title = OutcomeRefused, e.Number.String(), e.Title
 	reply(w, status, a)
 }
 
@@ -85,7 +85,7 @@
 func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
 	st, err := s.cfg.Status()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, FaultPlatform, Answer{})
+		refuse(w, http.StatusServiceUnavailable, ProblemPlatformUnavailable, Response{})
 		return
 	}
 	reply(w, http.StatusOK, toStatus(st))
@@ -96,7 +96,7 @@
 func (s *Server) listContracts(w http.ResponseWriter, _ *http.Request) {
 	st, err := s.cfg.Status()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, FaultPlatform, Answer{})
+		refuse(w, http.StatusServiceUnavailable, ProblemPlatformUnavailable, Response{})
 		return
 	}
 	reply(w, http.StatusOK, toStatus(st).Contracts)
@@ -105,7 +105,7 @@
 func (s *Server) listInstances(w http.ResponseWriter, _ *http.Request) {
 	st, err := s.cfg.Status()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, FaultPlatform, Answer{})
+		refuse(w, http.StatusServiceUnavailable, ProblemPlatformUnavailable, Response{})
 		return
 	}
 	reply(w, http.StatusOK, toStatus(st).Instances)
@@ -115,11 +115,11 @@
 func replyReadError(w http.ResponseWriter, err error) {
 	var missing *stoatpaddle.NotFoundError
 	if errors.As(err, &missing) {
-		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
+		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
 		return
 	}
 	w.Header().Set("Retry-After", "1")
-	refuse(w, http.StatusServiceUnavailable, FaultPlatform, Answer{})
+	refuse(w, http.StatusServiceUnavailable, ProblemPlatformUnavailable, Response{})
 }
 
 func (s *Server) getContract(w http.ResponseWriter, r *http.Request) {
@@ -130,7 +130,7 @@
 	}
 	c, err := stoatcontract.Decode(o.Value)
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, FaultInvalid, Answer{Version: uint64(o.Version)})
+		refuse(w, http.StatusInternalServerError, ProblemInvalidContract, Response{Version: uint64(o.Version)})
 		return
 	}
 	w.Header().Set("ETag", strconv.Quote(o.Version.String()))
@@ -151,12 +151,12 @@
 func (s *Server) putContract(w http.ResponseWriter, r *http.Request) {
 	base, ok := parseCondition(r)
 	if !ok {
-		refuse(w, http.StatusPreconditionRequired, FaultCondition, Answer{})
+		refuse(w, http.StatusPreconditionRequired, ProblemMissingCondition, Response{})
 		return
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxContractBytes))
 	if err != nil {
-		refuse(w, http.StatusRequestEntityTooLarge, FaultInvalid, Answer{})
+		refuse(w, http.StatusRequestEntityTooLarge, ProblemInvalidContract, Response{})
 		return
 	}
 	name := r.PathValue("name")
@@ -166,7 +166,7 @@
 		faults = []*stoatpaddle.Fault{{File: name, Section: "contract", Key: "customer", Got: string(draft.Contract.Customer), Want: name}}
 	}
 	if len(faults) > 0 {
-		refuse(w, http.StatusUnprocessableEntity, FaultInvalid, Answer{Faults: toFaults(faults)})
+		refuse(w, http.StatusUnprocessableEntity, ProblemInvalidContract, Response{Faults: toFaults(faults)})
 		return
 	}
 	s.applyContract(w, r, draft.Contract, base)
@@ -192,7 +192,7 @@
 		}
 	}
 	if faults := stoatcontract.Conflicts(string(c.Customer), c, others); len(faults) > 0 {
-		refuse(w, http.StatusUnprocessableEntity, FaultInvalid, Answer{Faults: toFaults(faults)})
+		refuse(w, http.StatusUnprocessableEntity, ProblemInvalidContract, Response{Faults: toFaults(faults)})
 		return
 	}
 	if stored, err := stoatcontract.Decode(current.Value); err == nil && !current.Deleted {
@@ -200,7 +200,7 @@
 	}
 	value, err := stoatcontract.Encode(c)
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, FaultInvalid, Answer{})
+		refuse(w, http.StatusInternalServerError, ProblemInvalidContract, Response{})
 		return
 	}
 	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Value: value}, current)
@@ -209,7 +209,7 @@
 func (s *Server) deleteContract(w http.ResponseWriter, r *http.Request) {
 	base, ok := parseCondition(r)
 	if !ok || base == 0 {
-		refuse(w, http.StatusPreconditionRequired, FaultCondition, Answer{})
+		refuse(w, http.StatusPreconditionRequired, ProblemMissingCondition, Response{})
 		return
 	}
 	current, err := s.cfg.Platform.Get(r.Context(), contractRef(r))
@@ -227,7 +227,7 @@
 	if token == "" {
 		token = stoatpaddle.WriteToken(uuid.NewString())
 	} else if stoatplatform.Wrote(current, token) {
-		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version), Token: string(token)})
+		reply(w, http.StatusOK, Response{Outcome: OutcomeAccepted, Version: uint64(current.Version), Token: string(token)})
 		return
 	}
 	o.Token = stoatplatform.Trail(token, current.Token)
@@ -236,14 +236,14 @@
 	switch {
 	case err == nil:
 		w.Header().Set("ETag", strconv.Quote(written.Version.String()))
-		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(written.Version), Token: string(token)})
+		reply(w, http.StatusOK, Response{Outcome: OutcomeAccepted, Version: uint64(written.Version), Token: string(token)})
 	case errors.As(err, &conflict):
-		refuse(w, http.StatusConflict, FaultConflict, Answer{
-			Version: uint64(conflict.Current.Version), Differs: differences(o, conflict.Current),
+		refuse(w, http.StatusConflict, ProblemConflict, Response{
+			Version: uint64(conflict.Current.Version), Differences: differences(o, conflict.Current),
 		})
 	default:
-		reply(w, http.StatusGatewayTimeout, Answer{
-			Outcome: Unknown, Number: FaultUnknown.Number.String(), Title: FaultUnknown.Title, Token: string(token),
+		reply(w, http.StatusGatewayTimeout, Response{
+			Outcome: OutcomeUnknown, Number: ProblemOutcomeUnknown.Number.String(), Title: ProblemOutcomeUnknown.Title, Token: string(token),
 		})
 	}
 }
@@ -268,14 +268,14 @@
 
 // setInstanceState sets the state of an instance to joining or leaving.
 func (s *Server) setInstanceState(w http.ResponseWriter, r *http.Request) {
-	var body Mark
+	var body StateChange
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxContractBytes)).Decode(&body); err != nil {
-		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
+		refuse(w, http.StatusUnprocessableEntity, ProblemInvalidState, Response{})
 		return
 	}
 	state := stoatpaddle.InstanceState(body.State)
 	if state != stoatpaddle.StateLeaving && state != stoatpaddle.StateJoining {
-		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
+		refuse(w, http.StatusUnprocessableEntity, ProblemInvalidState, Response{})
 		return
 	}
 	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: r.PathValue("name")}
@@ -287,13 +287,13 @@
 	}
 	instance, found := s.findInstance(ref, current)
 	if !found {
-		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
+		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
 		return
 	}
 	instance.State = state
 	value, err := stoatcontract.EncodeInstance(instance)
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, FaultState, Answer{})
+		refuse(w, http.StatusInternalServerError, ProblemInvalidState, Response{})
 		return
 	}
 	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Value: value}, current)
--- a/stoatadmin/wire.go
+++ b/stoatadmin/wire.go
@@ -15,20 +15,20 @@
 
 // The outcomes of a change.
 const (
-	Accepted Outcome = "accepted" // the platform has stored the change
-	Refused  Outcome = "refused"  // the change took no effect
-	Unknown  Outcome = "unknown"  // the change may have taken effect; repeat it with the token
+	OutcomeAccepted Outcome = "accepted" // the platform has stored the change
+	OutcomeRefused  Outcome = "refused"  // the change took no effect
+	OutcomeUnknown  Outcome = "unknown"  // the change may have taken effect; repeat it with the token
 )
 
-// Answer is the API's reply to a change, and to a read that was refused.
-type Answer struct {
-	Outcome Outcome     `json:"outcome"`
-	Number  string      `json:"number,omitempty"` // number of the catalogue entry that explains the outcome
-	Title   string      `json:"title,omitempty"`
-	Version uint64      `json:"version,omitempty"` // version of the stored object
-	Token   string      `json:"token,omitempty"`
-	Differs []string    `json:"differs,omitempty"` // after a conflict: how the contract sent differs from the stored one
-	Faults  []wireFault `json:"faults,omitempty"`
+// Response is the API's reply to a change, and to a read that was refused.
+type Response struct {
+	Outcome     Outcome     `json:"outcome"`
+	Number      string      `json:"number,omitempty"` // number of the catalogue entry that explains the outcome
+	Title       string      `json:"title,omitempty"`
+	Version     uint64      `json:"version,omitempty"` // version of the stored object
+	Token       string      `json:"token,omitempty"`
+	Differences []string    `json:"differs,omitempty"` // after a conflict: how the contract sent differs from the stored one
+	Faults      []wireFault `json:"faults,omitempty"`
 }
 
 type wireFault struct {
@@ -39,8 +39,8 @@
 	Want    string `json:"want"`
 }
 
-// Mark is the body of a request to change an instance's state.
-type Mark struct {
+// StateChange is the body of a request to change an instance's state.
+type StateChange struct {
 	State string `json:"state"`
 }
 
--- a/stoatcommand/centre.go
+++ b/stoatcommand/centre.go
@@ -28,7 +28,7 @@
 type centreRestoreArgs struct{ centreNameArgs }
 
 func (a *centreRestoreArgs) run(c *env) error {
-	answer, err := a.client().TakeBack(c.ctx, stoatpaddle.DataCentreID(a.Centre))
+	answer, err := a.client().EndEvacuation(c.ctx, stoatpaddle.DataCentreID(a.Centre))
 	return a.printOutcome(c, answer, err)
 }
 
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -53,12 +53,12 @@
 	if a.Version > 0 {
 		base = stoatpaddle.Version(a.Version)
 	}
-	answer, err := a.client().Apply(c.ctx, draft.Contract.Customer, data, stoatadmin.Change{Base: base, Token: a.Token})
+	answer, err := a.client().Apply(c.ctx, draft.Contract.Customer, data, stoatadmin.ChangeOptions{Base: base, Token: a.Token})
 	return a.printOutcome(c, answer, err)
 }
 
 // printOutcome prints the outcome of a change.
-func (a entryArgs) printOutcome(c *env, answer stoatadmin.Answer, err error) error {
+func (a entryArgs) printOutcome(c *env, answer stoatadmin.Response, err error) error {
 	if a.JSON {
 		if printErr := printJSON(c.out, answer); printErr != nil {
 			return printErr
@@ -117,7 +117,7 @@
 }
 
 func (a *contractRmArgs) run(c *env) error {
-	change := stoatadmin.Change{Base: stoatpaddle.Version(a.Version), Token: a.Token}
+	change := stoatadmin.ChangeOptions{Base: stoatpaddle.Version(a.Version), Token: a.Token}
 	answer, err := a.client().Remove(c.ctx, stoatpaddle.CustomerID(a.Customer), change)
 	return a.printOutcome(c, answer, err)
 }
@@ -134,7 +134,7 @@
 }
 
 func (a *instanceStateArgs) setState(c *env, state stoatpaddle.InstanceState) error {
-	answer, err := a.client().Mark(c.ctx, stoatpaddle.InstanceID(a.Instance), state)
+	answer, err := a.client().SetInstanceState(c.ctx, stoatpaddle.InstanceID(a.Instance), state)
 	return a.printOutcome(c, answer, err)
 }
 
--- a/stoatdemo/run_world.go
+++ b/stoatdemo/run_world.go
@@ -207,7 +207,7 @@
 }
 
 func (w *world) apply(i int, c stoatpaddle.Contract, base stoatpaddle.Version) (stoatpaddle.Version, error) {
-	a, err := w.admin(i).Apply(w.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.Change{Base: base})
+	a, err := w.admin(i).Apply(w.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.ChangeOptions{Base: base})
 	return stoatpaddle.Version(a.Version), err
 }
 
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -115,7 +115,7 @@
 	}
 	until(func() bool { return ready(a, 0, 2) && ready(b, 0, 2) })
 	client := stoatadmin.NewClient(setA.AdminAddr.String())
-	if _, err := client.Apply(context.Background(), "sawt", []byte(stoatcontract.Format(c, 0)), stoatadmin.Change{}); err != nil {
+	if _, err := client.Apply(context.Background(), "sawt", []byte(stoatcontract.Format(c, 0)), stoatadmin.ChangeOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	until(func() bool { return ready(a, 1, 2) && ready(b, 1, 2) })
--- a/stoatentry/restore_test.go
+++ b/stoatentry/restore_test.go
@@ -37,7 +37,7 @@
 	apply := func(flows int, base stoatpaddle.Version) stoatpaddle.Version {
 		t.Helper()
 		c.Limits.Flows = flows
-		answer, err := client.Apply(context.Background(), "sawt", []byte(stoatcontract.Format(c, base)), stoatadmin.Change{Base: base})
+		answer, err := client.Apply(context.Background(), "sawt", []byte(stoatcontract.Format(c, base)), stoatadmin.ChangeOptions{Base: base})
 		if err != nil {
 			t.Fatal(err)
 		}
