--- a/stoatedge/run_updates.go
+++ b/stoatedge/run_updates.go
@@ -136,7 +136,7 @@
 // streamUpdates sends messages to a child until something ends the connection, and returns what did.
 func (e *Edge) streamUpdates(w http.ResponseWriter, r *http.Request, join stoattree.JoinRequest) string {
 	rc := http.NewResponseController(w)
-	out := &stoatcount.Writer{W: w, N: &e.relay.sent}
+	out := &stoatcount.Writer{W: w, Count: &e.relay.sent}
 	var child stoatrelay.ChildState
 	var reports stoatoutlier.DeltaTracker
 	for {
