--- a/stoatplatform/client.go
+++ b/stoatplatform/client.go
@@ -16,16 +16,16 @@
 // Config configures a Client.
 type Config struct {
 	Addr    netip.AddrPort
-	Timeout time.Duration // of a call that does not wait; default 2 s
+	Timeout time.Duration // of a call, not counting the wait of a watch; default 2 s
 }
 
 const defaultTimeout = 2 * time.Second
 
-// Client implements stoatpaddle.Platform with the calls of the users' object store.
+// Client implements stoatpaddle.Platform on the provider's object store.
 type Client struct {
 	timeout time.Duration
 	store   *platform.Store
-	era     atomic.Uint64 // the latest that an answer was of
+	era     atomic.Uint64 // the latest era seen in a response
 }
 
 var _ stoatpaddle.Platform = (*Client)(nil)
@@ -51,8 +51,8 @@
 	return o, err
 }
 
-// List implements stoatpaddle.Platform. The revision is that of the first page: what
-// changed while the others were read is in the watch from there.
+// List implements stoatpaddle.Platform. The revision is that of the first page: a watch from there returns
+// what changed while the other pages were read.
 func (c *Client) List(ctx context.Context) (stoatpaddle.Listing, error) {
 	var l stoatpaddle.Listing
 	q := platform.Query{Kind: Kind}
@@ -67,7 +67,7 @@
 			era = a.Era
 		}
 		if a.Era != era {
-			// The pages are of two histories.
+			// The platform was restored between two pages, so the pages do not belong together.
 			return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: Kind, Cause: &platform.HistoryError{From: a.AsOf, Era: a.Era}}
 		}
 		for _, item := range a.Items {
@@ -84,18 +84,18 @@
 	}
 }
 
-// Watch implements stoatpaddle.Platform. A history that is gone is *stoatpaddle.UnavailableError
-// around *platform.HistoryError: the caller lists again.
+// Watch implements stoatpaddle.Platform. If the platform no longer has the changes after from, the error
+// wraps *platform.HistoryError, and the caller has to list again.
 func (c *Client) Watch(ctx context.Context, from stoatpaddle.Version, wait time.Duration) (stoatpaddle.Listing, error) {
 	pos := from.Position()
-	// The bound is a little more than the wait: a watch that went silent is abandoned
-	// instead of hiding every later change.
+	// The timeout is a little longer than the wait: a watch that gets no response is abandoned, as it
+	// would hide every later change.
 	a, err := c.read(ctx, wait+c.timeout, platform.Query{Kind: Kind, Watch: true, From: uint64(pos.Revision), Wait: wait})
 	if err != nil {
 		return stoatpaddle.Listing{}, err
 	}
 	if a.Era != 0 && stoatpaddle.Era(a.Era) != pos.Era {
-		// It goes on from a revision of another history, and leaves out what has lower ones.
+		// The watch started at this revision of another era and omits the objects with lower revisions.
 		return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: Kind, Cause: &platform.HistoryError{From: uint64(pos.Revision), Era: a.Era}}
 	}
 	l := stoatpaddle.Listing{Revision: versionAsOf(&a)}
@@ -104,7 +104,7 @@
 		if err != nil {
 			return stoatpaddle.Listing{}, err
 		}
-		// Nothing of the system deletes for good; an operator's hand may.
+		// The system itself only writes tombstones, but an operator may delete an object by hand.
 		o.Gone = o.Gone || ev.Deleted
 		l.Objects = append(l.Objects, o)
 	}
@@ -148,13 +148,13 @@
 	return made, err
 }
 
-// Delete implements stoatpaddle.Platform: it leaves a tombstone.
+// Delete implements stoatpaddle.Platform by writing a tombstone.
 func (c *Client) Delete(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
 	o.Gone = true
 	return c.write(ctx, http.MethodPut, o)
 }
 
-// write does one write; a lost condition is *stoatpaddle.ConflictError.
+// write sends one write. It returns *stoatpaddle.ConflictError if the object has another version by now.
 func (c *Client) write(ctx context.Context, method string, o stoatpaddle.Object) (stoatpaddle.Object, error) {
 	p, err := ToObject(o)
 	if err != nil {
@@ -168,8 +168,8 @@
 	if method == http.MethodPut {
 		to = target(o.Ref)
 		if era := c.era.Load(); o.Version > 0 && uint64(o.Version.Position().Era) < era {
-			// The platform may have given this revision out again, to what somebody else wrote: the
-			// condition would hold, and that write be lost.
+			// A restored platform may have assigned this revision again, to the write of another client.
+			// The condition would hold, and that write would be lost.
 			return c.conflict(ctx, o)
 		}
 	}
@@ -180,7 +180,7 @@
 	return readObject(o.Ref, res)
 }
 
-// conflict returns *stoatpaddle.ConflictError with what stands.
+// conflict returns *stoatpaddle.ConflictError with the current object.
 func (c *Client) conflict(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
 	current, err := c.Get(ctx, o.Ref)
 	var missing *stoatpaddle.NotFoundError
@@ -202,7 +202,7 @@
 
 func target(ref stoatpaddle.Ref) string { return Kind + "/" + nameOf(ref) }
 
-// readObject reads the answer to a call about one object.
+// readObject decodes the response to a call for one object.
 func readObject(ref stoatpaddle.Ref, res platform.Response) (stoatpaddle.Object, error) {
 	switch res.Status {
 	case http.StatusNotFound:
--- a/stoatplatform/doc.go
+++ b/stoatplatform/doc.go
@@ -1,4 +1,5 @@
-// Package stoatplatform is the client of the platform's object API over HTTP and JSON.
+// Package stoatplatform is a client of the platform's object API over HTTP and JSON.
 //
-// docs/PLATFORM.md describes the wire format; the wire types are here for the stand-in too.
+// docs/PLATFORM.md describes the wire format. The conversions to and from the wire types are exported for
+// other users of the API, such as the fake platform.
 package stoatplatform
--- a/stoatplatform/platform_test.go
+++ b/stoatplatform/platform_test.go
@@ -34,7 +34,7 @@
 
 func TestConditions(t *testing.T) {
 	ctx := context.Background()
-	convey.Convey("Two operators write from the same version: the second is shown what stands", t, func() {
+	convey.Convey("Two operators write on top of the same version: the second gets the current object", t, func() {
 		_, c := start(t)
 		first, err := c.Put(ctx, object(0, "a", `1`))
 		convey.So(err, convey.ShouldBeNil)
@@ -45,7 +45,7 @@
 		convey.So(errors.As(err, &conflict), convey.ShouldBeTrue)
 		convey.So(string(conflict.Current.Value), convey.ShouldEqual, `2`)
 	})
-	convey.Convey("A watch brings what changed, deletions too, and nothing else", t, func() {
+	convey.Convey("A watch returns exactly the changes, including deletions", t, func() {
 		_, c := start(t)
 		o, err := c.Put(ctx, object(0, "a", `1`))
 		convey.So(err, convey.ShouldBeNil)
@@ -61,9 +61,8 @@
 	})
 }
 
-// The operator's write takes effect and its answer is lost; another operator's follows.
-// The first asks again: it must hear "accepted", since its change did take effect, and
-// nothing may be applied twice.
+// A write takes effect and its response is lost; then another operator's write follows. The first operator
+// repeats the write: it must be reported as accepted, since it did take effect, and must not be applied twice.
 func TestLostAnswer(t *testing.T) {
 	ctx := context.Background()
 	p, c := start(t)
@@ -79,7 +78,7 @@
 		t.Fatal(err)
 	}
 	if got, err := w.Put(ctx, object(0, "a", `1`), "a"); err != nil || got.Version != 2 {
-		t.Fatal("the first writer's own change is not recognised:", got.Version, err)
+		t.Fatal("the first operator's own write is not recognized:", got.Version, err)
 	}
 	var conflict *stoatpaddle.ConflictError
 	if _, err := w.Put(ctx, object(1, "d", `4`), "d"); !errors.As(err, &conflict) {
@@ -90,8 +89,8 @@
 	}
 }
 
-// The platform is down, then refuses by rate, then its watch goes silent for good. Each is
-// told apart by its type, in bounded time, and none is a refusal of the change itself.
+// The platform is down, then limits the rate of calls, then never answers a watch. Each failure has an error
+// type of its own and is reported within a time limit, and none looks like a rejected write.
 func TestTroubles(t *testing.T) {
 	ctx := context.Background()
 	p, c := start(t)
@@ -122,6 +121,7 @@
 	}
 }
 
+// The delays are spread over their range, so that entries do not retry all at once.
 func TestBackoffIsSpread(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	early := 0
@@ -133,14 +133,14 @@
 		}
 	}
 	if early < 50 || early > 400 {
-		t.Errorf("%d of 1000 pauses are short", early)
+		t.Errorf("%d of 1000 delays are short", early)
 	}
 }
 
-// The store comes back from a copy and gives out again the revision at which an operator read a contract,
-// to another operator's amendment. The first one's amendment names that revision: its condition would
-// hold, and the other's be lost without a word. A watch from before the restore is refused, since it would
-// leave out what was written below.
+// The store is restored from a copy and assigns the revision at which an operator read a contract again, to
+// another operator's amendment. The first operator's amendment is conditional on that revision: the condition
+// would hold, and the other amendment would be lost silently. A watch from a revision before the restore is
+// rejected, since it would omit the writes with lower revisions.
 func TestRestore(t *testing.T) {
 	ctx := context.Background()
 	p, c := start(t)
@@ -156,7 +156,7 @@
 	p.Restore(copied)
 	var history *platform.HistoryError
 	if _, err := c.Watch(ctx, read.Version, time.Millisecond); !errors.As(err, &history) {
-		t.Error("a watch over a restore:", err)
+		t.Error("a watch from before the restore:", err)
 	}
 	l, err := c.List(ctx)
 	if err != nil || len(l.Objects) != 1 || l.Revision <= read.Version || string(l.Objects[0].Value) != `1` {
@@ -168,7 +168,7 @@
 	}
 	var conflict *stoatpaddle.ConflictError
 	if _, err := c.Put(ctx, object(read.Version, "d,b,a", `4`)); !errors.As(err, &conflict) || string(conflict.Current.Value) != `3` {
-		t.Error("the amendment of one who read before the restore:", err)
+		t.Error("an amendment of a version read before the restore:", err)
 	}
 	if l, err := c.Watch(ctx, other.Version, time.Millisecond); err != nil || l.Revision != other.Version {
 		t.Error(l, err)
--- a/stoatplatform/retry.go
+++ b/stoatplatform/retry.go
@@ -11,14 +11,14 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// The bounds of the pause between tries.
+// The bounds of the backoff: its ceiling starts at backoffBase and doubles up to backoffMax.
 const (
 	backoffLeast = 100 * time.Millisecond
 	backoffMost  = 30 * time.Second
 )
 
-// Backoff returns a random pause before try n (from 0), by full jitter: without it every
-// entry would come back to a platform that has just returned in the same moment.
+// Backoff returns a random delay before attempt n, counted from 0, with full jitter. Without the jitter, all
+// entries would retry at the same moment when the platform recovers from an outage.
 func Backoff(rnd *rand.Rand, n int) time.Duration {
 	ceiling := backoffMost
 	if n < 16 {
@@ -27,12 +27,11 @@
 	return time.Duration(rnd.Int64N(int64(ceiling)) + 1)
 }
 
-// trailLength is how many earlier writers a token names.
+// trailLength is the largest number of writes that a token names, including its own.
 const trailLength = 8
 
-// Trail returns the token of a write that follows the one that made prev: it names the
-// last few writers, so that a writer whose answer was lost finds its own write even
-// after others have followed it.
+// Trail returns the token of a write on top of the one with token prev. The token names the last few writes,
+// so that a writer that got no response recognizes its own write even after later ones.
 func Trail(own, prev stoatpaddle.Token) stoatpaddle.Token {
 	parts := strings.Split(string(prev), trailMark)
 	if len(parts) >= trailLength {
@@ -41,37 +40,39 @@
 	return stoatpaddle.Token(strings.TrimSuffix(string(own)+trailMark+strings.Join(parts, trailMark), trailMark))
 }
 
+// trailMark separates the writes that a token names.
 const trailMark = ","
 
-// Wrote tells whether the writer with token own is among those that the object names.
+// Wrote reports whether the write with token own made the object or one of its earlier versions that the
+// object's token names.
 func Wrote(o stoatpaddle.Object, own stoatpaddle.Token) bool {
 	return slices.Contains(strings.Split(string(o.Token), trailMark), string(own))
 }
 
-// Follows tells whether the object was written on top of the other one, or of one that followed it: the
-// other one's last writer is among its earlier ones.
+// Follows reports whether o was written on top of other or of a descendant of other: the last write of other
+// is among the earlier writes that the token of o names.
 func Follows(o, other stoatpaddle.Object) bool {
 	last, _, _ := strings.Cut(string(other.Token), trailMark)
 	_, earlier, _ := strings.Cut(string(o.Token), trailMark)
 	return last != "" && slices.Contains(strings.Split(earlier, trailMark), last)
 }
 
-// UnknownError reports a write of which nobody can say now whether it took effect.
-// Repeating it with the same token is safe.
+// UnknownError reports a write of which it is unknown whether it took effect. Repeating the write with the
+// same token is safe.
 type UnknownError struct {
 	Token stoatpaddle.Token
 	Cause error
 }
 
-// Error names the token to ask again with.
+// Error names the cause and the token to repeat the write with.
 func (e *UnknownError) Error() string {
-	return "unknown whether the write took effect; ask again with token " + string(e.Token) + ": " + e.Cause.Error()
+	return "unknown whether the write took effect; repeat it with token " + string(e.Token) + ": " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Cause }
 
-// Writer does writes whose answers may get lost.
+// Writer writes objects and retries a write whose response was lost.
 type Writer struct {
 	Platform stoatpaddle.Platform
 	Rand     *rand.Rand
@@ -80,9 +81,10 @@
 
 const defaultTries = 4
 
-// Put writes o on top of the version it names. After a lost answer it looks for its own
-// token before it tries again, so that nothing is applied twice and nothing that took
-// effect is reported as refused. Errors: *stoatpaddle.ConflictError, *UnknownError.
+// Put writes o on top of the version that o names, or deletes it if o.Gone is set. If a retry conflicts with
+// a version that the token own is part of, the earlier attempt took effect. So nothing is applied twice, and
+// no write that took effect is reported as rejected. Its errors are *stoatpaddle.ConflictError and
+// *UnknownOutcomeError.
 func (w *Writer) Put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
 	tries := w.Tries
 	if tries == 0 {
@@ -119,7 +121,7 @@
 	return w.Platform.Put(ctx, o)
 }
 
-// Pause waits and tells whether the context still stands.
+// Pause waits for d or until the context is done, and reports whether the context is not done.
 func Pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/stoatplatform/wire.go
+++ b/stoatplatform/wire.go
@@ -8,15 +8,15 @@
 	"github.com/stoatpaddle/stoatpaddle/platform"
 )
 
-// Kind is the one kind of object on the platform under which the system keeps its own: one
-// list and one watch show them all at one revision.
+// Kind is the kind of all objects that the system keeps on the platform. With a single kind, one list and
+// one watch return all of them at one revision.
 const Kind = "stoatpaddle"
 
-// nameMark stands between the kind and the name of an object in its name on the platform.
+// nameMark separates the kind and the name in the platform's name of an object.
 const nameMark = "."
 
-// spec is what the platform keeps of an object. A deleted one stays as a tombstone: whoever
-// lists after an outage must see that it is gone, and at which version.
+// spec is the content of an object on the platform. A deleted object stays as a tombstone, so that a list
+// after an outage shows that the object is gone, and at which version it was deleted.
 type spec struct {
 	Token string          `json:"token,omitempty"`
 	Gone  bool            `json:"gone,omitempty"`
@@ -25,7 +25,7 @@
 
 func nameOf(ref stoatpaddle.Ref) string { return string(ref.Kind) + nameMark + ref.Name }
 
-// ToObject maps an object to the platform's.
+// ToObject converts an object to one of the platform.
 func ToObject(o stoatpaddle.Object) (platform.Object, error) {
 	s := spec{Token: string(o.Token), Gone: o.Gone}
 	if !o.Gone {
@@ -39,7 +39,7 @@
 	return platform.Object{Meta: meta, Spec: data}, nil
 }
 
-// FromObject maps an object of the platform in that era, or returns *stoatpaddle.DecodeError.
+// FromObject converts an object of the platform, read in that era, or returns *stoatpaddle.DecodeError.
 func FromObject(p platform.Object, era uint64) (stoatpaddle.Object, error) {
 	kind, name, ok := strings.Cut(p.Meta.Name, nameMark)
 	var s spec
