--- a/stoatstatus/doc.go
+++ b/stoatstatus/doc.go
@@ -1,3 +1,3 @@
-// Package stoatstatus holds what an entry says of itself to operators, as JSON, on either
-// fabric. It imports nothing, so that an entry which only answers need not link what asks.
+// Package stoatstatus defines the JSON types in which an entry reports its state to operators, on both kinds
+// of fabric. It imports nothing, so that a program that only serves these types does not link the client.
 package stoatstatus
