--- a/stoatnode/gossip.go
+++ b/stoatnode/gossip.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// differsFor is how long two digests may differ before everything is offered: news
+	// offerDelay is how long two digests may differ before everything is offered: news
 	// under way needs no repair.
-	differsFor = time.Second
-	offerEvery = 2 * time.Second
-	// wantAgain is how long an answer to Want may take before another peer is asked.
-	wantAgain = time.Second
+	offerDelay = time.Second
+	offerInterval = 2 * time.Second
+	// requestTimeout is how long an answer to Want may take before another peer is asked.
+	requestTimeout = time.Second
 )
 
-func sortedCentres(a, b map[stoatpaddle.DataCentreID]bool) []stoatpaddle.DataCentreID {
+func sortedUnion(a, b map[stoatpaddle.DataCentreID]bool) []stoatpaddle.DataCentreID {
 	var out []stoatpaddle.DataCentreID
 	for dc := range a {
 		out = append(out, dc)
@@ -32,8 +32,8 @@
 	return out
 }
 
-// higherDials is how long the entry with the higher id waits for the other to dial.
-const higherDials = 2 * time.Second
+// higherIDDialDelay is how long the entry with the higher id waits for the other to dial.
+const higherIDDialDelay = 2 * time.Second
 
 // dial connects to the entries that this one has no connection with. The lower id dials
 // first, so that two entries do not open two connections at once; the higher one does
@@ -41,22 +41,22 @@
 func (n *Node) dial(now time.Time) {
 	for _, id := range sortedIDs(n.peers) {
 		p := n.peers[id]
-		second := id < n.cfg.Self.ID && now.Sub(p.apart) < higherDials
-		if p.connected || second || now.Sub(p.dialled) < redialAfter {
+		otherDialsFirst := id < n.cfg.Self.ID && now.Sub(p.disconnectedSince) < higherIDDialDelay
+		if p.connected || otherDialsFirst || now.Sub(p.lastDial) < redialInterval {
 			continue
 		}
-		p.dialled = now
-		n.do(Dial{Peer: id, Addr: n.instances[id].Peer})
+		p.lastDial = now
+		n.emit(Dial{Peer: id, Addr: n.instances[id].Peer})
 	}
-	if !n.platform.known && now.Sub(n.seeded) >= redialAfter {
+	if !n.platform.configComplete && now.Sub(n.lastSeedDial) >= redialInterval {
 		n.dialSeeds(now)
 	}
 }
 
 func (n *Node) dialSeeds(now time.Time) {
-	n.seeded = now
+	n.lastSeedDial = now
 	for _, addr := range n.cfg.Seeds {
-		n.do(Dial{Addr: addr})
+		n.emit(Dial{Addr: addr})
 	}
 }
 
@@ -65,40 +65,40 @@
 	n.merge(now, i)
 	p := n.peers[i.ID]
 	if p == nil {
-		p = &peer{apart: now}
+		p = &peer{disconnectedSince: now}
 		n.peers[i.ID] = p
 	}
 	p.connected = true
-	p.heard = now
-	p.differs = time.Time{}
-	n.do(Resync{Peer: i.ID})
-	n.do(Send{To: i.ID, Message: n.introduction()})
-	n.do(Send{To: i.ID, Message: n.beatMessage()})
+	p.lastHeard = now
+	p.digestDiffersSince = time.Time{}
+	n.emit(Resync{Peer: i.ID})
+	n.emit(Send{To: i.ID, Message: n.membersMessage()})
+	n.emit(Send{To: i.ID, Message: n.heartbeatMessage()})
 }
 
 func (n *Node) disconnected(now time.Time, id stoatpaddle.InstanceID) {
 	if p := n.peers[id]; p != nil {
 		p.connected = false
-		p.apart = now
+		p.disconnectedSince = now
 	}
 }
 
-func (n *Node) beatMessage() *stoatmessage.Heartbeat {
+func (n *Node) heartbeatMessage() *stoatmessage.Heartbeat {
 	return &stoatmessage.Heartbeat{Digest: n.digest(), State: n.cfg.Self.State}
 }
 
-func (n *Node) heartbeat() {
-	beat := n.beatMessage()
+func (n *Node) sendHeartbeats() {
+	beat := n.heartbeatMessage()
 	for _, id := range sortedIDs(n.peers) {
 		if n.peers[id].connected {
-			n.do(Send{To: id, Message: beat})
+			n.emit(Send{To: id, Message: beat})
 		}
 	}
 }
 
-// introduction tells a new peer which entries there are: the platform's list lags, and one
+// membersMessage tells a new peer which entries there are: the platform's list lags, and one
 // that is not known to be live is not asked about the flows it has.
-func (n *Node) introduction() *stoatmessage.Members {
+func (n *Node) membersMessage() *stoatmessage.Members {
 	m := &stoatmessage.Members{}
 	for _, id := range sortedIDs(n.instances) {
 		if i := n.instances[id]; i.Role == stoatpaddle.RoleEntry {
@@ -108,7 +108,7 @@
 	return m
 }
 
-func (n *Node) introduced(now time.Time, m *stoatmessage.Members) {
+func (n *Node) mergeMembers(now time.Time, m *stoatmessage.Members) {
 	for _, i := range m.Instances {
 		if i.ID != n.cfg.Self.ID && i.Role == stoatpaddle.RoleEntry {
 			n.merge(now, i)
@@ -121,7 +121,7 @@
 	have := &stoatmessage.Have{Objects: []stoatmessage.Held{{Ref: o.Ref, Version: o.Version}}}
 	for _, id := range sortedIDs(n.peers) {
 		if id != from && n.peers[id].connected {
-			n.do(Send{To: id, Message: have})
+			n.emit(Send{To: id, Message: have})
 		}
 	}
 }
@@ -131,43 +131,43 @@
 	if p == nil {
 		return
 	}
-	p.heard = now
+	p.lastHeard = now
 	switch m := ev.Message.(type) {
 	case *stoatmessage.Heartbeat:
-		n.stated(ev.From, m.State)
-		n.compare(now, ev.From, p, m.Digest)
+		n.applyPeerState(ev.From, m.State)
+		n.compareDigest(now, ev.From, p, m.Digest)
 	case *stoatmessage.Have:
-		n.want(now, ev.From, m)
+		n.requestNewer(now, ev.From, m)
 	case *stoatmessage.Want:
-		n.give(ev.From, m)
+		n.sendRequested(ev.From, m)
 	case *stoatmessage.Objects:
-		n.take(now, ev.From, m)
+		n.adoptAll(now, ev.From, m)
 	case *stoatmessage.Members:
-		n.introduced(now, m)
+		n.mergeMembers(now, m)
 	case *stoatmessage.Flows:
-		n.do(Deliver{From: ev.From, Flow: m})
+		n.emit(Deliver{From: ev.From, Flow: m})
 	}
 }
 
-// compare offers everything to a peer that has held something else for a while.
-func (n *Node) compare(now time.Time, id stoatpaddle.InstanceID, p *peer, d stoatmessage.Digest) {
+// compareDigest offers everything to a peer that has held something else for a while.
+func (n *Node) compareDigest(now time.Time, id stoatpaddle.InstanceID, p *peer, d stoatmessage.Digest) {
 	if d == n.digest() {
-		p.differs = time.Time{}
+		p.digestDiffersSince = time.Time{}
 		return
 	}
-	if p.differs.IsZero() {
-		p.differs = now
+	if p.digestDiffersSince.IsZero() {
+		p.digestDiffersSince = now
 	}
 	// A peer that holds nothing has just started, perhaps without the platform.
 	fresh := d.Newest == 0
-	if len(n.objects) == 0 || now.Sub(p.offered) < offerEvery || now.Sub(p.differs) < differsFor && !fresh {
+	if len(n.objects) == 0 || now.Sub(p.lastOffer) < offerInterval || now.Sub(p.digestDiffersSince) < offerDelay && !fresh {
 		return
 	}
-	p.offered = now
-	n.do(Send{To: id, Message: n.everything()})
+	p.lastOffer = now
+	n.emit(Send{To: id, Message: n.haveAll()})
 }
 
-func (n *Node) everything() *stoatmessage.Have {
+func (n *Node) haveAll() *stoatmessage.Have {
 	have := &stoatmessage.Have{}
 	for ref, o := range n.objects {
 		have.Objects = append(have.Objects, stoatmessage.Held{Ref: ref, Version: o.Version})
@@ -176,21 +176,21 @@
 	return have
 }
 
-func (n *Node) want(now time.Time, from stoatpaddle.InstanceID, m *stoatmessage.Have) {
+func (n *Node) requestNewer(now time.Time, from stoatpaddle.InstanceID, m *stoatmessage.Have) {
 	want := &stoatmessage.Want{}
 	for _, h := range m.Objects {
-		if h.Version <= n.objects[h.Ref].Version || now.Before(n.wanted[h.Ref]) {
+		if h.Version <= n.objects[h.Ref].Version || now.Before(n.requestedUntil[h.Ref]) {
 			continue
 		}
-		n.wanted[h.Ref] = now.Add(wantAgain)
+		n.requestedUntil[h.Ref] = now.Add(requestTimeout)
 		want.Refs = append(want.Refs, h.Ref)
 	}
 	if len(want.Refs) > 0 {
-		n.do(Send{To: from, Message: want})
+		n.emit(Send{To: from, Message: want})
 	}
 }
 
-func (n *Node) give(to stoatpaddle.InstanceID, m *stoatmessage.Want) {
+func (n *Node) sendRequested(to stoatpaddle.InstanceID, m *stoatmessage.Want) {
 	objects := &stoatmessage.Objects{}
 	for _, ref := range m.Refs {
 		if o, ok := n.objects[ref]; ok {
@@ -198,18 +198,18 @@
 		}
 	}
 	if len(objects.Objects) > 0 {
-		n.do(Send{To: to, Message: objects})
+		n.emit(Send{To: to, Message: objects})
 	}
 }
 
-// take adopts objects from a peer. An entry that the platform never answered serves as
+// adoptAll adopts objects from a peer. An entry that the platform never answered serves as
 // soon as it holds the key: the answer to its first Want is everything the peer had.
-func (n *Node) take(now time.Time, from stoatpaddle.InstanceID, m *stoatmessage.Objects) {
+func (n *Node) adoptAll(now time.Time, from stoatpaddle.InstanceID, m *stoatmessage.Objects) {
 	for _, o := range m.Objects {
 		n.adopt(now, o, from)
 	}
-	if !n.platform.known && n.seed != nil {
-		n.platform.known = true
+	if !n.platform.configComplete && n.hashKey != nil {
+		n.platform.configComplete = true
 		n.dirty = true
 	}
 }
--- a/stoatnode/members.go
+++ b/stoatnode/members.go
@@ -16,7 +16,7 @@
 	}
 	i, err := stoatcontract.DecodeInstance(o.Value)
 	if err != nil || i.ID != id {
-		n.invalid(o, err)
+		n.logInvalid(o, err)
 		return
 	}
 	if id == n.cfg.Self.ID {
@@ -35,8 +35,8 @@
 
 func (n *Node) instanceGone(id stoatpaddle.InstanceID) {
 	if id == n.cfg.Self.ID {
-		if !n.stop.asked {
-			n.do(Register{Instance: n.cfg.Self})
+		if !n.stop.requested {
+			n.emit(Register{Instance: n.cfg.Self})
 		}
 		return
 	}
@@ -45,7 +45,7 @@
 	}
 	delete(n.instances, id)
 	delete(n.peers, id)
-	n.do(Hangup{Peer: id})
+	n.emit(Hangup{Peer: id})
 	n.dirty = true
 }
 
@@ -56,7 +56,7 @@
 	if known && i.Incarnation < old.Incarnation {
 		return
 	}
-	if known && i.Incarnation == old.Incarnation && i.Role == stoatpaddle.RoleEntry && rank(i.State) < rank(old.State) {
+	if known && i.Incarnation == old.Incarnation && i.Role == stoatpaddle.RoleEntry && stateRank(i.State) < stateRank(old.State) {
 		return
 	}
 	if known && i == old {
@@ -70,13 +70,13 @@
 	if i.Role == stoatpaddle.RoleEntry && n.peers[i.ID] == nil {
 		// The other side may be the one to dial, so it has that much longer to be heard
 		// first: an entry that lives but counts as dead is not asked about its flows.
-		n.peers[i.ID] = &peer{heard: now.Add(higherDials), apart: now}
+		n.peers[i.ID] = &peer{lastHeard: now.Add(higherIDDialDelay), disconnectedSince: now}
 	}
 }
 
-// rank orders the states of one life of an entry: what is said late, by a hello or a
+// stateRank orders the states of one life of an entry: what is said late, by a hello or a
 // lagging list, must not take it back to an earlier one.
-func rank(s stoatpaddle.State) int {
+func stateRank(s stoatpaddle.State) int {
 	switch s {
 	case stoatpaddle.StateLeaving:
 		return 2
@@ -87,11 +87,11 @@
 	}
 }
 
-// stated notes the state that a peer says it is in, which works while the platform is
+// applyPeerState notes the state that a peer says it is in, which works while the platform is
 // down. Leaving is never taken back within one life.
-func (n *Node) stated(id stoatpaddle.InstanceID, s stoatpaddle.State) {
+func (n *Node) applyPeerState(id stoatpaddle.InstanceID, s stoatpaddle.State) {
 	i, known := n.instances[id]
-	if !known || rank(s) <= rank(i.State) {
+	if !known || stateRank(s) <= stateRank(i.State) {
 		return
 	}
 	i.State = s
@@ -102,21 +102,21 @@
 	}
 }
 
-// resume follows a pause of this process: everybody looks dead, and nobody needs to be.
-func (n *Node) resume(now time.Time, gap time.Duration) {
+// resumeAfterPause follows a pause of this process: everybody looks dead, and nobody needs to be.
+func (n *Node) resumeAfterPause(now time.Time, gap time.Duration) {
 	n.log(EventPaused, stoatevent.F("gap", gap.String()))
 	for _, p := range n.peers {
 		if !p.dead {
-			p.heard = now
+			p.lastHeard = now
 		}
 	}
 }
 
-// members decides who is dead.
-func (n *Node) members(now time.Time) {
+// checkPeers decides who is dead.
+func (n *Node) checkPeers(now time.Time) {
 	for _, id := range sortedIDs(n.peers) {
 		p := n.peers[id]
-		dead := now.Sub(p.heard) >= n.cfg.Dead
+		dead := now.Sub(p.lastHeard) >= n.cfg.Dead
 		if dead == p.dead {
 			continue
 		}
@@ -128,11 +128,11 @@
 			n.log(EventMemberBack, stoatevent.F("member", string(id)))
 		}
 	}
-	n.centres()
+	n.checkCentres()
 }
 
-// centres notes which data centres have entries, none of which answers.
-func (n *Node) centres() {
+// checkCentres notes which data checkCentres have entries, none of which answers.
+func (n *Node) checkCentres() {
 	alive := map[stoatpaddle.DataCentreID]bool{n.cfg.Self.DataCentre: true}
 	dead := map[stoatpaddle.DataCentreID]bool{}
 	for _, id := range sortedIDs(n.peers) {
@@ -143,22 +143,22 @@
 			alive[dc] = true
 		}
 	}
-	cut := map[stoatpaddle.DataCentreID]bool{}
+	partitioned := map[stoatpaddle.DataCentreID]bool{}
 	for dc := range dead {
 		if !alive[dc] {
-			cut[dc] = true
+			partitioned[dc] = true
 		}
 	}
-	for _, dc := range sortedCentres(cut, n.cut) {
-		if cut[dc] == n.cut[dc] {
+	for _, dc := range sortedUnion(partitioned, n.partitioned) {
+		if partitioned[dc] == n.partitioned[dc] {
 			continue
 		}
 		n.dirty = true
-		if cut[dc] {
+		if partitioned[dc] {
 			n.log(EventCentreCut, stoatevent.F("centre", string(dc)))
 		} else {
 			n.log(EventCentreBack, stoatevent.F("centre", string(dc)))
 		}
 	}
-	n.cut = cut
+	n.partitioned = partitioned
 }
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -16,9 +16,9 @@
 	TickEvery      = 250 * time.Millisecond
 	HeartbeatEvery = 500 * time.Millisecond
 	DefaultDead    = 2 * time.Second // of silence, until an entry counts as dead
-	redialAfter    = time.Second
-	// pausedAfter is a gap between ticks that only a paused process shows.
-	pausedAfter = time.Second
+	redialInterval    = time.Second
+	// pauseThreshold is a gap between ticks that only a paused process shows.
+	pauseThreshold = time.Second
 	// fabricLag is how long packets still arrive after an entry said that it leaves.
 	fabricLag = 2 * time.Second
 )
@@ -38,26 +38,26 @@
 	cfg       Config
 	rnd       *rand.Rand
 	objects   map[stoatpaddle.Ref]stoatpaddle.Object
-	contracts map[stoatpaddle.CustomerID]served
-	conflicts map[stoatpaddle.CustomerID]stoatpaddle.Version // reported as not served
+	contracts map[stoatpaddle.CustomerID]validContract
+	loggedConflicts map[stoatpaddle.CustomerID]stoatpaddle.Version // reported as not served
 	instances map[stoatpaddle.InstanceID]stoatpaddle.Instance
 	peers     map[stoatpaddle.InstanceID]*peer
-	cut       map[stoatpaddle.DataCentreID]bool
+	partitioned       map[stoatpaddle.DataCentreID]bool
 	evacuated map[stoatpaddle.DataCentreID]bool
-	wanted    map[stoatpaddle.Ref]time.Time
-	seed      *stoatpacket.Seed
+	requestedUntil    map[stoatpaddle.Ref]time.Time
+	hashKey      *stoatpacket.Seed
 	view      *stoatview.View
-	platform  platform
-	stop      stop
-	ticked    time.Time
-	beat      time.Time
-	seeded    time.Time // when the seeds were last dialled
+	platform  platformState
+	stop      stopState
+	lastTick    time.Time
+	lastHeartbeat      time.Time
+	lastSeedDial    time.Time // when the seeds were last dialled
 	dirty     bool
 	effects   []Effect
 }
 
-// served is the last good version of a contract; a newer object may be unusable.
-type served struct {
+// validContract is the last good version of a contract; a newer object may be unusable.
+type validContract struct {
 	contract stoatpaddle.Contract
 	version  stoatpaddle.Version
 }
@@ -65,12 +65,12 @@
 // peer is what is known of another entry's process.
 type peer struct {
 	connected bool
-	apart     time.Time // since when there is no connection
-	heard     time.Time
+	disconnectedSince     time.Time // since when there is no connection
+	lastHeard     time.Time
 	dead      bool
-	dialled   time.Time
-	differs   time.Time // since when its digest differs; zero if it does not
-	offered   time.Time // when it was last told everything held here
+	lastDial   time.Time
+	digestDiffersSince   time.Time // since when its digest differs; zero if it does not
+	lastOffer   time.Time // when it was last told everything held here
 }
 
 // New returns a Node.
@@ -83,13 +83,13 @@
 		cfg:       cfg,
 		rnd:       rand.New(rand.NewPCG(cfg.Random, 1)),
 		objects:   map[stoatpaddle.Ref]stoatpaddle.Object{},
-		contracts: map[stoatpaddle.CustomerID]served{},
-		conflicts: map[stoatpaddle.CustomerID]stoatpaddle.Version{},
+		contracts: map[stoatpaddle.CustomerID]validContract{},
+		loggedConflicts: map[stoatpaddle.CustomerID]stoatpaddle.Version{},
 		instances: map[stoatpaddle.InstanceID]stoatpaddle.Instance{cfg.Self.ID: cfg.Self},
 		peers:     map[stoatpaddle.InstanceID]*peer{},
-		cut:       map[stoatpaddle.DataCentreID]bool{},
+		partitioned:       map[stoatpaddle.DataCentreID]bool{},
 		evacuated: map[stoatpaddle.DataCentreID]bool{},
-		wanted:    map[stoatpaddle.Ref]time.Time{},
+		requestedUntil:    map[stoatpaddle.Ref]time.Time{},
 	}
 	return n
 }
@@ -119,36 +119,36 @@
 	case StopAsked:
 		n.beginStop(now)
 	case Handed:
-		n.handed(now, ev)
+		n.handedOver(now, ev)
 	}
 	n.publish(now)
 	return n.effects
 }
 
-func (n *Node) do(e Effect) { n.effects = append(n.effects, e) }
+func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
 func (n *Node) log(e *stoatevent.Entry, fields ...stoatevent.Field) {
-	n.do(Log{Entry: e, Fields: fields})
+	n.emit(Log{Entry: e, Fields: fields})
 }
 
 func (n *Node) start(now time.Time) {
-	n.ticked = now
-	n.do(Register{Instance: n.cfg.Self})
-	n.platform.busy = true
-	n.do(List{})
+	n.lastTick = now
+	n.emit(Register{Instance: n.cfg.Self})
+	n.platform.readPending = true
+	n.emit(List{})
 	n.dialSeeds(now)
 }
 
 func (n *Node) tick(now time.Time) {
-	if gap := now.Sub(n.ticked); gap > pausedAfter {
-		n.resume(now, gap)
+	if gap := now.Sub(n.lastTick); gap > pauseThreshold {
+		n.resumeAfterPause(now, gap)
 	}
-	n.ticked = now
-	n.members(now)
+	n.lastTick = now
+	n.checkPeers(now)
 	n.dial(now)
-	if now.Sub(n.beat) >= HeartbeatEvery {
-		n.beat = now
-		n.heartbeat()
+	if now.Sub(n.lastHeartbeat) >= HeartbeatEvery {
+		n.lastHeartbeat = now
+		n.sendHeartbeats()
 	}
 	n.poll()
 	n.stopDeadline(now)
@@ -156,19 +156,19 @@
 
 // publish builds a view if something changed and the entry can serve.
 func (n *Node) publish(now time.Time) {
-	if !n.dirty || n.seed == nil || !n.platform.known {
+	if !n.dirty || n.hashKey == nil || !n.platform.configComplete {
 		return
 	}
 	first := n.view == nil
-	if first && !n.stop.asked {
+	if first && !n.stop.requested {
 		// Only now can records of flows be taken in; before, peers must not send any.
 		n.setState(stoatpaddle.StateLive)
 	}
 	n.dirty = false
 	n.view = stoatview.Next(n.view, now, n.input())
-	n.do(Publish{View: n.view})
+	n.emit(Publish{View: n.view})
 	if first {
-		n.log(EventReady, stoatevent.F("contracts", count(len(n.contracts))))
+		n.log(EventReady, stoatevent.F("contracts", itoa(len(n.contracts))))
 	}
 }
 
@@ -177,17 +177,17 @@
 	n.cfg.Self.State = s
 	n.instances[n.cfg.Self.ID] = n.cfg.Self
 	n.dirty = true
-	n.do(Register{Instance: n.cfg.Self})
-	n.heartbeat()
+	n.emit(Register{Instance: n.cfg.Self})
+	n.sendHeartbeats()
 }
 
 func (n *Node) input() stoatview.Input {
 	in := stoatview.Input{
 		Self:        n.cfg.Self.ID,
-		Seed:        *n.seed,
+		Seed:        *n.hashKey,
 		Contracts:   n.servable(),
 		Dead:        map[stoatpaddle.InstanceID]bool{},
-		Partitioned: n.cut,
+		Partitioned: n.partitioned,
 		Leaving:     map[stoatpaddle.InstanceID]bool{},
 	}
 	for _, id := range sortedIDs(n.instances) {
@@ -200,7 +200,7 @@
 			in.Dead[id] = true
 		}
 	}
-	n.leaveEvacuated(&in)
+	n.markEvacuated(&in)
 	return in
 }
 
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -22,7 +22,7 @@
 // SeedRef names the object that holds the cluster's hash key.
 var SeedRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
 
-const seedBytes = 16
+const hashKeySize = 16
 
 // adopt takes an object in unless a version as new was seen before, whoever offers it:
 // a lagging replica, a peer that was cut off for long and a restored platform all offer
@@ -38,19 +38,19 @@
 		return
 	}
 	n.objects[o.Ref] = o
-	delete(n.wanted, o.Ref)
+	delete(n.requestedUntil, o.Ref)
 	n.apply(now, o)
 	n.announce(o, from)
 }
 
-// findLost writes again what a complete list lacks that was known before the platform was restored.
+// rewriteLost writes again what a complete list lacks that was known before the platform was restored.
 // In one era an object can only be missing since somebody took it out by hand.
-func (n *Node) findLost(l stoatpaddle.Listing) {
+func (n *Node) rewriteLost(l stoatpaddle.Listing) {
 	listed := map[stoatpaddle.Ref]bool{}
 	for i := range l.Objects {
 		listed[l.Objects[i].Ref] = true
 	}
-	for _, h := range n.everything().Objects {
+	for _, h := range n.haveAll().Objects {
 		if !listed[h.Ref] && h.Version.Position().Era < l.Revision.Position().Era {
 			n.rewrite(n.objects[h.Ref], 0)
 		}
@@ -59,18 +59,18 @@
 
 // rewrite writes an object again on top of that version: what was accepted never reverts. Those that
 // watch for the others do so, and the platform takes the first.
-func (n *Node) rewrite(held stoatpaddle.Object, on stoatpaddle.Version) {
-	if !n.watches() {
+func (n *Node) rewrite(held stoatpaddle.Object, base stoatpaddle.Version) {
+	if !n.isWatcher() {
 		return
 	}
 	shown := "nothing"
-	if on > 0 {
-		shown = on.Position().String()
+	if base > 0 {
+		shown = base.Position().String()
 	}
 	n.log(EventRewritten, stoatevent.F("object", held.Ref.String()), stoatevent.F("held", held.Version.Position().String()),
 		stoatevent.F("shown", shown))
-	held.Version = on
-	n.do(Rewrite{Object: held})
+	held.Version = base
+	n.emit(Rewrite{Object: held})
 }
 
 func (n *Node) apply(now time.Time, o stoatpaddle.Object) {
@@ -80,7 +80,7 @@
 	case stoatpaddle.ObjectInstance:
 		n.applyInstance(now, o)
 	case stoatpaddle.ObjectCluster:
-		n.applySeed(o)
+		n.applyHashKey(o)
 	case stoatpaddle.ObjectEvacuation:
 		n.applyEvacuation(o)
 	}
@@ -100,9 +100,9 @@
 	n.log(entry, stoatevent.F("centre", string(dc)), stoatevent.F("version", o.Version.String()))
 }
 
-// leaveEvacuated has the upstreams of evacuated data centres take no new work, also where nothing else is
+// markEvacuated has the upstreams of evacuated data centres take no new work, also where nothing else is
 // left; what is open there goes on.
-func (n *Node) leaveEvacuated(in *stoatview.Input) {
+func (n *Node) markEvacuated(in *stoatview.Input) {
 	for i := range in.Contracts {
 		for _, svc := range in.Contracts[i].Services {
 			for _, u := range svc.Upstreams {
@@ -123,14 +123,14 @@
 	}
 	c, err := stoatcontract.Decode(o.Value)
 	if err != nil || c.Customer != id {
-		n.invalid(o, err)
+		n.logInvalid(o, err)
 		return
 	}
-	n.contracts[id] = served{contract: c, version: o.Version}
+	n.contracts[id] = validContract{contract: c, version: o.Version}
 	n.dirty = true
 }
 
-func (n *Node) invalid(o stoatpaddle.Object, err error) {
+func (n *Node) logInvalid(o stoatpaddle.Object, err error) {
 	cause := "it names another customer"
 	if err != nil {
 		cause = err.Error()
@@ -138,12 +138,12 @@
 	n.log(EventObjectInvalid, stoatevent.F("object", o.Ref.String()), stoatevent.F("version", o.Version.String()), stoatevent.F("cause", cause))
 }
 
-func (n *Node) applySeed(o stoatpaddle.Object) {
+func (n *Node) applyHashKey(o stoatpaddle.Object) {
 	raw, err := hex.DecodeString(string(trimQuotes(o.Value)))
-	if o.Gone || o.Ref != SeedRef || err != nil || len(raw) != seedBytes {
+	if o.Gone || o.Ref != SeedRef || err != nil || len(raw) != hashKeySize {
 		return
 	}
-	n.seed = &stoatpacket.Seed{K0: binary.BigEndian.Uint64(raw), K1: binary.BigEndian.Uint64(raw[8:])}
+	n.hashKey = &stoatpacket.Seed{K0: binary.BigEndian.Uint64(raw), K1: binary.BigEndian.Uint64(raw[8:])}
 	n.dirty = true
 }
 
@@ -164,11 +164,11 @@
 		return cmp.Compare(n.contracts[a].version, n.contracts[b].version)
 	})
 	var out []stoatpaddle.Contract
-	held := stoatcontract.NewClaims()
+	claims := stoatcontract.NewClaims()
 	for _, id := range ids {
 		c := n.contracts[id].contract
-		if faults := held.Add("contract/"+string(id), c); len(faults) > 0 {
-			n.unserved(id, faults[0])
+		if faults := claims.Add("contract/"+string(id), c); len(faults) > 0 {
+			n.logConflict(id, faults[0])
 			continue
 		}
 		out = append(out, c)
@@ -176,13 +176,13 @@
 	return out
 }
 
-// unserved reports a contract that is not served, once for each of its versions.
-func (n *Node) unserved(id stoatpaddle.CustomerID, fault *stoatpaddle.Fault) {
+// logConflict reports a contract that is not served, once for each of its versions.
+func (n *Node) logConflict(id stoatpaddle.CustomerID, fault *stoatpaddle.Fault) {
 	version := n.contracts[id].version
-	if n.conflicts[id] == version {
+	if n.loggedConflicts[id] == version {
 		return
 	}
-	n.conflicts[id] = version
+	n.loggedConflicts[id] = version
 	n.log(EventObjectConflict, stoatevent.F("customer", string(id)), stoatevent.F("fault", fault.Error()))
 }
 
@@ -196,7 +196,7 @@
 	return d
 }
 
-func count(n int) string { return strconv.Itoa(n) }
+func itoa(n int) string { return strconv.Itoa(n) }
 
 func sortedIDs[T any](m map[stoatpaddle.InstanceID]T) []stoatpaddle.InstanceID {
 	ids := make([]stoatpaddle.InstanceID, 0, len(m))
--- a/stoatnode/platform.go
+++ b/stoatnode/platform.go
@@ -10,35 +10,35 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatplatform"
 )
 
-// platform is what is known of the platform.
-type platform struct {
-	known    bool // the configuration is complete, from the platform or from a peer
-	busy     bool // a list or watch is under way
+// platformState is what is known of the platformState.
+type platformState struct {
+	configComplete    bool // the configuration is complete, from the platform or from a peer
+	readPending     bool // a list or watch is under way
 	failures int
 	revision stoatpaddle.Version
 	relist   bool
 }
 
 func (n *Node) listed(now time.Time, l stoatpaddle.Listing) {
-	n.answered(l)
+	n.platformAnswered(l)
 	n.platform.relist = false
-	n.findLost(l)
+	n.rewriteLost(l)
 	n.platform.revision = max(n.platform.revision, l.Revision)
-	if !n.platform.known {
-		n.platform.known = true
+	if !n.platform.configComplete {
+		n.platform.configComplete = true
 		n.dirty = true
 	}
 	for _, o := range l.Objects {
 		n.adopt(now, o, "")
 	}
-	if n.seed == nil {
-		n.do(MakeSeed{})
+	if n.hashKey == nil {
+		n.emit(MakeSeed{})
 	}
 	n.poll()
 }
 
 func (n *Node) watched(now time.Time, l stoatpaddle.Listing) {
-	n.answered(l)
+	n.platformAnswered(l)
 	n.platform.revision = max(n.platform.revision, l.Revision)
 	for _, o := range l.Objects {
 		n.adopt(now, o, "")
@@ -46,8 +46,8 @@
 	n.poll()
 }
 
-func (n *Node) answered(l stoatpaddle.Listing) {
-	n.platform.busy = false
+func (n *Node) platformAnswered(l stoatpaddle.Listing) {
+	n.platform.readPending = false
 	if n.platform.failures > 0 {
 		n.platform.failures = 0
 		n.log(EventPlatformBack)
@@ -58,11 +58,11 @@
 }
 
 func (n *Node) platformFailed(ev PlatformFailed) {
-	n.platform.busy = false
+	n.platform.readPending = false
 	if ev.Forgotten && !n.platform.relist {
 		// It answers; a watch from there would be refused for ever.
 		n.platform.relist = true
-		n.call(ev.After)
+		n.readPlatform(ev.After)
 		return
 	}
 	if n.platform.failures == 0 {
@@ -70,40 +70,40 @@
 	}
 	after := max(ev.After, stoatplatform.Backoff(n.rnd, n.platform.failures))
 	n.platform.failures++
-	n.call(after)
+	n.readPlatform(after)
 }
 
 // poll begins a watch unless one is under way or other entries watch for this one.
 func (n *Node) poll() {
-	if !n.platform.busy && n.watches() {
-		n.call(0)
+	if !n.platform.readPending && n.isWatcher() {
+		n.readPlatform(0)
 	}
 }
 
-func (n *Node) call(after time.Duration) {
-	n.platform.busy = true
+func (n *Node) readPlatform(after time.Duration) {
+	n.platform.readPending = true
 	if n.platform.revision == 0 || n.platform.relist {
-		n.do(List{After: after})
+		n.emit(List{After: after})
 		return
 	}
-	n.do(Watch{From: n.platform.revision, After: after})
+	n.emit(Watch{From: n.platform.revision, After: after})
 }
 
 // watchKey places the watchers; any constant would do.
 var watchKey = stoatpaddle.FlowHash(xxhash.Sum64String("watch"))
 
-// watches tells whether this entry watches the platform: two in each data centre do, the
+// isWatcher tells whether this entry isWatcher the platform: two in each data centre do, the
 // others hear of changes from them, so that the platform's calls do not grow with the
 // fleet. An entry that no peer is connected to has to watch by itself.
-func (n *Node) watches() bool {
-	if n.view == nil || !n.anyPeer() {
+func (n *Node) isWatcher() bool {
+	if n.view == nil || !n.hasLivePeer() {
 		return true
 	}
-	a, b := n.view.Entries.OwnerAndNext(watchKey, n.cfg.Self.DataCentre)
-	return a != nil && a.ID == n.cfg.Self.ID || b != nil && b.ID == n.cfg.Self.ID
+	owner, next := n.view.Entries.OwnerAndNext(watchKey, n.cfg.Self.DataCentre)
+	return owner != nil && owner.ID == n.cfg.Self.ID || next != nil && next.ID == n.cfg.Self.ID
 }
 
-func (n *Node) anyPeer() bool {
+func (n *Node) hasLivePeer() bool {
 	for _, p := range n.peers {
 		if p.connected && !p.dead {
 			return true
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -40,12 +40,12 @@
 		if words[0] == "ticks" {
 			for now+TickEvery <= until {
 				now += TickEvery
-				show(&out, now, n.Step(epoch.Add(now), Ticked{}))
+				writeEffects(&out, now, n.Step(epoch.Add(now), Ticked{}))
 			}
 			return
 		}
 		now = until
-		show(&out, now, n.Step(epoch.Add(now), readEvent(t, words)))
+		writeEffects(&out, now, n.Step(epoch.Add(now), readEvent(t, words)))
 	})
 	return out.String()
 }
@@ -126,7 +126,7 @@
 		case "contract":
 			o.Value = testContract(t, id, int(o.Version.Position().Revision), value)
 		case "instance":
-			o.Value = testMark(t, id, value)
+			o.Value = testInstanceObject(t, id, value)
 		}
 		out = append(out, o)
 	}
@@ -162,7 +162,7 @@
 	return data
 }
 
-func testMark(t *testing.T, id, value string) []byte {
+func testInstanceObject(t *testing.T, id, value string) []byte {
 	i := testInstance(id+"0", stoatpaddle.State(value), 1)
 	i.ID = stoatpaddle.InstanceID(id)
 	if strings.Contains(id, "-") {
@@ -177,8 +177,8 @@
 	return data
 }
 
-// show prints effects; heartbeats and dials come at every turn and are left out.
-func show(out *strings.Builder, now time.Duration, effects []Effect) {
+// writeEffects prints effects; heartbeats and dials come at every turn and are left out.
+func writeEffects(out *strings.Builder, now time.Duration, effects []Effect) {
 	for _, e := range effects {
 		if text := describe(e); text != "" {
 			fmt.Fprintf(out, "  > %s %s\n", now, text)
@@ -211,9 +211,9 @@
 	case Dial, Resync, Deliver:
 		return ""
 	case List:
-		return "list" + waiting(e.After)
+		return "list" + pauseSuffix(e.After)
 	case Watch:
-		return "watch from " + e.From.String() + waiting(e.After)
+		return "watch from " + e.From.String() + pauseSuffix(e.After)
 	case Register:
 		return "register " + string(e.Instance.State)
 	case Rewrite:
@@ -225,7 +225,7 @@
 	}
 }
 
-func waiting(d time.Duration) string {
+func pauseSuffix(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
--- a/stoatnode/status.go
+++ b/stoatnode/status.go
@@ -44,9 +44,9 @@
 	s := Status{
 		Self:     n.cfg.Self.ID,
 		Ready:    n.view != nil,
-		Leaving:  n.stop.asked,
+		Leaving:  n.stop.requested,
 		Platform: n.platform.failures == 0 && n.platform.revision > 0,
-		Watching: n.watches(),
+		Watching: n.isWatcher(),
 	}
 	s.Evacuated = slices.Sorted(maps.Keys(n.evacuated))
 	for id, c := range n.contracts {
--- a/stoatnode/stop.go
+++ b/stoatnode/stop.go
@@ -7,39 +7,39 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatevent"
 )
 
-// stop is the progress of this entry's planned stop.
-type stop struct {
-	asked bool
-	since time.Time
-	calls int // still open when last told
+// stopState is the progress of this entry's planned stopState.
+type stopState struct {
+	requested bool
+	startedAt time.Time
+	openCalls int // still open when last told
 	done  bool
 }
 
 // beginStop tells everybody that this entry leaves, and hands over.
 func (n *Node) beginStop(now time.Time) {
-	if n.stop.asked {
+	if n.stop.requested {
 		return
 	}
-	n.stop.asked = true
-	n.stop.since = now
+	n.stop.requested = true
+	n.stop.startedAt = now
 	n.log(EventStopBegins, stoatevent.F("deadline", n.cfg.Stop.String()))
 	n.setState(stoatpaddle.StateLeaving)
-	n.do(HandOver{})
+	n.emit(HandOver{})
 }
 
-// handed ends the process once nothing is left and the fabric had time to stop sending.
-func (n *Node) handed(now time.Time, ev Handed) {
-	n.stop.calls = ev.CallsOpen
-	if ev.CallsOpen == 0 && now.Sub(n.stop.since) >= fabricLag {
+// handedOver ends the process once nothing is left and the fabric had time to stop sending.
+func (n *Node) handedOver(now time.Time, ev Handed) {
+	n.stop.openCalls = ev.CallsOpen
+	if ev.CallsOpen == 0 && now.Sub(n.stop.startedAt) >= fabricLag {
 		n.exit()
 	}
 }
 
 func (n *Node) stopDeadline(now time.Time) {
-	if !n.stop.asked || n.stop.done || now.Sub(n.stop.since) < n.cfg.Stop {
+	if !n.stop.requested || n.stop.done || now.Sub(n.stop.startedAt) < n.cfg.Stop {
 		return
 	}
-	n.log(EventStopDeadline, stoatevent.F("calls", count(n.stop.calls)))
+	n.log(EventStopDeadline, stoatevent.F("calls", itoa(n.stop.openCalls)))
 	n.exit()
 }
 
@@ -49,6 +49,6 @@
 	}
 	n.stop.done = true
 	n.log(EventStopped)
-	n.do(Unregister{})
-	n.do(Exit{})
+	n.emit(Unregister{})
+	n.emit(Exit{})
 }
