--- a/stoatnode/bench_test.go
+++ b/stoatnode/bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// benchmarkTick measures a tick, a heartbeat from a peer and the heartbeats sent, with n
-// entries all connected.
+// benchmarkTick measures a heartbeat from each peer, a tick, and the heartbeats that the tick sends, with n
+// connected entries.
 func benchmarkTick(b *testing.B, n int) {
 	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", Random: 1, Stop: time.Minute})
 	now := epoch
@@ -46,7 +46,7 @@
 func BenchmarkTick100(b *testing.B) { benchmarkTick(b, 100) }
 func BenchmarkTick300(b *testing.B) { benchmarkTick(b, 300) }
 
-// benchmarkContract measures adopting one contract of 18 upstreams while n others are held.
+// benchmarkContract measures the adoption of an amended contract with 18 upstreams, one of n contracts.
 func benchmarkContract(b *testing.B, n int) {
 	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", Random: 1, Stop: time.Minute})
 	objects := []stoatpaddle.Object{{Ref: SeedRef, Version: 1, Value: []byte(`"000102030405060708090a0b0c0d0e0f"`)}}
--- a/stoatnode/doc.go
+++ b/stoatnode/doc.go
@@ -1,6 +1,6 @@
-// Package stoatnode decides everything that an entry does about control: membership,
-// configuration, the platform, and its own planned stop.
+// Package stoatnode makes the control decisions of an entry: about membership, the configuration, the
+// platform, and the entry's own planned stop.
 //
-// Step is a pure reducer: the same events at the same times give the same effects. The
-// caller performs the effects and feeds their results back as events.
+// Node.Step is a pure reducer: the same events at the same times return the same effects. The caller performs
+// the effects and passes their results to Step as new events.
 package stoatnode
--- a/stoatnode/effect.go
+++ b/stoatnode/effect.go
@@ -10,40 +10,42 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// Effect is something to do; one of the types below.
+// Effect is an action for the caller of Node.Step to perform; it is one of the types below.
 type Effect interface{ isEffect() }
 
-// Publish makes a view the one that traffic reads.
+// Publish makes a view the current one for the handling of packets and calls.
 type Publish struct{ View *stoatview.View }
 
-// List reads everything from the platform, after a pause; it ends in Listed or PlatformFailed.
+// List reads all objects from the platform after a delay. Its result is Listed or PlatformFailed.
 type List struct{ After time.Duration }
 
-// Watch waits for changes on the platform; it ends in Watched or PlatformFailed.
+// Watch waits for changes on the platform after a revision. It starts after a delay, and its result is
+// Watched or PlatformFailed.
 type Watch struct {
 	From  stoatpaddle.Version
 	After time.Duration
 }
 
-// Rewrite writes an object again that a restored platform has lost, on top of the version it names.
+// Rewrite writes an object again that a restored platform has lost. The version of the object is the one to
+// replace, or 0 if the platform has none.
 type Rewrite struct{ Object stoatpaddle.Object }
 
-// Register writes this entry's instance object.
+// Register writes the instance object of this entry.
 type Register struct{ Instance stoatpaddle.Instance }
 
-// Unregister removes this entry's instance object.
+// Unregister deletes the instance object of this entry.
 type Unregister struct{}
 
-// MakeSeed creates the cluster's hash key unless another entry does first.
+// MakeSeed creates the hash key of the cluster unless another entry creates it first.
 type MakeSeed struct{}
 
-// Dial connects to a peer; an empty ID means a seed of unknown name.
+// Dial connects to a peer. The ID is empty if the address is one of Config.Seeds, whose ID is not known yet.
 type Dial struct {
 	Peer stoatpaddle.InstanceID
 	Addr netip.AddrPort
 }
 
-// Hangup closes the connection with a peer.
+// Hangup closes the connection to a peer.
 type Hangup struct{ Peer stoatpaddle.InstanceID }
 
 // Send sends a message to a peer.
@@ -52,23 +54,24 @@
 	Message stoatmessage.Message
 }
 
-// Deliver gives flow records from a peer to the flow engine.
+// Deliver passes flow records from a peer to the flow engine.
 type Deliver struct {
 	From stoatpaddle.InstanceID
 	Flow *stoatmessage.Flows
 }
 
-// Resync sends a newly connected peer every flow record it should hold: what was under
-// way on an earlier connection may be lost.
+// Resync sends a newly connected peer every flow record that it should have: messages in transit on an
+// earlier connection may be lost.
 type Resync struct{ Peer stoatpaddle.InstanceID }
 
-// Log writes a numbered event.
+// Log writes a numbered event to the log.
 type Log struct {
 	Entry  *stoatevent.Entry
 	Fields []stoatevent.Field
 }
 
-// HandOver begins to hand over flows and to refuse new calls; it ends in Handed.
+// HandOver starts to hand over flows and to refuse new calls. When the flows are handed over,
+// FlowsHandedOver events follow until no call is open.
 type HandOver struct{}
 
 // Exit ends the process.
--- a/stoatnode/event.go
+++ b/stoatnode/event.go
@@ -7,48 +7,49 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// Event is something that happened; one of the types below.
+// Event is an input of Node.Step; it is one of the types below.
 type Event interface{ isEvent() }
 
-// Started is the first event.
+// Started is the first event of an entry.
 type Started struct{}
 
-// Ticked comes every TickEvery.
+// Ticked occurs every TickInterval.
 type Ticked struct{}
 
-// Listed carries everything that stands on the platform.
+// Listed contains all objects on the platform.
 type Listed struct{ Listing stoatpaddle.Listing }
 
-// Watched carries the changes that a watch brought.
+// Watched contains the changes that a watch returned.
 type Watched struct{ Listing stoatpaddle.Listing }
 
-// PlatformFailed reports a list or watch without an answer; After is the pause the platform asked for.
-// Forgotten says that it cannot go on from the revision that was named.
+// PlatformFailed reports a failed list or watch. RetryAfter is the delay that the platform asked for, if any.
+// HistoryGone reports that the platform no longer has the changes after the revision of the watch.
 type PlatformFailed struct {
 	Cause     string
 	After     time.Duration
 	Forgotten bool
 }
 
-// Wrote carries an object that this entry's own write made.
+// Wrote contains the object that results from a write of this entry, or the current one if the write
+// conflicted with it.
 type Wrote struct{ Object stoatpaddle.Object }
 
-// Connected reports a connection with a peer.
+// Connected reports a new connection to a peer.
 type Connected struct{ Hello stoatmessage.Hello }
 
-// Disconnected reports the end of the last connection with a peer.
+// Disconnected reports the end of the last connection to a peer.
 type Disconnected struct{ Peer stoatpaddle.InstanceID }
 
-// Received carries a message from a peer.
+// Received contains a message from a peer.
 type Received struct {
 	From    stoatpaddle.InstanceID
 	Message stoatmessage.Message
 }
 
-// StopAsked begins the planned stop.
+// StopAsked requests the planned stop.
 type StopAsked struct{}
 
-// Handed reports that the flow engine has nothing left to hand over.
+// Handed reports that the flow engine has nothing left to hand over, and how many calls are still open.
 type Handed struct{ CallsOpen int }
 
 func (Started) isEvent()        {}
--- a/stoatnode/gossip.go
+++ b/stoatnode/gossip.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// offerDelay is how long two digests may differ before everything is offered: news
-	// under way needs no repair.
-	offerDelay = time.Second
+	// offerDelay is how long the digest of a peer must differ before it is offered all objects: changes that
+	// are still in transit need no repair.
+	offerDelay    = time.Second
 	offerInterval = 2 * time.Second
-	// requestTimeout is how long an answer to Want may take before another peer is asked.
+	// requestTimeout is how long a response to Want may take before another peer is asked.
 	requestTimeout = time.Second
 )
 
@@ -32,12 +32,12 @@
 	return out
 }
 
-// higherIDDialDelay is how long the entry with the higher id waits for the other to dial.
+// higherIDDialDelay is how long the entry with the higher ID waits for the other one to dial.
 const higherIDDialDelay = 2 * time.Second
 
-// dial connects to the entries that this one has no connection with. The lower id dials
-// first, so that two entries do not open two connections at once; the higher one does
-// later, for while the platform is down the other may not know of it.
+// dial connects to the entries that this one has no connection to. The entry with the lower ID dials first, so
+// that two entries do not open two connections at once. The one with the higher ID dials later, because the
+// other one may not know of it while the platform is down.
 func (n *Node) dial(now time.Time) {
 	for _, id := range sortedIDs(n.peers) {
 		p := n.peers[id]
@@ -96,8 +96,8 @@
 	}
 }
 
-// membersMessage tells a new peer which entries there are: the platform's list lags, and one
-// that is not known to be live is not asked about the flows it has.
+// membersMessage returns the message that tells a new peer the known entries. The platform's list lags, and
+// an entry that is not known to be live is not asked about the flows it has.
 func (n *Node) membersMessage() *stoatmessage.Members {
 	m := &stoatmessage.Members{}
 	for _, id := range sortedIDs(n.instances) {
@@ -116,7 +116,7 @@
 	}
 }
 
-// announce offers a new object to the peers, but the one it came from.
+// announce offers a new object to all connected peers except the one that sent it.
 func (n *Node) announce(o stoatpaddle.Object, from stoatpaddle.InstanceID) {
 	have := &stoatmessage.Have{Objects: []stoatmessage.Held{{Ref: o.Ref, Version: o.Version}}}
 	for _, id := range sortedIDs(n.peers) {
@@ -149,7 +149,7 @@
 	}
 }
 
-// compareDigest offers everything to a peer that has held something else for a while.
+// compareDigest offers all objects to a peer whose digest has differed for a while.
 func (n *Node) compareDigest(now time.Time, id stoatpaddle.InstanceID, p *peer, d stoatmessage.Digest) {
 	if d == n.digest() {
 		p.digestDiffersSince = time.Time{}
@@ -158,7 +158,7 @@
 	if p.digestDiffersSince.IsZero() {
 		p.digestDiffersSince = now
 	}
-	// A peer that holds nothing has just started, perhaps without the platform.
+	// A peer without objects has just started, perhaps during an outage of the platform, and needs them now.
 	fresh := d.Newest == 0
 	if len(n.objects) == 0 || now.Sub(p.lastOffer) < offerInterval || now.Sub(p.digestDiffersSince) < offerDelay && !fresh {
 		return
@@ -202,8 +202,8 @@
 	}
 }
 
-// adoptAll adopts objects from a peer. An entry that the platform never answered serves as
-// soon as it holds the key: the answer to its first Want is everything the peer had.
+// adoptAll adopts objects from a peer. An entry that has never reached the platform serves as soon as it has
+// the hash key: the response to its first Want contains all objects of the peer.
 func (n *Node) adoptAll(now time.Time, from stoatpaddle.InstanceID, m *stoatmessage.Objects) {
 	for _, o := range m.Objects {
 		n.adopt(now, o, from)
--- a/stoatnode/members.go
+++ b/stoatnode/members.go
@@ -26,7 +26,7 @@
 	n.merge(now, i)
 }
 
-// applySelf follows an operator's mark on this entry.
+// applySelf begins the planned stop if an operator marked this incarnation of the entry as leaving.
 func (n *Node) applySelf(now time.Time, i stoatpaddle.Instance) {
 	if i.Incarnation == n.cfg.Self.Incarnation && i.State == stoatpaddle.StateLeaving {
 		n.beginStop(now)
@@ -49,8 +49,8 @@
 	n.dirty = true
 }
 
-// merge takes in what the platform or a peer says of an instance. A lower incarnation is
-// an earlier life under the same id, so it says nothing about the present one.
+// merge applies the state of an instance that the platform or a peer reported. A report of a lower
+// incarnation is ignored: it says nothing about the present process under this ID.
 func (n *Node) merge(now time.Time, i stoatpaddle.Instance) {
 	old, known := n.instances[i.ID]
 	if known && i.Incarnation < old.Incarnation {
@@ -68,14 +68,14 @@
 		n.log(EventMemberLeaving, stoatevent.F("member", string(i.ID)))
 	}
 	if i.Role == stoatpaddle.RoleEntry && n.peers[i.ID] == nil {
-		// The other side may be the one to dial, so it has that much longer to be heard
-		// first: an entry that lives but counts as dead is not asked about its flows.
+		// This entry may have to wait for the other one to dial, so the first message may arrive that much
+		// later. An entry wrongly considered dead is not asked about its flows.
 		n.peers[i.ID] = &peer{lastHeard: now.Add(higherIDDialDelay), disconnectedSince: now}
 	}
 }
 
-// stateRank orders the states of one life of an entry: what is said late, by a hello or a
-// lagging list, must not take it back to an earlier one.
+// stateRank orders the states of one incarnation of an entry: a late report, in a hello or a lagging list,
+// must not return the entry to an earlier state.
 func stateRank(s stoatpaddle.State) int {
 	switch s {
 	case stoatpaddle.StateLeaving:
@@ -87,8 +87,8 @@
 	}
 }
 
-// applyPeerState notes the state that a peer says it is in, which works while the platform is
-// down. Leaving is never taken back within one life.
+// applyPeerState applies the state that a peer reports of itself, which also works while the platform is down.
+// An incarnation that is leaving stays so.
 func (n *Node) applyPeerState(id stoatpaddle.InstanceID, s stoatpaddle.State) {
 	i, known := n.instances[id]
 	if !known || stateRank(s) <= stateRank(i.State) {
@@ -102,7 +102,8 @@
 	}
 }
 
-// resumeAfterPause follows a pause of this process: everybody looks dead, and nobody needs to be.
+// resumeAfterPause restarts the timeouts of all live peers after a pause of this process: all of them look
+// dead, since no messages were read during the pause.
 func (n *Node) resumeAfterPause(now time.Time, gap time.Duration) {
 	n.log(EventPaused, stoatevent.F("gap", gap.String()))
 	for _, p := range n.peers {
@@ -112,7 +113,7 @@
 	}
 }
 
-// checkPeers decides who is dead.
+// checkPeers updates which peers are considered dead.
 func (n *Node) checkPeers(now time.Time) {
 	for _, id := range sortedIDs(n.peers) {
 		p := n.peers[id]
@@ -131,7 +132,7 @@
 	n.checkCentres()
 }
 
-// checkCentres notes which data checkCentres have entries, none of which answers.
+// checkCentres updates which data centres are partitioned: all their known entries are dead.
 func (n *Node) checkCentres() {
 	alive := map[stoatpaddle.DataCentreID]bool{n.cfg.Self.DataCentre: true}
 	dead := map[stoatpaddle.DataCentreID]bool{}
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -15,11 +15,11 @@
 const (
 	TickEvery      = 250 * time.Millisecond
 	HeartbeatEvery = 500 * time.Millisecond
-	DefaultDead    = 2 * time.Second // of silence, until an entry counts as dead
-	redialInterval    = time.Second
-	// pauseThreshold is a gap between ticks that only a paused process shows.
+	DefaultDead    = 2 * time.Second // without a message, after which a peer is considered dead
+	redialInterval = time.Second
+	// pauseThreshold is the gap between ticks above which the process must have been paused.
 	pauseThreshold = time.Second
-	// fabricLag is how long packets still arrive after an entry said that it leaves.
+	// fabricLag is how long the fabric continues to send packets to an entry that announced its stop.
 	fabricLag = 2 * time.Second
 )
 
@@ -27,74 +27,74 @@
 type Config struct {
 	Self    stoatpaddle.Instance
 	Cluster stoatpaddle.ClusterID
-	Seeds   []netip.AddrPort // peers to dial without knowing them
-	Random  uint64           // seed of pauses
+	Seeds   []netip.AddrPort // peers to dial until the configuration is complete
+	Random  uint64           // seed of the generator of random delays
 	Stop    time.Duration    // deadline of a planned stop
-	Dead    time.Duration    // of silence, until an entry counts as dead; 0: DefaultDead
+	Dead    time.Duration    // without a message, after which a peer is considered dead; 0 means DefaultDeadAfter
 }
 
-// Node is the control state of one entry; one goroutine uses it.
+// Node is the control state of one entry. It is not safe for concurrent use.
 type Node struct {
-	cfg       Config
-	rnd       *rand.Rand
-	objects   map[stoatpaddle.Ref]stoatpaddle.Object
-	contracts map[stoatpaddle.CustomerID]validContract
-	loggedConflicts map[stoatpaddle.CustomerID]stoatpaddle.Version // reported as not served
-	instances map[stoatpaddle.InstanceID]stoatpaddle.Instance
-	peers     map[stoatpaddle.InstanceID]*peer
-	partitioned       map[stoatpaddle.DataCentreID]bool
-	evacuated map[stoatpaddle.DataCentreID]bool
-	requestedUntil    map[stoatpaddle.Ref]time.Time
-	hashKey      *stoatpacket.Seed
-	view      *stoatview.View
-	platform  platformState
-	stop      stopState
-	lastTick    time.Time
-	lastHeartbeat      time.Time
-	lastSeedDial    time.Time // when the seeds were last dialled
-	dirty     bool
-	effects   []Effect
+	cfg             Config
+	rnd             *rand.Rand
+	objects         map[stoatpaddle.Ref]stoatpaddle.Object
+	contracts       map[stoatpaddle.CustomerID]validContract
+	loggedConflicts map[stoatpaddle.CustomerID]stoatpaddle.Version // version of which a conflict was logged
+	instances       map[stoatpaddle.InstanceID]stoatpaddle.Instance
+	peers           map[stoatpaddle.InstanceID]*peer
+	partitioned     map[stoatpaddle.DataCentreID]bool // all known entries there are dead
+	evacuated       map[stoatpaddle.DataCentreID]bool
+	requestedUntil  map[stoatpaddle.Ref]time.Time // until when no other peer is asked for the object
+	hashKey         *stoatpacket.Seed
+	view            *stoatview.View
+	platform        platformState
+	stop            stopState
+	lastTick        time.Time
+	lastHeartbeat   time.Time
+	lastSeedDial    time.Time // when Config.Seeds were last dialled
+	dirty           bool      // the view is outdated
+	effects         []Effect
 }
 
-// validContract is the last good version of a contract; a newer object may be unusable.
+// validContract is the last valid version of a contract; a newer object may be invalid.
 type validContract struct {
 	contract stoatpaddle.Contract
 	version  stoatpaddle.Version
 }
 
-// peer is what is known of another entry's process.
+// peer is what is known of the process of another entry.
 type peer struct {
-	connected bool
-	disconnectedSince     time.Time // since when there is no connection
-	lastHeard     time.Time
-	dead      bool
-	lastDial   time.Time
-	digestDiffersSince   time.Time // since when its digest differs; zero if it does not
-	lastOffer   time.Time // when it was last told everything held here
+	connected          bool
+	disconnectedSince  time.Time // if not connected
+	lastHeard          time.Time
+	dead               bool
+	lastDial           time.Time
+	digestDiffersSince time.Time // zero if its digest equals the local one
+	lastOffer          time.Time // when it was last offered all objects
 }
 
-// New returns a Node.
+// New returns the Node of an entry in the state joining.
 func New(cfg Config) *Node {
 	cfg.Self.State = stoatpaddle.StateJoining
 	if cfg.Dead == 0 {
 		cfg.Dead = DefaultDead
 	}
 	n := &Node{
-		cfg:       cfg,
-		rnd:       rand.New(rand.NewPCG(cfg.Random, 1)),
-		objects:   map[stoatpaddle.Ref]stoatpaddle.Object{},
-		contracts: map[stoatpaddle.CustomerID]validContract{},
+		cfg:             cfg,
+		rnd:             rand.New(rand.NewPCG(cfg.Random, 1)),
+		objects:         map[stoatpaddle.Ref]stoatpaddle.Object{},
+		contracts:       map[stoatpaddle.CustomerID]validContract{},
 		loggedConflicts: map[stoatpaddle.CustomerID]stoatpaddle.Version{},
-		instances: map[stoatpaddle.InstanceID]stoatpaddle.Instance{cfg.Self.ID: cfg.Self},
-		peers:     map[stoatpaddle.InstanceID]*peer{},
-		partitioned:       map[stoatpaddle.DataCentreID]bool{},
-		evacuated: map[stoatpaddle.DataCentreID]bool{},
-		requestedUntil:    map[stoatpaddle.Ref]time.Time{},
+		instances:       map[stoatpaddle.InstanceID]stoatpaddle.Instance{cfg.Self.ID: cfg.Self},
+		peers:           map[stoatpaddle.InstanceID]*peer{},
+		partitioned:     map[stoatpaddle.DataCentreID]bool{},
+		evacuated:       map[stoatpaddle.DataCentreID]bool{},
+		requestedUntil:  map[stoatpaddle.Ref]time.Time{},
 	}
 	return n
 }
 
-// Step takes one event at a time that never goes back and returns what to do.
+// Step processes one event and returns the effects to perform. The time must not decrease between calls.
 func (n *Node) Step(now time.Time, ev Event) []Effect {
 	n.effects = nil
 	switch ev := ev.(type) {
@@ -154,14 +154,14 @@
 	n.stopDeadline(now)
 }
 
-// publish builds a view if something changed and the entry can serve.
+// publish emits a new view if something changed and the entry has what it needs to serve.
 func (n *Node) publish(now time.Time) {
 	if !n.dirty || n.hashKey == nil || !n.platform.configComplete {
 		return
 	}
 	first := n.view == nil
 	if first && !n.stop.requested {
-		// Only now can records of flows be taken in; before, peers must not send any.
+		// Without a view the entry cannot store flow records, so peers must not send any until now.
 		n.setState(stoatpaddle.StateLive)
 	}
 	n.dirty = false
@@ -172,7 +172,7 @@
 	}
 }
 
-// setState changes this entry's own state and tells everybody.
+// setState changes this entry's own state and announces it on the platform and to peers.
 func (n *Node) setState(s stoatpaddle.State) {
 	n.cfg.Self.State = s
 	n.instances[n.cfg.Self.ID] = n.cfg.Self
@@ -204,5 +204,5 @@
 	return in
 }
 
-// View returns the view in force, or nil before the first.
+// View returns the current view, or nil before the first one.
 func (n *Node) View() *stoatview.View { return n.view }
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -19,21 +19,22 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// SeedRef names the object that holds the cluster's hash key.
+// SeedRef is the reference of the object that contains the hash key of the cluster.
 var SeedRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
 
 const hashKeySize = 16
 
-// adopt takes an object in unless a version as new was seen before, whoever offers it:
-// a lagging replica, a peer that was cut off for long and a restored platform all offer
-// old versions, and one adopted would revert what was accepted.
+// adopt stores and applies an object unless the same or a newer version was seen before, whatever its source.
+// A lagging replica, a peer after a long partition and a restored platform all offer old versions, and
+// adopting one would revert accepted changes.
 func (n *Node) adopt(now time.Time, o stoatpaddle.Object, from stoatpaddle.InstanceID) {
 	held := n.objects[o.Ref]
 	if o.Version <= held.Version {
 		return
 	}
 	if stoatplatform.Follows(held, o) {
-		// The platform was restored, and has what was amended since at a version that is given out anew.
+		// The platform was restored: its copy is an ancestor of the held object, under a version number of
+		// the new era.
 		n.rewrite(held, o.Version)
 		return
 	}
@@ -43,8 +44,8 @@
 	n.announce(o, from)
 }
 
-// rewriteLost writes again what a complete list lacks that was known before the platform was restored.
-// In one era an object can only be missing since somebody took it out by hand.
+// rewriteLost rewrites the objects of an earlier era that a complete list lacks: the restored platform lost
+// them. An object of the same era can only be missing because somebody deleted it by hand.
 func (n *Node) rewriteLost(l stoatpaddle.Listing) {
 	listed := map[stoatpaddle.Ref]bool{}
 	for i := range l.Objects {
@@ -57,8 +58,8 @@
 	}
 }
 
-// rewrite writes an object again on top of that version: what was accepted never reverts. Those that
-// watch for the others do so, and the platform takes the first.
+// rewrite writes an object again on top of the version base, so that accepted changes are not reverted. All
+// entries that watch the platform do this, and the platform accepts the first write.
 func (n *Node) rewrite(held stoatpaddle.Object, base stoatpaddle.Version) {
 	if !n.isWatcher() {
 		return
@@ -86,7 +87,8 @@
 	}
 }
 
-// applyEvacuation follows what operators want of a data centre; its object's name says all.
+// applyEvacuation starts or ends the evacuation of the data centre that the object is named after. The value
+// of the object is not used.
 func (n *Node) applyEvacuation(o stoatpaddle.Object) {
 	dc := stoatpaddle.DataCentreID(o.Ref.Name)
 	entry := EventEvacuated
@@ -100,8 +102,8 @@
 	n.log(entry, stoatevent.F("centre", string(dc)), stoatevent.F("version", o.Version.String()))
 }
 
-// markEvacuated has the upstreams of evacuated data centres take no new work, also where nothing else is
-// left; what is open there goes on.
+// markEvacuated marks the upstreams in evacuated data centres as leaving, so that they get no new flows or
+// calls, even if no other upstreams are left. Open flows continue.
 func (n *Node) markEvacuated(in *stoatview.Input) {
 	for i := range in.Contracts {
 		for _, svc := range in.Contracts[i].Services {
@@ -154,7 +156,7 @@
 	return b
 }
 
-// servable returns the contracts that do not claim what an earlier one has.
+// servable returns the contracts that do not conflict with one that was written earlier.
 func (n *Node) servable() []stoatpaddle.Contract {
 	ids := make([]stoatpaddle.CustomerID, 0, len(n.contracts))
 	for id := range n.contracts {
@@ -176,7 +178,7 @@
 	return out
 }
 
-// logConflict reports a contract that is not served, once for each of its versions.
+// logConflict logs that a contract is not served, once for each of its versions.
 func (n *Node) logConflict(id stoatpaddle.CustomerID, fault *stoatpaddle.Fault) {
 	version := n.contracts[id].version
 	if n.loggedConflicts[id] == version {
@@ -186,7 +188,7 @@
 	n.log(EventObjectConflict, stoatevent.F("customer", string(id)), stoatevent.F("fault", fault.Error()))
 }
 
-// digest sums up what is held, independent of the order in which it came.
+// digest returns a digest of the versions of all objects, independent of the order of their arrival.
 func (n *Node) digest() stoatmessage.Digest {
 	var d stoatmessage.Digest
 	for ref, o := range n.objects {
--- a/stoatnode/platform.go
+++ b/stoatnode/platform.go
@@ -10,13 +10,13 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatplatform"
 )
 
-// platformState is what is known of the platformState.
+// platformState is the state of the communication with the platform.
 type platformState struct {
-	configComplete    bool // the configuration is complete, from the platform or from a peer
-	readPending     bool // a list or watch is under way
-	failures int
-	revision stoatpaddle.Version
-	relist   bool
+	configComplete bool // all objects are known, from the platform or from a peer
+	readPending    bool // a list or watch is in progress or scheduled
+	failures       int
+	revision       stoatpaddle.Version
+	relist         bool
 }
 
 func (n *Node) listed(now time.Time, l stoatpaddle.Listing) {
@@ -60,7 +60,7 @@
 func (n *Node) platformFailed(ev PlatformFailed) {
 	n.platform.readPending = false
 	if ev.Forgotten && !n.platform.relist {
-		// It answers; a watch from there would be refused for ever.
+		// The platform is available, but it would reject every watch from this revision.
 		n.platform.relist = true
 		n.readPlatform(ev.After)
 		return
@@ -73,7 +73,7 @@
 	n.readPlatform(after)
 }
 
-// poll begins a watch unless one is under way or other entries watch for this one.
+// poll starts a read of the platform unless one is pending or other entries watch on behalf of this one.
 func (n *Node) poll() {
 	if !n.platform.readPending && n.isWatcher() {
 		n.readPlatform(0)
@@ -89,12 +89,12 @@
 	n.emit(Watch{From: n.platform.revision, After: after})
 }
 
-// watchKey places the watchers; any constant would do.
+// watchKey selects the watching entries by hashing; any constant would do.
 var watchKey = stoatpaddle.FlowHash(xxhash.Sum64String("watch"))
 
-// isWatcher tells whether this entry isWatcher the platform: two in each data centre do, the
-// others hear of changes from them, so that the platform's calls do not grow with the
-// fleet. An entry that no peer is connected to has to watch by itself.
+// isWatcher reports whether this entry watches the platform. Two entries in each data centre do and tell the
+// others of changes, so that the calls to the platform do not grow with the number of entries. An entry
+// without a connected live peer watches by itself.
 func (n *Node) isWatcher() bool {
 	if n.view == nil || !n.hasLivePeer() {
 		return true
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -14,8 +14,9 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// A golden session is a text file: a line "@TIME event words" for each event, and below
-// it a line "  > effect" for each effect. STOATPADDLE_UPDATE=1 writes the effects anew.
+// TestSessions replays the golden sessions under testdata. A session is a text file with a line
+// "@TIME event words" for each event, each followed by a line "  > effect" for each effect.
+// STOATPADDLE_UPDATE=1 rewrites the lines of the effects.
 func TestSessions(t *testing.T) { stoatgolden.Run(t, replay) }
 
 var epoch = time.Unix(0, 0)
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// readVersion reads a revision, or an era and a revision as in 2/20.
+// readVersion parses a revision, or an era and a revision as in 2/20.
 func readVersion(t *testing.T, text string) stoatpaddle.Version {
 	var p stoatpaddle.Position
 	era, revision, ok := strings.Cut(text, "/")
@@ -109,8 +110,8 @@
 	return p.Version()
 }
 
-// readObjects reads words such as seed@1, contract/sawt@5, instance/b1@3=live, and contract/sawt@2/9~b,a,
-// which b wrote on top of a's in era 2.
+// readObjects parses words such as seed@1, contract/sawt@5, instance/b1@3=live and contract/sawt@2/9~b,a,
+// which is at revision 9 of era 2 and was written with token b on top of token a.
 func readObjects(t *testing.T, words []string) []stoatpaddle.Object {
 	var out []stoatpaddle.Object
 	for _, w := range words {
@@ -133,7 +134,7 @@
 	return out
 }
 
-// testContract returns a contract of two upstreams; its limit on flows is its version.
+// testContract returns a contract with two upstreams, whose limit of flows is the version.
 func testContract(t *testing.T, customer string, version int, value string) []byte {
 	if value == "broken" {
 		return []byte(`{"customer": 7}`)
@@ -177,7 +178,7 @@
 	return data
 }
 
-// writeEffects prints effects; heartbeats and dials come at every turn and are left out.
+// writeEffects writes a line for each effect. It omits heartbeats, dials, resynchronizations and flow records.
 func writeEffects(out *strings.Builder, now time.Duration, effects []Effect) {
 	for _, e := range effects {
 		if text := describe(e); text != "" {
--- a/stoatnode/status.go
+++ b/stoatnode/status.go
@@ -9,7 +9,7 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Standing is how one instance looks from here.
+// Standing is the state of one instance as this entry sees it.
 type Standing struct {
 	ID         stoatpaddle.InstanceID
 	Role       stoatpaddle.Role
@@ -20,26 +20,26 @@
 	Connected  bool
 }
 
-// InForce is the version of one contract.
+// InForce is the version in force of one contract.
 type InForce struct {
 	Customer stoatpaddle.CustomerID
 	Version  stoatpaddle.Version
 }
 
-// Status is what is in force on one entry.
+// Status is the control state of one entry.
 type Status struct {
 	Self      stoatpaddle.InstanceID
 	Ready     bool
 	Leaving   bool
-	Platform  bool // the platform answered last
-	Watching  bool
+	Platform  bool // the latest list or watch succeeded
+	Watching  bool // this entry watches the platform itself
 	Contracts []InForce
 	Instances []Standing
-	Upstreams []stoatpaddle.Upstream // that the contracts declare
+	Upstreams []stoatpaddle.Upstream // of all contracts
 	Evacuated []stoatpaddle.DataCentreID
 }
 
-// Status returns what is in force.
+// Status returns the current control state.
 func (n *Node) Status() Status {
 	s := Status{
 		Self:     n.cfg.Self.ID,
--- a/stoatnode/stop.go
+++ b/stoatnode/stop.go
@@ -7,15 +7,15 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatevent"
 )
 
-// stopState is the progress of this entry's planned stopState.
+// stopState is the progress of the planned stop of this entry.
 type stopState struct {
 	requested bool
 	startedAt time.Time
-	openCalls int // still open when last told
-	done  bool
+	openCalls int // as last reported
+	done      bool
 }
 
-// beginStop tells everybody that this entry leaves, and hands over.
+// beginStop announces that this entry is leaving and starts the handover.
 func (n *Node) beginStop(now time.Time) {
 	if n.stop.requested {
 		return
@@ -27,7 +27,7 @@
 	n.emit(HandOver{})
 }
 
-// handedOver ends the process once nothing is left and the fabric had time to stop sending.
+// handedOver ends the process when no calls are open and the fabric had time to stop sending packets.
 func (n *Node) handedOver(now time.Time, ev Handed) {
 	n.stop.openCalls = ev.CallsOpen
 	if ev.CallsOpen == 0 && now.Sub(n.stop.startedAt) >= fabricLag {
