--- a/stoatnode/gossip.go
+++ b/stoatnode/gossip.go
@@ -62,7 +62,7 @@
 
 func (n *Node) connected(now time.Time, ev Connected) {
 	i := ev.Hello.Instance
-	n.merge(now, i)
+	n.mergeInstance(now, i)
 	p := n.peers[i.ID]
 	if p == nil {
 		p = &peer{disconnectedSince: now}
@@ -111,7 +111,7 @@
 func (n *Node) mergeMembers(now time.Time, m *stoatmessage.Members) {
 	for _, i := range m.Instances {
 		if i.ID != n.cfg.Self.ID && i.Role == stoatpaddle.RoleEntry {
-			n.merge(now, i)
+			n.mergeInstance(now, i)
 		}
 	}
 }
--- a/stoatnode/members.go
+++ b/stoatnode/members.go
@@ -23,7 +23,7 @@
 		n.applySelf(now, i)
 		return
 	}
-	n.merge(now, i)
+	n.mergeInstance(now, i)
 }
 
 // applySelf begins the planned stop if an operator marked this incarnation of the entry as leaving.
@@ -49,9 +49,9 @@
 	n.dirty = true
 }
 
-// merge applies the state of an instance that the platform or a peer reported. A report of a lower
+// mergeInstance applies the state of an instance that the platform or a peer reported. A report of a lower
 // incarnation is ignored: it says nothing about the present process under this ID.
-func (n *Node) merge(now time.Time, i stoatpaddle.Instance) {
+func (n *Node) mergeInstance(now time.Time, i stoatpaddle.Instance) {
 	old, known := n.instances[i.ID]
 	if known && i.Incarnation < old.Incarnation {
 		return
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -165,7 +165,7 @@
 		n.setState(stoatpaddle.StateLive)
 	}
 	n.dirty = false
-	n.view = stoatview.Next(n.view, now, n.input())
+	n.view = stoatview.Next(n.view, now, n.viewInput())
 	n.emit(Publish{View: n.view})
 	if first {
 		n.log(EventReady, stoatevent.F("contracts", itoa(len(n.contracts))))
@@ -181,7 +181,7 @@
 	n.sendHeartbeats()
 }
 
-func (n *Node) input() stoatview.Input {
+func (n *Node) viewInput() stoatview.Input {
 	in := stoatview.Input{
 		Self:        n.cfg.Self.ID,
 		Seed:        *n.hashKey,
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -91,15 +91,15 @@
 // of the object is not used.
 func (n *Node) applyEvacuation(o stoatpaddle.Object) {
 	dc := stoatpaddle.DataCentreID(o.Ref.Name)
-	entry := EventEvacuated
+	event := EventEvacuated
 	if o.Gone {
-		entry = EventTakenBack
+		event = EventTakenBack
 		delete(n.evacuated, dc)
 	} else {
 		n.evacuated[dc] = true
 	}
 	n.dirty = true
-	n.log(entry, stoatevent.F("centre", string(dc)), stoatevent.F("version", o.Version.String()))
+	n.log(event, stoatevent.F("centre", string(dc)), stoatevent.F("version", o.Version.String()))
 }
 
 // markEvacuated marks the upstreams in evacuated data centres as leaving, so that they get no new flows or
--- a/stoatnode/platform.go
+++ b/stoatnode/platform.go
@@ -14,9 +14,9 @@
 type platformState struct {
 	configComplete bool // all objects are known, from the platform or from a peer
 	readPending    bool // a list or watch is in progress or scheduled
-	failures       int
+	failures       int  // consecutive ones
 	revision       stoatpaddle.Version
-	relist         bool
+	relist         bool // the next read must be a list
 }
 
 func (n *Node) listed(now time.Time, l stoatpaddle.Listing) {
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -21,14 +21,14 @@
 
 var epoch = time.Unix(0, 0)
 
-func testInstance(id string, state stoatpaddle.State, life int) stoatpaddle.Instance {
+func testInstance(id string, state stoatpaddle.State, incarnation int) stoatpaddle.Instance {
 	port := uint16(1000 + 10*int(id[len(id)-1]-'0') + int(id[0]))
 	addr := func(n uint16) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port+n)
 	}
 	return stoatpaddle.Instance{
 		ID: stoatpaddle.InstanceID(id), Role: stoatpaddle.RoleEntry, DataCentre: stoatpaddle.DataCentreID(id[:1]),
-		State: state, Incarnation: stoatpaddle.Incarnation(life), Relay: addr(1), Peer: addr(2), Admin: addr(3),
+		State: state, Incarnation: stoatpaddle.Incarnation(incarnation), Relay: addr(1), Peer: addr(2), Admin: addr(3),
 	}
 }
 
