--- a/stoatplatform/client.go
+++ b/stoatplatform/client.go
@@ -40,11 +40,11 @@
 
 // Get implements stoatpaddle.Platform.
 func (c *Client) Get(ctx context.Context, ref stoatpaddle.Ref) (stoatpaddle.Object, error) {
-	res, err := c.call(ctx, http.MethodGet, target(ref), nil)
+	res, err := c.call(ctx, http.MethodGet, objectPath(ref), nil)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
-	o, err := readObject(ref, res)
+	o, err := decodeResponse(ref, res)
 	if err == nil && o.Gone {
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
 	}
@@ -111,12 +111,12 @@
 	return l, nil
 }
 
-func (c *Client) read(ctx context.Context, bound time.Duration, q platform.Query) (platform.Answer, error) {
-	ctx, cancel := context.WithTimeout(ctx, bound)
+func (c *Client) read(ctx context.Context, timeout time.Duration, q platform.Query) (platform.Answer, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	a, err := c.store.Read(ctx, q)
 	if err == nil {
-		c.noteEra(a.Era)
+		c.recordEra(a.Era)
 	}
 	return a, err
 }
@@ -125,7 +125,7 @@
 	return stoatpaddle.Position{Era: stoatpaddle.Era(a.Era), Revision: stoatpaddle.Version(a.AsOf)}.Version()
 }
 
-func (c *Client) noteEra(era uint64) {
+func (c *Client) recordEra(era uint64) {
 	for {
 		known := c.era.Load()
 		if era <= known || c.era.CompareAndSwap(known, era) {
@@ -139,13 +139,14 @@
 	if o.Version > 0 {
 		return c.write(ctx, http.MethodPut, o)
 	}
-	made, err := c.write(ctx, http.MethodPost, o)
-	standing, conflicts := conflictOf(err)
-	if conflicts && standing.Gone {
-		o.Version = standing.Version
+	written, err := c.write(ctx, http.MethodPost, o)
+	current, isConflict := conflictOf(err)
+	// The tombstone of a deleted object prevents a creation, so the object is written on top of it.
+	if isConflict && current.Gone {
+		o.Version = current.Version
 		return c.write(ctx, http.MethodPut, o)
 	}
-	return made, err
+	return written, err
 }
 
 // Delete implements stoatpaddle.Platform by writing a tombstone.
@@ -154,7 +155,8 @@
 	return c.write(ctx, http.MethodPut, o)
 }
 
-// write sends one write. It returns *stoatpaddle.ConflictError if the object has another version by now.
+// write sends one write. It returns *stoatpaddle.ConflictError if the current version of the object is not
+// o.Version.
 func (c *Client) write(ctx context.Context, method string, o stoatpaddle.Object) (stoatpaddle.Object, error) {
 	p, err := ToObject(o)
 	if err != nil {
@@ -164,24 +166,24 @@
 	if err != nil {
 		return stoatpaddle.Object{}, &stoatpaddle.DecodeError{What: o.Ref.String(), Cause: err}
 	}
-	to := Kind
+	path := Kind
 	if method == http.MethodPut {
-		to = target(o.Ref)
+		path = objectPath(o.Ref)
 		if era := c.era.Load(); o.Version > 0 && uint64(o.Version.Position().Era) < era {
 			// A restored platform may have assigned this revision again, to the write of another client.
 			// The condition would hold, and that write would be lost.
-			return c.conflict(ctx, o)
+			return c.conflictError(ctx, o)
 		}
 	}
-	res, err := c.call(ctx, method, to, data)
+	res, err := c.call(ctx, method, path, data)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
-	return readObject(o.Ref, res)
+	return decodeResponse(o.Ref, res)
 }
 
-// conflict returns *stoatpaddle.ConflictError with the current object.
-func (c *Client) conflict(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
+// conflictError returns *stoatpaddle.ConflictError with the current object.
+func (c *Client) conflictError(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
 	current, err := c.Get(ctx, o.Ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -195,15 +197,15 @@
 	defer cancel()
 	res, err := c.store.Call(ctx, method, to, body)
 	if err == nil {
-		c.noteEra(res.Era)
+		c.recordEra(res.Era)
 	}
 	return res, err
 }
 
-func target(ref stoatpaddle.Ref) string { return Kind + "/" + nameOf(ref) }
+func objectPath(ref stoatpaddle.Ref) string { return Kind + "/" + objectName(ref) }
 
-// readObject decodes the response to a call for one object.
-func readObject(ref stoatpaddle.Ref, res platform.Response) (stoatpaddle.Object, error) {
+// decodeResponse decodes the response to a call for one object.
+func decodeResponse(ref stoatpaddle.Ref, res platform.Response) (stoatpaddle.Object, error) {
 	switch res.Status {
 	case http.StatusNotFound:
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
--- a/stoatplatform/retry.go
+++ b/stoatplatform/retry.go
@@ -13,48 +13,48 @@
 
 // The bounds of the backoff: its ceiling starts at backoffBase and doubles up to backoffMax.
 const (
-	backoffLeast = 100 * time.Millisecond
-	backoffMost  = 30 * time.Second
+	backoffBase = 100 * time.Millisecond
+	backoffMax  = 30 * time.Second
 )
 
 // Backoff returns a random delay before attempt n, counted from 0, with full jitter. Without the jitter, all
 // entries would retry at the same moment when the platform recovers from an outage.
 func Backoff(rnd *rand.Rand, n int) time.Duration {
-	ceiling := backoffMost
+	ceiling := backoffMax
 	if n < 16 {
-		ceiling = min(backoffMost, backoffLeast<<n)
+		ceiling = min(backoffMax, backoffBase<<n)
 	}
 	return time.Duration(rnd.Int64N(int64(ceiling)) + 1)
 }
 
-// trailLength is the largest number of writes that a token names, including its own.
-const trailLength = 8
+// maxNamedWrites is the largest number of writes that a token names, including its own.
+const maxNamedWrites = 8
 
 // Trail returns the token of a write on top of the one with token prev. The token names the last few writes,
 // so that a writer that got no response recognizes its own write even after later ones.
 func Trail(own, prev stoatpaddle.Token) stoatpaddle.Token {
-	parts := strings.Split(string(prev), trailMark)
-	if len(parts) >= trailLength {
-		parts = parts[:trailLength-1]
+	parts := strings.Split(string(prev), tokenSeparator)
+	if len(parts) >= maxNamedWrites {
+		parts = parts[:maxNamedWrites-1]
 	}
-	return stoatpaddle.Token(strings.TrimSuffix(string(own)+trailMark+strings.Join(parts, trailMark), trailMark))
+	return stoatpaddle.Token(strings.TrimSuffix(string(own)+tokenSeparator+strings.Join(parts, tokenSeparator), tokenSeparator))
 }
 
-// trailMark separates the writes that a token names.
-const trailMark = ","
+// tokenSeparator separates the writes that a token names.
+const tokenSeparator = ","
 
 // Wrote reports whether the write with token own made the object or one of its earlier versions that the
 // object's token names.
 func Wrote(o stoatpaddle.Object, own stoatpaddle.Token) bool {
-	return slices.Contains(strings.Split(string(o.Token), trailMark), string(own))
+	return slices.Contains(strings.Split(string(o.Token), tokenSeparator), string(own))
 }
 
 // Follows reports whether o was written on top of other or of a descendant of other: the last write of other
 // is among the earlier writes that the token of o names.
 func Follows(o, other stoatpaddle.Object) bool {
-	last, _, _ := strings.Cut(string(other.Token), trailMark)
-	_, earlier, _ := strings.Cut(string(o.Token), trailMark)
-	return last != "" && slices.Contains(strings.Split(earlier, trailMark), last)
+	last, _, _ := strings.Cut(string(other.Token), tokenSeparator)
+	_, earlier, _ := strings.Cut(string(o.Token), tokenSeparator)
+	return last != "" && slices.Contains(strings.Split(earlier, tokenSeparator), last)
 }
 
 // UnknownError reports a write of which it is unknown whether it took effect. Repeating the write with the
@@ -79,23 +79,23 @@
 	Tries    int // default 4
 }
 
-const defaultTries = 4
+const defaultMaxAttempts = 4
 
 // Put writes o on top of the version that o names, or deletes it if o.Gone is set. If a retry conflicts with
 // a version that the token own is part of, the earlier attempt took effect. So nothing is applied twice, and
 // no write that took effect is reported as rejected. Its errors are *stoatpaddle.ConflictError and
 // *UnknownOutcomeError.
 func (w *Writer) Put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
-	tries := w.Tries
-	if tries == 0 {
-		tries = defaultTries
+	maxAttempts := w.Tries
+	if maxAttempts == 0 {
+		maxAttempts = defaultMaxAttempts
 	}
 	var cause error
-	for n := range tries {
+	for n := range maxAttempts {
 		if n > 0 && !Pause(ctx, Backoff(w.Rand, n)) {
 			break
 		}
-		done, err := w.once(ctx, o, own)
+		done, err := w.writeOnce(ctx, o, own)
 		var conflict *stoatpaddle.ConflictError
 		if err == nil || errors.As(err, &conflict) {
 			return done, err
@@ -105,7 +105,7 @@
 	return stoatpaddle.Object{}, &UnknownError{Token: own, Cause: cause}
 }
 
-func (w *Writer) once(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (w *Writer) writeOnce(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
 	done, err := w.send(ctx, o)
 	var conflict *stoatpaddle.ConflictError
 	if errors.As(err, &conflict) && Wrote(conflict.Current, own) {
--- a/stoatplatform/wire.go
+++ b/stoatplatform/wire.go
@@ -12,8 +12,8 @@
 // one watch return all of them at one revision.
 const Kind = "stoatpaddle"
 
-// nameMark separates the kind and the name in the platform's name of an object.
-const nameMark = "."
+// nameSeparator separates the kind and the name in the platform's name of an object.
+const nameSeparator = "."
 
 // spec is the content of an object on the platform. A deleted object stays as a tombstone, so that a list
 // after an outage shows that the object is gone, and at which version it was deleted.
@@ -23,7 +23,7 @@
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-func nameOf(ref stoatpaddle.Ref) string { return string(ref.Kind) + nameMark + ref.Name }
+func objectName(ref stoatpaddle.Ref) string { return string(ref.Kind) + nameSeparator + ref.Name }
 
 // ToObject converts an object to one of the platform.
 func ToObject(o stoatpaddle.Object) (platform.Object, error) {
@@ -35,13 +35,13 @@
 	if err != nil {
 		return platform.Object{}, &stoatpaddle.DecodeError{What: o.Ref.String(), Cause: err}
 	}
-	meta := platform.Meta{Name: nameOf(o.Ref), Revision: uint64(o.Version.Position().Revision), Finalizers: []string{}}
+	meta := platform.Meta{Name: objectName(o.Ref), Revision: uint64(o.Version.Position().Revision), Finalizers: []string{}}
 	return platform.Object{Meta: meta, Spec: data}, nil
 }
 
 // FromObject converts an object of the platform, read in that era, or returns *stoatpaddle.DecodeError.
 func FromObject(p platform.Object, era uint64) (stoatpaddle.Object, error) {
-	kind, name, ok := strings.Cut(p.Meta.Name, nameMark)
+	kind, name, ok := strings.Cut(p.Meta.Name, nameSeparator)
 	var s spec
 	if err := json.Unmarshal(p.Spec, &s); err != nil || !ok {
 		return stoatpaddle.Object{}, &stoatpaddle.DecodeError{What: "object " + p.Meta.Name, Cause: err}
