--- a/stoatnode/effect.go
+++ b/stoatnode/effect.go
@@ -71,7 +71,7 @@
 }
 
 // HandOver starts to hand over flows and to refuse new calls. When the flows are handed over,
-// FlowsHandedOver events follow until no call is open.
+// FlowsHandedOver events report the number of open calls.
 type HandOver struct{}
 
 // Exit ends the process.
--- a/stoatnode/event.go
+++ b/stoatnode/event.go
@@ -49,7 +49,7 @@
 // StopAsked requests the planned stop.
 type StopAsked struct{}
 
-// Handed reports that the flow engine has nothing left to hand over, and how many calls are still open.
+// Handed reports that the flow engine has nothing left to hand over, and the number of open calls.
 type Handed struct{ CallsOpen int }
 
 func (Started) isEvent()        {}
--- a/stoatplatform/retry.go
+++ b/stoatplatform/retry.go
@@ -30,8 +30,8 @@
 // maxNamedWrites is the largest number of writes that a token names, including its own.
 const maxNamedWrites = 8
 
-// Trail returns the token of a write on top of the one with token prev. The token names the last few writes,
-// so that a writer that got no response recognizes its own write even after later ones.
+// Trail returns the token of a write on top of the one with token prev. The token names the last few
+// writes, so that a writer that got no response recognizes its own write even after later ones.
 func Trail(own, prev stoatpaddle.Token) stoatpaddle.Token {
 	parts := strings.Split(string(prev), tokenSeparator)
 	if len(parts) >= maxNamedWrites {
@@ -49,16 +49,16 @@
 	return slices.Contains(strings.Split(string(o.Token), tokenSeparator), string(own))
 }
 
-// Follows reports whether o was written on top of other or of a descendant of other: the last write of other
-// is among the earlier writes that the token of o names.
+// Follows reports whether o was written on top of other or of a descendant of other: the last write of
+// other is among the earlier writes that the token of o names.
 func Follows(o, other stoatpaddle.Object) bool {
 	last, _, _ := strings.Cut(string(other.Token), tokenSeparator)
 	_, earlier, _ := strings.Cut(string(o.Token), tokenSeparator)
 	return last != "" && slices.Contains(strings.Split(earlier, tokenSeparator), last)
 }
 
-// UnknownError reports a write of which it is unknown whether it took effect. Repeating the write with the
-// same token is safe.
+// UnknownError reports a write of which it is unknown whether it took effect. Repeating the write with
+// the same token is safe.
 type UnknownError struct {
 	Token stoatpaddle.Token
 	Cause error
--- a/stoatstatus/status.go
+++ b/stoatstatus/status.go
@@ -9,10 +9,10 @@
 // Report counts the outcomes of flows and calls on one entry since it started.
 type Report struct {
 	Instance string `json:"instance"`
-	Opened   int64  `json:"opened"`   // flows
+	Opened   int64  `json:"opened"`
 	Reset    int64  `json:"reset"`    // flows that could not continue
 	Limited  int64  `json:"limited"`  // flows rejected at their opening
-	Answered int64  `json:"answered"` // calls
+	Answered int64  `json:"answered"`
 	Refused  int64  `json:"refused"`  // calls rejected without being run
 	Unknown  int64  `json:"unknown"`  // calls that may have run
 	Cut      int64  `json:"cut"`      // calls whose answer was truncated and aborted
