--- a/stoatstatus/status.go
+++ b/stoatstatus/status.go
@@ -10,12 +10,12 @@
 type Report struct {
 	Instance string `json:"instance"`
 	Opened   int64  `json:"opened"`
-	Reset    int64  `json:"reset"`    // flows that could not continue
-	Limited  int64  `json:"limited"`  // flows rejected at their opening
+	Reset    int64  `json:"reset"`   // flows that could not continue
+	Limited  int64  `json:"limited"` // flows rejected at their opening
 	Answered int64  `json:"answered"`
-	Refused  int64  `json:"refused"`  // calls rejected without being run
-	Unknown  int64  `json:"unknown"`  // calls that may have run
-	Cut      int64  `json:"cut"`      // calls whose answer was truncated and aborted
+	Refused  int64  `json:"refused"` // calls rejected without being run
+	Unknown  int64  `json:"unknown"` // calls that may have run
+	Cut      int64  `json:"cut"`     // calls whose answer was truncated and aborted
 }
 
 // Add returns the sum of the counts of two reports, without an instance.
