--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -102,7 +102,7 @@
 	for k, h := range e.health {
 		named := suspects[k]
 		r := stoatoutlier.Report{Key: k, Counts: h.window.sum(now), Silence: h.silenceReport(now, named)}
-		if r.Failed > 0 || r.Entries > 0 || named && (r.Answered > 0 || !r.Heard.IsZero()) {
+		if r.Failed > 0 || r.WaitingEntries > 0 || named && (r.Answered > 0 || !r.LastHeard.IsZero()) {
 			out = append(out, r)
 		}
 	}
@@ -201,7 +201,7 @@
 		}
 		// Once an upstream is reported, the entries that saw no failure need a moment to report its answers. Until
 		// then it would seem to fail most requests.
-		if m.Share() < minFailureShare || now.Sub(e.dataCentreSums[m.Upstream.Key].failingSince) < sumDelay {
+		if m.FailureRatio() < minFailureShare || now.Sub(e.dataCentreSums[m.Upstream.Key].failingSince) < sumDelay {
 			continue
 		}
 		if now.Before(h.failing.until) {
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -112,10 +112,10 @@
 func (h *health) silenceReport(now time.Time, named bool) stoatoutlier.Silence {
 	var s stoatoutlier.Silence
 	if h.reportsSilence(now) {
-		s.Entries, s.First = 1, h.unansweredSince
+		s.WaitingEntries, s.FirstWaitSince = 1, h.unansweredSince
 	}
-	if (named || s.Entries > 0) && now.Sub(h.lastAlive) < aliveReportWindow {
-		s.Heard = h.lastAlive
+	if (named || s.WaitingEntries > 0) && now.Sub(h.lastAlive) < aliveReportWindow {
+		s.LastHeard = h.lastAlive
 	}
 	return s
 }
@@ -145,7 +145,7 @@
 	}
 	named := map[groupKey][]*stoatroute.Upstream{}
 	for k, s := range e.dataCentreSums {
-		if u := t.Upstream(k); s.Entries > 0 && u != nil && u.AcceptsFlows() {
+		if u := t.Upstream(k); s.WaitingEntries > 0 && u != nil && u.AcceptsFlows() {
 			key := groupKey{service: u.Service, centre: u.DataCentre}
 			named[key] = append(named[key], u)
 		}
@@ -162,22 +162,22 @@
 func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []SilentUpstream {
 	var out []SilentUpstream
 	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
-		return cmp.Or(cmp.Compare(e.dataCentreSums[b.Key].Entries, e.dataCentreSums[a.Key].Entries), cmp.Compare(a.Key, b.Key))
+		return cmp.Or(cmp.Compare(e.dataCentreSums[b.Key].WaitingEntries, e.dataCentreSums[a.Key].WaitingEntries), cmp.Compare(a.Key, b.Key))
 	})
 	quota := silentQuota{upstreams: len(t.CandidatesIn(named[0].Service, named[0].DataCentre))}
 	e.eachSeen(t, e.groupOf(named[0]), func(h *health) { quota.count(now, h) })
 	for _, u := range named {
 		h, s := e.healthOf(u), e.dataCentreSums[u.Key].Silence
 		if s.Ended() {
-			h.aliveElsewhere(s.Heard)
+			h.aliveElsewhere(s.LastHeard)
 			continue
 		}
 		// The upstream has restarted since, or this entry has had a more recent sign of life.
-		if u.RestartedAt.After(s.First) || h.lastAlive.After(s.First) {
+		if u.RestartedAt.After(s.FirstWaitSince) || h.lastAlive.After(s.FirstWaitSince) {
 			continue
 		}
 		quota.deprioritize(now, h)
-		if !h.isEjected(now) && s.Together(now) >= e.allowedSilence(now, u)+delay && quota.eject() {
+		if !h.isEjected(now) && s.SharedWait(now) >= e.allowedSilence(now, u)+delay && quota.eject() {
 			out = append(out, e.ejectJointly(now, u, h, s))
 		}
 	}
@@ -224,7 +224,7 @@
 	h.jointlyEjected = true
 	e.stats.Ejected++
 	e.stats.EjectedJointly++
-	return SilentUpstream{Upstream: u, WaitingEntries: s.Entries, Silence: s.Together(now), PendingRequests: h.pendingRequests}
+	return SilentUpstream{Upstream: u, WaitingEntries: s.WaitingEntries, Silence: s.SharedWait(now), PendingRequests: h.pendingRequests}
 }
 
 // aliveElsewhere records that another entry had a sign of life of the upstream at the given time. Evidence of this
--- a/stoatedge/run_admin.go
+++ b/stoatedge/run_admin.go
@@ -55,11 +55,11 @@
 	}
 	named := false
 	for _, seed := range set.Seeds {
-		named = named || seed == set.Admin
+		named = named || seed == set.AdminAddr
 		s.Instances = append(s.Instances, stoatstatus.Instance{Name: seed.String(), Role: "entry", Admin: seed.String()})
 	}
 	if !named {
-		s.Instances = append(s.Instances, stoatstatus.Instance{Name: s.Instance, Role: "entry", Admin: set.Admin.String()})
+		s.Instances = append(s.Instances, stoatstatus.Instance{Name: s.Instance, Role: "entry", Admin: set.AdminAddr.String()})
 	}
 	return s
 }
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -121,7 +121,7 @@
 
 func outcomeOf(err error) stoatfeed.Outcome {
 	var history *platform.HistoryError
-	var rate *stoatpaddle.RateError
+	var rate *stoatpaddle.RateLimitError
 	switch {
 	case err == nil:
 		return stoatfeed.Answered
@@ -201,6 +201,6 @@
 		c.fault, c.target = err, platform.TargetOf(o.Meta.Name)
 		return
 	}
-	r.Created = stoatpaddle.Version(o.Meta.CreateRev)
+	r.CreateRevision = stoatpaddle.Version(o.Meta.CreateRev)
 	c.registration = &r
 }
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -90,16 +90,16 @@
 	var cause error = &refusedError{reason: "nobody to ask"}
 	e.place.mu.Lock()
 	e.place.tree.SetSeeds(e.settings().Seeds)
-	e.place.tree.Begin()
+	e.place.tree.StartSearch()
 	e.place.mu.Unlock()
 	for ctx.Err() == nil {
 		e.place.mu.Lock()
-		addr, ask, ok := e.place.tree.Next()
+		addr, ask, ok := e.place.tree.NextCandidate()
 		e.place.mu.Unlock()
 		if !ok {
 			break
 		}
-		ask.Known, ask.Within = x.known, x.within
+		ask.Position, ask.MaxAge = x.known, x.within
 		accepted, err := e.hear(ctx, x.serial, addr, ask)
 		cause = err
 		if accepted {
@@ -109,7 +109,7 @@
 	if e.ctx.Err() != nil {
 		return
 	}
-	e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
+	e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
 	e.givePlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	if left := context.Cause(ctx); left != nil {
 		cause = left
@@ -119,7 +119,7 @@
 
 // hear asks one entry, and takes in what it tells until that ends; accepted tells whether
 // it told anything.
-func (e *Edge) hear(parent context.Context, serial int, addr netip.AddrPort, ask stoattree.Ask) (accepted bool, err error) {
+func (e *Edge) hear(parent context.Context, serial int, addr netip.AddrPort, ask stoattree.JoinRequest) (accepted bool, err error) {
 	ctx, cancel := context.WithCancelCause(parent)
 	defer cancel(nil)
 	watchdog := time.AfterFunc(seekTimeout, func() { cancel(&silentError{after: seekTimeout}) })
@@ -129,7 +129,7 @@
 		return false, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, N: &e.place.heard}))
+	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, Count: &e.place.heard}))
 	if res.StatusCode != http.StatusOK {
 		return false, e.refused(addr, dec)
 	}
@@ -141,7 +141,7 @@
 			}
 			return accepted, &goneError{addr: addr, cause: err}
 		}
-		silence := stoatfeed.Fraction(e.settings().Bound(), silenceShare)
+		silence := stoatfeed.Fraction(e.settings().MaxDelay(), silenceShare)
 		watchdog.Stop()
 		watchdog = time.AfterFunc(silence, func() { cancel(&silentError{after: silence}) })
 		accepted = true
@@ -151,7 +151,7 @@
 	}
 }
 
-func (e *Edge) askEntry(ctx context.Context, addr netip.AddrPort, ask stoattree.Ask) (*http.Response, error) {
+func (e *Edge) askEntry(ctx context.Context, addr netip.AddrPort, ask stoattree.JoinRequest) (*http.Response, error) {
 	url := "http://" + addr.String() + pathNews + "?" + writeAsk(ask)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -170,12 +170,12 @@
 	if err := dec.Decode(&w); err != nil {
 		return &stoatpaddle.DecodeError{What: "a refusal of " + addr.String(), Cause: err}
 	}
-	try, err := stoatrelay.ParseAddrs(w.Try)
+	try, err := stoatrelay.ParseAddrs(w.Alternatives)
 	if err != nil {
 		return err
 	}
 	e.place.mu.Lock()
-	e.place.tree.Refused(try)
+	e.place.tree.AddCandidates(try)
 	e.place.mu.Unlock()
 	return &refusedError{addr: addr, reason: w.Reason}
 }
@@ -187,27 +187,27 @@
 		return err
 	}
 	x := update{
-		serial: serial, from: addr.String(), path: m.Path, known: m.Known, era: m.Era, age: m.Age, whole: m.Whole, delta: m.Delta,
+		serial: serial, from: addr.String(), path: m.Path, known: m.Position, era: m.Era, age: m.Age, whole: m.Full, delta: m.Delta,
 		upstreams: m.Upstreams, evacuations: m.Evacuations,
 	}
-	relatives, err := stoatrelay.ParseAddrs(h.Relatives)
+	relatives, err := stoatrelay.ParseAddrs(h.Siblings)
 	if err != nil {
 		return err
 	}
 	e.place.mu.Lock()
-	e.place.tree.Learn(relatives)
-	looped := e.place.tree.Looped(x.path)
+	e.place.tree.SetSiblings(relatives)
+	looped := e.place.tree.FormsLoop(x.path)
 	e.place.mu.Unlock()
 	if looped {
 		return &refusedError{addr: addr, reason: string(stoattree.Loop)}
 	}
 	if stoatpaddle.DataCentreID(h.Centre) == e.settings().DataCentre {
 		now := clock()
-		e.pool.Follow(now, addr, stoatoutlier.Update{Whole: h.Whole, Reports: stoatoutlier.Decode(now, h.Seen)})
-		e.givePlace(addr, stoatfilter.EntryRank{Rank: h.Rank, Entries: h.Entries})
+		e.pool.HandleParentUpdate(now, addr, stoatoutlier.Update{Full: h.FullReports, Reports: stoatoutlier.Decode(now, h.Reports)})
+		e.givePlace(addr, stoatfilter.EntryRank{Rank: h.Rank, Entries: h.DataCentreEntries})
 		e.notice()
 	} else {
-		e.pool.Follow(clock(), netip.AddrPort{}, stoatoutlier.Update{})
+		e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
 		e.givePlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	}
 	e.post(x)
--- a/stoatedge/run_place.go
+++ b/stoatedge/run_place.go
@@ -25,7 +25,7 @@
 	if len(e.place.announced.Load().path) == 0 && !e.place.tree.IsSeed() {
 		return stoatfilter.EntryRank{}
 	}
-	return stoatfilter.EntryRank{Entries: e.place.tree.Size()}
+	return stoatfilter.EntryRank{Entries: e.place.tree.SubtreeSize()}
 }
 
 // findPlace returns this entry's place, and what its parent has to be told of how many are below it; an
@@ -33,7 +33,7 @@
 func (e *Edge) findPlace() (own stoatfilter.EntryRank, size int, to netip.AddrPort) {
 	e.place.mu.Lock()
 	defer e.place.mu.Unlock()
-	own, size = e.ownPlace(), e.place.tree.Size()
+	own, size = e.ownPlace(), e.place.tree.SubtreeSize()
 	if g := e.place.given.Load(); g != nil && e.place.sized.Load() != int64(size) {
 		to = g.parent
 	}
--- a/stoatedge/run_seen.go
+++ b/stoatedge/run_seen.go
@@ -43,16 +43,16 @@
 	now := clock()
 	if size, err := strconv.Atoi(r.URL.Query().Get(askSize)); err == nil {
 		e.place.mu.Lock()
-		e.place.tree.SetSize(from, size)
+		e.place.tree.SetSubtreeSize(from, size)
 		e.place.mu.Unlock()
 		e.notice()
 	}
-	u := stoatoutlier.Update{Whole: r.URL.Query().Get(askWhole) != "", Reports: stoatoutlier.Decode(now, list)}
-	if len(list) == 0 && !u.Whole {
+	u := stoatoutlier.Update{Full: r.URL.Query().Get(askWhole) != "", Reports: stoatoutlier.Decode(now, list)}
+	if len(list) == 0 && !u.Full {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if !e.pool.Take(now, from, u) {
+	if !e.pool.HandleChildUpdate(now, from, u) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -76,7 +76,7 @@
 		}
 		now := clock()
 		e.judge(now)
-		pause.Reset(pacer.Took(now))
+		pause.Reset(pacer.RecordRound(now))
 		select {
 		case <-e.ctx.Done():
 			return nil
@@ -101,8 +101,8 @@
 	e.engineMu.Lock()
 	own := e.engine.Reports(now, suspects)
 	e.engineMu.Unlock()
-	sum, report, to := e.pool.Turn(now, own, e.reporting.Load())
-	delay, steady := e.pool.Delay(), e.pool.Steady(now)
+	sum, report, to := e.pool.Aggregate(now, own, e.reporting.Load())
+	delay, steady := e.pool.PropagationDelay(), e.pool.Stable(now)
 	place, size, parent := e.findPlace()
 	e.engineMu.Lock()
 	e.engine.SetPlace(now, place)
@@ -114,12 +114,12 @@
 	}
 	e.engineMu.Unlock()
 	for _, m := range marked {
-		e.log.emit(now, EventFailing, stoatevent.F("upstream", string(m.Upstream.ID)), stoatevent.F("service", string(m.Upstream.Service)),
+		e.log.emit(now, EventUpstreamFailing, stoatevent.F("upstream", string(m.Upstream.ID)), stoatevent.F("service", string(m.Upstream.Service)),
 			stoatevent.F("answered", strconv.Itoa(m.Answered)), stoatevent.F("failed", strconv.Itoa(m.Failed)), stoatevent.F("hold", m.Backoff.String()))
 	}
 	e.logSilent(now, silent)
 	e.place.seen.Store(&sum)
-	if _, due := e.rung.Next(now, sum, stoatoutlier.SinceFirst); due {
+	if _, due := e.rung.Next(now, sum, stoatoutlier.FirstWait); due {
 		e.place.bell.ring()
 	}
 	// Counts are needed only where entries share something.
@@ -140,11 +140,11 @@
 		for _, s := range silent {
 			names = append(names, string(s.Upstream.ID))
 		}
-		e.log.emit(now, EventManySilent, stoatevent.F("count", strconv.Itoa(len(names))), stoatevent.F("names", joinNames(names)))
+		e.log.emit(now, EventUpstreamsSilent, stoatevent.F("count", strconv.Itoa(len(names))), stoatevent.F("names", joinNames(names)))
 		return
 	}
 	for _, s := range silent {
-		e.log.emit(now, EventSilent, stoatevent.F("upstream", string(s.Upstream.ID)), stoatevent.F("service", string(s.Upstream.Service)),
+		e.log.emit(now, EventUpstreamSilent, stoatevent.F("upstream", string(s.Upstream.ID)), stoatevent.F("service", string(s.Upstream.Service)),
 			stoatevent.F("entries", strconv.Itoa(s.WaitingEntries)), stoatevent.F("silence", s.Silence.Round(time.Millisecond).String()),
 			stoatevent.F("waiting", strconv.Itoa(s.PendingRequests)))
 	}
@@ -166,7 +166,7 @@
 		case x := <-e.reports:
 			e.place.sized.Store(int64(x.size))
 			if !e.sendReport(x) {
-				e.pool.Lost()
+				e.pool.ResetParentStream()
 				e.place.sized.Store(0)
 			}
 			e.reporting.Store(false)
@@ -195,8 +195,8 @@
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, seekTimeout)
 	defer cancel()
-	url := "http://" + x.to.String() + pathSeen + "?" + askFrom + "=" + e.settings().Admin.String() + "&" + askSize + "=" + strconv.Itoa(x.size)
-	if x.update.Whole {
+	url := "http://" + x.to.String() + pathSeen + "?" + askFrom + "=" + e.settings().AdminAddr.String() + "&" + askSize + "=" + strconv.Itoa(x.size)
+	if x.update.Full {
 		url += "&" + askWhole + "=1"
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
@@ -206,7 +206,7 @@
 	e.place.sent.Add(int64(len(body)))
 	res, err := reportClient.Do(req)
 	if err != nil {
-		e.log.emit(clock(), EventUnreported, stoatevent.F("parent", x.to.String()), stoatevent.F("cause", err.Error()))
+		e.log.emit(clock(), EventReportFailed, stoatevent.F("parent", x.to.String()), stoatevent.F("cause", err.Error()))
 		return false
 	}
 	_, _ = io.Copy(io.Discard, res.Body)
--- a/stoatedge/run_tell.go
+++ b/stoatedge/run_tell.go
@@ -90,7 +90,7 @@
 func (e *Edge) state() stoattree.State {
 	s := e.place.announced.Load()
 	return stoattree.State{
-		Ready: e.table.Load().Ready() && !e.stop.asked(), Known: s.known, Path: s.path, Reads: s.reads,
+		Ready: e.table.Load().Ready() && !e.stop.asked(), Position: s.known, Path: s.path, ReadsPlatform: s.reads,
 		Age: ageAt(clock(), s.asOf),
 	}
 }
@@ -118,33 +118,33 @@
 		refuseAsk(w, a)
 		return
 	}
-	e.log.emit(clock(), EventChild, stoatevent.F("child", ask.From.String()), stoatevent.F("centre", string(ask.Centre)), stoatevent.F("known", ask.Known.String()))
+	e.log.emit(clock(), EventChildAccepted, stoatevent.F("child", ask.From.String()), stoatevent.F("centre", string(ask.Centre)), stoatevent.F("known", ask.Position.String()))
 	cause := e.tellChild(w, r, ask)
 	e.place.mu.Lock()
-	e.place.tree.Part(ask.From, a.Ticket)
+	e.place.tree.RemoveChild(ask.From, a.Admission)
 	e.place.mu.Unlock()
-	e.pool.Forget(ask.From)
-	e.log.emit(clock(), EventChildGone, stoatevent.F("child", ask.From.String()), stoatevent.F("cause", cause))
+	e.pool.RemoveChild(ask.From)
+	e.log.emit(clock(), EventChildLeft, stoatevent.F("child", ask.From.String()), stoatevent.F("cause", cause))
 }
 
-func refuseAsk(w http.ResponseWriter, a stoattree.Answer) {
+func refuseAsk(w http.ResponseWriter, a stoattree.JoinResponse) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	// Whoever hung up asks another one.
-	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Try: stoatrelay.AddrTexts(a.Try)})
+	_ = stoatrelay.EncodeRefusal(w, &stoatrelay.Refusal{Reason: string(a.Refusal), Alternatives: stoatrelay.FormatAddrs(a.Alternatives)})
 }
 
 // tellChild sends messages until something ends it, and returns what did.
-func (e *Edge) tellChild(w http.ResponseWriter, r *http.Request, ask stoattree.Ask) string {
+func (e *Edge) tellChild(w http.ResponseWriter, r *http.Request, ask stoattree.JoinRequest) string {
 	rc := http.NewResponseController(w)
-	out := &stoatcount.Writer{W: w, N: &e.place.sent}
-	var child stoatrelay.Holds
-	var seen stoatoutlier.Stream
+	out := &stoatcount.Writer{W: w, Count: &e.place.sent}
+	var child stoatrelay.ChildState
+	var seen stoatoutlier.DeltaTracker
 	for {
 		next := e.place.bell.wait()
 		if e.stop.asked() {
 			return "this entry stops"
 		}
-		now, bound := clock(), e.settings().Bound()
+		now, bound := clock(), e.settings().MaxDelay()
 		text, told, err := e.message(now, ask, child, &seen)
 		if err != nil {
 			return err.Error()
@@ -165,7 +165,7 @@
 }
 
 // message returns the next one for a child, encoded, and what the child holds with it.
-func (e *Edge) message(now time.Time, ask stoattree.Ask, child stoatrelay.Holds, seen *stoatoutlier.Stream) ([]byte, stoatrelay.Holds, error) {
+func (e *Edge) message(now time.Time, ask stoattree.JoinRequest, child stoatrelay.ChildState, seen *stoatoutlier.DeltaTracker) ([]byte, stoatrelay.ChildState, error) {
 	// First how far everything is known, then the table: it holds that much at least.
 	s, t := e.place.announced.Load(), e.table.Load()
 	body, err := e.place.bodies.of(now, t, child)
@@ -176,7 +176,7 @@
 	if err != nil {
 		return nil, child, err
 	}
-	return append(head, body...), stoatrelay.HoldsOf(t), nil
+	return append(head, body...), stoatrelay.ChildStateOf(t), nil
 }
 
 // waitForNews returns when there is some or a message is due anyway, or with what ended the telling.
@@ -195,21 +195,21 @@
 }
 
 // headFor returns the head of a message to one child, encoded.
-func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.Ask, body bool, stream *stoatoutlier.Stream, era stoatpaddle.Era) ([]byte, error) {
+func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.JoinRequest, body bool, stream *stoatoutlier.DeltaTracker, era stoatpaddle.Era) ([]byte, error) {
 	h := stoatrelay.Head{
-		Known: uint64(s.known.Revision), KnownEra: uint64(s.known.Era), Era: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), Body: body,
-		Path: stoatrelay.AddrTexts(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
+		PositionRevision: uint64(s.known.Revision), PositionEra: uint64(s.known.Era), BodyEra: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), HasBody: body,
+		Path: stoatrelay.FormatAddrs(append(s.path[:len(s.path):len(s.path)], e.settings().AdminAddr)),
 	}
 	h.Centre = string(e.settings().DataCentre)
 	if seen := e.place.seen.Load(); seen != nil && ask.Centre == e.settings().DataCentre {
-		if u, due := stream.Next(now, *seen, stoatoutlier.SinceFirst); due {
-			h.Seen, h.Whole = stoatoutlier.Encode(now, u.Reports), u.Whole
+		if u, due := stream.Next(now, *seen, stoatoutlier.FirstWait); due {
+			h.Reports, h.FullReports = stoatoutlier.Encode(now, u.Reports), u.Full
 		}
 	}
 	e.place.mu.Lock()
-	h.Relatives = stoatrelay.AddrTexts(e.place.tree.Relatives(ask.From, ask.Centre))
+	h.Siblings = stoatrelay.FormatAddrs(e.place.tree.Siblings(ask.From, ask.Centre))
 	if own := e.ownPlace(); ask.Centre == e.settings().DataCentre && own.Entries > 0 {
-		h.Rank, h.Entries = e.place.tree.RankOf(ask.From, own.Rank), own.Entries
+		h.Rank, h.DataCentreEntries = e.place.tree.ChildRank(ask.From, own.Rank), own.Entries
 	}
 	e.place.mu.Unlock()
 	return stoatrelay.Encode(&h)
@@ -218,8 +218,8 @@
 // bodies keeps the last body: children that were told the same are told the same next.
 type bodies struct {
 	mu    sync.Mutex
-	held  stoatrelay.Holds // of the table that it was made from
-	child stoatrelay.Holds
+	held  stoatrelay.ChildState // of the table that it was made from
+	child stoatrelay.ChildState
 	made  time.Time
 	text  []byte
 }
@@ -228,10 +228,10 @@
 const bodyKept = 200 * time.Millisecond
 
 // of returns what t has that a child does not, encoded; nothing if there is nothing.
-func (b *bodies) of(now time.Time, t *stoatroute.Table, child stoatrelay.Holds) ([]byte, error) {
+func (b *bodies) of(now time.Time, t *stoatroute.Table, child stoatrelay.ChildState) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.held == stoatrelay.HoldsOf(t) && b.child == child && now.Sub(b.made) < bodyKept {
+	if b.held == stoatrelay.ChildStateOf(t) && b.child == child && now.Sub(b.made) < bodyKept {
 		return b.text, nil
 	}
 	var text []byte
@@ -241,14 +241,14 @@
 			return nil, err
 		}
 	}
-	b.held, b.child, b.made, b.text = stoatrelay.HoldsOf(t), child, now, text
+	b.held, b.child, b.made, b.text = stoatrelay.ChildStateOf(t), child, now, text
 	return text, nil
 }
 
 // readAsk reads what an entry says, or returns *stoatpaddle.DecodeError.
-func readAsk(q url.Values) (stoattree.Ask, error) {
-	fail := func(what string, err error) (stoattree.Ask, error) {
-		return stoattree.Ask{}, &stoatpaddle.DecodeError{What: what, Cause: err}
+func readAsk(q url.Values) (stoattree.JoinRequest, error) {
+	fail := func(what string, err error) (stoattree.JoinRequest, error) {
+		return stoattree.JoinRequest{}, &stoatpaddle.DecodeError{What: what, Cause: err}
 	}
 	from, err := netip.ParseAddrPort(q.Get(askFrom))
 	if err != nil {
@@ -269,29 +269,29 @@
 	if err != nil {
 		return fail(askWithin, err)
 	}
-	a := stoattree.Ask{
+	a := stoattree.JoinRequest{
 		From: from, Centre: stoatpaddle.DataCentreID(q.Get(askCentre)),
-		Known: stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(known)},
-		Near:  q.Get(askNear) != "", Within: time.Duration(within) * time.Millisecond,
+		Position:  stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(known)},
+		LocalOnly: q.Get(askNear) != "", MaxAge: time.Duration(within) * time.Millisecond,
 	}
 	if skip := q.Get(askSkip); skip != "" {
-		if a.Skip, err = stoatrelay.ParseAddrs(strings.Split(skip, ",")); err != nil {
+		if a.Tried, err = stoatrelay.ParseAddrs(strings.Split(skip, ",")); err != nil {
 			return fail(askSkip, err)
 		}
 	}
 	return a, nil
 }
 
-func writeAsk(a stoattree.Ask) string {
+func writeAsk(a stoattree.JoinRequest) string {
 	q := url.Values{}
 	q.Set(askFrom, a.From.String())
 	q.Set(askCentre, string(a.Centre))
-	q.Set(askKnown, a.Known.Revision.String())
-	q.Set(askEra, a.Known.Era.String())
-	q.Set(askWithin, strconv.FormatInt(a.Within.Milliseconds(), 10))
-	if a.Near {
+	q.Set(askKnown, a.Position.Revision.String())
+	q.Set(askEra, a.Position.Era.String())
+	q.Set(askWithin, strconv.FormatInt(a.MaxAge.Milliseconds(), 10))
+	if a.LocalOnly {
 		q.Set(askNear, "1")
 	}
-	q.Set(askSkip, strings.Join(stoatrelay.AddrTexts(a.Skip), ","))
+	q.Set(askSkip, strings.Join(stoatrelay.FormatAddrs(a.Tried), ","))
 	return q.Encode()
 }
--- a/stoatentry/metrics.go
+++ b/stoatentry/metrics.go
@@ -33,15 +33,15 @@
 	calls := e.calls.Stats()
 	gauge("stoatpaddle_call_answered_total", calls.Answered.Load)
 	gauge("stoatpaddle_call_refused_total", calls.Refused.Load)
-	gauge("stoatpaddle_call_unknown_total", calls.Unknown.Load)
-	gauge("stoatpaddle_call_cut_total", calls.Cut.Load)
+	gauge("stoatpaddle_call_unknown_total", calls.UnknownOutcome.Load)
+	gauge("stoatpaddle_call_cut_total", calls.Truncated.Load)
 	gauge("stoatpaddle_call_attempts_total", calls.Attempts.Load)
-	gauge("stoatpaddle_call_open", func() int64 { return int64(e.calls.Open()) })
+	gauge("stoatpaddle_call_open", func() int64 { return int64(e.calls.OpenCalls()) })
 	gauge("stoatpaddle_control_sent_bytes_total", func() int64 {
 		if e.transport == nil {
 			return 0
 		}
-		return e.ControlBytes()
+		return e.ControlBytesSent()
 	})
 	return set
 }
@@ -52,7 +52,7 @@
 	return stoatstatus.Report{
 		Instance: string(e.self.ID),
 		Opened:   flows.Opened.Load(), Reset: flows.Silent.Load(), Limited: flows.Refused.Load(),
-		Answered: calls.Answered.Load(), Refused: calls.Refused.Load(), Unknown: calls.Unknown.Load(), Cut: calls.Cut.Load(),
+		Answered: calls.Answered.Load(), Refused: calls.Refused.Load(), Unknown: calls.UnknownOutcome.Load(), Cut: calls.Truncated.Load(),
 	}
 }
 
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -53,7 +53,7 @@
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
 	case stoatnode.Hangup:
-		e.transport.Hangup(x.Peer)
+		e.transport.Disconnect(x.Peer)
 	case stoatnode.Send:
 		e.transport.Send(x.To, x.Message)
 	case stoatnode.Deliver:
@@ -100,16 +100,16 @@
 
 func (e *Entry) platformFailed(err error) {
 	ev := stoatnode.PlatformFailed{Cause: err.Error()}
-	var rate *stoatpaddle.RateError
+	var rate *stoatpaddle.RateLimitError
 	if errors.As(err, &rate) {
-		ev.After = rate.After
+		ev.After = rate.RetryAfter
 	}
 	var history *platform.HistoryError
 	ev.Forgotten = errors.As(err, &history)
 	e.post(ev)
 }
 
-func token() stoatpaddle.Token { return stoatpaddle.Token(uuid.NewString()) }
+func token() stoatpaddle.WriteToken { return stoatpaddle.WriteToken(uuid.NewString()) }
 
 // register writes the instance's object until the platform has it or the entry ends. It
 // writes what is wanted at each try: an older registration that was held up by an outage
@@ -123,7 +123,7 @@
 			return
 		}
 		if n == 0 {
-			e.log.Emit(EventWriteUnknown, stoatevent.F("cause", err.Error()))
+			e.log.Emit(EventWriteFailed, stoatevent.F("cause", err.Error()))
 		}
 		if !stoatplatform.Pause(e.ctx, stoatplatform.Backoff(rnd, n)) {
 			return
@@ -136,7 +136,7 @@
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: string(i.ID)}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: string(i.ID)}
 	current, err := e.platform.Get(e.ctx, ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -167,7 +167,7 @@
 			e.post(stoatnode.Wrote{Object: conflict.Current})
 			return
 		}
-		e.log.Emit(EventWriteUnknown, stoatevent.F("cause", err.Error()))
+		e.log.Emit(EventWriteFailed, stoatevent.F("cause", err.Error()))
 	}
 }
 
@@ -177,7 +177,7 @@
 func (e *Entry) unregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), unregisterTimeout)
 	defer cancel()
-	current, err := e.platform.Get(ctx, stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: string(e.self.ID)})
+	current, err := e.platform.Get(ctx, stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: string(e.self.ID)})
 	if err != nil {
 		return
 	}
@@ -206,9 +206,9 @@
 
 // handOver stops new calls and tells how long the flows' records will take.
 func (e *Entry) handOver() {
-	e.calls.Stop()
+	e.calls.Drain()
 	e.handing.Store(true)
-	e.log.Emit(EventHandOver, stoatevent.F("estimate", e.engine.HandoverTime().String()))
+	e.log.Emit(EventHandover, stoatevent.F("estimate", e.engine.HandoverTime().String()))
 }
 
 // drained tells whether a leaving entry has nothing left to hand over; one that never
@@ -236,7 +236,7 @@
 			}
 		}
 		if e.handing.Load() && e.drained(v) {
-			e.post(stoatnode.Handed{CallsOpen: e.calls.Open()})
+			e.post(stoatnode.Handed{CallsOpen: e.calls.OpenCalls()})
 		}
 		if now.Sub(ticked) >= stoatnode.TickEvery {
 			ticked = now
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -152,18 +152,18 @@
 		return
 	}
 	if w.packet.Tuple.Protocol == stoatpaddle.ProtocolUDP {
-		if data, err := stoattunnel.Unreachable(&w.packet, packet); err == nil {
-			e.send(e.tunnel, data, e.set.Egress)
+		if data, err := stoattunnel.PortUnreachable(&w.packet, packet); err == nil {
+			e.send(e.tunnel, data, e.set.EgressAddr)
 		}
 		return
 	}
-	if data, err := stoattunnel.ResetFor(&w.packet); err == nil {
-		e.send(e.tunnel, data, e.set.Egress)
+	if data, err := stoattunnel.ResetToCaller(&w.packet); err == nil {
+		e.send(e.tunnel, data, e.set.EgressAddr)
 	}
 	if a.Upstream == nil {
 		return
 	}
-	if data, err := stoattunnel.ResetTo(&w.packet); err == nil {
+	if data, err := stoattunnel.ResetToUpstream(&w.packet); err == nil {
 		e.send(e.tunnel, data, a.Upstream.Addr)
 	}
 }
--- a/stoatfake/caller.go
+++ b/stoatfake/caller.go
@@ -179,7 +179,7 @@
 		f.asked = now
 	}
 	f.waiting, f.since = true, now
-	data, err := stoattunnel.Build(s)
+	data, err := stoattunnel.BuildSegment(s)
 	if err != nil {
 		return nil
 	}
@@ -220,7 +220,7 @@
 		f.open, f.waiting = true, false
 		f.seq++
 		c.counts.Opened++
-		data, err := stoattunnel.Build(stoattunnel.Segment{Src: f.tuple.Src, Dst: f.tuple.Dst, Seq: f.seq, ACK: true, Ack: 1})
+		data, err := stoattunnel.BuildSegment(stoattunnel.Segment{Src: f.tuple.Src, Dst: f.tuple.Dst, Seq: f.seq, ACK: true, Ack: 1})
 		if err == nil {
 			return data
 		}
--- a/stoatfake/upstream.go
+++ b/stoatfake/upstream.go
@@ -73,7 +73,7 @@
 			continue
 		}
 		if answer, ok := u.segment(&p); ok {
-			if data, err := stoattunnel.Build(answer); err == nil {
+			if data, err := stoattunnel.BuildSegment(answer); err == nil {
 				_, _ = u.conn.WriteToUDPAddrPort(data, u.callers)
 			}
 		}
--- a/stoatmeasure/experiment.go
+++ b/stoatmeasure/experiment.go
@@ -127,7 +127,7 @@
 // heartbeatBytes is what an entry's heartbeats to all others cost a second.
 func heartbeatBytes(entries int) float64 {
 	beat := &stoatmessage.Heartbeat{
-		Digest: stoatmessage.Digest{Newest: 1 << 20, Sum: 1 << 31}, State: stoatpaddle.StateLive,
+		Digest: stoatmessage.Digest{Newest: 1 << 20, Checksum: 1 << 31}, State: stoatpaddle.StateLive,
 	}
 	frame, err := stoatpeer.Encode(beat)
 	if err != nil {
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -25,11 +25,11 @@
 	m        *silenceModel
 	index    int
 	engine   *stoatecho.Engine
-	pool     stoatoutlier.Pool
+	pool     stoatoutlier.Aggregator
 	parent   *silentEntry
 	children []*silentEntry
-	reports  bool                  // one is under way to the parent
-	streams  []stoatoutlier.Stream // to the children
+	reports  bool                        // one is under way to the parent
+	streams  []stoatoutlier.DeltaTracker // to the children
 	due      bool
 	pacer    stoatoutlier.Pacer
 	next     time.Duration // when it may take its next turn
@@ -43,7 +43,7 @@
 	if index > 0 {
 		e.parent = m.entries[(index-1)/treeWidth]
 		e.parent.children = append(e.parent.children, e)
-		e.parent.streams = append(e.parent.streams, stoatoutlier.Stream{})
+		e.parent.streams = append(e.parent.streams, stoatoutlier.DeltaTracker{})
 	}
 	m.q.after(time.Duration(m.rnd.Float64()*float64(treePhase)), e.tick)
 	return e
@@ -96,14 +96,14 @@
 // turn adds up, judges and passes on, as an entry's share goroutine does.
 func (e *silentEntry) turn() {
 	now := e.m.now()
-	e.due, e.next = false, e.m.q.now+e.pacer.Took(now)
+	e.due, e.next = false, e.m.q.now+e.pacer.RecordRound(now)
 	own := e.engine.Reports(now, e.pool.Suspects(now))
-	sum, report, to := e.pool.Turn(now, own, e.reports)
+	sum, report, to := e.pool.Aggregate(now, own, e.reports)
 	e.engine.SetSums(now, sum)
 	table := e.m.book.Table()
 	e.engine.EjectFailing(now, table)
-	if e.pool.Steady(now) {
-		for _, s := range e.engine.EjectSilent(now, table, e.pool.Delay()) {
+	if e.pool.Stable(now) {
+		for _, s := range e.engine.EjectSilent(now, table, e.pool.PropagationDelay()) {
 			e.m.ejected(s.Upstream)
 		}
 	}
@@ -119,8 +119,8 @@
 	wire := e.message(u.Reports)
 	e.m.q.after(e.hop(), func() {
 		now := e.m.now()
-		if !e.parent.pool.Take(now, e.addr(), stoatoutlier.Update{Whole: u.Whole, Reports: stoatoutlier.Decode(now, wire)}) {
-			e.pool.Lost()
+		if !e.parent.pool.HandleChildUpdate(now, e.addr(), stoatoutlier.Update{Full: u.Full, Reports: stoatoutlier.Decode(now, wire)}) {
+			e.pool.ResetParentStream()
 		}
 		e.reports = false
 		e.notice()
@@ -132,7 +132,7 @@
 func (e *silentEntry) tellChildren(sum []stoatoutlier.Report) {
 	now := e.m.now()
 	for i, c := range e.children {
-		u, due := e.streams[i].Next(now, sum, stoatoutlier.SinceFirst)
+		u, due := e.streams[i].Next(now, sum, stoatoutlier.FirstWait)
 		if !due && now.Sub(c.followed) < treeRefresh {
 			continue
 		}
@@ -140,7 +140,7 @@
 		wire := e.message(u.Reports)
 		e.m.q.after(e.hop(), func() {
 			now := e.m.now()
-			c.pool.Follow(now, e.addr(), stoatoutlier.Update{Whole: u.Whole, Reports: stoatoutlier.Decode(now, wire)})
+			c.pool.HandleParentUpdate(now, e.addr(), stoatoutlier.Update{Full: u.Full, Reports: stoatoutlier.Decode(now, wire)})
 			c.notice()
 		})
 	}
--- a/stoatmessage/message.go
+++ b/stoatmessage/message.go
@@ -16,27 +16,27 @@
 
 // Digest sums up the versions that an entry holds.
 type Digest struct {
-	Newest stoatpaddle.Version
-	Sum    uint32
+	Newest   stoatpaddle.Version
+	Checksum uint32
 }
 
 // Heartbeat tells that the sender lives and what it holds.
 type Heartbeat struct {
 	Digest Digest
-	State  stoatpaddle.State // of the sender
+	State  stoatpaddle.InstanceState // of the sender
 }
 
-// Held is the version of one object.
-type Held struct {
-	Ref     stoatpaddle.Ref
+// ObjectVersion is the version of one object.
+type ObjectVersion struct {
+	Ref     stoatpaddle.ObjectRef
 	Version stoatpaddle.Version
 }
 
 // Have offers objects; the receiver asks for those it lacks.
-type Have struct{ Objects []Held }
+type Have struct{ Objects []ObjectVersion }
 
 // Want asks for objects.
-type Want struct{ Refs []stoatpaddle.Ref }
+type Want struct{ Refs []stoatpaddle.ObjectRef }
 
 // Objects carries objects that were asked for.
 type Objects struct{ Objects []stoatpaddle.Object }
--- a/stoatnode/bench_test.go
+++ b/stoatnode/bench_test.go
@@ -73,7 +73,7 @@
 		}
 		value += fmt.Sprintf(`{"name":"%s-%d","centre":"a","address":"10.%d.%d.%d:6080","weight":100,"slots":3,"connections":2000}`, name, u, 1+u, n>>8, n&255)
 	}
-	return stoatpaddle.Object{Ref: stoatpaddle.Ref{Kind: stoatpaddle.ObjectContract, Name: name}, Version: version, Value: []byte(value + "]}]}")}
+	return stoatpaddle.Object{Ref: stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectContract, Name: name}, Version: version, Value: []byte(value + "]}]}")}
 }
 
 func BenchmarkContract2(b *testing.B)   { benchmarkContract(b, 2) }
--- a/stoatnode/effect.go
+++ b/stoatnode/effect.go
@@ -66,7 +66,7 @@
 
 // Log writes a numbered event to the log.
 type Log struct {
-	Entry  *stoatevent.Entry
+	Entry  *stoatevent.Definition
 	Fields []stoatevent.Field
 }
 
--- a/stoatnode/gossip.go
+++ b/stoatnode/gossip.go
@@ -118,7 +118,7 @@
 
 // announce offers a new object to all connected peers except the one that sent it.
 func (n *Node) announce(o stoatpaddle.Object, from stoatpaddle.InstanceID) {
-	have := &stoatmessage.Have{Objects: []stoatmessage.Held{{Ref: o.Ref, Version: o.Version}}}
+	have := &stoatmessage.Have{Objects: []stoatmessage.ObjectVersion{{Ref: o.Ref, Version: o.Version}}}
 	for _, id := range sortedIDs(n.peers) {
 		if id != from && n.peers[id].connected {
 			n.emit(Send{To: id, Message: have})
@@ -170,9 +170,9 @@
 func (n *Node) haveAll() *stoatmessage.Have {
 	have := &stoatmessage.Have{}
 	for ref, o := range n.objects {
-		have.Objects = append(have.Objects, stoatmessage.Held{Ref: ref, Version: o.Version})
+		have.Objects = append(have.Objects, stoatmessage.ObjectVersion{Ref: ref, Version: o.Version})
 	}
-	slices.SortFunc(have.Objects, func(a, b stoatmessage.Held) int { return cmp.Compare(a.Version, b.Version) })
+	slices.SortFunc(have.Objects, func(a, b stoatmessage.ObjectVersion) int { return cmp.Compare(a.Version, b.Version) })
 	return have
 }
 
--- a/stoatnode/members.go
+++ b/stoatnode/members.go
@@ -10,7 +10,7 @@
 
 func (n *Node) applyInstance(now time.Time, o stoatpaddle.Object) {
 	id := stoatpaddle.InstanceID(o.Ref.Name)
-	if o.Gone {
+	if o.Deleted {
 		n.instanceGone(id)
 		return
 	}
@@ -76,7 +76,7 @@
 
 // stateRank orders the states of one incarnation of an entry: a late report, in a hello or a lagging list,
 // must not return the entry to an earlier state.
-func stateRank(s stoatpaddle.State) int {
+func stateRank(s stoatpaddle.InstanceState) int {
 	switch s {
 	case stoatpaddle.StateLeaving:
 		return 2
@@ -89,7 +89,7 @@
 
 // applyPeerState applies the state that a peer reports of itself, which also works while the platform is down.
 // An incarnation that is leaving stays so.
-func (n *Node) applyPeerState(id stoatpaddle.InstanceID, s stoatpaddle.State) {
+func (n *Node) applyPeerState(id stoatpaddle.InstanceID, s stoatpaddle.InstanceState) {
 	i, known := n.instances[id]
 	if !known || stateRank(s) <= stateRank(i.State) {
 		return
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -37,14 +37,14 @@
 type Node struct {
 	cfg             Config
 	rnd             *rand.Rand
-	objects         map[stoatpaddle.Ref]stoatpaddle.Object
+	objects         map[stoatpaddle.ObjectRef]stoatpaddle.Object
 	contracts       map[stoatpaddle.CustomerID]validContract
 	loggedConflicts map[stoatpaddle.CustomerID]stoatpaddle.Version // version of which a conflict was logged
 	instances       map[stoatpaddle.InstanceID]stoatpaddle.Instance
 	peers           map[stoatpaddle.InstanceID]*peer
 	partitioned     map[stoatpaddle.DataCentreID]bool // all known entries there are dead
 	evacuated       map[stoatpaddle.DataCentreID]bool
-	requestedUntil  map[stoatpaddle.Ref]time.Time // until when no other peer is asked for the object
+	requestedUntil  map[stoatpaddle.ObjectRef]time.Time // until when no other peer is asked for the object
 	hashKey         *stoatpacket.Seed
 	view            *stoatview.View
 	platform        platformState
@@ -82,14 +82,14 @@
 	n := &Node{
 		cfg:             cfg,
 		rnd:             rand.New(rand.NewPCG(cfg.Random, 1)),
-		objects:         map[stoatpaddle.Ref]stoatpaddle.Object{},
+		objects:         map[stoatpaddle.ObjectRef]stoatpaddle.Object{},
 		contracts:       map[stoatpaddle.CustomerID]validContract{},
 		loggedConflicts: map[stoatpaddle.CustomerID]stoatpaddle.Version{},
 		instances:       map[stoatpaddle.InstanceID]stoatpaddle.Instance{cfg.Self.ID: cfg.Self},
 		peers:           map[stoatpaddle.InstanceID]*peer{},
 		partitioned:     map[stoatpaddle.DataCentreID]bool{},
 		evacuated:       map[stoatpaddle.DataCentreID]bool{},
-		requestedUntil:  map[stoatpaddle.Ref]time.Time{},
+		requestedUntil:  map[stoatpaddle.ObjectRef]time.Time{},
 	}
 	return n
 }
@@ -127,7 +127,7 @@
 
 func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
-func (n *Node) log(e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (n *Node) log(e *stoatevent.Definition, fields ...stoatevent.Field) {
 	n.emit(Log{Entry: e, Fields: fields})
 }
 
@@ -173,7 +173,7 @@
 }
 
 // setState changes this entry's own state and announces it on the platform and to peers.
-func (n *Node) setState(s stoatpaddle.State) {
+func (n *Node) setState(s stoatpaddle.InstanceState) {
 	n.cfg.Self.State = s
 	n.instances[n.cfg.Self.ID] = n.cfg.Self
 	n.dirty = true
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -20,7 +20,7 @@
 )
 
 // SeedRef is the reference of the object that contains the hash key of the cluster.
-var SeedRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
+var SeedRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
 
 const hashKeySize = 16
 
@@ -47,7 +47,7 @@
 // rewriteLost rewrites the objects of an earlier era that a complete list lacks: the restored platform lost
 // them. An object of the same era can only be missing because somebody deleted it by hand.
 func (n *Node) rewriteLost(l stoatpaddle.Listing) {
-	listed := map[stoatpaddle.Ref]bool{}
+	listed := map[stoatpaddle.ObjectRef]bool{}
 	for i := range l.Objects {
 		listed[l.Objects[i].Ref] = true
 	}
@@ -92,7 +92,7 @@
 func (n *Node) applyEvacuation(o stoatpaddle.Object) {
 	dc := stoatpaddle.DataCentreID(o.Ref.Name)
 	event := EventEvacuated
-	if o.Gone {
+	if o.Deleted {
 		event = EventTakenBack
 		delete(n.evacuated, dc)
 	} else {
@@ -118,7 +118,7 @@
 
 func (n *Node) applyContract(o stoatpaddle.Object) {
 	id := stoatpaddle.CustomerID(o.Ref.Name)
-	if o.Gone {
+	if o.Deleted {
 		delete(n.contracts, id)
 		n.dirty = true
 		return
@@ -142,7 +142,7 @@
 
 func (n *Node) applyHashKey(o stoatpaddle.Object) {
 	raw, err := hex.DecodeString(string(trimQuotes(o.Value)))
-	if o.Gone || o.Ref != SeedRef || err != nil || len(raw) != hashKeySize {
+	if o.Deleted || o.Ref != SeedRef || err != nil || len(raw) != hashKeySize {
 		return
 	}
 	n.hashKey = &stoatpacket.Seed{K0: binary.BigEndian.Uint64(raw), K1: binary.BigEndian.Uint64(raw[8:])}
@@ -193,7 +193,7 @@
 	var d stoatmessage.Digest
 	for ref, o := range n.objects {
 		d.Newest = max(d.Newest, o.Version)
-		d.Sum ^= uint32(xxhash.Sum64String(ref.String() + "@" + o.Version.String()))
+		d.Checksum ^= uint32(xxhash.Sum64String(ref.String() + "@" + o.Version.String()))
 	}
 	return d
 }
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -21,7 +21,7 @@
 
 var epoch = time.Unix(0, 0)
 
-func testInstance(id string, state stoatpaddle.State, incarnation int) stoatpaddle.Instance {
+func testInstance(id string, state stoatpaddle.InstanceState, incarnation int) stoatpaddle.Instance {
 	port := uint16(1000 + 10*int(id[len(id)-1]-'0') + int(id[0]))
 	addr := func(n uint16) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port+n)
@@ -66,15 +66,15 @@
 	case "forgotten":
 		return PlatformFailed{Cause: "test", Forgotten: true}
 	case "connected":
-		return Connected{Hello: stoatmessage.Hello{Cluster: "test", Instance: testInstance(f[1], stoatpaddle.State(f[2]), 1)}}
+		return Connected{Hello: stoatmessage.Hello{Cluster: "test", Instance: testInstance(f[1], stoatpaddle.InstanceState(f[2]), 1)}}
 	case "disconnected":
 		return Disconnected{Peer: stoatpaddle.InstanceID(f[1])}
 	case "beat":
-		return Received{From: stoatpaddle.InstanceID(f[1]), Message: &stoatmessage.Heartbeat{State: stoatpaddle.State(f[2])}}
+		return Received{From: stoatpaddle.InstanceID(f[1]), Message: &stoatmessage.Heartbeat{State: stoatpaddle.InstanceState(f[2])}}
 	case "have":
 		m := &stoatmessage.Have{}
 		for _, o := range readObjects(t, f[2:]) {
-			m.Objects = append(m.Objects, stoatmessage.Held{Ref: o.Ref, Version: o.Version})
+			m.Objects = append(m.Objects, stoatmessage.ObjectVersion{Ref: o.Ref, Version: o.Version})
 		}
 		return Received{From: stoatpaddle.InstanceID(f[1]), Message: m}
 	case "objects":
@@ -118,9 +118,9 @@
 		w, value, _ := strings.Cut(w, "=")
 		w, token, _ := strings.Cut(w, "~")
 		name, version, _ := strings.Cut(w, "@")
-		o := stoatpaddle.Object{Version: readVersion(t, version), Token: stoatpaddle.Token(token), Gone: value == "gone"}
+		o := stoatpaddle.Object{Version: readVersion(t, version), Token: stoatpaddle.WriteToken(token), Deleted: value == "gone"}
 		kind, id, _ := strings.Cut(name, "/")
-		o.Ref = stoatpaddle.Ref{Kind: stoatpaddle.ObjectKind(kind), Name: id}
+		o.Ref = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectKind(kind), Name: id}
 		switch kind {
 		case "seed":
 			o.Ref, o.Value = SeedRef, []byte(`"000102030405060708090a0b0c0d0e0f"`)
@@ -144,15 +144,15 @@
 		addr = netip.AddrFrom4([4]byte{203, 0, 113, customer[0]})
 	}
 	c := stoatpaddle.Contract{
-		Customer: stoatpaddle.CustomerID(customer), Lean: stoatpaddle.LeanFlows,
-		Limits: stoatpaddle.Limits{Flows: version, Opens: 10, Calls: 10, Rate: 10},
+		Customer: stoatpaddle.CustomerID(customer), Preference: stoatpaddle.PreferFewTracked,
+		Limits: stoatpaddle.Limits{Flows: version, OpenRate: 10, Calls: 10, CallRate: 10},
 		Services: []stoatpaddle.Service{{
 			ID: "web", Kind: stoatpaddle.KindFlow, Addr: addr, Protocol: stoatpaddle.ProtocolTCP, Ports: []uint16{443},
 		}},
 	}
 	for i, dc := range []stoatpaddle.DataCentreID{"a", "b"} {
 		c.Services[0].Upstreams = append(c.Services[0].Upstreams, stoatpaddle.Upstream{
-			ID: stoatpaddle.UpstreamID(customer + "-" + string(dc)), DataCentre: dc, Weight: 1, Slots: 3, Connections: 10,
+			ID: stoatpaddle.UpstreamID(customer + "-" + string(dc)), DataCentre: dc, Weight: 1, Slots: 3, MaxFlows: 10,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, customer[0], byte(i + 1)}), 6080),
 		})
 	}
@@ -164,12 +164,12 @@
 }
 
 func testInstanceObject(t *testing.T, id, value string) []byte {
-	i := testInstance(id+"0", stoatpaddle.State(value), 1)
+	i := testInstance(id+"0", stoatpaddle.InstanceState(value), 1)
 	i.ID = stoatpaddle.InstanceID(id)
 	if strings.Contains(id, "-") {
-		i = stoatpaddle.Instance{ID: i.ID, Role: stoatpaddle.RoleUpstream, State: stoatpaddle.State(value)}
+		i = stoatpaddle.Instance{ID: i.ID, Role: stoatpaddle.RoleUpstream, State: stoatpaddle.InstanceState(value)}
 	} else {
-		i = testInstance(id, stoatpaddle.State(value), 1)
+		i = testInstance(id, stoatpaddle.InstanceState(value), 1)
 	}
 	data, err := stoatcontract.EncodeInstance(i)
 	if err != nil {
--- a/stoatnode/status.go
+++ b/stoatnode/status.go
@@ -12,9 +12,9 @@
 // Standing is the state of one instance as this entry sees it.
 type Standing struct {
 	ID         stoatpaddle.InstanceID
-	Role       stoatpaddle.Role
+	Role       stoatpaddle.InstanceRole
 	DataCentre stoatpaddle.DataCentreID
-	State      stoatpaddle.State
+	State      stoatpaddle.InstanceState
 	Admin      string
 	Dead       bool
 	Connected  bool
--- a/stoatoutlier/codec.go
+++ b/stoatoutlier/codec.go
@@ -9,14 +9,14 @@
 // WireReport is a Report as entries send it, as a msgpack array. Times are ages, since the clocks
 // of two entries may differ.
 type WireReport struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Key      uint32
-	Answered int
-	Failed   int
-	Waiting  int   // entries that wait in vain
-	FirstMS  int64 // since when the first of them waits; -1: none does
-	SecondMS int64
-	HeardMS  int64 // -1: no sign of late
+	_msgpack        struct{} `msgpack:",as_array"`
+	Key             uint32
+	Answered        int
+	Failed          int
+	WaitingEntries  int   // entries that wait in vain
+	FirstWaitAgeMS  int64 // since when the first of them waits; -1: none does
+	SecondWaitAgeMS int64
+	LastHeardAgeMS  int64 // -1: no sign of late
 }
 
 // MaxReportBytes is more than the longest list of reports takes.
@@ -28,8 +28,8 @@
 	for i := range list {
 		r := &list[i]
 		out = append(out, WireReport{
-			Key: uint32(r.Key), Answered: r.Answered, Failed: r.Failed, Waiting: r.Entries,
-			FirstMS: ageOf(now, r.First), SecondMS: ageOf(now, r.Second), HeardMS: ageOf(now, r.Heard),
+			Key: uint32(r.Key), Answered: r.Answered, Failed: r.Failed, WaitingEntries: r.WaitingEntries,
+			FirstWaitAgeMS: ageOf(now, r.FirstWaitSince), SecondWaitAgeMS: ageOf(now, r.SecondWaitSince), LastHeardAgeMS: ageOf(now, r.LastHeard),
 		})
 	}
 	return out
@@ -39,12 +39,12 @@
 func Decode(now time.Time, list []WireReport) []Report {
 	out := make([]Report, 0, min(len(list), maxReports))
 	for _, w := range list[:min(len(list), maxReports)] {
-		if w.Answered < 0 || w.Failed < 0 || w.Waiting < 0 {
+		if w.Answered < 0 || w.Failed < 0 || w.WaitingEntries < 0 {
 			continue
 		}
 		out = append(out, Report{
 			Key: stoatpaddle.UpstreamKey(w.Key), Counts: Counts{Answered: w.Answered, Failed: w.Failed},
-			Silence: Silence{Entries: w.Waiting, First: timeOf(now, w.FirstMS), Second: timeOf(now, w.SecondMS), Heard: timeOf(now, w.HeardMS)},
+			Silence: Silence{WaitingEntries: w.WaitingEntries, FirstWaitSince: timeOf(now, w.FirstWaitAgeMS), SecondWaitSince: timeOf(now, w.SecondWaitAgeMS), LastHeard: timeOf(now, w.LastHeardAgeMS)},
 		})
 	}
 	return out
--- a/stoatoutlier/delay.go
+++ b/stoatoutlier/delay.go
@@ -35,7 +35,7 @@
 	d.sent = time.Time{}
 	for i := range u.Reports {
 		k := u.Reports[i].Key
-		if r := find(own, k); r != nil && r.Entries > 0 {
+		if r := find(own, k); r != nil && r.WaitingEntries > 0 {
 			d.key, d.sent = k, now
 			return
 		}
@@ -48,7 +48,7 @@
 		return
 	}
 	r := find(sum, d.key)
-	if r == nil || r.Entries == 0 {
+	if r == nil || r.WaitingEntries == 0 {
 		return
 	}
 	took := now.Sub(d.sent)
@@ -60,9 +60,9 @@
 	d.took -= time.Duration(delayWeight * float64(d.took-took))
 }
 
-// Delay is how long a sign of life may take from the entry that had it to this one: the others have
+// PropagationDelay is how long a sign of life may take from the entry that had it to this one: the others have
 // to hear first that it is waited for, and then this one of their answer.
-func (p *Pool) Delay() time.Duration {
+func (p *Aggregator) PropagationDelay() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.delay.took == 0 {
--- a/stoatoutlier/pacer.go
+++ b/stoatoutlier/pacer.go
@@ -19,8 +19,8 @@
 	at    time.Time
 }
 
-// Took notes a turn, and returns how long to wait for the next one.
-func (p *Pacer) Took(now time.Time) time.Duration {
+// RecordRound notes a turn, and returns how long to wait for the next one.
+func (p *Pacer) RecordRound(now time.Time) time.Duration {
 	if !p.at.IsZero() {
 		p.spent = max(0, p.spent-turnRate*now.Sub(p.at).Seconds())
 	}
--- a/stoatoutlier/pool.go
+++ b/stoatoutlier/pool.go
@@ -19,13 +19,13 @@
 	maxReports = 256
 )
 
-// Pool adds up reports. Its methods may be called by several goroutines.
-type Pool struct {
+// Aggregator adds up reports. Its methods may be called by several goroutines.
+type Aggregator struct {
 	mu       sync.Mutex
 	children map[netip.AddrPort]timed
 	parent   netip.AddrPort // in this data centre; invalid: none
 	sum      timed          // over the data centre, as the parent sent it
-	up       Stream         // to the parent
+	up       DeltaTracker   // to the parent
 	delay    delay
 	changed  time.Time // when the parent last became another one
 }
@@ -38,9 +38,9 @@
 
 func (r *timed) fresh(now time.Time) bool { return !r.at.IsZero() && now.Sub(r.at) < reportKept }
 
-// Take takes in what a child and those below it saw, and tells whether that was enough: a change of
+// HandleChildUpdate takes in what a child and those below it saw, and tells whether that was enough: a change of
 // reports that are not known here says nothing.
-func (p *Pool) Take(now time.Time, from netip.AddrPort, u Update) bool {
+func (p *Aggregator) HandleChildUpdate(now time.Time, from netip.AddrPort, u Update) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.children == nil {
@@ -52,26 +52,26 @@
 		}
 	}
 	before, known := p.children[from]
-	if !known && !u.Whole {
+	if !known && !u.Full {
 		return false
 	}
 	p.children[from] = timed{at: now, list: u.onto(before.list)}
 	return true
 }
 
-// Forget drops what a child saw: it reports to another one now, and would count twice.
-func (p *Pool) Forget(child netip.AddrPort) {
+// RemoveChild drops what a child saw: it reports to another one now, and would count twice.
+func (p *Aggregator) RemoveChild(child netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.children, child)
 }
 
-// Follow notes the relay parent in this data centre, invalid for none, and what it sent of the sum.
-func (p *Pool) Follow(now time.Time, parent netip.AddrPort, u Update) {
+// HandleParentUpdate notes the relay parent in this data centre, invalid for none, and what it sent of the sum.
+func (p *Aggregator) HandleParentUpdate(now time.Time, parent netip.AddrPort, u Update) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if parent != p.parent {
-		p.parent, p.sum, p.up, p.changed = parent, timed{}, Stream{}, now
+		p.parent, p.sum, p.up, p.changed = parent, timed{}, DeltaTracker{}, now
 	}
 	if parent.IsValid() {
 		p.sum = timed{at: now, list: u.onto(p.sum.list)}
@@ -83,22 +83,22 @@
 // an entry that has just come knows who is waited for, and not yet who answered.
 const steadyAfter = 500 * time.Millisecond
 
-// Steady tells whether this entry's place in the tree has lasted.
-func (p *Pool) Steady(now time.Time) bool {
+// Stable tells whether this entry's place in the tree has lasted.
+func (p *Aggregator) Stable(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return now.Sub(p.changed) >= steadyAfter
 }
 
-// Lost notes that the parent did not take a report: the next one has all.
-func (p *Pool) Lost() {
+// ResetParentStream notes that the parent did not take a report: the next one has all.
+func (p *Aggregator) ResetParentStream() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.up = Stream{}
+	p.up = DeltaTracker{}
 }
 
 // Suspects returns the upstreams that somebody saw failing, as far as this entry knows.
-func (p *Pool) Suspects(now time.Time) map[stoatpaddle.UpstreamKey]bool {
+func (p *Aggregator) Suspects(now time.Time) map[stoatpaddle.UpstreamKey]bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	keys := map[stoatpaddle.UpstreamKey]bool{}
@@ -120,7 +120,7 @@
 }
 
 // add returns what this entry and those below it saw, ascending by key.
-func (p *Pool) add(now time.Time, own []Report) []Report {
+func (p *Aggregator) add(now time.Time, own []Report) []Report {
 	sums := map[stoatpaddle.UpstreamKey]Report{}
 	take := func(list []Report) {
 		for i := range list {
@@ -153,7 +153,7 @@
 // due returns what to report: what speaks against an upstream, and what was seen of those that
 // others speak against. Left out, the answers of thirty entries that saw no failure would be
 // missing from the sum, and the failures of two would be all there is.
-func (p *Pool) due(below []Report) []Report {
+func (p *Aggregator) due(below []Report) []Report {
 	var out []Report
 	for i := range below {
 		if below[i].outlier() || find(p.sum.list, below[i].Key) != nil {
@@ -163,10 +163,10 @@
 	return out[:min(len(out), maxReports)]
 }
 
-// Turn returns what all entries here saw, as far as it is known, and what to report to whom;
+// Aggregate returns what all entries here saw, as far as it is known, and what to report to whom;
 // an invalid address means nothing is due. While the last report is under way, busy holds the next
 // one back: a change counts as sent once it is returned here.
-func (p *Pool) Turn(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
+func (p *Aggregator) Aggregate(now time.Time, own []Report, busy bool) (sum []Report, u Update, to netip.AddrPort) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	below := p.add(now, own)
@@ -182,7 +182,7 @@
 	}
 	u, due := p.up.Next(now, p.due(below), func(r *Report) time.Time {
 		if known := find(p.sum.list, r.Key); known != nil {
-			return known.First
+			return known.FirstWaitSince
 		}
 		return time.Time{}
 	})
@@ -193,5 +193,5 @@
 	return sum, u, p.parent
 }
 
-// SinceFirst is the first argument of Next for a sum, which says itself since when entries wait.
-func SinceFirst(r *Report) time.Time { return r.First }
+// FirstWait is the first argument of Next for a sum, which says itself since when entries wait.
+func FirstWait(r *Report) time.Time { return r.FirstWaitSince }
--- a/stoatoutlier/pool_test.go
+++ b/stoatoutlier/pool_test.go
@@ -23,16 +23,16 @@
 // An entry without a parent in its data centre adds up what it and those below it saw; what a
 // child saw counts once, and not any more when the child is gone.
 func TestPoolAddsUp(t *testing.T) {
-	var p Pool
+	var p Aggregator
 	now := time.Unix(1000, 0)
-	p.Take(now, belowA, Update{Whole: true, Reports: []Report{saw(1, 2, 1), saw(2, 5, 0)}})
-	p.Take(now, belowA, Update{Whole: true, Reports: []Report{saw(1, 3, 2), saw(2, 5, 0)}})
-	p.Take(now.Add(5*time.Second), belowB, Update{Whole: true, Reports: []Report{saw(1, 4, 0)}})
-	sum, _, to := p.Turn(now.Add(5*time.Second), []Report{saw(1, 1, 1)}, false)
+	p.HandleChildUpdate(now, belowA, Update{Full: true, Reports: []Report{saw(1, 2, 1), saw(2, 5, 0)}})
+	p.HandleChildUpdate(now, belowA, Update{Full: true, Reports: []Report{saw(1, 3, 2), saw(2, 5, 0)}})
+	p.HandleChildUpdate(now.Add(5*time.Second), belowB, Update{Full: true, Reports: []Report{saw(1, 4, 0)}})
+	sum, _, to := p.Aggregate(now.Add(5*time.Second), []Report{saw(1, 1, 1)}, false)
 	if diff := cmp.Diff([]Report{saw(1, 8, 3)}, sum); diff != "" || to.IsValid() {
 		t.Error(diff, to)
 	}
-	sum, _, _ = p.Turn(now.Add(7*time.Second), []Report{saw(1, 1, 1)}, false)
+	sum, _, _ = p.Aggregate(now.Add(7*time.Second), []Report{saw(1, 1, 1)}, false)
 	if diff := cmp.Diff([]Report{saw(1, 5, 1)}, sum); diff != "" {
 		t.Error(diff)
 	}
@@ -41,11 +41,11 @@
 // An entry with a parent reports to it what changed soon, and what stays the same rarely; it
 // goes by the sum that it is told, until that is old or the parent is gone.
 func TestPoolReports(t *testing.T) {
-	var p Pool
+	var p Aggregator
 	now := time.Unix(1000, 0)
 	own := []Report{saw(1, 1, 1)}
-	p.Follow(now, above, Update{Whole: true, Reports: []Report{saw(1, 40, 20)}})
-	sum, report, to := p.Turn(now, own, false)
+	p.HandleParentUpdate(now, above, Update{Full: true, Reports: []Report{saw(1, 40, 20)}})
+	sum, report, to := p.Aggregate(now, own, false)
 	if diff := cmp.Diff([]Report{saw(1, 40, 20)}, sum); diff != "" || to != above {
 		t.Error(diff, to)
 	}
@@ -54,27 +54,27 @@
 	}
 	reports := 0
 	for at := 100 * time.Millisecond; at <= 4*time.Second; at += 100 * time.Millisecond {
-		if _, _, to := p.Turn(now.Add(at), own, false); to.IsValid() {
+		if _, _, to := p.Aggregate(now.Add(at), own, false); to.IsValid() {
 			reports++
 		}
 	}
 	if reports != 2 {
 		t.Error("the same was reported", reports, "times in 4 s")
 	}
-	if _, _, to := p.Turn(now.Add(4600*time.Millisecond), append(own, saw(2, 0, 1)), false); !to.IsValid() {
+	if _, _, to := p.Aggregate(now.Add(4600*time.Millisecond), append(own, saw(2, 0, 1)), false); !to.IsValid() {
 		t.Error("what is new waits")
 	}
-	if _, report, to := p.Turn(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.onto([]Report{saw(1, 1, 1), saw(2, 0, 1)})) != 0 {
+	if _, report, to := p.Aggregate(now.Add(5200*time.Millisecond), nil, false); !to.IsValid() || len(report.onto([]Report{saw(1, 1, 1), saw(2, 0, 1)})) != 0 {
 		t.Error("the end is not reported:", to, report)
 	}
-	if _, _, to := p.Turn(now.Add(20*time.Second), nil, false); to.IsValid() {
+	if _, _, to := p.Aggregate(now.Add(20*time.Second), nil, false); to.IsValid() {
 		t.Error("nothing is reported")
 	}
-	if sum, _, _ := p.Turn(now.Add(20*time.Second), own, false); !cmp.Equal(own, sum) {
+	if sum, _, _ := p.Aggregate(now.Add(20*time.Second), own, false); !cmp.Equal(own, sum) {
 		t.Error("an old sum is gone by:", sum)
 	}
-	p.Follow(now.Add(21*time.Second), netip.AddrPort{}, Update{})
-	if sum, _, to := p.Turn(now.Add(21*time.Second), own, false); !cmp.Equal(own, sum) || to.IsValid() {
+	p.HandleParentUpdate(now.Add(21*time.Second), netip.AddrPort{}, Update{})
+	if sum, _, to := p.Aggregate(now.Add(21*time.Second), own, false); !cmp.Equal(own, sum) || to.IsValid() {
 		t.Error(sum, to)
 	}
 }
@@ -84,19 +84,19 @@
 func TestCodec(t *testing.T) {
 	now, there := time.Unix(1000, 0), time.Unix(2000, 0)
 	r := saw(4000000000, 5, 6)
-	r.Silence = Silence{Entries: 2, First: now.Add(-300 * time.Millisecond), Second: now.Add(-100 * time.Millisecond), Heard: now.Add(-time.Second)}
+	r.Silence = Silence{WaitingEntries: 2, FirstWaitSince: now.Add(-300 * time.Millisecond), SecondWaitSince: now.Add(-100 * time.Millisecond), LastHeard: now.Add(-time.Second)}
 	want := r
-	want.First, want.Second, want.Heard = there.Add(-300*time.Millisecond), there.Add(-100*time.Millisecond), there.Add(-time.Second)
+	want.FirstWaitSince, want.SecondWaitSince, want.LastHeard = there.Add(-300*time.Millisecond), there.Add(-100*time.Millisecond), there.Add(-time.Second)
 	got := Decode(there, Encode(now, []Report{saw(1, 2, 3), r}))
 	if diff := cmp.Diff([]Report{saw(1, 2, 3), want}, got); diff != "" {
 		t.Error(diff)
 	}
-	for _, w := range []WireReport{{Answered: -1, Failed: 5}, {Answered: 1, Failed: -5}, {Waiting: -1}} {
+	for _, w := range []WireReport{{Answered: -1, Failed: 5}, {Answered: 1, Failed: -5}, {WaitingEntries: -1}} {
 		if got := Decode(now, []WireReport{w}); len(got) != 0 {
 			t.Error(got)
 		}
 	}
-	if got := Decode(now, []WireReport{{Waiting: 1, FirstMS: 1 << 62, SecondMS: -1 << 62, HeardMS: 1 << 62}}); !got[0].First.IsZero() || !got[0].Heard.IsZero() {
+	if got := Decode(now, []WireReport{{WaitingEntries: 1, FirstWaitAgeMS: 1 << 62, SecondWaitAgeMS: -1 << 62, LastHeardAgeMS: 1 << 62}}); !got[0].FirstWaitSince.IsZero() || !got[0].LastHeard.IsZero() {
 		t.Error(got)
 	}
 	if got := Decode(now, make([]WireReport, 10*maxReports)); len(got) != maxReports {
@@ -107,15 +107,15 @@
 // Thirty entries answer an upstream's requests, two saw five fail. What the thirty saw has to reach
 // the sum once the upstream is named there: by the failures alone it would fail most requests.
 func TestPoolReportsWhatOthersName(t *testing.T) {
-	var p Pool
+	var p Aggregator
 	now := time.Unix(1000, 0)
 	own := []Report{saw(1, 20, 0)}
-	p.Follow(now, above, Update{})
-	if _, _, to := p.Turn(now, own, false); to.IsValid() {
+	p.HandleParentUpdate(now, above, Update{})
+	if _, _, to := p.Aggregate(now, own, false); to.IsValid() {
 		t.Error("reported though nobody failed")
 	}
-	p.Follow(now, above, Update{Whole: true, Reports: []Report{saw(1, 2, 5)}})
-	_, report, to := p.Turn(now.Add(time.Second), own, false)
+	p.HandleParentUpdate(now, above, Update{Full: true, Reports: []Report{saw(1, 2, 5)}})
+	_, report, to := p.Aggregate(now.Add(time.Second), own, false)
 	if diff := cmp.Diff(own, report.Reports); diff != "" || to != above {
 		t.Error(diff, to)
 	}
@@ -124,40 +124,40 @@
 // An entry waits for an upstream in vain and says so at once, also while it has just reported. Once
 // it hears from the upstream it says that at once too.
 func TestPoolReportsClaimsAtOnce(t *testing.T) {
-	var p Pool
+	var p Aggregator
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
-	wait := Report{Key: 1, Silence: Silence{Entries: 1, First: now}}
-	p.Follow(now, above, Update{})
-	if _, _, to := p.Turn(at(30*time.Millisecond), []Report{wait}, false); to != above {
+	wait := Report{Key: 1, Silence: Silence{WaitingEntries: 1, FirstWaitSince: now}}
+	p.HandleParentUpdate(now, above, Update{})
+	if _, _, to := p.Aggregate(at(30*time.Millisecond), []Report{wait}, false); to != above {
 		t.Error("a wait is not reported")
 	}
-	if _, _, to := p.Turn(at(60*time.Millisecond), []Report{wait}, false); to.IsValid() {
+	if _, _, to := p.Aggregate(at(60*time.Millisecond), []Report{wait}, false); to.IsValid() {
 		t.Error("the same is reported again")
 	}
-	second := Report{Key: 2, Silence: Silence{Entries: 1, First: at(70 * time.Millisecond)}}
-	if _, _, to := p.Turn(at(90*time.Millisecond), []Report{wait, second}, false); to != above {
+	second := Report{Key: 2, Silence: Silence{WaitingEntries: 1, FirstWaitSince: at(70 * time.Millisecond)}}
+	if _, _, to := p.Aggregate(at(90*time.Millisecond), []Report{wait, second}, false); to != above {
 		t.Error("a second wait is held back")
 	}
-	p.Follow(at(100*time.Millisecond), above, Update{Whole: true, Reports: []Report{wait, second}})
-	heard := Report{Key: 1, Silence: Silence{Heard: at(110 * time.Millisecond)}}
-	if _, report, to := p.Turn(at(120*time.Millisecond), []Report{heard, second}, false); to != above || len(report.Reports) != 1 || report.Whole {
+	p.HandleParentUpdate(at(100*time.Millisecond), above, Update{Full: true, Reports: []Report{wait, second}})
+	heard := Report{Key: 1, Silence: Silence{LastHeard: at(110 * time.Millisecond)}}
+	if _, report, to := p.Aggregate(at(120*time.Millisecond), []Report{heard, second}, false); to != above || len(report.Reports) != 1 || report.Full {
 		t.Error("a sign of life is held back:", report)
 	}
 }
 
 // What an entry saw counts once: when it has gone to another relay parent, the earlier one drops it.
 func TestPoolForgets(t *testing.T) {
-	var p Pool
+	var p Aggregator
 	now := time.Unix(1000, 0)
-	wait := Report{Key: 1, Silence: Silence{Entries: 1, First: now}}
-	p.Take(now, belowA, Update{Whole: true, Reports: []Report{wait}})
-	p.Take(now, belowB, Update{Whole: true, Reports: []Report{wait}})
-	if sum, _, _ := p.Turn(now, nil, false); sum[0].Entries != 2 {
+	wait := Report{Key: 1, Silence: Silence{WaitingEntries: 1, FirstWaitSince: now}}
+	p.HandleChildUpdate(now, belowA, Update{Full: true, Reports: []Report{wait}})
+	p.HandleChildUpdate(now, belowB, Update{Full: true, Reports: []Report{wait}})
+	if sum, _, _ := p.Aggregate(now, nil, false); sum[0].WaitingEntries != 2 {
 		t.Error(sum)
 	}
-	p.Forget(belowA)
-	if sum, _, _ := p.Turn(now, nil, false); sum[0].Entries != 1 {
+	p.RemoveChild(belowA)
+	if sum, _, _ := p.Aggregate(now, nil, false); sum[0].WaitingEntries != 1 {
 		t.Error(sum)
 	}
 }
@@ -165,24 +165,24 @@
 // Sums are made in any order along the tree, and come out the same.
 func TestSilenceAdds(t *testing.T) {
 	at := func(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
-	a, b, c := Silence{Entries: 1, First: at(30)}, Silence{Entries: 1, First: at(10)}, Silence{Entries: 1, First: at(20), Heard: at(5)}
-	want := Silence{Entries: 3, First: at(10), Second: at(20), Heard: at(5)}
+	a, b, c := Silence{WaitingEntries: 1, FirstWaitSince: at(30)}, Silence{WaitingEntries: 1, FirstWaitSince: at(10)}, Silence{WaitingEntries: 1, FirstWaitSince: at(20), LastHeard: at(5)}
+	want := Silence{WaitingEntries: 3, FirstWaitSince: at(10), SecondWaitSince: at(20), LastHeard: at(5)}
 	for _, got := range []Silence{a.Add(b).Add(c), c.Add(a.Add(b)), b.Add(c).Add(a), (Silence{}).Add(c).Add(b).Add(a)} {
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
 	}
-	if d := want.Together(at(220)); d != 200*time.Millisecond {
+	if d := want.SharedWait(at(220)); d != 200*time.Millisecond {
 		t.Error(d)
 	}
-	if d := want.Alone(at(220)); d != 210*time.Millisecond {
+	if d := want.LongestWait(at(220)); d != 210*time.Millisecond {
 		t.Error(d)
 	}
-	if d := a.Together(at(500)); d != 0 {
+	if d := a.SharedWait(at(500)); d != 0 {
 		t.Error("one entry alone:", d)
 	}
-	ended := want.Add(Silence{Heard: at(10)})
-	if !ended.Ended() || ended.Together(at(500)) != 0 || ended.Alone(at(500)) != 0 {
+	ended := want.Add(Silence{LastHeard: at(10)})
+	if !ended.Ended() || ended.SharedWait(at(500)) != 0 || ended.LongestWait(at(500)) != 0 {
 		t.Error(ended)
 	}
 }
@@ -190,19 +190,19 @@
 // How long a sign of life takes is followed by what an entry says itself: from when its claim leaves
 // until the sum has it. A data centre with a deeper tree waits longer before it ejects.
 func TestDelayFollowsTheTree(t *testing.T) {
-	var p Pool
+	var p Aggregator
 	now := time.Unix(1000, 0)
-	p.Follow(now, above, Update{})
-	if d := p.Delay(); d != delayFirst {
+	p.HandleParentUpdate(now, above, Update{})
+	if d := p.PropagationDelay(); d != delayFirst {
 		t.Error("at first", d)
 	}
-	wait := []Report{{Key: 1, Silence: Silence{Entries: 1, First: now}}}
-	if _, _, to := p.Turn(now, wait, false); !to.IsValid() {
+	wait := []Report{{Key: 1, Silence: Silence{WaitingEntries: 1, FirstWaitSince: now}}}
+	if _, _, to := p.Aggregate(now, wait, false); !to.IsValid() {
 		t.Fatal("not reported")
 	}
-	p.Follow(now.Add(40*time.Millisecond), above, Update{Whole: true, Reports: []Report{{Key: 2, Silence: Silence{Entries: 1, First: now}}}})
-	p.Follow(now.Add(180*time.Millisecond), above, Update{Reports: wait})
-	if d := p.Delay(); d != 360*time.Millisecond {
+	p.HandleParentUpdate(now.Add(40*time.Millisecond), above, Update{Full: true, Reports: []Report{{Key: 2, Silence: Silence{WaitingEntries: 1, FirstWaitSince: now}}}})
+	p.HandleParentUpdate(now.Add(180*time.Millisecond), above, Update{Reports: wait})
+	if d := p.PropagationDelay(); d != 360*time.Millisecond {
 		t.Error("after a claim that took 180 ms:", d)
 	}
 }
@@ -210,13 +210,13 @@
 // A hundred upstreams are waited for. What changed goes through each link, not all of it each time,
 // and the other side has the same all the same.
 func TestStreamSendsWhatChanged(t *testing.T) {
-	var s Stream
+	var s DeltaTracker
 	now := time.Unix(1000, 0)
 	var list, there []Report
 	sent := 0
 	for i := range 100 {
-		list = append(list, Report{Key: stoatpaddle.UpstreamKey(i + 1), Silence: Silence{Entries: 1, First: now}})
-		u, due := s.Next(now.Add(time.Duration(i)*10*time.Millisecond), list, SinceFirst)
+		list = append(list, Report{Key: stoatpaddle.UpstreamKey(i + 1), Silence: Silence{WaitingEntries: 1, FirstWaitSince: now}})
+		u, due := s.Next(now.Add(time.Duration(i)*10*time.Millisecond), list, FirstWait)
 		if !due {
 			t.Fatal("a claim is held back")
 		}
@@ -229,14 +229,14 @@
 	if sent != 100 {
 		t.Error(sent, "reports for 100 claims")
 	}
-	u, due := s.Next(now.Add(1100*time.Millisecond), list[:50], SinceFirst)
+	u, due := s.Next(now.Add(1100*time.Millisecond), list[:50], FirstWait)
 	if there = u.onto(there); !due || len(there) != 50 {
 		t.Error("what ended is left:", len(there))
 	}
-	if u, due := s.Next(now.Add(1110*time.Millisecond), list[:50], SinceFirst); due {
+	if u, due := s.Next(now.Add(1110*time.Millisecond), list[:50], FirstWait); due {
 		t.Errorf("nothing changed: %+v", u)
 	}
-	if u, due := s.Next(now.Add(3*time.Second), list[:50], SinceFirst); !due || !u.Whole || len(u.Reports) != 50 {
+	if u, due := s.Next(now.Add(3*time.Second), list[:50], FirstWait); !due || !u.Full || len(u.Reports) != 50 {
 		t.Error("not sent whole after a while")
 	}
 }
@@ -248,38 +248,38 @@
 	start := time.Unix(1000, 0)
 	now, turns := start, 0
 	for now.Sub(start) < time.Second {
-		now = now.Add(p.Took(now))
+		now = now.Add(p.RecordRound(now))
 		turns++
 	}
 	if turns < 45 {
 		t.Error(turns, "turns in the first second")
 	}
 	for turns = 0; now.Sub(start) < time.Minute; turns++ {
-		now = now.Add(p.Took(now))
+		now = now.Add(p.RecordRound(now))
 	}
 	if perSecond := float64(turns) / 59; perSecond > 1.25*turnRate {
 		t.Error(perSecond, "turns a second for a minute")
 	}
-	if wait := p.Took(now.Add(10 * time.Second)); wait != turnGap {
+	if wait := p.RecordRound(now.Add(10 * time.Second)); wait != turnGap {
 		t.Error("after a calm the next change waits", wait)
 	}
 }
 
 // An entry that has just found its place in the tree knows who is waited for, and not yet who answered.
 func TestSteady(t *testing.T) {
-	var p Pool
+	var p Aggregator
 	now := time.Unix(1000, 0)
 	at := func(d time.Duration) time.Time { return now.Add(d) }
-	p.Follow(now, above, Update{})
-	if p.Steady(at(100*time.Millisecond)) || !p.Steady(at(time.Second)) {
+	p.HandleParentUpdate(now, above, Update{})
+	if p.Stable(at(100*time.Millisecond)) || !p.Stable(at(time.Second)) {
 		t.Error("after a new parent")
 	}
-	p.Follow(at(time.Second), above, Update{})
-	if !p.Steady(at(1100 * time.Millisecond)) {
+	p.HandleParentUpdate(at(time.Second), above, Update{})
+	if !p.Stable(at(1100 * time.Millisecond)) {
 		t.Error("the parent is the same")
 	}
-	p.Take(at(2*time.Second), belowA, Update{Whole: true})
-	if !p.Steady(at(2100 * time.Millisecond)) {
+	p.HandleChildUpdate(at(2*time.Second), belowA, Update{Full: true})
+	if !p.Stable(at(2100 * time.Millisecond)) {
 		t.Error("a child that reports for the first time holds the others up")
 	}
 }
--- a/stoatoutlier/report.go
+++ b/stoatoutlier/report.go
@@ -12,8 +12,8 @@
 // for too long.
 type Counts struct{ Answered, Failed int }
 
-// Share returns the part of the requests that failed.
-func (c Counts) Share() float64 {
+// FailureRatio returns the part of the requests that failed.
+func (c Counts) FailureRatio() float64 {
 	if c.Failed == 0 {
 		return 0
 	}
@@ -33,7 +33,7 @@
 }
 
 // outlier tells whether the report speaks against its upstream.
-func (r *Report) outlier() bool { return r.Failed > 0 || r.Entries > 0 }
+func (r *Report) outlier() bool { return r.Failed > 0 || r.WaitingEntries > 0 }
 
 // empty tells whether the report says nothing.
 func (r *Report) empty() bool { return r.Counts == Counts{} && r.Silence == Silence{} }
--- a/stoatoutlier/silence.go
+++ b/stoatoutlier/silence.go
@@ -8,46 +8,48 @@
 // One entry alone may have lost a packet, or have a network of its own that fails. Two that wait
 // independently, while none of the data centre heard anything, are evidence against the upstream.
 type Silence struct {
-	Entries int       // that wait
-	First   time.Time // since when the first of them waits; zero: none does
-	Second  time.Time // since when the second does; zero: there is one at most
-	Heard   time.Time // the last sign of life that any entry had; zero: none of late
+	WaitingEntries  int       // that wait
+	FirstWaitSince  time.Time // since when the first of them waits; zero: none does
+	SecondWaitSince time.Time // since when the second does; zero: there is one at most
+	LastHeard       time.Time // the last sign of life that any entry had; zero: none of late
 }
 
 // Add returns what both saw together.
 func (s Silence) Add(o Silence) Silence {
-	out := Silence{Entries: s.Entries + o.Entries, First: s.First, Second: s.Second, Heard: s.Heard}
-	for _, t := range []time.Time{o.First, o.Second} {
+	out := Silence{WaitingEntries: s.WaitingEntries + o.WaitingEntries, FirstWaitSince: s.FirstWaitSince, SecondWaitSince: s.SecondWaitSince, LastHeard: s.LastHeard}
+	for _, t := range []time.Time{o.FirstWaitSince, o.SecondWaitSince} {
 		switch {
 		case t.IsZero():
-		case out.First.IsZero() || t.Before(out.First):
-			out.First, out.Second = t, out.First
-		case out.Second.IsZero() || t.Before(out.Second):
-			out.Second = t
+		case out.FirstWaitSince.IsZero() || t.Before(out.FirstWaitSince):
+			out.FirstWaitSince, out.SecondWaitSince = t, out.FirstWaitSince
+		case out.SecondWaitSince.IsZero() || t.Before(out.SecondWaitSince):
+			out.SecondWaitSince = t
 		}
 	}
-	if o.Heard.After(out.Heard) {
-		out.Heard = o.Heard
+	if o.LastHeard.After(out.LastHeard) {
+		out.LastHeard = o.LastHeard
 	}
 	return out
 }
 
 // Ended tells whether the upstream gave a sign of life since an entry began to wait: packets
 // sent before it say nothing any more.
-func (s Silence) Ended() bool { return !s.First.IsZero() && !s.Heard.Before(s.First) }
+func (s Silence) Ended() bool {
+	return !s.FirstWaitSince.IsZero() && !s.LastHeard.Before(s.FirstWaitSince)
+}
 
-// Alone is for how long an entry has waited; 0: none does.
-func (s Silence) Alone(now time.Time) time.Duration {
-	if s.Entries == 0 || s.First.IsZero() || s.Ended() {
+// LongestWait is for how long an entry has waited; 0: none does.
+func (s Silence) LongestWait(now time.Time) time.Duration {
+	if s.WaitingEntries == 0 || s.FirstWaitSince.IsZero() || s.Ended() {
 		return 0
 	}
-	return now.Sub(s.First)
+	return now.Sub(s.FirstWaitSince)
 }
 
-// Together is for how long two entries have waited; 0: no two do.
-func (s Silence) Together(now time.Time) time.Duration {
-	if s.Entries < 2 || s.Second.IsZero() || s.Ended() {
+// SharedWait is for how long two entries have waited; 0: no two do.
+func (s Silence) SharedWait(now time.Time) time.Duration {
+	if s.WaitingEntries < 2 || s.SecondWaitSince.IsZero() || s.Ended() {
 		return 0
 	}
-	return now.Sub(s.Second)
+	return now.Sub(s.SecondWaitSince)
 }
--- a/stoatoutlier/stream.go
+++ b/stoatoutlier/stream.go
@@ -8,7 +8,7 @@
 
 // Update is what is sent of reports: those that changed, or all.
 type Update struct {
-	Whole   bool // Reports are all there are
+	Full    bool // Reports are all there are
 	Reports []Report
 }
 
@@ -16,7 +16,7 @@
 // nothing any more ends the one before it.
 func (u Update) onto(list []Report) []Report {
 	byUpstream := map[stoatpaddle.UpstreamKey]Report{}
-	if !u.Whole {
+	if !u.Full {
 		for _, r := range list {
 			byUpstream[r.Key] = r
 		}
@@ -31,11 +31,11 @@
 	return sorted(byUpstream)
 }
 
-// Stream remembers what the other side was sent, so that an update names only what changed.
+// DeltaTracker remembers what the other side was sent, so that an update names only what changed.
 //
 // The load: a hundred upstreams fall silent. Sent whole at each change, the list of them would go
 // through each link of the tree fifty times a second, at two kilobytes each time.
-type Stream struct {
+type DeltaTracker struct {
 	sent   map[stoatpaddle.UpstreamKey]claim
 	whole  time.Time // when all was sent last; zero: never
 	counts time.Time // when counts were sent last
@@ -52,18 +52,18 @@
 // Next returns what to send of a list, and whether there is anything; first tells since when an
 // entry of the data centre waits for an upstream, as the other side knows it. What changes a claim
 // is due at once, counts of failures after reportSoon, and all after reportLater.
-func (s *Stream) Next(now time.Time, list []Report, first func(*Report) time.Time) (Update, bool) {
+func (s *DeltaTracker) Next(now time.Time, list []Report, first func(*Report) time.Time) (Update, bool) {
 	if s.sent == nil {
 		s.sent = map[stoatpaddle.UpstreamKey]claim{}
 	}
 	counts := now.Sub(s.counts) >= reportSoon
-	u := Update{Whole: len(list) > 0 && now.Sub(s.whole) >= reportLater}
+	u := Update{Full: len(list) > 0 && now.Sub(s.whole) >= reportLater}
 	listed := make(map[stoatpaddle.UpstreamKey]bool, len(list))
 	for i := range list {
 		r := &list[i]
 		listed[r.Key] = true
 		c, old := claimOf(r, first(r)), s.sent[r.Key]
-		if u.Whole || c.differs(old, counts) {
+		if u.Full || c.differs(old, counts) {
 			u.Reports = append(u.Reports, *r)
 			s.sent[r.Key] = c
 		}
@@ -73,11 +73,11 @@
 			continue
 		}
 		delete(s.sent, k)
-		if !u.Whole {
+		if !u.Full {
 			u.Reports = append(u.Reports, Report{Key: k})
 		}
 	}
-	if u.Whole {
+	if u.Full {
 		s.whole = now
 	}
 	if counts {
@@ -88,8 +88,8 @@
 
 func claimOf(r *Report, first time.Time) claim {
 	return claim{
-		named: true, waiting: min(2, r.Entries), failed: r.Failed,
-		alive: !first.IsZero() && r.Heard.After(first),
+		named: true, waiting: min(2, r.WaitingEntries), failed: r.Failed,
+		alive: !first.IsZero() && r.LastHeard.After(first),
 	}
 }
 
--- a/stoatpeer/codec.go
+++ b/stoatpeer/codec.go
@@ -36,22 +36,22 @@
 
 // FrameError reports a frame that does not follow the protocol; the connection is closed.
 type FrameError struct {
-	Where string
+	Part  string
 	Cause error
 }
 
 // Error names the place in the frame.
-func (e *FrameError) Error() string { return fmt.Sprintf("frame: %s: %v", e.Where, e.Cause) }
+func (e *FrameError) Error() string { return fmt.Sprintf("frame: %s: %v", e.Part, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *FrameError) Unwrap() error { return e.Cause }
 
 // RangeError reports a number in a frame that is out of its range.
-type RangeError struct{ Got, Most int }
+type RangeError struct{ Got, Max int }
 
 // Error tells the number and its bound.
 func (e *RangeError) Error() string {
-	return fmt.Sprintf("%d is out of range (at most %d)", e.Got, e.Most)
+	return fmt.Sprintf("%d is out of range (at most %d)", e.Got, e.Max)
 }
 
 // UnknownMessageError reports a message that the codec has no kind for.
@@ -90,13 +90,13 @@
 		buf.WriteByte(byte(kindMembers))
 		e.members(m)
 	default:
-		return nil, &FrameError{Where: "kind", Cause: &UnknownMessageError{}}
+		return nil, &FrameError{Part: "kind", Cause: &UnknownMessageError{}}
 	}
 	if e.err != nil {
-		return nil, &FrameError{Where: "body", Cause: e.err}
+		return nil, &FrameError{Part: "body", Cause: e.err}
 	}
 	if buf.Len()-frameHead > MaxFrame {
-		return nil, &FrameError{Where: "length", Cause: &RangeError{Got: buf.Len() - frameHead, Most: MaxFrame}}
+		return nil, &FrameError{Part: "length", Cause: &RangeError{Got: buf.Len() - frameHead, Max: MaxFrame}}
 	}
 	frame := buf.Bytes()
 	binary.BigEndian.PutUint32(frame, uint32(len(frame)-frameHead))
@@ -107,15 +107,15 @@
 func Read(r io.Reader) (stoatmessage.Message, error) {
 	var head [frameHead]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
-		return nil, &FrameError{Where: "length", Cause: err}
+		return nil, &FrameError{Part: "length", Cause: err}
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
 	if n < 2 || n > MaxFrame {
-		return nil, &FrameError{Where: "length", Cause: &RangeError{Got: n, Most: MaxFrame}}
+		return nil, &FrameError{Part: "length", Cause: &RangeError{Got: n, Max: MaxFrame}}
 	}
 	body := make([]byte, n)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return nil, &FrameError{Where: "body", Cause: err}
+		return nil, &FrameError{Part: "body", Cause: err}
 	}
 	return Decode(body)
 }
@@ -123,12 +123,12 @@
 // Decode reads a frame after its length, or returns *FrameError.
 func Decode(body []byte) (stoatmessage.Message, error) {
 	if len(body) < 2 || body[0] != frameVersion {
-		return nil, &FrameError{Where: "version", Cause: &RangeError{Got: len(body), Most: frameVersion}}
+		return nil, &FrameError{Part: "version", Cause: &RangeError{Got: len(body), Max: frameVersion}}
 	}
 	d := &decoder{in: msgpack.NewDecoder(bytes.NewReader(body[2:]))}
 	m := d.message(Kind(body[1]))
 	if d.err != nil {
-		return nil, &FrameError{Where: "body", Cause: d.err}
+		return nil, &FrameError{Part: "body", Cause: d.err}
 	}
 	return m, nil
 }
--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -38,7 +38,7 @@
 func (d *decoder) list() int {
 	n := take(d, d.in.DecodeArrayLen)
 	if n < 0 || n > maxList {
-		d.err = &RangeError{Got: n, Most: maxList}
+		d.err = &RangeError{Got: n, Max: maxList}
 		return 0
 	}
 	return n
@@ -48,9 +48,9 @@
 	return take(d, func() (netip.AddrPort, error) { return netip.ParseAddrPort(d.text()) })
 }
 
-func (d *decoder) ref() stoatpaddle.Ref {
+func (d *decoder) ref() stoatpaddle.ObjectRef {
 	kind := stoatpaddle.ObjectKind(d.text())
-	return stoatpaddle.Ref{Kind: kind, Name: d.text()}
+	return stoatpaddle.ObjectRef{Kind: kind, Name: d.text()}
 }
 
 func (d *decoder) hello() *stoatmessage.Hello {
@@ -69,9 +69,9 @@
 
 func (d *decoder) instance() stoatpaddle.Instance {
 	i := stoatpaddle.Instance{ID: stoatpaddle.InstanceID(d.text())}
-	i.Role = stoatpaddle.Role(d.text())
+	i.Role = stoatpaddle.InstanceRole(d.text())
 	i.DataCentre = stoatpaddle.DataCentreID(d.text())
-	i.State = stoatpaddle.State(d.text())
+	i.State = stoatpaddle.InstanceState(d.text())
 	i.Incarnation = stoatpaddle.Incarnation(d.uint())
 	i.Relay = d.addr()
 	i.Peer = d.addr()
@@ -82,7 +82,7 @@
 func (d *decoder) heartbeat() *stoatmessage.Heartbeat {
 	m := &stoatmessage.Heartbeat{}
 	m.Digest.Newest = stoatpaddle.Version(d.uint())
-	m.Digest.Sum = uint32(d.uint())
+	m.Digest.Checksum = uint32(d.uint())
 	m.State = d.state()
 	return m
 }
@@ -91,7 +91,7 @@
 	m := &stoatmessage.Have{}
 	for n := d.list(); n > 0 && d.err == nil; n-- {
 		ref := d.ref()
-		m.Objects = append(m.Objects, stoatmessage.Held{Ref: ref, Version: stoatpaddle.Version(d.uint())})
+		m.Objects = append(m.Objects, stoatmessage.ObjectVersion{Ref: ref, Version: stoatpaddle.Version(d.uint())})
 	}
 	return m
 }
@@ -109,8 +109,8 @@
 	for n := d.list(); n > 0 && d.err == nil; n-- {
 		o := stoatpaddle.Object{Ref: d.ref()}
 		o.Version = stoatpaddle.Version(d.uint())
-		o.Token = stoatpaddle.Token(d.text())
-		o.Gone = d.bool()
+		o.Token = stoatpaddle.WriteToken(d.text())
+		o.Deleted = d.bool()
 		o.Value = d.bytes()
 		m.Objects = append(m.Objects, o)
 	}
@@ -146,7 +146,7 @@
 	for b := d.bytes(); len(b) > 0; {
 		n, size := binary.Uvarint(b)
 		if size <= 0 || n > 1<<31 {
-			d.err = &RangeError{Got: size, Most: 1 << 31}
+			d.err = &RangeError{Got: size, Max: 1 << 31}
 			return l
 		}
 		l.Open = append(l.Open, uint32(n))
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -50,19 +50,19 @@
 }
 
 func drawMessage(t *rapid.T) stoatmessage.Message {
-	ref := stoatpaddle.Ref{Kind: "contract", Name: rapid.String().Draw(t, "name")}
+	ref := stoatpaddle.ObjectRef{Kind: "contract", Name: rapid.String().Draw(t, "name")}
 	version := stoatpaddle.Version(rapid.Uint64().Draw(t, "version"))
 	switch rapid.IntRange(0, 6).Draw(t, "kind") {
 	case 0:
 		return &stoatmessage.Hello{Cluster: "c", Instance: instance("e", someAddr)}
 	case 1:
-		return &stoatmessage.Heartbeat{Digest: stoatmessage.Digest{Newest: version, Sum: rapid.Uint32().Draw(t, "sum")}, State: stoatpaddle.StateLeaving}
+		return &stoatmessage.Heartbeat{Digest: stoatmessage.Digest{Newest: version, Checksum: rapid.Uint32().Draw(t, "sum")}, State: stoatpaddle.StateLeaving}
 	case 2:
-		return &stoatmessage.Have{Objects: []stoatmessage.Held{{Ref: ref, Version: version}}}
+		return &stoatmessage.Have{Objects: []stoatmessage.ObjectVersion{{Ref: ref, Version: version}}}
 	case 3:
-		return &stoatmessage.Want{Refs: []stoatpaddle.Ref{ref, ref}}
+		return &stoatmessage.Want{Refs: []stoatpaddle.ObjectRef{ref, ref}}
 	case 4:
-		return &stoatmessage.Objects{Objects: []stoatpaddle.Object{{Ref: ref, Version: version, Token: "t", Gone: true, Value: []byte("v")}}}
+		return &stoatmessage.Objects{Objects: []stoatpaddle.Object{{Ref: ref, Version: version, Token: "t", Deleted: true, Value: []byte("v")}}}
 	case 5:
 		return &stoatmessage.Members{Instances: []stoatpaddle.Instance{instance("e", someAddr), instance("f", someAddr)}}
 	default:
@@ -153,8 +153,10 @@
 
 func (r *recorder) Connected(h stoatmessage.Hello) { r.note("connected " + string(h.Instance.ID)) }
 
-func (r *recorder) Disconnected(id stoatpaddle.InstanceID)          { r.note("disconnected " + string(id)) }
-func (r *recorder) Emit(e *stoatevent.Entry, _ ...stoatevent.Field) { r.note(e.Number.String()) }
+func (r *recorder) Disconnected(id stoatpaddle.InstanceID) { r.note("disconnected " + string(id)) }
+
+func (r *recorder) Emit(e *stoatevent.Definition, _ ...stoatevent.Field) { r.note(e.Number.String()) }
+
 func (r *recorder) Received(from stoatpaddle.InstanceID, m stoatmessage.Message) {
 	if w, ok := m.(*stoatmessage.Want); ok {
 		r.note("want " + string(from) + " " + w.Refs[0].Name)
@@ -190,9 +192,9 @@
 		t.Fatal(err)
 	}
 	for data, event := range map[string]string{
-		"GET / HTTP/1.1\r\n\r\n": EventFrame.Number.String(),
-		string(huge):             EventFrame.Number.String(),
-		string(other):            EventStranger.Number.String(),
+		"GET / HTTP/1.1\r\n\r\n": EventMalformedFrame.Number.String(),
+		string(huge):             EventMalformedFrame.Number.String(),
+		string(other):            EventPeerRefused.Number.String(),
 	} {
 		conn, err := net.Dial("tcp", addrA.String())
 		if err != nil {
@@ -204,8 +206,8 @@
 		ra.wait(event)
 		_ = conn.Close()
 	}
-	a.Send("b", &stoatmessage.Want{Refs: []stoatpaddle.Ref{{Kind: "contract", Name: "still"}}})
+	a.Send("b", &stoatmessage.Want{Refs: []stoatpaddle.ObjectRef{{Kind: "contract", Name: "still"}}})
 	rb.wait("want a still")
-	a.Hangup("b")
+	a.Disconnect("b")
 	rb.wait("disconnected a")
 }
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -41,8 +41,8 @@
 	Addr    netip.AddrPort
 	Handler Handler
 	Log     stoatevent.Sink
-	// Severed tells that the network between this entry and the address is cut; tests set it.
-	Severed func(id stoatpaddle.InstanceID) bool
+	// Partitioned tells that the network between this entry and the address is cut; tests set it.
+	Partitioned func(id stoatpaddle.InstanceID) bool
 }
 
 // Transport holds the connections of one entry with its peers.
@@ -152,8 +152,8 @@
 	})
 }
 
-// Hangup closes the connection with a peer.
-func (t *Transport) Hangup(id stoatpaddle.InstanceID) {
+// Disconnect closes the connection with a peer.
+func (t *Transport) Disconnect(id stoatpaddle.InstanceID) {
 	t.mu.Lock()
 	l := t.links[id]
 	t.mu.Unlock()
@@ -172,19 +172,19 @@
 	}
 	frame, err := Encode(m)
 	if err != nil {
-		t.cfg.Log.Emit(EventFrame, stoatevent.F("peer", string(to)), stoatevent.F("cause", err.Error()))
+		t.cfg.Log.Emit(EventMalformedFrame, stoatevent.F("peer", string(to)), stoatevent.F("cause", err.Error()))
 		return
 	}
 	select {
 	case l.out <- frame:
 	default:
-		t.cfg.Log.Emit(EventSlow, stoatevent.F("peer", string(to)))
+		t.cfg.Log.Emit(EventSlowPeer, stoatevent.F("peer", string(to)))
 		l.close()
 	}
 }
 
 func (t *Transport) severed(id stoatpaddle.InstanceID) bool {
-	return t.cfg.Severed != nil && t.cfg.Severed(id)
+	return t.cfg.Partitioned != nil && t.cfg.Partitioned(id)
 }
 
 // serve runs one connection to its end.
@@ -229,7 +229,7 @@
 	}
 	hello, ok := m.(*stoatmessage.Hello)
 	if !ok || hello.Cluster != own.Cluster || hello.Instance.ID == own.Instance.ID {
-		t.cfg.Log.Emit(EventStranger, stoatevent.F("address", conn.RemoteAddr().String()))
+		t.cfg.Log.Emit(EventPeerRefused, stoatevent.F("address", conn.RemoteAddr().String()))
 		return nil, nil, false
 	}
 	if t.severed(hello.Instance.ID) {
@@ -245,7 +245,7 @@
 	if errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.As(err, &netErr) {
 		return
 	}
-	t.cfg.Log.Emit(EventFrame, stoatevent.F("address", conn.RemoteAddr().String()), stoatevent.F("cause", err.Error()))
+	t.cfg.Log.Emit(EventMalformedFrame, stoatevent.F("address", conn.RemoteAddr().String()), stoatevent.F("cause", err.Error()))
 }
 
 // add makes l the connection with its peer in place of an earlier one.
@@ -290,7 +290,7 @@
 }
 
 func (t *Transport) read(l *link, r *bufio.Reader) {
-	counted := &stoatcount.Reader{R: r, N: &t.received}
+	counted := &stoatcount.Reader{R: r, Count: &t.received}
 	for {
 		_ = l.conn.SetReadDeadline(time.Now().Add(silence))
 		m, err := Read(counted)
--- a/stoatplatform/client.go
+++ b/stoatplatform/client.go
@@ -39,13 +39,13 @@
 }
 
 // Get implements stoatpaddle.Platform.
-func (c *Client) Get(ctx context.Context, ref stoatpaddle.Ref) (stoatpaddle.Object, error) {
+func (c *Client) Get(ctx context.Context, ref stoatpaddle.ObjectRef) (stoatpaddle.Object, error) {
 	res, err := c.call(ctx, http.MethodGet, objectPath(ref), nil)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
 	o, err := decodeResponse(ref, res)
-	if err == nil && o.Gone {
+	if err == nil && o.Deleted {
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
 	}
 	return o, err
@@ -105,7 +105,7 @@
 			return stoatpaddle.Listing{}, err
 		}
 		// The system itself only writes tombstones, but an operator may delete an object by hand.
-		o.Gone = o.Gone || ev.Deleted
+		o.Deleted = o.Deleted || ev.Deleted
 		l.Objects = append(l.Objects, o)
 	}
 	return l, nil
@@ -142,7 +142,7 @@
 	written, err := c.write(ctx, http.MethodPost, o)
 	current, isConflict := conflictOf(err)
 	// The tombstone of a deleted object prevents a creation, so the object is written on top of it.
-	if isConflict && current.Gone {
+	if isConflict && current.Deleted {
 		o.Version = current.Version
 		return c.write(ctx, http.MethodPut, o)
 	}
@@ -151,7 +151,7 @@
 
 // Delete implements stoatpaddle.Platform by writing a tombstone.
 func (c *Client) Delete(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
-	o.Gone = true
+	o.Deleted = true
 	return c.write(ctx, http.MethodPut, o)
 }
 
@@ -202,10 +202,10 @@
 	return res, err
 }
 
-func objectPath(ref stoatpaddle.Ref) string { return Kind + "/" + objectName(ref) }
+func objectPath(ref stoatpaddle.ObjectRef) string { return Kind + "/" + objectName(ref) }
 
 // decodeResponse decodes the response to a call for one object.
-func decodeResponse(ref stoatpaddle.Ref, res platform.Response) (stoatpaddle.Object, error) {
+func decodeResponse(ref stoatpaddle.ObjectRef, res platform.Response) (stoatpaddle.Object, error) {
 	switch res.Status {
 	case http.StatusNotFound:
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
--- a/stoatplatform/retry.go
+++ b/stoatplatform/retry.go
@@ -32,12 +32,12 @@
 
 // Trail returns the token of a write on top of the one with token prev. The token names the last few
 // writes, so that a writer that got no response recognizes its own write even after later ones.
-func Trail(own, prev stoatpaddle.Token) stoatpaddle.Token {
+func Trail(own, prev stoatpaddle.WriteToken) stoatpaddle.WriteToken {
 	parts := strings.Split(string(prev), tokenSeparator)
 	if len(parts) >= maxNamedWrites {
 		parts = parts[:maxNamedWrites-1]
 	}
-	return stoatpaddle.Token(strings.TrimSuffix(string(own)+tokenSeparator+strings.Join(parts, tokenSeparator), tokenSeparator))
+	return stoatpaddle.WriteToken(strings.TrimSuffix(string(own)+tokenSeparator+strings.Join(parts, tokenSeparator), tokenSeparator))
 }
 
 // tokenSeparator separates the writes that a token names.
@@ -45,7 +45,7 @@
 
 // Wrote reports whether the write with token own made the object or one of its earlier versions that the
 // object's token names.
-func Wrote(o stoatpaddle.Object, own stoatpaddle.Token) bool {
+func Wrote(o stoatpaddle.Object, own stoatpaddle.WriteToken) bool {
 	return slices.Contains(strings.Split(string(o.Token), tokenSeparator), string(own))
 }
 
@@ -60,7 +60,7 @@
 // UnknownError reports a write of which it is unknown whether it took effect. Repeating the write with
 // the same token is safe.
 type UnknownError struct {
-	Token stoatpaddle.Token
+	Token stoatpaddle.WriteToken
 	Cause error
 }
 
@@ -85,7 +85,7 @@
 // a version that the token own is part of, the earlier attempt took effect. So nothing is applied twice, and
 // no write that took effect is reported as rejected. Its errors are *stoatpaddle.ConflictError and
 // *UnknownOutcomeError.
-func (w *Writer) Put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (w *Writer) Put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	maxAttempts := w.Tries
 	if maxAttempts == 0 {
 		maxAttempts = defaultMaxAttempts
@@ -105,7 +105,7 @@
 	return stoatpaddle.Object{}, &UnknownError{Token: own, Cause: cause}
 }
 
-func (w *Writer) writeOnce(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (w *Writer) writeOnce(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	done, err := w.send(ctx, o)
 	var conflict *stoatpaddle.ConflictError
 	if errors.As(err, &conflict) && Wrote(conflict.Current, own) {
@@ -115,7 +115,7 @@
 }
 
 func (w *Writer) send(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
-	if o.Gone {
+	if o.Deleted {
 		return w.Platform.Delete(ctx, o)
 	}
 	return w.Platform.Put(ctx, o)
--- a/stoatplatform/wire.go
+++ b/stoatplatform/wire.go
@@ -23,12 +23,12 @@
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-func objectName(ref stoatpaddle.Ref) string { return string(ref.Kind) + nameSeparator + ref.Name }
+func objectName(ref stoatpaddle.ObjectRef) string { return string(ref.Kind) + nameSeparator + ref.Name }
 
 // ToObject converts an object to one of the platform.
 func ToObject(o stoatpaddle.Object) (platform.Object, error) {
-	s := spec{Token: string(o.Token), Gone: o.Gone}
-	if !o.Gone {
+	s := spec{Token: string(o.Token), Gone: o.Deleted}
+	if !o.Deleted {
 		s.Value = o.Value
 	}
 	data, err := json.Marshal(s)
@@ -47,8 +47,8 @@
 		return stoatpaddle.Object{}, &stoatpaddle.DecodeError{What: "object " + p.Meta.Name, Cause: err}
 	}
 	return stoatpaddle.Object{
-		Ref:     stoatpaddle.Ref{Kind: stoatpaddle.ObjectKind(kind), Name: name},
+		Ref:     stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectKind(kind), Name: name},
 		Version: stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(p.Meta.Revision)}.Version(),
-		Token:   stoatpaddle.Token(s.Token), Gone: s.Gone, Value: s.Value,
+		Token:   stoatpaddle.WriteToken(s.Token), Deleted: s.Gone, Value: s.Value,
 	}, nil
 }
--- a/stoatrelay/bench_test.go
+++ b/stoatrelay/bench_test.go
@@ -13,17 +13,17 @@
 )
 
 func bigBook(routes, upstreams int) (*stoatroute.Builder, stoatpaddle.Declaration) {
-	d := stoatpaddle.Declaration{Version: 1, Caps: map[stoatpaddle.ServiceID]int{"app": 2000}}
+	d := stoatpaddle.Declaration{Version: 1, MaxFlows: map[stoatpaddle.ServiceID]int{"app": 2000}}
 	for i := range routes {
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
 		d.Routes = append(d.Routes, stoatpaddle.Route{
-			Listen: netip.AddrPortFrom(addr, 443), Objective: 200 * ms, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
+			Listen: netip.AddrPortFrom(addr, 443), TargetLatency: 200 * ms, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
 		})
 	}
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.ApplyDeclaration(d, 1)
 	for i := range upstreams {
-		c := registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%010x", i+1)), stoatpaddle.Target(i+1), stoatpaddle.Version(i+2))
+		c := registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%010x", i+1)), stoatpaddle.TargetID(i+1), stoatpaddle.Version(i+2))
 		c.registration.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8080)
 		b.Register(time.Unix(1000, 0), *c.registration, c.revision)
 	}
@@ -33,8 +33,8 @@
 // A message without news, as each child gets one with each proof.
 func BenchmarkHead(b *testing.B) {
 	h := &Head{
-		Known: 1234567, AgeMS: 40, Path: []string{"10.1.0.10:8166", "10.1.0.77:8166", "10.1.0.78:8166"},
-		Relatives: []string{"10.1.0.80:8166", "10.1.0.81:8166", "10.1.0.82:8166"}, Centre: "ruwi",
+		PositionRevision: 1234567, AgeMS: 40, Path: []string{"10.1.0.10:8166", "10.1.0.77:8166", "10.1.0.78:8166"},
+		Siblings: []string{"10.1.0.80:8166", "10.1.0.81:8166", "10.1.0.82:8166"}, Centre: "ruwi",
 	}
 	b.ReportAllocs()
 	for range b.N {
@@ -80,7 +80,7 @@
 			now := time.Unix(1000, 0)
 			b.ReportAllocs()
 			for range b.N {
-				x := toldOver(b, EncodeBody(now, t, Holds{}))
+				x := toldOver(b, EncodeBody(now, t, ChildState{}))
 				stoatroute.NewBuilder(stoatroute.Config{}).Mirror(now, stoatroute.RemoteUpdate{Upstreams: x.Upstreams, Complete: true, UpToDate: true})
 			}
 		})
@@ -96,15 +96,15 @@
 			now := time.Unix(1000, 0)
 			b.ReportAllocs()
 			for i := range b.N {
-				child := HoldsOf(book.Table())
+				child := ChildStateOf(book.Table())
 				d.Version++
 				d.Routes[0].Priority = i
 				book.ApplyDeclaration(d, d.Version)
 				x := toldOver(b, EncodeBody(now, book.Table(), child))
-				if !x.Delta.Fits(held.Version) {
+				if !x.Delta.AppliesTo(held.Version) {
 					b.Fatal("does not fit")
 				}
-				held = x.Delta.Onto(&held)
+				held = x.Delta.ApplyTo(&held)
 			}
 		})
 	}
--- a/stoatrelay/codec_test.go
+++ b/stoatrelay/codec_test.go
@@ -35,30 +35,30 @@
 	registration *stoatpaddle.Registration
 }
 
-func registered(id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) entry {
+func registered(id stoatpaddle.UpstreamID, target stoatpaddle.TargetID, revision stoatpaddle.Version) entry {
 	return entry{revision: revision, registration: &stoatpaddle.Registration{
-		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, Created: revision,
+		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, CreateRevision: revision,
 	}}
 }
 
 // What one entry tells, another takes in as the same; later it is told what changed alone.
 func TestNewsCodec(t *testing.T) {
 	c, r := declared(4, 9), registered("i-2", 2, 7)
-	c.declaration.Caps = map[stoatpaddle.ServiceID]int{"app": 2000}
+	c.declaration.MaxFlows = map[stoatpaddle.ServiceID]int{"app": 2000}
 	c.declaration.ColdRates = map[stoatpaddle.ServiceID]float64{"app": 2.5}
 	c.declaration.Routes[0].Regions = []stoatpaddle.RegionID{"south", "north"}
-	c.declaration.Idle = 15 * time.Second
+	c.declaration.IdleTimeout = 15 * time.Second
 	c.declaration.Routes[0].Idempotent = true
 	r.registration.Leaving = true
 	r.registration.Addr = listen
-	r.registration.Cold = 3 * time.Second
+	r.registration.ColdRemaining = 3 * time.Second
 	now := time.Unix(1000, 0)
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.ApplyDeclaration(*c.declaration, c.revision)
 	b.Register(now, *r.registration, r.revision)
 	first := b.Table()
-	got, err := Decode(&Head{Known: 12}, overTheWire(t, EncodeBody(now.Add(time.Second), first, Holds{})))
-	if err != nil || got.Delta == nil || len(got.Upstreams) != 1 || !got.Whole || got.Known.Revision != 12 {
+	got, err := Decode(&Head{PositionRevision: 12}, overTheWire(t, EncodeBody(now.Add(time.Second), first, ChildState{})))
+	if err != nil || got.Delta == nil || len(got.Upstreams) != 1 || !got.Full || got.Position.Revision != 12 {
 		t.Fatalf("%+v %v", got, err)
 	}
 	a := got.Delta
@@ -66,16 +66,16 @@
 		t.Error(diff, a.Revision, a.Base)
 	}
 	want := *r.registration
-	want.Cold = 2 * time.Second
+	want.ColdRemaining = 2 * time.Second
 	if u := got.Upstreams[0]; u.Registration != want || u.Revision != 7 || u.State != stoatroute.Leaving {
 		t.Errorf("%+v", u)
 	}
 	b.MarkGone(now, "i-2", 12)
-	got, err = Decode(&Head{}, overTheWire(t, EncodeBody(now, b.Table(), HoldsOf(first))))
+	got, err = Decode(&Head{}, overTheWire(t, EncodeBody(now, b.Table(), ChildStateOf(first))))
 	if err != nil || got.Delta != nil || len(got.Upstreams) != 1 || got.Upstreams[0].State != stoatroute.Gone || got.Upstreams[0].Revision != 12 {
 		t.Errorf("%+v %v", got, err)
 	}
-	if w := EncodeBody(now, b.Table(), HoldsOf(b.Table())); w != nil {
+	if w := EncodeBody(now, b.Table(), ChildStateOf(b.Table())); w != nil {
 		t.Errorf("told again: %+v", w)
 	}
 	for _, spoil := range []func(w *Body){
@@ -83,9 +83,9 @@
 		func(w *Body) { w.Upstreams[0].Standing = 9 },
 		func(w *Body) { w.Upstreams[0].Service = 99 },
 		func(w *Body) { w.Upstreams[0].Centre = -1 },
-		func(w *Body) { w.Declared.Routes[0].Listen = nil },
+		func(w *Body) { w.Declaration.Routes[0].Listen = nil },
 	} {
-		w := EncodeBody(now, first, Holds{})
+		w := EncodeBody(now, first, ChildState{})
 		spoil(w)
 		if _, err := Decode(&Head{}, w); err == nil {
 			t.Errorf("a faulty parent is believed: %+v", w)
@@ -119,7 +119,7 @@
 	moved.declaration.Routes[0].Backends[0].Service = "other"
 	b.ApplyDeclaration(*first.declaration, first.revision)
 	b.ApplyDeclaration(*moved.declaration, moved.revision)
-	got, err := Decode(&Head{}, overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), Holds{})))
+	got, err := Decode(&Head{}, overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), ChildState{})))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
 		return stoatpaddle.Route{Listen: netip.AddrPortFrom(addr, 443), Priority: priority, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}
 	}
-	old := stoatpaddle.Declaration{Version: 3, Caps: map[stoatpaddle.ServiceID]int{}}
+	old := stoatpaddle.Declaration{Version: 3, MaxFlows: map[stoatpaddle.ServiceID]int{}}
 	for i := range 2000 {
 		old.Routes = append(old.Routes, route(i, 1))
 	}
@@ -149,20 +149,20 @@
 	next.Routes = append([]stoatpaddle.Route{route(0, 5)}, old.Routes[2:]...)
 	next.Routes = append(next.Routes, route(5000, 1))
 	b.ApplyDeclaration(next, 20)
-	w := overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), HoldsOf(before)))
-	if len(w.Declared.Routes) != 2 || len(w.Declared.Removed) != 1 || w.Declared.Base != 3 {
-		t.Fatal(len(w.Declared.Routes), len(w.Declared.Removed), w.Declared.Base)
+	w := overTheWire(t, EncodeBody(time.Unix(1000, 0), b.Table(), ChildStateOf(before)))
+	if len(w.Declaration.Routes) != 2 || len(w.Declaration.Removed) != 1 || w.Declaration.Base != 3 {
+		t.Fatal(len(w.Declaration.Routes), len(w.Declaration.Removed), w.Declaration.Base)
 	}
 	got, err := Decode(&Head{}, w)
 	if err != nil {
 		t.Fatal(err)
 	}
-	made, fits := got.Delta.Onto(&old), got.Delta.Fits(old.Version)
+	made, fits := got.Delta.ApplyTo(&old), got.Delta.AppliesTo(old.Version)
 	byListen := cmpopts.SortSlices(func(a, b stoatpaddle.Route) bool { return a.Listen.Compare(b.Listen) < 0 })
 	if diff := cmp.Diff(next, made, cmp.Comparer(sameAddr), byListen); diff != "" || !fits {
 		t.Error(fits, diff)
 	}
-	if got.Delta.Fits(old.Version + 1) {
+	if got.Delta.AppliesTo(old.Version + 1) {
 		t.Error("fits a version between")
 	}
 }
@@ -176,7 +176,7 @@
 	first := b.Table()
 	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "there", Revision: 9})
 	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 10, Withdrawn: true})
-	for child, want := range map[Holds]int{{}: 2, HoldsOf(first): 2, HoldsOf(b.Table()): 0} {
+	for child, want := range map[ChildState]int{{}: 2, ChildStateOf(first): 2, ChildStateOf(b.Table()): 0} {
 		got := 0
 		if w := EncodeBody(time.Unix(1000, 0), b.Table(), child); w != nil {
 			x, err := Decode(&Head{}, overTheWire(t, w))
@@ -202,9 +202,9 @@
 	now := time.Unix(1000, 0)
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	r := registered("i-1", 1, 5).registration
-	r.Incarnation, r.Cold, r.Addr = 1_790_000_000_000, 3*time.Second, netip.MustParseAddrPort("10.0.0.1:80")
+	r.Incarnation, r.ColdRemaining, r.Addr = 1_790_000_000_000, 3*time.Second, netip.MustParseAddrPort("10.0.0.1:80")
 	b.Register(now, *r, 5)
-	data, err := Encode(EncodeBody(now, b.Table(), Holds{}))
+	data, err := Encode(EncodeBody(now, b.Table(), ChildState{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -248,7 +248,7 @@
 		t.Fatal(err)
 	}
 	var h Head
-	if err := msgpack.Unmarshal(old, &h); err != nil || h.Known != 7 || h.Centre != "here" || !h.Whole || h.Entries != 0 {
+	if err := msgpack.Unmarshal(old, &h); err != nil || h.PositionRevision != 7 || h.Centre != "here" || !h.FullReports || h.DataCentreEntries != 0 {
 		t.Errorf("%+v %v", h, err)
 	}
 	next, err := Encode(&later{Names: []string{"app", "here"}, Evac: []wireEvacuation{{Centre: 1, Revision: 9}}, New: map[string]int{"x": 1}})
@@ -256,7 +256,7 @@
 		t.Fatal(err)
 	}
 	var w Body
-	if err := msgpack.Unmarshal(next, &w); err != nil || len(w.Names) != 2 || len(w.Evacuated) != 1 || w.Evacuated[0].Revision != 9 {
+	if err := msgpack.Unmarshal(next, &w); err != nil || len(w.Names) != 2 || len(w.Evacuations) != 1 || w.Evacuations[0].Revision != 9 {
 		t.Errorf("%+v %v", w, err)
 	}
 }
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -46,12 +46,12 @@
 
 // Message is what a parent says at once.
 type Message struct {
-	Path  []netip.AddrPort // from a reader to the parent
-	Known stoatpaddle.Position
-	Era   stoatpaddle.Era // of all revisions in it; 0: not said
-	Age   time.Duration   // of what it believes; negative: it was never known to be up to date
-	Whole bool            // all upstreams there are; otherwise those that changed
-	Delta *Delta          // of the declaration; nil: it did not change
+	Path     []netip.AddrPort // from a reader to the parent
+	Position stoatpaddle.Position
+	Era      stoatpaddle.Era // of all revisions in it; 0: not said
+	Age      time.Duration   // of what it believes; negative: it was never known to be up to date
+	Full     bool            // all upstreams there are; otherwise those that changed
+	Delta    *Delta          // of the declaration; nil: it did not change
 
 	Upstreams   []stoatroute.RemoteUpstream
 	Evacuations []stoatpaddle.Evacuation
@@ -60,7 +60,7 @@
 // Read reads one message; there is no Body if nothing changed.
 func Read(dec *msgpack.Decoder) (*Head, *Body, error) {
 	h := &Head{}
-	if err := dec.Decode(h); err != nil || !h.Body {
+	if err := dec.Decode(h); err != nil || !h.HasBody {
 		return h, nil, err
 	}
 	w := &Body{}
@@ -70,22 +70,22 @@
 // Decode maps a parent's message, or returns *stoatpaddle.DecodeError.
 func Decode(h *Head, w *Body) (Message, error) {
 	x := Message{
-		Known: stoatpaddle.Position{Era: stoatpaddle.Era(h.KnownEra), Revision: stoatpaddle.Version(h.Known)},
-		Era:   stoatpaddle.Era(h.Era), Age: time.Duration(h.AgeMS) * time.Millisecond,
+		Position: stoatpaddle.Position{Era: stoatpaddle.Era(h.PositionEra), Revision: stoatpaddle.Version(h.PositionRevision)},
+		Era:      stoatpaddle.Era(h.BodyEra), Age: time.Duration(h.AgeMS) * time.Millisecond,
 	}
 	var err error
 	if x.Path, err = ParseAddrs(h.Path); err != nil || w == nil {
 		return x, err
 	}
-	x.Whole = w.Whole
+	x.Full = w.Full
 	r := &bodyReader{names: w.Names}
-	if w.Declared != nil {
-		x.Delta = r.declaration(w.Declared)
+	if w.Declaration != nil {
+		x.Delta = r.declaration(w.Declaration)
 	}
 	for i := range w.Upstreams {
 		x.Upstreams = append(x.Upstreams, r.held(&w.Upstreams[i]))
 	}
-	for _, ev := range w.Evacuated {
+	for _, ev := range w.Evacuations {
 		x.Evacuations = append(x.Evacuations, stoatpaddle.Evacuation{
 			DataCentre: stoatpaddle.DataCentreID(r.name(ev.Centre)), Revision: stoatpaddle.Version(ev.Revision), Withdrawn: ev.Withdrawn,
 		})
@@ -103,9 +103,9 @@
 	return stoatroute.RemoteUpstream{
 		Revision: stoatpaddle.Version(u.Revision), State: stoatroute.State(u.Standing),
 		Registration: stoatpaddle.Registration{
-			ID: stoatpaddle.UpstreamID(u.ID), Target: stoatpaddle.Target(u.Target), Service: stoatpaddle.ServiceID(r.name(u.Service)),
+			ID: stoatpaddle.UpstreamID(u.ID), Target: stoatpaddle.TargetID(u.Target), Service: stoatpaddle.ServiceID(r.name(u.Service)),
 			DataCentre: stoatpaddle.DataCentreID(r.name(u.Centre)), Addr: r.addr(u.Addr), Slots: u.Slots, Leaving: u.Leaving,
-			Created: stoatpaddle.Version(u.Created), Cold: time.Duration(u.ColdMS) * time.Millisecond,
+			CreateRevision: stoatpaddle.Version(u.Created), ColdRemaining: time.Duration(u.ColdMS) * time.Millisecond,
 			Incarnation: stoatpaddle.Incarnation(u.Life),
 		},
 	}
@@ -115,13 +115,13 @@
 	a := &Delta{
 		Revision: stoatpaddle.Version(w.Revision), Base: stoatpaddle.Version(w.Base),
 		Declaration: stoatpaddle.Declaration{
-			Version: stoatpaddle.Version(w.Version), Caps: make(map[stoatpaddle.ServiceID]int, len(w.Caps)),
-			Idle: time.Duration(w.IdleMS) * time.Millisecond, Routes: make([]stoatpaddle.Route, 0, len(w.Routes)),
+			Version: stoatpaddle.Version(w.Version), MaxFlows: make(map[stoatpaddle.ServiceID]int, len(w.Caps)),
+			IdleTimeout: time.Duration(w.IdleMS) * time.Millisecond, Routes: make([]stoatpaddle.Route, 0, len(w.Routes)),
 		},
 	}
 	for _, c := range w.Caps {
 		service := stoatpaddle.ServiceID(r.name(c.Service))
-		a.Declaration.Caps[service] = c.Flows
+		a.Declaration.MaxFlows[service] = c.Flows
 		a.Declaration.SetColdRate(service, c.Cold)
 	}
 	for _, b := range w.Removed {
@@ -130,7 +130,7 @@
 	for i := range w.Routes {
 		x := &w.Routes[i]
 		route := stoatpaddle.Route{
-			Listen: r.addr(x.Listen), Idempotent: x.Repeat, Priority: x.Priority, Objective: time.Duration(x.AimMS) * time.Millisecond,
+			Listen: r.addr(x.Listen), Idempotent: x.Repeat, Priority: x.Priority, TargetLatency: time.Duration(x.AimMS) * time.Millisecond,
 		}
 		for _, place := range x.Regions {
 			route.Regions = append(route.Regions, stoatpaddle.RegionID(r.name(place)))
@@ -139,7 +139,7 @@
 			route.Backends = append(route.Backends, stoatpaddle.Backend{Service: stoatpaddle.ServiceID(r.name(b.Service)), Weight: stoatpaddle.Weight(b.Weight)})
 		}
 		for _, place := range x.Earlier {
-			route.Earlier = append(route.Earlier, stoatpaddle.ServiceID(r.name(place)))
+			route.FormerServices = append(route.FormerServices, stoatpaddle.ServiceID(r.name(place)))
 		}
 		a.Declaration.Routes = append(a.Declaration.Routes, route)
 	}
@@ -159,8 +159,8 @@
 	return out, nil
 }
 
-// AddrTexts returns addresses as text.
-func AddrTexts(list []netip.AddrPort) []string {
+// FormatAddrs returns addresses as text.
+func FormatAddrs(list []netip.AddrPort) []string {
 	out := make([]string, 0, len(list))
 	for _, a := range list {
 		out = append(out, a.String())
--- a/stoatrelay/delta.go
+++ b/stoatrelay/delta.go
@@ -14,14 +14,14 @@
 	removed     []netip.AddrPort
 }
 
-// Fits tells whether the delta can be made of the version in force: a difference from
+// AppliesTo tells whether the delta can be made of the version in force: a difference from
 // another one would leave out what changed in between. One that is not later changes nothing.
-func (a *Delta) Fits(current stoatpaddle.Version) bool {
+func (a *Delta) AppliesTo(current stoatpaddle.Version) bool {
 	return a == nil || a.Base == 0 || a.Base == current || a.Declaration.Version <= current
 }
 
-// Onto returns the declaration that the delta makes of one that it fits.
-func (a *Delta) Onto(d *stoatpaddle.Declaration) stoatpaddle.Declaration {
+// ApplyTo returns the declaration that the delta makes of one that it fits.
+func (a *Delta) ApplyTo(d *stoatpaddle.Declaration) stoatpaddle.Declaration {
 	out := a.Declaration
 	if a.Base == 0 {
 		return out
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -42,37 +42,37 @@
 	return i
 }
 
-// Holds is what a child has of a table.
-type Holds struct {
+// ChildState is what a child has of a table.
+type ChildState struct {
 	change  uint64              // the table's count; 0: nothing yet
 	version stoatpaddle.Version // of the declaration
 }
 
-// HoldsOf returns what a child has that was sent all of the table.
-func HoldsOf(t *stoatroute.Table) Holds {
-	return Holds{change: t.ChangeSeq, version: t.Declaration.Version}
+// ChildStateOf returns what a child has that was sent all of the table.
+func ChildStateOf(t *stoatroute.Table) ChildState {
+	return ChildState{change: t.ChangeSeq, version: t.Declaration.Version}
 }
 
 // EncodeBody returns what t has that a child does not, or nil if there is nothing.
-func EncodeBody(now time.Time, t *stoatroute.Table, child Holds) *Body {
+func EncodeBody(now time.Time, t *stoatroute.Table, child ChildState) *Body {
 	if child.change == t.ChangeSeq {
 		return nil
 	}
 	n := &names{place: map[string]int{}}
-	w := &Body{Whole: child.change == 0}
+	w := &Body{Full: child.change == 0}
 	if t.DeclarationSeq > child.change {
-		w.Declared = encodeConfig(n, t, child)
+		w.Declaration = encodeConfig(n, t, child)
 	}
 	for _, u := range t.UpstreamsSince(child.change) {
 		r := &u.Registration
 		w.Upstreams = append(w.Upstreams, wireHeld{
 			ID: string(r.ID), Target: uint64(r.Target), Service: n.of(string(r.Service)), Centre: n.of(string(r.DataCentre)),
-			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.Created),
+			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.CreateRevision),
 			Standing: uint8(u.State), ColdMS: max(0, u.WarmAt.Sub(now).Milliseconds()), Life: uint64(r.Incarnation),
 		})
 	}
 	for _, ev := range t.EvacuationsSince(child.change) {
-		w.Evacuated = append(w.Evacuated, wireEvacuation{Centre: n.of(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
+		w.Evacuations = append(w.Evacuations, wireEvacuation{Centre: n.of(string(ev.DataCentre)), Revision: uint64(ev.Revision), Withdrawn: ev.Withdrawn})
 	}
 	w.Names = n.list
 	return w
@@ -84,16 +84,16 @@
 	return b
 }
 
-func encodeConfig(n *names, t *stoatroute.Table, child Holds) *wireConfig {
+func encodeConfig(n *names, t *stoatroute.Table, child ChildState) *wireConfig {
 	d := &t.Declaration
 	w := &wireConfig{
-		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.Idle.Milliseconds(),
+		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.IdleTimeout.Milliseconds(),
 	}
 	routes, removed, known := t.RoutesSince(child.change)
 	if !known || child.change == 0 {
 		w.Base, routes, removed = 0, d.Routes, nil
 	}
-	for s, flows := range d.Caps {
+	for s, flows := range d.MaxFlows {
 		w.Caps = append(w.Caps, wireCap{Service: n.of(string(s)), Flows: flows, Cold: d.ColdRates[s]})
 	}
 	for _, listen := range removed {
@@ -102,7 +102,7 @@
 	w.Routes = make([]wireRoute, 0, len(routes))
 	for i := range routes {
 		r := &routes[i]
-		out := wireRoute{Listen: packAddr(r.Listen), Repeat: r.Idempotent, AimMS: r.Objective.Milliseconds(), Priority: r.Priority}
+		out := wireRoute{Listen: packAddr(r.Listen), Repeat: r.Idempotent, AimMS: r.TargetLatency.Milliseconds(), Priority: r.Priority}
 		for _, region := range r.Regions {
 			out.Regions = append(out.Regions, n.of(string(region)))
 		}
--- a/stoatrelay/fuzz_test.go
+++ b/stoatrelay/fuzz_test.go
@@ -20,11 +20,11 @@
 	b.ApplyDeclaration(*declared(2, 5).declaration, 5)
 	b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: "here", Revision: 7})
 	b.MarkInvalid(at, "i-9", 9, 8)
-	head, err := Encode(&Head{Known: 7, KnownEra: 2, Era: 3, Path: []string{"10.0.0.1:1"}, Body: true})
+	head, err := Encode(&Head{PositionRevision: 7, PositionEra: 2, BodyEra: 3, Path: []string{"10.0.0.1:1"}, HasBody: true})
 	if err != nil {
 		f.Fatal(err)
 	}
-	body, err := Encode(EncodeBody(at, b.Table(), Holds{}))
+	body, err := Encode(EncodeBody(at, b.Table(), ChildState{}))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -45,8 +45,8 @@
 		if m.Delta != nil {
 			child.ApplyDeclaration(m.Delta.Declaration, m.Delta.Revision)
 		}
-		child.Mirror(at, stoatroute.RemoteUpdate{Upstreams: m.Upstreams, Complete: m.Whole, UpToDate: true})
-		next := EncodeBody(at, child.Table(), Holds{})
+		child.Mirror(at, stoatroute.RemoteUpdate{Upstreams: m.Upstreams, Complete: m.Full, UpToDate: true})
+		next := EncodeBody(at, child.Table(), ChildState{})
 		if next == nil {
 			return
 		}
--- a/stoatrelay/shape.go
+++ b/stoatrelay/shape.go
@@ -28,12 +28,12 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (h *Head) DecodeMsgpack(dec *msgpack.Decoder) error {
-	return decodeFields(dec, &h.Known, &h.AgeMS, &h.Path, &h.Relatives, &h.Centre, &h.Seen, &h.Whole, &h.Body, &h.Rank, &h.Entries, &h.KnownEra, &h.Era)
+	return decodeFields(dec, &h.PositionRevision, &h.AgeMS, &h.Path, &h.Siblings, &h.Centre, &h.Reports, &h.FullReports, &h.HasBody, &h.Rank, &h.DataCentreEntries, &h.PositionEra, &h.BodyEra)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (w *Body) DecodeMsgpack(dec *msgpack.Decoder) error {
-	return decodeFields(dec, &w.Whole, &w.Names, &w.Declared, &w.Upstreams, &w.Evacuated)
+	return decodeFields(dec, &w.Full, &w.Names, &w.Declaration, &w.Upstreams, &w.Evacuations)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -5,29 +5,29 @@
 // Head begins each message. Messages are msgpack arrays: one comes every second or so to each child, and
 // names of fields would be half of it.
 type Head struct {
-	_msgpack  struct{} `msgpack:",as_array"`
-	Known     uint64
-	AgeMS     int64 // -1: never known to be up to date
-	Path      []string
-	Relatives []string
-	Centre    string                    // of the parent
-	Seen      []stoatoutlier.WireReport // which upstreams fail, as all entries of the child's data centre saw it
-	Whole     bool                      // Seen has all, and not what changed
-	Body      bool                      // a Body follows
-	Rank      int                       // of the child among the entries of its data centre
-	Entries   int                       // how many these are; 0: it is in another one, or that is not known
-	KnownEra  uint64                    // of Known
-	Era       uint64                    // of the revisions in the Body; 0: the parent knows of none
+	_msgpack          struct{} `msgpack:",as_array"`
+	PositionRevision  uint64
+	AgeMS             int64 // -1: never known to be up to date
+	Path              []string
+	Siblings          []string
+	Centre            string                    // of the parent
+	Reports           []stoatoutlier.WireReport // which upstreams fail, as all entries of the child's data centre saw it
+	FullReports       bool                      // Seen has all, and not what changed
+	HasBody           bool                      // a Body follows
+	Rank              int                       // of the child among the entries of its data centre
+	DataCentreEntries int                       // how many these are; 0: it is in another one, or that is not known
+	PositionEra       uint64                    // of Known
+	BodyEra           uint64                    // of the revisions in the Body; 0: the parent knows of none
 }
 
 // Body follows a Head where something changed.
 type Body struct {
-	_msgpack  struct{} `msgpack:",as_array"`
-	Whole     bool     // all upstreams there are; otherwise those that changed
-	Names     []string // of services and data centres, which others name by their place here
-	Declared  *wireConfig
-	Upstreams []wireHeld
-	Evacuated []wireEvacuation
+	_msgpack    struct{} `msgpack:",as_array"`
+	Full        bool     // all upstreams there are; otherwise those that changed
+	Names       []string // of services and data centres, which others name by their place here
+	Declaration *wireConfig
+	Upstreams   []wireHeld
+	Evacuations []wireEvacuation
 }
 
 type wireEvacuation struct {
@@ -91,7 +91,7 @@
 
 // Refusal says why an entry tells nothing, and whom to ask instead.
 type Refusal struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Reason   string
-	Try      []string
+	_msgpack     struct{} `msgpack:",as_array"`
+	Reason       string
+	Alternatives []string
 }
--- a/stoatsoak/run_upstream.go
+++ b/stoatsoak/run_upstream.go
@@ -104,7 +104,7 @@
 	cold := max(0, u.warm-u.w.now())
 	u.mu.Unlock()
 	u.w.store.Write(platform.KindUpstream, u.id, platform.RegistrationSpec(&stoatpaddle.Registration{
-		Service: stoatpaddle.ServiceID(u.service), Addr: u.addr, DataCentre: stoatpaddle.DataCentreID(u.centre), Slots: slots, Leaving: leaving, Incarnation: u.born, Cold: cold,
+		Service: stoatpaddle.ServiceID(u.service), Addr: u.addr, DataCentre: stoatpaddle.DataCentreID(u.centre), Slots: slots, Leaving: leaving, Incarnation: u.born, ColdRemaining: cold,
 	}))
 }
 
--- a/stoattree/place_test.go
+++ b/stoattree/place_test.go
@@ -14,7 +14,7 @@
 	for range 20 {
 		for _, m := range f.all {
 			if !m.dead && m.inCentre() {
-				m.parent.tree.SetSize(addr(m.i), m.tree.Size())
+				m.parent.tree.SetSubtreeSize(addr(m.i), m.tree.SubtreeSize())
 			}
 		}
 	}
@@ -25,7 +25,7 @@
 	if !m.inCentre() {
 		return 0
 	}
-	return m.parent.tree.RankOf(addr(m.i), m.parent.rank())
+	return m.parent.tree.ChildRank(addr(m.i), m.parent.rank())
 }
 
 // Three hundred entries start. Those of one data centre that are gathered below one of them have
@@ -60,8 +60,8 @@
 					t.Errorf("round %d: nobody of %d has rank %d", round, len(ranks), r)
 				}
 			}
-			if top.tree.Size() != len(ranks) {
-				t.Errorf("round %d: %d are counted of %d", round, top.tree.Size(), len(ranks))
+			if top.tree.SubtreeSize() != len(ranks) {
+				t.Errorf("round %d: %d are counted of %d", round, top.tree.SubtreeSize(), len(ranks))
 			}
 		}
 		for centre, n := range parts {
--- a/stoattree/round.go
+++ b/stoattree/round.go
@@ -22,8 +22,8 @@
 	near bool
 }
 
-// Learn remembers others of this data centre, named by a parent, in place of those before.
-func (t *Tree) Learn(relatives []netip.AddrPort) {
+// SetSiblings remembers others of this data centre, named by a parent, in place of those before.
+func (t *Tree) SetSiblings(relatives []netip.AddrPort) {
 	list := make([]netip.AddrPort, 0, maxKnown)
 	for _, a := range relatives {
 		if a != t.cfg.Self && a.IsValid() && len(list) < maxKnown {
@@ -35,9 +35,9 @@
 	}
 }
 
-// Begin starts a search for a parent: relatives first, since they are near and were told
+// StartSearch starts a search for a parent: relatives first, since they are near and were told
 // the same, then seeds. Each entry has an order of seeds of its own, so that they share the load.
-func (t *Tree) Begin() {
+func (t *Tree) StartSearch() {
 	t.round = &round{next: t.candidates(), near: true}
 }
 
@@ -58,8 +58,8 @@
 	return xxhash.Sum64String(t.cfg.Self.String() + " " + seed.String())
 }
 
-// Next returns whom to ask now, what to say, and whether there is anybody left.
-func (t *Tree) Next() (netip.AddrPort, Ask, bool) {
+// NextCandidate returns whom to ask now, what to say, and whether there is anybody left.
+func (t *Tree) NextCandidate() (netip.AddrPort, JoinRequest, bool) {
 	r := t.round
 	for r != nil && len(r.asked) < maxAsked {
 		if len(r.next) == 0 {
@@ -75,14 +75,14 @@
 			continue
 		}
 		r.asked = append(r.asked, a)
-		return a, Ask{From: t.cfg.Self, Centre: t.cfg.Centre, Near: r.near, Skip: r.asked}, true
+		return a, JoinRequest{From: t.cfg.Self, Centre: t.cfg.Centre, LocalOnly: r.near, Tried: r.asked}, true
 	}
 	t.round = nil
-	return netip.AddrPort{}, Ask{}, false
+	return netip.AddrPort{}, JoinRequest{}, false
 }
 
-// Refused takes in whom one that refused names instead: they are asked next.
-func (t *Tree) Refused(try []netip.AddrPort) {
+// AddCandidates takes in whom one that refused names instead: they are asked next.
+func (t *Tree) AddCandidates(try []netip.AddrPort) {
 	if t.round == nil {
 		return
 	}
@@ -95,7 +95,7 @@
 	t.round.next = append(fresh, t.round.next...)
 }
 
-// Looped tells whether a path that a parent names shows that this entry is above it.
-func (t *Tree) Looped(path []netip.AddrPort) bool {
-	return len(path) > MaxPath || slices.Contains(path, t.cfg.Self)
+// FormsLoop tells whether a path that a parent names shows that this entry is above it.
+func (t *Tree) FormsLoop(path []netip.AddrPort) bool {
+	return len(path) > MaxPathLength || slices.Contains(path, t.cfg.Self)
 }
--- a/stoattree/tree.go
+++ b/stoattree/tree.go
@@ -18,26 +18,26 @@
 	MaxChildren = 5
 	// minChildren is what every entry can bear: with one, the tree would be a chain.
 	minChildren = 2
-	// MaxPath bounds the way from a reader to an entry; eight levels of two reach further
+	// MaxPathLength bounds the way from a reader to an entry; eight levels of two reach further
 	// than any deployment, and a longer way is a loop that nobody noticed.
-	MaxPath = 16
+	MaxPathLength = 16
 	// hints is how many other entries are named to one that is sent on.
 	hints = 3
 )
 
-// Ask is what an entry says when it asks to be told.
-type Ask struct {
+// JoinRequest is what an entry says when it asks to be told.
+type JoinRequest struct {
 	From   netip.AddrPort
 	Centre stoatpaddle.DataCentreID
-	// Known is the position up to which it knows everything; revision 0: it has nothing to serve
+	// Position is the position up to which it knows everything; revision 0: it has nothing to serve
 	// by, and so no children that could be above the one it asks.
-	Known stoatpaddle.Position
-	// Near refuses another data centre's entry, since bytes between data centres are dear.
-	Near bool
-	// Within is how old what is told may be; 0: it does not matter, since the platform does
+	Position stoatpaddle.Position
+	// LocalOnly refuses another data centre's entry, since bytes between data centres are dear.
+	LocalOnly bool
+	// MaxAge is how old what is told may be; 0: it does not matter, since the platform does
 	// not answer the one that asks.
-	Within time.Duration
-	Skip   []netip.AddrPort // it asked these already
+	MaxAge time.Duration
+	Tried  []netip.AddrPort // it asked these already
 }
 
 // Refusal says why an entry tells another one nothing.
@@ -45,42 +45,42 @@
 
 // The refusals.
 const (
-	Accepted  Refusal = ""
-	NotReady  Refusal = "nothing to tell"
-	Behind    Refusal = "knows less"
-	Stale     Refusal = "knows only what is too old"
-	Loop      Refusal = "is told by the one that asks"
-	NoRoot    Refusal = "out of touch, and not the first of its kind"
-	OtherSide Refusal = "in another data centre"
-	Full      Refusal = "tells as many as it can"
+	Accepted        Refusal = ""
+	NotReady        Refusal = "nothing to tell"
+	Behind          Refusal = "knows less"
+	Stale           Refusal = "knows only what is too old"
+	Loop            Refusal = "is told by the one that asks"
+	NotRoot         Refusal = "out of touch, and not the first of its kind"
+	OtherDataCentre Refusal = "in another data centre"
+	Full            Refusal = "tells as many as it can"
 )
 
-// Answer is what becomes of an Ask.
-type Answer struct {
-	Refusal Refusal
-	Try     []netip.AddrPort // ask these instead
-	Ticket  Ticket           // of one that is accepted
+// JoinResponse is what becomes of an Ask.
+type JoinResponse struct {
+	Refusal      Refusal
+	Alternatives []netip.AddrPort // ask these instead
+	Admission    AdmissionID      // of one that is accepted
 }
 
-// Ticket names one acceptance: a child that lost its connection asks again before the old
+// AdmissionID names one acceptance: a child that lost its connection asks again before the old
 // one is seen to be gone, whose end must not take the new one out.
-type Ticket uint64
+type AdmissionID uint64
 
 type child struct {
 	centre stoatpaddle.DataCentreID
-	ticket Ticket
+	ticket AdmissionID
 	size   int // entries of its data centre that it told of, itself included
 }
 
 // State is what an entry is as others see it.
 type State struct {
-	Ready bool
-	Known stoatpaddle.Position
+	Ready    bool
+	Position stoatpaddle.Position
 	// Path leads from a reader to this entry's parent; empty: nobody tells it.
 	Path []netip.AddrPort
-	// Reads tells that it asks the platform itself and is answered.
-	Reads bool
-	Age   time.Duration // of what it believes; negative: never known to be up to date
+	// ReadsPlatform tells that it asks the platform itself and is answered.
+	ReadsPlatform bool
+	Age           time.Duration // of what it believes; negative: never known to be up to date
 }
 
 // Config configures a Tree.
@@ -88,18 +88,18 @@
 	Self   netip.AddrPort
 	Centre stoatpaddle.DataCentreID
 	Seeds  []netip.AddrPort
-	// Share is the part of a core that this entry has; 0: not known.
-	Share float64
-	// Link is the bandwidth of its link, Mbit/s; 0: not known.
-	Link float64
-	Rand *rand.Rand
+	// CPUShare is the part of a core that this entry has; 0: not known.
+	CPUShare float64
+	// LinkMbps is the bandwidth of its link, Mbit/s; 0: not known.
+	LinkMbps float64
+	Rand     *rand.Rand
 }
 
 // Tree is one entry's place: its children, and whom it may ask. One goroutine uses it at a time.
 type Tree struct {
 	cfg      Config
 	children map[netip.AddrPort]child
-	tickets  Ticket
+	tickets  AdmissionID
 	known    []netip.AddrPort // others of this data centre that a parent named
 	round    *round
 }
@@ -115,8 +115,8 @@
 // IsSeed tells whether the settings name this entry.
 func (t *Tree) IsSeed() bool { return slices.Contains(t.cfg.Seeds, t.cfg.Self) }
 
-// Children returns how many are told.
-func (t *Tree) Children() int { return len(t.children) }
+// ChildCount returns how many are told.
+func (t *Tree) ChildCount() int { return len(t.children) }
 
 // sharePerChild is the part of a core that an entry has for each child: a message without
 // news costs 0.2 ms, so that a child takes a fiftieth of this at most.
@@ -134,35 +134,35 @@
 // waits for it, neither children nor callers.
 func (t *Tree) capacity() int {
 	n := MaxChildren
-	if t.cfg.Share > 0 {
-		n = min(n, int(t.cfg.Share/sharePerChild))
+	if t.cfg.CPUShare > 0 {
+		n = min(n, int(t.cfg.CPUShare/sharePerChild))
 	}
-	if t.cfg.Link > 0 {
-		n = min(n, int(t.cfg.Link/linkPerChild))
+	if t.cfg.LinkMbps > 0 {
+		n = min(n, int(t.cfg.LinkMbps/linkPerChild))
 	}
 	return max(minChildren, n)
 }
 
 // Admit decides about an entry that asks to be told. One that is accepted is a child until Part.
-func (t *Tree) Admit(s State, a Ask) Answer {
+func (t *Tree) Admit(s State, a JoinRequest) JoinResponse {
 	if refusal := t.unfit(s, a); refusal != Accepted {
-		return Answer{Refusal: refusal}
+		return JoinResponse{Refusal: refusal}
 	}
 	if a.Centre != t.cfg.Centre {
 		// One link between two data centres is enough: the first entry there tells the others.
-		if there := t.childrenIn(a.Centre, a.Skip); len(there) > 0 {
-			return Answer{Refusal: OtherSide, Try: there}
+		if there := t.childrenIn(a.Centre, a.Tried); len(there) > 0 {
+			return JoinResponse{Refusal: OtherDataCentre, Alternatives: there}
 		}
-		if a.Near {
-			return Answer{Refusal: OtherSide}
+		if a.LocalOnly {
+			return JoinResponse{Refusal: OtherDataCentre}
 		}
 	}
 	if _, again := t.children[a.From]; !again && len(t.children) >= t.room(a.Centre) {
-		return Answer{Refusal: Full, Try: t.childrenIn(a.Centre, a.Skip)}
+		return JoinResponse{Refusal: Full, Alternatives: t.childrenIn(a.Centre, a.Tried)}
 	}
 	t.tickets++
 	t.children[a.From] = child{centre: a.Centre, ticket: t.tickets, size: max(1, t.children[a.From].size)}
-	return Answer{Ticket: t.tickets}
+	return JoinResponse{Admission: t.tickets}
 }
 
 // room is how many children there may be when one of that data centre is taken. The first
@@ -175,24 +175,24 @@
 }
 
 // unfit tells why this entry must not tell the one that asks, whatever room it has.
-func (t *Tree) unfit(s State, a Ask) Refusal {
+func (t *Tree) unfit(s State, a JoinRequest) Refusal {
 	switch {
 	case !s.Ready:
 		return NotReady
-	case s.Known.Before(a.Known):
+	case s.Position.Before(a.Position):
 		return Behind
-	case a.Within > 0 && (s.Age < 0 || s.Age > a.Within):
+	case a.MaxAge > 0 && (s.Age < 0 || s.Age > a.MaxAge):
 		return Stale
 	case a.From == t.cfg.Self || slices.Contains(s.Path, a.From):
 		return Loop
-	case a.Known.Revision == 0 || len(s.Path) > 0 || s.Reads && t.IsSeed():
+	case a.Position.Revision == 0 || len(s.Path) > 0 || s.ReadsPlatform && t.IsSeed():
 		return Accepted
 	case order(t.cfg.Self) < order(a.From):
 		// Two that nobody tells would take each other as parents. One order over all
 		// decides, so that they gather below the first of them.
 		return Accepted
 	}
-	return NoRoot
+	return NotRoot
 }
 
 func order(a netip.AddrPort) uint64 { return xxhash.Sum64String(a.String()) }
@@ -222,16 +222,16 @@
 	return list[:min(len(list), hints)]
 }
 
-// SetSize takes in how many entries of its data centre are below a child, itself included.
-func (t *Tree) SetSize(from netip.AddrPort, n int) {
+// SetSubtreeSize takes in how many entries of its data centre are below a child, itself included.
+func (t *Tree) SetSubtreeSize(from netip.AddrPort, n int) {
 	if c, known := t.children[from]; known {
 		c.size = max(1, n)
 		t.children[from] = c
 	}
 }
 
-// Size returns how many entries of this data centre are below this one, itself included.
-func (t *Tree) Size() int {
+// SubtreeSize returns how many entries of this data centre are below this one, itself included.
+func (t *Tree) SubtreeSize() int {
 	n := 1
 	for _, c := range t.children {
 		if c.centre == t.cfg.Centre {
@@ -241,9 +241,9 @@
 	return n
 }
 
-// RankOf returns the rank of a child of this data centre, this entry having rank own: each is followed
+// ChildRank returns the rank of a child of this data centre, this entry having rank own: each is followed
 // by those below it, one child after the other.
-func (t *Tree) RankOf(from netip.AddrPort, own int) int {
+func (t *Tree) ChildRank(from netip.AddrPort, own int) int {
 	rank := own + 1
 	for a, c := range t.children {
 		if c.centre == t.cfg.Centre && a.Compare(from) < 0 {
@@ -253,16 +253,16 @@
 	return rank
 }
 
-// Part takes a child out, unless it has been accepted anew.
-func (t *Tree) Part(from netip.AddrPort, ticket Ticket) {
+// RemoveChild takes a child out, unless it has been accepted anew.
+func (t *Tree) RemoveChild(from netip.AddrPort, ticket AdmissionID) {
 	if t.children[from].ticket == ticket {
 		delete(t.children, from)
 	}
 }
 
-// Relatives returns a few entries for a child to ask when this one is gone: other children
+// Siblings returns a few entries for a child to ask when this one is gone: other children
 // in its data centre.
-func (t *Tree) Relatives(of netip.AddrPort, c stoatpaddle.DataCentreID) []netip.AddrPort {
+func (t *Tree) Siblings(of netip.AddrPort, c stoatpaddle.DataCentreID) []netip.AddrPort {
 	var list []netip.AddrPort
 	for a, x := range t.children {
 		if a != of && x.centre == c {
--- a/stoattree/tree_test.go
+++ b/stoattree/tree_test.go
@@ -17,16 +17,16 @@
 
 func newTree(i int, centre stoatpaddle.DataCentreID, share float64) *stoattree.Tree {
 	return stoattree.New(stoattree.Config{
-		Self: addr(i), Centre: centre, Seeds: seeds, Share: share, Rand: rand.New(rand.NewPCG(1, uint64(i))),
+		Self: addr(i), Centre: centre, Seeds: seeds, CPUShare: share, Rand: rand.New(rand.NewPCG(1, uint64(i))),
 	})
 }
 
 func at(rev stoatpaddle.Version) stoatpaddle.Position { return stoatpaddle.Position{Revision: rev} }
 
-var inTouch = stoattree.State{Ready: true, Known: at(10), Reads: true}
+var inTouch = stoattree.State{Ready: true, Position: at(10), ReadsPlatform: true}
 
-func ask(i int, centre stoatpaddle.DataCentreID) stoattree.Ask {
-	return stoattree.Ask{From: addr(i), Centre: centre, Known: at(9)}
+func ask(i int, centre stoatpaddle.DataCentreID) stoattree.JoinRequest {
+	return stoattree.JoinRequest{From: addr(i), Centre: centre, Position: at(9)}
 }
 
 // Whom an entry does not tell, and why. Each refusal keeps the one that asks from a parent
@@ -34,29 +34,29 @@
 func TestRefusals(t *testing.T) {
 	path := []netip.AddrPort{addr(0), addr(7)}
 	low, high := 5, 6
-	if newTree(low, "a", 0).Admit(stoattree.State{Ready: true, Known: at(10)}, ask(high, "a")).Refusal != stoattree.Accepted {
+	if newTree(low, "a", 0).Admit(stoattree.State{Ready: true, Position: at(10)}, ask(high, "a")).Refusal != stoattree.Accepted {
 		low, high = high, low
 	}
 	for name, try := range map[string]struct {
 		self  int
 		state stoattree.State
-		ask   stoattree.Ask
+		ask   stoattree.JoinRequest
 		want  stoattree.Refusal
 	}{
 		"a seed in touch":                         {0, inTouch, ask(5, "a"), stoattree.Accepted},
-		"told itself":                             {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(5, "a"), stoattree.Accepted},
+		"told itself":                             {9, stoattree.State{Ready: true, Position: at(10), Path: path}, ask(5, "a"), stoattree.Accepted},
 		"starting":                                {0, stoattree.State{}, ask(5, "a"), stoattree.NotReady},
-		"knows less":                              {0, stoattree.State{Ready: true, Known: at(8), Reads: true}, ask(5, "a"), stoattree.Behind},
-		"below the one that asks":                 {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(7, "a"), stoattree.Loop},
-		"knows an earlier era":                    {0, stoattree.State{Ready: true, Known: stoatpaddle.Position{Era: 1, Revision: 90}, Reads: true}, stoattree.Ask{From: addr(5), Centre: "a", Known: stoatpaddle.Position{Era: 2, Revision: 9}}, stoattree.Behind},
-		"knows a later era":                       {0, stoattree.State{Ready: true, Known: stoatpaddle.Position{Era: 2, Revision: 9}, Reads: true}, stoattree.Ask{From: addr(5), Centre: "a", Known: stoatpaddle.Position{Era: 1, Revision: 90}}, stoattree.Accepted},
-		"itself":                                  {9, stoattree.State{Ready: true, Known: at(10), Path: path}, ask(9, "a"), stoattree.Loop},
-		"nobody tells it, and it is not first":    {high, stoattree.State{Ready: true, Known: at(10)}, ask(low, "a"), stoattree.NoRoot},
-		"nobody tells it, but it is first":        {low, stoattree.State{Ready: true, Known: at(10)}, ask(high, "a"), stoattree.Accepted},
-		"nobody tells it, for one without a view": {high, stoattree.State{Ready: true, Known: at(10)}, stoattree.Ask{From: addr(low), Centre: "a"}, stoattree.Accepted},
-		"its word is too old":                     {0, stoattree.State{Ready: true, Known: at(10), Reads: true, Age: 3e9}, stoattree.Ask{From: addr(5), Centre: "a", Known: at(9), Within: 2e9}, stoattree.Stale},
-		"its word has no age":                     {0, stoattree.State{Ready: true, Known: at(10), Reads: true, Age: -1}, stoattree.Ask{From: addr(5), Centre: "a", Known: at(9), Within: 2e9}, stoattree.Stale},
-		"another data centre, when near is asked": {0, inTouch, stoattree.Ask{From: addr(5), Centre: "b", Known: at(9), Near: true}, stoattree.OtherSide},
+		"knows less":                              {0, stoattree.State{Ready: true, Position: at(8), ReadsPlatform: true}, ask(5, "a"), stoattree.Behind},
+		"below the one that asks":                 {9, stoattree.State{Ready: true, Position: at(10), Path: path}, ask(7, "a"), stoattree.Loop},
+		"knows an earlier era":                    {0, stoattree.State{Ready: true, Position: stoatpaddle.Position{Era: 1, Revision: 90}, ReadsPlatform: true}, stoattree.JoinRequest{From: addr(5), Centre: "a", Position: stoatpaddle.Position{Era: 2, Revision: 9}}, stoattree.Behind},
+		"knows a later era":                       {0, stoattree.State{Ready: true, Position: stoatpaddle.Position{Era: 2, Revision: 9}, ReadsPlatform: true}, stoattree.JoinRequest{From: addr(5), Centre: "a", Position: stoatpaddle.Position{Era: 1, Revision: 90}}, stoattree.Accepted},
+		"itself":                                  {9, stoattree.State{Ready: true, Position: at(10), Path: path}, ask(9, "a"), stoattree.Loop},
+		"nobody tells it, and it is not first":    {high, stoattree.State{Ready: true, Position: at(10)}, ask(low, "a"), stoattree.NotRoot},
+		"nobody tells it, but it is first":        {low, stoattree.State{Ready: true, Position: at(10)}, ask(high, "a"), stoattree.Accepted},
+		"nobody tells it, for one without a view": {high, stoattree.State{Ready: true, Position: at(10)}, stoattree.JoinRequest{From: addr(low), Centre: "a"}, stoattree.Accepted},
+		"its word is too old":                     {0, stoattree.State{Ready: true, Position: at(10), ReadsPlatform: true, Age: 3e9}, stoattree.JoinRequest{From: addr(5), Centre: "a", Position: at(9), MaxAge: 2e9}, stoattree.Stale},
+		"its word has no age":                     {0, stoattree.State{Ready: true, Position: at(10), ReadsPlatform: true, Age: -1}, stoattree.JoinRequest{From: addr(5), Centre: "a", Position: at(9), MaxAge: 2e9}, stoattree.Stale},
+		"another data centre, when near is asked": {0, inTouch, stoattree.JoinRequest{From: addr(5), Centre: "b", Position: at(9), LocalOnly: true}, stoattree.OtherDataCentre},
 		"another data centre":                     {0, inTouch, ask(5, "b"), stoattree.Accepted},
 	} {
 		if got := newTree(try.self, "a", 0).Admit(try.state, try.ask).Refusal; got != try.want {
@@ -74,7 +74,7 @@
 		for ; n < 20; n++ {
 			a := tree.Admit(inTouch, ask(10+n, "a"))
 			if a.Refusal == stoattree.Full {
-				if len(a.Try) == 0 {
+				if len(a.Alternatives) == 0 {
 					t.Error("nobody is named instead")
 				}
 				break
@@ -84,7 +84,7 @@
 			t.Errorf("share %g: %d children, expected %d", share, n, want)
 		}
 	}
-	slow := stoattree.New(stoattree.Config{Self: addr(0), Centre: "a", Seeds: seeds, Share: 0.8, Link: 10, Rand: rand.New(rand.NewPCG(1, 1))})
+	slow := stoattree.New(stoattree.Config{Self: addr(0), Centre: "a", Seeds: seeds, CPUShare: 0.8, LinkMbps: 10, Rand: rand.New(rand.NewPCG(1, 1))})
 	for i := range 2 {
 		slow.Admit(inTouch, ask(10+i, "a"))
 	}
@@ -104,11 +104,11 @@
 		t.Fatal(a)
 	}
 	a := tree.Admit(inTouch, ask(31, "b"))
-	if a.Refusal != stoattree.OtherSide || len(a.Try) != 1 || a.Try[0] != addr(30) {
+	if a.Refusal != stoattree.OtherDataCentre || len(a.Alternatives) != 1 || a.Alternatives[0] != addr(30) {
 		t.Error(a)
 	}
 	again := ask(31, "b")
-	again.Skip = a.Try
+	again.Tried = a.Alternatives
 	if a := tree.Admit(inTouch, again); a.Refusal != stoattree.Accepted {
 		t.Error("the one there does not answer, and nobody else is found:", a)
 	}
@@ -120,13 +120,13 @@
 	tree := newTree(0, "a", 0)
 	first := tree.Admit(inTouch, ask(5, "a"))
 	second := tree.Admit(inTouch, ask(5, "a"))
-	tree.Part(addr(5), first.Ticket)
-	if tree.Children() != 1 {
-		t.Error(tree.Children())
+	tree.RemoveChild(addr(5), first.Admission)
+	if tree.ChildCount() != 1 {
+		t.Error(tree.ChildCount())
 	}
-	tree.Part(addr(5), second.Ticket)
-	if tree.Children() != 0 {
-		t.Error(tree.Children())
+	tree.RemoveChild(addr(5), second.Admission)
+	if tree.ChildCount() != 0 {
+		t.Error(tree.ChildCount())
 	}
 }
 
@@ -136,7 +136,7 @@
 	centre stoatpaddle.DataCentreID
 	tree   *stoattree.Tree
 	parent *member
-	ticket stoattree.Ticket
+	ticket stoattree.AdmissionID
 	dead   bool
 }
 
@@ -167,9 +167,9 @@
 
 // search has a member look for a parent.
 func (f *fleet) search(m *member) {
-	m.tree.Begin()
+	m.tree.StartSearch()
 	for {
-		to, a, ok := m.tree.Next()
+		to, a, ok := m.tree.NextCandidate()
 		if !ok {
 			return
 		}
@@ -183,15 +183,15 @@
 		if p == nil {
 			continue
 		}
-		a.Known = at(10)
-		s := stoattree.State{Ready: true, Known: at(10), Path: p.path(), Reads: p.isSeed() || p.parent == nil}
+		a.Position = at(10)
+		s := stoattree.State{Ready: true, Position: at(10), Path: p.path(), ReadsPlatform: p.isSeed() || p.parent == nil}
 		answer := p.tree.Admit(s, a)
 		if answer.Refusal != stoattree.Accepted {
-			m.tree.Refused(answer.Try)
+			m.tree.AddCandidates(answer.Alternatives)
 			continue
 		}
-		m.parent, m.ticket = p, answer.Ticket
-		m.tree.Learn(p.tree.Relatives(addr(m.i), m.centre))
+		m.parent, m.ticket = p, answer.Admission
+		m.tree.SetSiblings(p.tree.Siblings(addr(m.i), m.centre))
 		return
 	}
 }
@@ -209,7 +209,7 @@
 func (f *fleet) kill(m *member) {
 	m.dead = true
 	if m.parent != nil {
-		m.parent.tree.Part(addr(m.i), m.ticket)
+		m.parent.tree.RemoveChild(addr(m.i), m.ticket)
 	}
 	for _, x := range f.all {
 		if x.parent == m {
@@ -226,7 +226,7 @@
 			continue
 		}
 		switch up := m.path(); {
-		case len(up) >= stoattree.MaxPath:
+		case len(up) >= stoattree.MaxPathLength:
 			f.t.Fatal(m.i, "is in a loop, or too deep:", up)
 		case m.parent == nil:
 			alone++
@@ -236,7 +236,7 @@
 		if m.parent != nil && m.parent.centre != m.centre {
 			across++
 		}
-		widest = max(widest, m.tree.Children())
+		widest = max(widest, m.tree.ChildCount())
 	}
 	return alone, depth, widest, across
 }
--- a/stoattunnel/build.go
+++ b/stoattunnel/build.go
@@ -21,8 +21,8 @@
 
 const defaultTTL = 64
 
-// Build returns the segment as an IP packet with checksums.
-func Build(s Segment) ([]byte, error) {
+// BuildSegment returns the segment as an IP packet with checksums.
+func BuildSegment(s Segment) ([]byte, error) {
 	tcp := &layers.TCP{
 		SrcPort: layers.TCPPort(s.Src.Port()),
 		DstPort: layers.TCPPort(s.Dst.Port()),
@@ -61,9 +61,9 @@
 	return ip, ip
 }
 
-// ResetFor returns the reset that tells the caller of p that its flow is refused or
+// ResetToCaller returns the reset that tells the caller of p that its flow is refused or
 // lost; its numbers follow RFC 9293 section 3.5.2, so that the caller accepts it.
-func ResetFor(p *stoatpacket.Packet) ([]byte, error) {
+func ResetToCaller(p *stoatpacket.Packet) ([]byte, error) {
 	s := Segment{Src: p.Tuple.Dst, Dst: p.Tuple.Src, RST: true}
 	if p.Opens {
 		s.ACK = true
@@ -71,15 +71,15 @@
 	} else {
 		s.Seq = p.Ack
 	}
-	return Build(s)
+	return BuildSegment(s)
 }
 
 // quoteSize is what an ICMP error quotes of the packet at most (RFC 1812, 4.3.2.3).
 const quoteSize = 548
 
-// Unreachable returns the ICMP error that tells the caller of the packet in data, which
+// PortUnreachable returns the ICMP error that tells the caller of the packet in data, which
 // was parsed as p, that nothing takes its UDP flow (RFC 792, RFC 4443: port unreachable).
-func Unreachable(p *stoatpacket.Packet, data []byte) ([]byte, error) {
+func PortUnreachable(p *stoatpacket.Packet, data []byte) ([]byte, error) {
 	quoted := gopacket.Payload(data[:min(len(data), quoteSize)])
 	src, dst := p.Tuple.Dst.Addr(), p.Tuple.Src.Addr()
 	buf := gopacket.NewSerializeBuffer()
@@ -101,8 +101,8 @@
 	return buf.Bytes(), eris.Wrap(err, "serialize unreachable")
 }
 
-// ResetTo returns the reset that ends the flow of p at its upstream, which would
+// ResetToUpstream returns the reset that ends the flow of p at its upstream, which would
 // otherwise hold the connection for a caller that has given it up.
-func ResetTo(p *stoatpacket.Packet) ([]byte, error) {
-	return Build(Segment{Src: p.Tuple.Src, Dst: p.Tuple.Dst, RST: true, Seq: p.Seq})
+func ResetToUpstream(p *stoatpacket.Packet) ([]byte, error) {
+	return BuildSegment(Segment{Src: p.Tuple.Src, Dst: p.Tuple.Dst, RST: true, Seq: p.Seq})
 }
--- a/stoattunnel/parse_test.go
+++ b/stoattunnel/parse_test.go
@@ -19,7 +19,7 @@
 )
 
 func segment(t testing.TB, s Segment) []byte {
-	data, err := Build(s)
+	data, err := BuildSegment(s)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,7 +87,7 @@
 		var p, rst stoatpacket.Packet
 		r := NewParser()
 		convey.So(r.Parse(segment(t, Segment{Src: caller6, Dst: service6, ACK: true, Seq: 9, Ack: 77}), &p), convey.ShouldEqual, stoatpacket.DropNone)
-		data, err := ResetFor(&p)
+		data, err := ResetToCaller(&p)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(r.Parse(data, &rst), convey.ShouldEqual, stoatpacket.DropNone)
 		convey.So(rst.Reset, convey.ShouldBeTrue)
@@ -107,7 +107,7 @@
 		if reason := NewParser().Parse(packet, &p); reason != stoatpacket.DropNone {
 			t.Fatal(reason)
 		}
-		data, err := Unreachable(&p, packet)
+		data, err := PortUnreachable(&p, packet)
 		if err != nil {
 			t.Fatal(err)
 		}
