--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -19,58 +19,59 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// SeedRef names the object that holds the cluster's hash key.
+// SeedRef is the reference of the object that contains the hash key of the cluster.
 var SeedRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
 
-const seedBytes = 16
+const hashKeySize = 16
 
-// adopt takes an object in unless a version as new was seen before, whoever offers it:
-// a lagging replica, a peer that was cut off for long and a restored platform all offer
-// old versions, and one adopted would revert what was accepted.
+// adopt stores and applies an object unless the same or a newer version was seen before, whatever its source.
+// A lagging replica, a peer after a long partition and a restored platform all offer old versions, and
+// adopting one would revert accepted changes.
 func (n *Node) adopt(now time.Time, o stoatpaddle.Object, from stoatpaddle.InstanceID) {
 	held := n.objects[o.Ref]
 	if o.Version <= held.Version {
 		return
 	}
 	if stoatplatform.Follows(held, o) {
-		// The platform was restored, and has what was amended since at a version that is given out anew.
+		// The platform was restored: its copy is an ancestor of the held object, under a version number of
+		// the new era.
 		n.rewrite(held, o.Version)
 		return
 	}
 	n.objects[o.Ref] = o
-	delete(n.wanted, o.Ref)
+	delete(n.requestedUntil, o.Ref)
 	n.apply(now, o)
 	n.announce(o, from)
 }
 
-// findLost writes again what a complete list lacks that was known before the platform was restored.
-// In one era an object can only be missing since somebody took it out by hand.
-func (n *Node) findLost(l stoatpaddle.Listing) {
+// rewriteLost rewrites the objects of an earlier era that a complete list lacks: the restored platform lost
+// them. An object of the same era can only be missing because somebody deleted it by hand.
+func (n *Node) rewriteLost(l stoatpaddle.Listing) {
 	listed := map[stoatpaddle.ObjectRef]bool{}
 	for i := range l.Objects {
 		listed[l.Objects[i].Ref] = true
 	}
-	for _, h := range n.everything().Objects {
+	for _, h := range n.haveAll().Objects {
 		if !listed[h.Ref] && h.Version.Position().Era < l.Revision.Position().Era {
 			n.rewrite(n.objects[h.Ref], 0)
 		}
 	}
 }
 
-// rewrite writes an object again on top of that version: what was accepted never reverts. Those that
-// watch for the others do so, and the platform takes the first.
-func (n *Node) rewrite(held stoatpaddle.Object, on stoatpaddle.Version) {
-	if !n.watches() {
+// rewrite writes an object again on top of the version base, so that accepted changes are not reverted. All
+// entries that watch the platform do this, and the platform accepts the first write.
+func (n *Node) rewrite(held stoatpaddle.Object, base stoatpaddle.Version) {
+	if !n.isWatcher() {
 		return
 	}
 	shown := "nothing"
-	if on > 0 {
-		shown = on.Position().String()
+	if base > 0 {
+		shown = base.Position().String()
 	}
 	n.log(EventRewritten, stoatevent.F("object", held.Ref.String()), stoatevent.F("held", held.Version.Position().String()),
 		stoatevent.F("shown", shown))
-	held.Version = on
-	n.do(Rewrite{Object: held})
+	held.Version = base
+	n.emit(Rewrite{Object: held})
 }
 
 func (n *Node) apply(now time.Time, o stoatpaddle.Object) {
@@ -80,29 +81,30 @@
 	case stoatpaddle.ObjectInstance:
 		n.applyInstance(now, o)
 	case stoatpaddle.ObjectCluster:
-		n.applySeed(o)
+		n.applyHashKey(o)
 	case stoatpaddle.ObjectEvacuation:
 		n.applyEvacuation(o)
 	}
 }
 
-// applyEvacuation follows what operators want of a data centre; its object's name says all.
+// applyEvacuation starts or ends the evacuation of the data centre that the object is named after. The value
+// of the object is not used.
 func (n *Node) applyEvacuation(o stoatpaddle.Object) {
 	dc := stoatpaddle.DataCentreID(o.Ref.Name)
-	entry := EventEvacuated
+	event := EventEvacuated
 	if o.Deleted {
-		entry = EventTakenBack
+		event = EventTakenBack
 		delete(n.evacuated, dc)
 	} else {
 		n.evacuated[dc] = true
 	}
 	n.dirty = true
-	n.log(entry, stoatevent.F("centre", string(dc)), stoatevent.F("version", o.Version.String()))
+	n.log(event, stoatevent.F("centre", string(dc)), stoatevent.F("version", o.Version.String()))
 }
 
-// leaveEvacuated has the upstreams of evacuated data centres take no new work, also where nothing else is
-// left; what is open there goes on.
-func (n *Node) leaveEvacuated(in *stoatview.Input) {
+// markEvacuated marks the upstreams in evacuated data centres as leaving, so that they get no new flows or
+// calls, even if no other upstreams are left. Open flows continue.
+func (n *Node) markEvacuated(in *stoatview.Input) {
 	for i := range in.Contracts {
 		for _, svc := range in.Contracts[i].Services {
 			for _, u := range svc.Upstreams {
@@ -123,14 +125,14 @@
 	}
 	c, err := stoatcontract.Decode(o.Value)
 	if err != nil || c.Customer != id {
-		n.invalid(o, err)
+		n.logInvalid(o, err)
 		return
 	}
-	n.contracts[id] = served{contract: c, version: o.Version}
+	n.contracts[id] = validContract{contract: c, version: o.Version}
 	n.dirty = true
 }
 
-func (n *Node) invalid(o stoatpaddle.Object, err error) {
+func (n *Node) logInvalid(o stoatpaddle.Object, err error) {
 	cause := "it names another customer"
 	if err != nil {
 		cause = err.Error()
@@ -138,12 +140,12 @@
 	n.log(EventObjectInvalid, stoatevent.F("object", o.Ref.String()), stoatevent.F("version", o.Version.String()), stoatevent.F("cause", cause))
 }
 
-func (n *Node) applySeed(o stoatpaddle.Object) {
+func (n *Node) applyHashKey(o stoatpaddle.Object) {
 	raw, err := hex.DecodeString(string(trimQuotes(o.Value)))
-	if o.Deleted || o.Ref != SeedRef || err != nil || len(raw) != seedBytes {
+	if o.Deleted || o.Ref != SeedRef || err != nil || len(raw) != hashKeySize {
 		return
 	}
-	n.seed = &stoatpacket.Seed{K0: binary.BigEndian.Uint64(raw), K1: binary.BigEndian.Uint64(raw[8:])}
+	n.hashKey = &stoatpacket.Seed{K0: binary.BigEndian.Uint64(raw), K1: binary.BigEndian.Uint64(raw[8:])}
 	n.dirty = true
 }
 
@@ -154,7 +156,7 @@
 	return b
 }
 
-// servable returns the contracts that do not claim what an earlier one has.
+// servable returns the contracts that do not conflict with one that was written earlier.
 func (n *Node) servable() []stoatpaddle.Contract {
 	ids := make([]stoatpaddle.CustomerID, 0, len(n.contracts))
 	for id := range n.contracts {
@@ -164,11 +166,11 @@
 		return cmp.Compare(n.contracts[a].version, n.contracts[b].version)
 	})
 	var out []stoatpaddle.Contract
-	held := stoatcontract.NewClaims()
+	claims := stoatcontract.NewClaims()
 	for _, id := range ids {
 		c := n.contracts[id].contract
-		if faults := held.Add("contract/"+string(id), c); len(faults) > 0 {
-			n.unserved(id, faults[0])
+		if faults := claims.Add("contract/"+string(id), c); len(faults) > 0 {
+			n.logConflict(id, faults[0])
 			continue
 		}
 		out = append(out, c)
@@ -176,17 +178,17 @@
 	return out
 }
 
-// unserved reports a contract that is not served, once for each of its versions.
-func (n *Node) unserved(id stoatpaddle.CustomerID, fault *stoatpaddle.Fault) {
+// logConflict logs that a contract is not served, once for each of its versions.
+func (n *Node) logConflict(id stoatpaddle.CustomerID, fault *stoatpaddle.Fault) {
 	version := n.contracts[id].version
-	if n.conflicts[id] == version {
+	if n.loggedConflicts[id] == version {
 		return
 	}
-	n.conflicts[id] = version
+	n.loggedConflicts[id] = version
 	n.log(EventObjectConflict, stoatevent.F("customer", string(id)), stoatevent.F("fault", fault.Error()))
 }
 
-// digest sums up what is held, independent of the order in which it came.
+// digest returns a digest of the versions of all objects, independent of the order of their arrival.
 func (n *Node) digest() stoatmessage.Digest {
 	var d stoatmessage.Digest
 	for ref, o := range n.objects {
@@ -196,7 +198,7 @@
 	return d
 }
 
-func count(n int) string { return strconv.Itoa(n) }
+func itoa(n int) string { return strconv.Itoa(n) }
 
 func sortedIDs[T any](m map[stoatpaddle.InstanceID]T) []stoatpaddle.InstanceID {
 	ids := make([]stoatpaddle.InstanceID, 0, len(m))
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -14,20 +14,21 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatmessage"
 )
 
-// A golden session is a text file: a line "@TIME event words" for each event, and below
-// it a line "  > effect" for each effect. STOATPADDLE_UPDATE=1 writes the effects anew.
+// TestSessions replays the golden sessions under testdata. A session is a text file with a line
+// "@TIME event words" for each event, each followed by a line "  > effect" for each effect.
+// STOATPADDLE_UPDATE=1 rewrites the lines of the effects.
 func TestSessions(t *testing.T) { stoatgolden.Run(t, replay) }
 
 var epoch = time.Unix(0, 0)
 
-func testInstance(id string, state stoatpaddle.InstanceState, life int) stoatpaddle.Instance {
+func testInstance(id string, state stoatpaddle.InstanceState, incarnation int) stoatpaddle.Instance {
 	port := uint16(1000 + 10*int(id[len(id)-1]-'0') + int(id[0]))
 	addr := func(n uint16) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port+n)
 	}
 	return stoatpaddle.Instance{
 		ID: stoatpaddle.InstanceID(id), Role: stoatpaddle.RoleEntry, DataCentre: stoatpaddle.DataCentreID(id[:1]),
-		State: state, Incarnation: stoatpaddle.Incarnation(life), Relay: addr(1), Peer: addr(2), Admin: addr(3),
+		State: state, Incarnation: stoatpaddle.Incarnation(incarnation), Relay: addr(1), Peer: addr(2), Admin: addr(3),
 	}
 }
 
@@ -40,12 +41,12 @@
 		if words[0] == "ticks" {
 			for now+TickEvery <= until {
 				now += TickEvery
-				show(&out, now, n.Step(epoch.Add(now), Ticked{}))
+				writeEffects(&out, now, n.Step(epoch.Add(now), Ticked{}))
 			}
 			return
 		}
 		now = until
-		show(&out, now, n.Step(epoch.Add(now), readEvent(t, words)))
+		writeEffects(&out, now, n.Step(epoch.Add(now), readEvent(t, words)))
 	})
 	return out.String()
 }
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// readVersion reads a revision, or an era and a revision as in 2/20.
+// readVersion parses a revision, or an era and a revision as in 2/20.
 func readVersion(t *testing.T, text string) stoatpaddle.Version {
 	var p stoatpaddle.Position
 	era, revision, ok := strings.Cut(text, "/")
@@ -109,8 +110,8 @@
 	return p.Version()
 }
 
-// readObjects reads words such as seed@1, contract/sawt@5, instance/b1@3=live, and contract/sawt@2/9~b,a,
-// which b wrote on top of a's in era 2.
+// readObjects parses words such as seed@1, contract/sawt@5, instance/b1@3=live and contract/sawt@2/9~b,a,
+// which is at revision 9 of era 2 and was written with token b on top of token a.
 func readObjects(t *testing.T, words []string) []stoatpaddle.Object {
 	var out []stoatpaddle.Object
 	for _, w := range words {
@@ -126,14 +127,14 @@
 		case "contract":
 			o.Value = testContract(t, id, int(o.Version.Position().Revision), value)
 		case "instance":
-			o.Value = testMark(t, id, value)
+			o.Value = testInstanceObject(t, id, value)
 		}
 		out = append(out, o)
 	}
 	return out
 }
 
-// testContract returns a contract of two upstreams; its limit on flows is its version.
+// testContract returns a contract with two upstreams, whose limit of flows is the version.
 func testContract(t *testing.T, customer string, version int, value string) []byte {
 	if value == "broken" {
 		return []byte(`{"customer": 7}`)
@@ -162,7 +163,7 @@
 	return data
 }
 
-func testMark(t *testing.T, id, value string) []byte {
+func testInstanceObject(t *testing.T, id, value string) []byte {
 	i := testInstance(id+"0", stoatpaddle.InstanceState(value), 1)
 	i.ID = stoatpaddle.InstanceID(id)
 	if strings.Contains(id, "-") {
@@ -177,8 +178,8 @@
 	return data
 }
 
-// show prints effects; heartbeats and dials come at every turn and are left out.
-func show(out *strings.Builder, now time.Duration, effects []Effect) {
+// writeEffects writes a line for each effect. It omits heartbeats, dials, resynchronizations and flow records.
+func writeEffects(out *strings.Builder, now time.Duration, effects []Effect) {
 	for _, e := range effects {
 		if text := describe(e); text != "" {
 			fmt.Fprintf(out, "  > %s %s\n", now, text)
@@ -211,9 +212,9 @@
 	case Dial, Resync, Deliver:
 		return ""
 	case List:
-		return "list" + waiting(e.After)
+		return "list" + pauseSuffix(e.After)
 	case Watch:
-		return "watch from " + e.From.String() + waiting(e.After)
+		return "watch from " + e.From.String() + pauseSuffix(e.After)
 	case Register:
 		return "register " + string(e.Instance.State)
 	case Rewrite:
@@ -225,7 +226,7 @@
 	}
 }
 
-func waiting(d time.Duration) string {
+func pauseSuffix(d time.Duration) string {
 	if d == 0 {
 		return ""
 	}
