--- a/stoatadmin/wire.go
+++ b/stoatadmin/wire.go
@@ -54,7 +54,7 @@
 
 func toStatus(s stoatnode.Status) stoatstatus.Status {
 	out := stoatstatus.Status{
-		Instance: string(s.Self), Ready: s.Ready, Leaving: s.Leaving, Platform: s.Platform, Watching: s.Watching,
+		Instance: string(s.Self), Ready: s.Ready, Leaving: s.Leaving, Platform: s.PlatformAvailable, Watching: s.WatchesPlatform,
 		Contracts: []stoatstatus.Summary{}, Instances: []stoatstatus.Instance{},
 	}
 	for _, c := range s.Contracts {
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	node := stoatnode.New(stoatnode.Config{
-		Self: e.self, Cluster: e.settings.Cluster, Seeds: e.settings.Seeds, Random: seed, Stop: e.settings.StopDeadline, Dead: e.settings.PeerTimeout,
+		Self: e.self, Cluster: e.settings.Cluster, Seeds: e.settings.Seeds, RandomSeed: seed, StopDeadline: e.settings.StopDeadline, DeadAfter: e.settings.PeerTimeout,
 	})
 	e.pid = e.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
 		return &controlActor{node: node, clock: clock, perform: e.perform}
@@ -164,7 +164,7 @@
 }
 
 // Stop begins the planned stop. Wait returns when the stop is complete.
-func (e *Entry) Stop() { e.post(stoatnode.StopAsked{}) }
+func (e *Entry) Stop() { e.post(stoatnode.StopRequested{}) }
 
 // Kill ends the entry at once, without a handover, as a crash would.
 func (e *Entry) Kill() {
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -38,9 +38,9 @@
 		e.engine.Prepare(clock(), x.View)
 		e.view.Store(x.View)
 	case stoatnode.List:
-		e.runAfter(x.After, e.list)
+		e.runAfter(x.Delay, e.list)
 	case stoatnode.Watch:
-		e.runAfter(x.After, func() { e.watch(x.From) })
+		e.runAfter(x.Delay, func() { e.watch(x.From) })
 	case stoatnode.Register:
 		e.registration.Store(&x.Instance)
 		e.transport.SetInstance(x.Instance)
@@ -53,13 +53,13 @@
 		e.runAfter(0, e.makeSeed)
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
-	case stoatnode.Hangup:
+	case stoatnode.Disconnect:
 		e.transport.Disconnect(x.Peer)
 	case stoatnode.Send:
 		e.transport.Send(x.To, x.Message)
-	case stoatnode.Deliver:
+	case stoatnode.DeliverFlows:
 		if v := e.view.Load(); v != nil {
-			e.engine.Receive(clock(), v, x.From, x.Flow.Batch)
+			e.engine.Receive(clock(), v, x.From, x.Flows.Batch)
 		}
 	case stoatnode.Resync:
 		e.engine.Resync(x.Peer)
@@ -104,10 +104,10 @@
 	event := stoatnode.PlatformFailed{Cause: err.Error()}
 	var rateErr *stoatpaddle.RateLimitError
 	if errors.As(err, &rateErr) {
-		event.After = rateErr.RetryAfter
+		event.RetryAfter = rateErr.RetryAfter
 	}
 	var historyErr *platform.HistoryError
-	event.Forgotten = errors.As(err, &historyErr)
+	event.HistoryGone = errors.As(err, &historyErr)
 	e.post(event)
 }
 
@@ -120,7 +120,7 @@
 	for attempt := 0; e.ctx.Err() == nil; attempt++ {
 		o, err := e.writeInstance(*e.registration.Load(), rnd)
 		if err == nil {
-			e.post(stoatnode.Wrote{Object: o})
+			e.post(stoatnode.ObjectWritten{Object: o})
 			return
 		}
 		if attempt == 0 {
@@ -162,11 +162,11 @@
 		var conflict *stoatpaddle.ConflictError
 		switch {
 		case err == nil:
-			e.post(stoatnode.Wrote{Object: written})
+			e.post(stoatnode.ObjectWritten{Object: written})
 			return
 		case errors.As(err, &conflict):
 			// Another entry wrote the object again first, or an operator changed it.
-			e.post(stoatnode.Wrote{Object: conflict.Current})
+			e.post(stoatnode.ObjectWritten{Object: conflict.Current})
 			return
 		}
 		e.log.Emit(EventWriteFailed, stoatevent.F("cause", err.Error()))
@@ -201,9 +201,9 @@
 	var conflict *stoatpaddle.ConflictError
 	switch {
 	case err == nil:
-		e.post(stoatnode.Wrote{Object: o})
+		e.post(stoatnode.ObjectWritten{Object: o})
 	case errors.As(err, &conflict):
-		e.post(stoatnode.Wrote{Object: conflict.Current})
+		e.post(stoatnode.ObjectWritten{Object: conflict.Current})
 	}
 }
 
@@ -239,9 +239,9 @@
 			}
 		}
 		if e.handingOver.Load() && e.handoverComplete(v) {
-			e.post(stoatnode.Handed{CallsOpen: e.calls.OpenCalls()})
+			e.post(stoatnode.FlowsHandedOver{OpenCalls: e.calls.OpenCalls()})
 		}
-		if now.Sub(lastTick) >= stoatnode.TickEvery {
+		if now.Sub(lastTick) >= stoatnode.TickInterval {
 			lastTick = now
 			e.post(stoatnode.Ticked{})
 		}
--- a/stoatnode/bench_test.go
+++ b/stoatnode/bench_test.go
@@ -13,7 +13,7 @@
 // benchmarkTick measures a heartbeat from each peer, a tick, and the heartbeats that the tick sends, with n
 // connected entries.
 func benchmarkTick(b *testing.B, n int) {
-	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", Random: 1, Stop: time.Minute})
+	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", RandomSeed: 1, StopDeadline: time.Minute})
 	now := epoch
 	node.Step(now, Started{})
 	node.Step(now, Listed{Listing: stoatpaddle.Listing{Revision: 1, Objects: []stoatpaddle.Object{
@@ -32,7 +32,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		for _, p := range peers {
 			node.Step(now, Received{From: p.ID, Message: beat})
 		}
@@ -48,7 +48,7 @@
 
 // benchmarkContract measures the adoption of an amended contract with 18 upstreams, one of n contracts.
 func benchmarkContract(b *testing.B, n int) {
-	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", Random: 1, Stop: time.Minute})
+	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", RandomSeed: 1, StopDeadline: time.Minute})
 	objects := []stoatpaddle.Object{{Ref: SeedRef, Version: 1, Value: []byte(`"000102030405060708090a0b0c0d0e0f"`)}}
 	for i := range n {
 		objects = append(objects, benchContract(i, stoatpaddle.Version(i+2)))
@@ -59,7 +59,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		node.Step(epoch, Wrote{Object: benchContract(i%n, version)})
+		node.Step(epoch, ObjectWritten{Object: benchContract(i%n, version)})
 		version++
 	}
 }
--- a/stoatnode/catalogue.go
+++ b/stoatnode/catalogue.go
@@ -44,12 +44,12 @@
 		Title: "contract claims what another has",
 		Text:  "Two contracts were accepted at the same moment and claim the same address, host or upstream. The one that was written first is served and the other is not served at all, so that no packet reaches the service of another customer. Amend or remove the later one.",
 	})
-	EventReverted = stoatevent.Register(stoatevent.Definition{
+	EventRevisionDecreased = stoatevent.Register(stoatevent.Definition{
 		Number: 1009, Severity: stoatevent.Error, Since: "0.1",
 		Title: "platform went back",
 		Text:  "The platform returned a lower revision than before: a replica lags, or the platform was restored and reports no era. The configuration in force stays in force. If the platform was restored, write the contracts again, so that their versions exceed the ones in force.",
 	})
-	EventRewritten = stoatevent.Register(stoatevent.Definition{
+	EventObjectRewritten = stoatevent.Register(stoatevent.Definition{
 		Number: 1016, Severity: stoatevent.Warning, Since: "0.7",
 		Title: "object is written again",
 		Text:  "The platform was restored from an older copy, which has an older version of the object or lacks it. The accepted version stays in force and is written again on top of the older one. The fields held and shown are era/revision.",
@@ -59,17 +59,17 @@
 		Title: "data centre is evacuated",
 		Text:  "Operators requested that the upstreams of the data centre get no new flows or calls. These go to other data centres, or are refused if no other upstream is left. Open flows continue.",
 	})
-	EventTakenBack = stoatevent.Register(stoatevent.Definition{
+	EventEvacuationWithdrawn = stoatevent.Register(stoatevent.Definition{
 		Number: 1018, Severity: stoatevent.Info, Since: "0.7",
 		Title: "data centre is taken back",
 		Text:  "The evacuation was withdrawn; the upstreams of the data centre get new flows and calls again.",
 	})
-	EventStopBegins = stoatevent.Register(stoatevent.Definition{
+	EventStopStarted = stoatevent.Register(stoatevent.Definition{
 		Number: 1010, Severity: stoatevent.Info, Since: "0.1",
 		Title: "planned stop begins",
 		Text:  "The entry hands over its flows, relays packets that still arrive and refuses new calls. It exits by itself when all flows are handed over and all calls have ended.",
 	})
-	EventStopDeadline = stoatevent.Register(stoatevent.Definition{
+	EventStopDeadlineReached = stoatevent.Register(stoatevent.Definition{
 		Number: 1011, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "planned stop hit its deadline",
 		Text:  "The entry exits although calls were still open at the deadline; the field calls has their number. Raise [stop] deadline if calls may last longer.",
@@ -79,12 +79,12 @@
 		Title: "entry ends",
 		Text:  "The planned stop has ended and the process exits.",
 	})
-	EventPaused = stoatevent.Register(stoatevent.Definition{
+	EventProcessPaused = stoatevent.Register(stoatevent.Definition{
 		Number: 1013, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "entry was paused",
 		Text:  "The process did not run for a while, so no messages of peers could arrive. The entry considers no peer dead until each had time to send a heartbeat again. If this event repeats, the machine lacks processor time.",
 	})
-	EventCentreCut = stoatevent.Register(stoatevent.Definition{
+	EventCentrePartitioned = stoatevent.Register(stoatevent.Definition{
 		Number: 1014, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "data centre cut off",
 		Text:  "No entry of a data centre answers. New flows avoid the upstreams of that data centre, and its entries continue to serve the traffic that reaches them. The entry needs no action; check the network between the data centres.",
--- a/stoatnode/effect.go
+++ b/stoatnode/effect.go
@@ -17,13 +17,13 @@
 type Publish struct{ View *stoatview.View }
 
 // List reads all objects from the platform after a delay. Its result is Listed or PlatformFailed.
-type List struct{ After time.Duration }
+type List struct{ Delay time.Duration }
 
 // Watch waits for changes on the platform after a revision. It starts after a delay, and its result is
 // Watched or PlatformFailed.
 type Watch struct {
 	From  stoatpaddle.Version
-	After time.Duration
+	Delay time.Duration
 }
 
 // Rewrite writes an object again that a restored platform has lost. The version of the object is the one to
@@ -45,8 +45,8 @@
 	Addr netip.AddrPort
 }
 
-// Hangup closes the connection to a peer.
-type Hangup struct{ Peer stoatpaddle.InstanceID }
+// Disconnect closes the connection to a peer.
+type Disconnect struct{ Peer stoatpaddle.InstanceID }
 
 // Send sends a message to a peer.
 type Send struct {
@@ -54,10 +54,10 @@
 	Message stoatmessage.Message
 }
 
-// Deliver passes flow records from a peer to the flow engine.
-type Deliver struct {
-	From stoatpaddle.InstanceID
-	Flow *stoatmessage.Flows
+// DeliverFlows passes flow records from a peer to the flow engine.
+type DeliverFlows struct {
+	From  stoatpaddle.InstanceID
+	Flows *stoatmessage.Flows
 }
 
 // Resync sends a newly connected peer every flow record that it should have: messages in transit on an
@@ -77,18 +77,18 @@
 // Exit ends the process.
 type Exit struct{}
 
-func (Publish) isEffect()    {}
-func (List) isEffect()       {}
-func (Watch) isEffect()      {}
-func (Rewrite) isEffect()    {}
-func (Register) isEffect()   {}
-func (Unregister) isEffect() {}
-func (MakeSeed) isEffect()   {}
-func (Dial) isEffect()       {}
-func (Hangup) isEffect()     {}
-func (Send) isEffect()       {}
-func (Deliver) isEffect()    {}
-func (Log) isEffect()        {}
-func (Resync) isEffect()     {}
-func (HandOver) isEffect()   {}
-func (Exit) isEffect()       {}
+func (Publish) isEffect()      {}
+func (List) isEffect()         {}
+func (Watch) isEffect()        {}
+func (Rewrite) isEffect()      {}
+func (Register) isEffect()     {}
+func (Unregister) isEffect()   {}
+func (MakeSeed) isEffect()     {}
+func (Dial) isEffect()         {}
+func (Disconnect) isEffect()   {}
+func (Send) isEffect()         {}
+func (DeliverFlows) isEffect() {}
+func (Log) isEffect()          {}
+func (Resync) isEffect()       {}
+func (HandOver) isEffect()     {}
+func (Exit) isEffect()         {}
--- a/stoatnode/event.go
+++ b/stoatnode/event.go
@@ -25,14 +25,14 @@
 // PlatformFailed reports a failed list or watch. RetryAfter is the delay that the platform asked for, if any.
 // HistoryGone reports that the platform no longer has the changes after the revision of the watch.
 type PlatformFailed struct {
-	Cause     string
-	After     time.Duration
-	Forgotten bool
+	Cause       string
+	RetryAfter  time.Duration
+	HistoryGone bool
 }
 
-// Wrote contains the object that results from a write of this entry, or the current one if the write
+// ObjectWritten contains the object that results from a write of this entry, or the current one if the write
 // conflicted with it.
-type Wrote struct{ Object stoatpaddle.Object }
+type ObjectWritten struct{ Object stoatpaddle.Object }
 
 // Connected reports a new connection to a peer.
 type Connected struct{ Hello stoatmessage.Hello }
@@ -46,20 +46,20 @@
 	Message stoatmessage.Message
 }
 
-// StopAsked requests the planned stop.
-type StopAsked struct{}
+// StopRequested requests the planned stop.
+type StopRequested struct{}
 
-// Handed reports that the flow engine has nothing left to hand over, and the number of open calls.
-type Handed struct{ CallsOpen int }
+// FlowsHandedOver reports that the flow engine has nothing left to hand over, and the number of open calls.
+type FlowsHandedOver struct{ OpenCalls int }
 
-func (Started) isEvent()        {}
-func (Ticked) isEvent()         {}
-func (Listed) isEvent()         {}
-func (Watched) isEvent()        {}
-func (PlatformFailed) isEvent() {}
-func (Wrote) isEvent()          {}
-func (Connected) isEvent()      {}
-func (Disconnected) isEvent()   {}
-func (Received) isEvent()       {}
-func (StopAsked) isEvent()      {}
-func (Handed) isEvent()         {}
+func (Started) isEvent()         {}
+func (Ticked) isEvent()          {}
+func (Listed) isEvent()          {}
+func (Watched) isEvent()         {}
+func (PlatformFailed) isEvent()  {}
+func (ObjectWritten) isEvent()   {}
+func (Connected) isEvent()       {}
+func (Disconnected) isEvent()    {}
+func (Received) isEvent()        {}
+func (StopRequested) isEvent()   {}
+func (FlowsHandedOver) isEvent() {}
--- a/stoatnode/gossip.go
+++ b/stoatnode/gossip.go
@@ -145,7 +145,7 @@
 	case *stoatmessage.Members:
 		n.mergeMembers(now, m)
 	case *stoatmessage.Flows:
-		n.emit(Deliver{From: ev.From, Flow: m})
+		n.emit(DeliverFlows{From: ev.From, Flows: m})
 	}
 }
 
--- a/stoatnode/members.go
+++ b/stoatnode/members.go
@@ -45,7 +45,7 @@
 	}
 	delete(n.instances, id)
 	delete(n.peers, id)
-	n.emit(Hangup{Peer: id})
+	n.emit(Disconnect{Peer: id})
 	n.dirty = true
 }
 
@@ -105,7 +105,7 @@
 // resumeAfterPause restarts the timeouts of all live peers after a pause of this process: all of them look
 // dead, since no messages were read during the pause.
 func (n *Node) resumeAfterPause(now time.Time, gap time.Duration) {
-	n.log(EventPaused, stoatevent.F("gap", gap.String()))
+	n.log(EventProcessPaused, stoatevent.F("gap", gap.String()))
 	for _, p := range n.peers {
 		if !p.dead {
 			p.lastHeard = now
@@ -117,7 +117,7 @@
 func (n *Node) checkPeers(now time.Time) {
 	for _, id := range sortedIDs(n.peers) {
 		p := n.peers[id]
-		dead := now.Sub(p.lastHeard) >= n.cfg.Dead
+		dead := now.Sub(p.lastHeard) >= n.cfg.DeadAfter
 		if dead == p.dead {
 			continue
 		}
@@ -156,7 +156,7 @@
 		}
 		n.dirty = true
 		if partitioned[dc] {
-			n.log(EventCentreCut, stoatevent.F("centre", string(dc)))
+			n.log(EventCentrePartitioned, stoatevent.F("centre", string(dc)))
 		} else {
 			n.log(EventCentreBack, stoatevent.F("centre", string(dc)))
 		}
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -13,10 +13,10 @@
 
 // The times of the control protocol.
 const (
-	TickEvery      = 250 * time.Millisecond
-	HeartbeatEvery = 500 * time.Millisecond
-	DefaultDead    = 2 * time.Second // without a message, after which a peer is considered dead
-	redialInterval = time.Second
+	TickInterval      = 250 * time.Millisecond
+	HeartbeatInterval = 500 * time.Millisecond
+	DefaultDeadAfter  = 2 * time.Second // without a message, after which a peer is considered dead
+	redialInterval    = time.Second
 	// pauseThreshold is the gap between ticks above which the process must have been paused.
 	pauseThreshold = time.Second
 	// fabricLag is how long the fabric continues to send packets to an entry that announced its stop.
@@ -25,12 +25,12 @@
 
 // Config configures a Node.
 type Config struct {
-	Self    stoatpaddle.Instance
-	Cluster stoatpaddle.ClusterID
-	Seeds   []netip.AddrPort // peers to dial until the configuration is complete
-	Random  uint64           // seed of the generator of random delays
-	Stop    time.Duration    // deadline of a planned stop
-	Dead    time.Duration    // without a message, after which a peer is considered dead; 0 means DefaultDeadAfter
+	Self         stoatpaddle.Instance
+	Cluster      stoatpaddle.ClusterID
+	Seeds        []netip.AddrPort // peers to dial until the configuration is complete
+	RandomSeed   uint64           // seed of the generator of random delays
+	StopDeadline time.Duration    // deadline of a planned stop
+	DeadAfter    time.Duration    // without a message, after which a peer is considered dead; 0 means DefaultDeadAfter
 }
 
 // Node is the control state of one entry. It is not safe for concurrent use.
@@ -76,12 +76,12 @@
 // New returns the Node of an entry in the state joining.
 func New(cfg Config) *Node {
 	cfg.Self.State = stoatpaddle.StateJoining
-	if cfg.Dead == 0 {
-		cfg.Dead = DefaultDead
+	if cfg.DeadAfter == 0 {
+		cfg.DeadAfter = DefaultDeadAfter
 	}
 	n := &Node{
 		cfg:             cfg,
-		rnd:             rand.New(rand.NewPCG(cfg.Random, 1)),
+		rnd:             rand.New(rand.NewPCG(cfg.RandomSeed, 1)),
 		objects:         map[stoatpaddle.ObjectRef]stoatpaddle.Object{},
 		contracts:       map[stoatpaddle.CustomerID]validContract{},
 		loggedConflicts: map[stoatpaddle.CustomerID]stoatpaddle.Version{},
@@ -108,7 +108,7 @@
 		n.watched(now, ev.Listing)
 	case PlatformFailed:
 		n.platformFailed(ev)
-	case Wrote:
+	case ObjectWritten:
 		n.adopt(now, ev.Object, "")
 	case Connected:
 		n.connected(now, ev)
@@ -116,9 +116,9 @@
 		n.disconnected(now, ev.Peer)
 	case Received:
 		n.received(now, ev)
-	case StopAsked:
+	case StopRequested:
 		n.beginStop(now)
-	case Handed:
+	case FlowsHandedOver:
 		n.handedOver(now, ev)
 	}
 	n.publish(now)
@@ -146,7 +146,7 @@
 	n.lastTick = now
 	n.checkPeers(now)
 	n.dial(now)
-	if now.Sub(n.lastHeartbeat) >= HeartbeatEvery {
+	if now.Sub(n.lastHeartbeat) >= HeartbeatInterval {
 		n.lastHeartbeat = now
 		n.sendHeartbeats()
 	}
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -68,7 +68,7 @@
 	if base > 0 {
 		shown = base.Position().String()
 	}
-	n.log(EventRewritten, stoatevent.F("object", held.Ref.String()), stoatevent.F("held", held.Version.Position().String()),
+	n.log(EventObjectRewritten, stoatevent.F("object", held.Ref.String()), stoatevent.F("held", held.Version.Position().String()),
 		stoatevent.F("shown", shown))
 	held.Version = base
 	n.emit(Rewrite{Object: held})
@@ -93,7 +93,7 @@
 	dc := stoatpaddle.DataCentreID(o.Ref.Name)
 	event := EventEvacuated
 	if o.Deleted {
-		event = EventTakenBack
+		event = EventEvacuationWithdrawn
 		delete(n.evacuated, dc)
 	} else {
 		n.evacuated[dc] = true
--- a/stoatnode/platform.go
+++ b/stoatnode/platform.go
@@ -53,22 +53,22 @@
 		n.log(EventPlatformBack)
 	}
 	if l.Revision < n.platform.revision {
-		n.log(EventReverted, stoatevent.F("seen", n.platform.revision.String()), stoatevent.F("shown", l.Revision.String()))
+		n.log(EventRevisionDecreased, stoatevent.F("seen", n.platform.revision.String()), stoatevent.F("shown", l.Revision.String()))
 	}
 }
 
 func (n *Node) platformFailed(ev PlatformFailed) {
 	n.platform.readPending = false
-	if ev.Forgotten && !n.platform.relist {
+	if ev.HistoryGone && !n.platform.relist {
 		// The platform is available, but it would reject every watch from this revision.
 		n.platform.relist = true
-		n.readPlatform(ev.After)
+		n.readPlatform(ev.RetryAfter)
 		return
 	}
 	if n.platform.failures == 0 {
 		n.log(EventPlatformLost, stoatevent.F("cause", ev.Cause))
 	}
-	after := max(ev.After, stoatplatform.Backoff(n.rnd, n.platform.failures))
+	after := max(ev.RetryAfter, stoatplatform.Backoff(n.rnd, n.platform.failures))
 	n.platform.failures++
 	n.readPlatform(after)
 }
@@ -83,10 +83,10 @@
 func (n *Node) readPlatform(after time.Duration) {
 	n.platform.readPending = true
 	if n.platform.revision == 0 || n.platform.relist {
-		n.emit(List{After: after})
+		n.emit(List{Delay: after})
 		return
 	}
-	n.emit(Watch{From: n.platform.revision, After: after})
+	n.emit(Watch{From: n.platform.revision, Delay: after})
 }
 
 // watchKey selects the watching entries by hashing; any constant would do.
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -33,14 +33,14 @@
 }
 
 func replay(t *testing.T, text string) string {
-	n := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", Random: 1, Stop: 10 * time.Second})
+	n := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", RandomSeed: 1, StopDeadline: 10 * time.Second})
 	var out strings.Builder
 	var now time.Duration
 	write := func(line string) { fmt.Fprintln(&out, line) }
 	stoatgolden.Each(t, text, write, func(until time.Duration, words []string) {
 		if words[0] == "ticks" {
-			for now+TickEvery <= until {
-				now += TickEvery
+			for now+TickInterval <= until {
+				now += TickInterval
 				writeEffects(&out, now, n.Step(epoch.Add(now), Ticked{}))
 			}
 			return
@@ -64,7 +64,7 @@
 	case "failed":
 		return PlatformFailed{Cause: "test"}
 	case "forgotten":
-		return PlatformFailed{Cause: "test", Forgotten: true}
+		return PlatformFailed{Cause: "test", HistoryGone: true}
 	case "connected":
 		return Connected{Hello: stoatmessage.Hello{Cluster: "test", Instance: testInstance(f[1], stoatpaddle.InstanceState(f[2]), 1)}}
 	case "disconnected":
@@ -82,10 +82,10 @@
 	case "ticked":
 		return Ticked{}
 	case "stop":
-		return StopAsked{}
+		return StopRequested{}
 	case "handed":
 		calls, _ := strconv.Atoi(f[1])
-		return Handed{CallsOpen: calls}
+		return FlowsHandedOver{OpenCalls: calls}
 	}
 	t.Fatal("no such event", f)
 	return nil
@@ -209,17 +209,17 @@
 			text += " " + f.Key + "=" + f.Value
 		}
 		return text
-	case Dial, Resync, Deliver:
+	case Dial, Resync, DeliverFlows:
 		return ""
 	case List:
-		return "list" + pauseSuffix(e.After)
+		return "list" + pauseSuffix(e.Delay)
 	case Watch:
-		return "watch from " + e.From.String() + pauseSuffix(e.After)
+		return "watch from " + e.From.String() + pauseSuffix(e.Delay)
 	case Register:
 		return "register " + string(e.Instance.State)
 	case Rewrite:
 		return "write again " + e.Object.Ref.String() + " on top of " + e.Object.Version.Position().String()
-	case Hangup:
+	case Disconnect:
 		return "hang up " + string(e.Peer)
 	default:
 		return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", e), "stoatnode."))
--- a/stoatnode/stop.go
+++ b/stoatnode/stop.go
@@ -22,24 +22,24 @@
 	}
 	n.stop.requested = true
 	n.stop.startedAt = now
-	n.log(EventStopBegins, stoatevent.F("deadline", n.cfg.Stop.String()))
+	n.log(EventStopStarted, stoatevent.F("deadline", n.cfg.StopDeadline.String()))
 	n.setState(stoatpaddle.StateLeaving)
 	n.emit(HandOver{})
 }
 
 // handedOver ends the process when no calls are open and the fabric had time to stop sending packets.
-func (n *Node) handedOver(now time.Time, ev Handed) {
-	n.stop.openCalls = ev.CallsOpen
-	if ev.CallsOpen == 0 && now.Sub(n.stop.startedAt) >= fabricLag {
+func (n *Node) handedOver(now time.Time, ev FlowsHandedOver) {
+	n.stop.openCalls = ev.OpenCalls
+	if ev.OpenCalls == 0 && now.Sub(n.stop.startedAt) >= fabricLag {
 		n.exit()
 	}
 }
 
 func (n *Node) stopDeadline(now time.Time) {
-	if !n.stop.requested || n.stop.done || now.Sub(n.stop.startedAt) < n.cfg.Stop {
+	if !n.stop.requested || n.stop.done || now.Sub(n.stop.startedAt) < n.cfg.StopDeadline {
 		return
 	}
-	n.log(EventStopDeadline, stoatevent.F("calls", itoa(n.stop.openCalls)))
+	n.log(EventStopDeadlineReached, stoatevent.F("calls", itoa(n.stop.openCalls)))
 	n.exit()
 }
 
