--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -226,11 +226,11 @@
 	token := stoatpaddle.WriteToken(r.Header.Get(HeaderToken))
 	if token == "" {
 		token = stoatpaddle.WriteToken(uuid.NewString())
-	} else if stoatplatform.Wrote(current, token) {
+	} else if stoatplatform.WrittenBy(current, token) {
 		reply(w, http.StatusOK, Response{Outcome: OutcomeAccepted, Version: uint64(current.Version), Token: string(token)})
 		return
 	}
-	o.Token = stoatplatform.Trail(token, current.Token)
+	o.Token = stoatplatform.ChainToken(token, current.Token)
 	written, err := s.put(r.Context(), o, token)
 	var conflict *stoatpaddle.ConflictError
 	switch {
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -89,7 +89,7 @@
 
 // call makes one call to the platform and reports its end. callCtx ends when the call is cancelled.
 func (e *Edge) call(callCtx context.Context, x startCall) {
-	if !stoatplatform.Pause(callCtx, x.call.Pause) {
+	if !stoatplatform.Sleep(callCtx, x.call.Pause) {
 		if e.ctx.Err() == nil {
 			e.post(callEnded{topic: x.topic, call: x.call, sent: clock(), result: stoatfeed.Result{Outcome: stoatfeed.Interrupted}})
 		}
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -75,7 +75,7 @@
 // runAfter calls f in a goroutine of the group after a pause, unless the entry ends first.
 func (e *Entry) runAfter(after time.Duration, f func()) {
 	e.group.Go(func() error {
-		if stoatplatform.Pause(e.ctx, after) {
+		if stoatplatform.Sleep(e.ctx, after) {
 			f()
 		}
 		return nil
@@ -126,7 +126,7 @@
 		if attempt == 0 {
 			e.log.Emit(EventWriteFailed, stoatevent.F("cause", err.Error()))
 		}
-		if !stoatplatform.Pause(e.ctx, stoatplatform.Backoff(rnd, attempt)) {
+		if !stoatplatform.Sleep(e.ctx, stoatplatform.Backoff(rnd, attempt)) {
 			return
 		}
 	}
@@ -146,7 +146,7 @@
 	token := newToken()
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
 	return w.Put(e.ctx, stoatpaddle.Object{
-		Ref: ref, Version: current.Version, Token: stoatplatform.Trail(token, current.Token), Value: value,
+		Ref: ref, Version: current.Version, Token: stoatplatform.ChainToken(token, current.Token), Value: value,
 	}, token)
 }
 
@@ -155,9 +155,9 @@
 func (e *Entry) rewrite(o stoatpaddle.Object) {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 6))
 	token := newToken()
-	o.Token = stoatplatform.Trail(token, o.Token)
+	o.Token = stoatplatform.ChainToken(token, o.Token)
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
-	for attempt := 0; stoatplatform.Pause(e.ctx, time.Duration(min(attempt, 1))*stoatplatform.Backoff(rnd, attempt)); attempt++ {
+	for attempt := 0; stoatplatform.Sleep(e.ctx, time.Duration(min(attempt, 1))*stoatplatform.Backoff(rnd, attempt)); attempt++ {
 		written, err := w.Put(e.ctx, o, token)
 		var conflict *stoatpaddle.ConflictError
 		switch {
@@ -184,7 +184,7 @@
 	if err != nil {
 		return
 	}
-	current.Token = stoatplatform.Trail(newToken(), current.Token)
+	current.Token = stoatplatform.ChainToken(newToken(), current.Token)
 	_, _ = e.platform.Delete(ctx, current)
 }
 
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -161,7 +161,7 @@
 	defer p.mu.Unlock()
 	var out []stoatpaddle.Object
 	for k, o := range p.objects {
-		if own, err := stoatplatform.FromObject(o, p.era+1); k.kind == stoatplatform.Kind && err == nil {
+		if own, err := stoatplatform.FromStoreObject(o, p.era+1); k.kind == stoatplatform.StoreKind && err == nil {
 			out = append(out, own)
 		}
 	}
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -32,7 +32,7 @@
 	if o.Version <= held.Version {
 		return
 	}
-	if stoatplatform.Follows(held, o) {
+	if stoatplatform.DescendsFrom(held, o) {
 		// The platform was restored: its copy is an ancestor of the held object, under a version number of
 		// the new era.
 		n.rewrite(held, o.Version)
--- a/stoatplatform/client.go
+++ b/stoatplatform/client.go
@@ -55,7 +55,7 @@
 // what changed while the other pages were read.
 func (c *Client) List(ctx context.Context) (stoatpaddle.Listing, error) {
 	var l stoatpaddle.Listing
-	q := platform.Query{Kind: Kind}
+	q := platform.Query{Kind: StoreKind}
 	var era uint64
 	for {
 		a, err := c.read(ctx, c.timeout, q)
@@ -68,10 +68,10 @@
 		}
 		if a.Era != era {
 			// The platform was restored between two pages, so the pages do not belong together.
-			return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: Kind, Cause: &platform.HistoryError{From: a.AsOf, Era: a.Era}}
+			return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: StoreKind, Cause: &platform.HistoryError{From: a.AsOf, Era: a.Era}}
 		}
 		for _, item := range a.Items {
-			o, err := FromObject(item, a.Era)
+			o, err := FromStoreObject(item, a.Era)
 			if err != nil {
 				return stoatpaddle.Listing{}, err
 			}
@@ -90,17 +90,17 @@
 	pos := from.Position()
 	// The timeout is a little longer than the wait: a watch that gets no response is abandoned, as it
 	// would hide every later change.
-	a, err := c.read(ctx, wait+c.timeout, platform.Query{Kind: Kind, Watch: true, From: uint64(pos.Revision), Wait: wait})
+	a, err := c.read(ctx, wait+c.timeout, platform.Query{Kind: StoreKind, Watch: true, From: uint64(pos.Revision), Wait: wait})
 	if err != nil {
 		return stoatpaddle.Listing{}, err
 	}
 	if a.Era != 0 && stoatpaddle.Era(a.Era) != pos.Era {
 		// The watch started at this revision of another era and omits the objects with lower revisions.
-		return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: Kind, Cause: &platform.HistoryError{From: uint64(pos.Revision), Era: a.Era}}
+		return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: StoreKind, Cause: &platform.HistoryError{From: uint64(pos.Revision), Era: a.Era}}
 	}
 	l := stoatpaddle.Listing{Revision: versionAsOf(&a)}
 	for _, ev := range a.Events {
-		o, err := FromObject(ev.Object, a.Era)
+		o, err := FromStoreObject(ev.Object, a.Era)
 		if err != nil {
 			return stoatpaddle.Listing{}, err
 		}
@@ -158,7 +158,7 @@
 // write sends one write. It returns *stoatpaddle.ConflictError if the current version of the object is not
 // o.Version.
 func (c *Client) write(ctx context.Context, method string, o stoatpaddle.Object) (stoatpaddle.Object, error) {
-	p, err := ToObject(o)
+	p, err := ToStoreObject(o)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
@@ -166,7 +166,7 @@
 	if err != nil {
 		return stoatpaddle.Object{}, &stoatpaddle.DecodeError{What: o.Ref.String(), Cause: err}
 	}
-	path := Kind
+	path := StoreKind
 	if method == http.MethodPut {
 		path = objectPath(o.Ref)
 		if era := c.era.Load(); o.Version > 0 && uint64(o.Version.Position().Era) < era {
@@ -202,7 +202,7 @@
 	return res, err
 }
 
-func objectPath(ref stoatpaddle.ObjectRef) string { return Kind + "/" + objectName(ref) }
+func objectPath(ref stoatpaddle.ObjectRef) string { return StoreKind + "/" + objectName(ref) }
 
 // decodeResponse decodes the response to a call for one object.
 func decodeResponse(ref stoatpaddle.ObjectRef, res platform.Response) (stoatpaddle.Object, error) {
@@ -217,7 +217,7 @@
 	if err := json.Unmarshal(res.Body, &p); err != nil {
 		return stoatpaddle.Object{}, &stoatpaddle.UnavailableError{Op: ref.String(), Cause: err}
 	}
-	o, err := FromObject(p, res.Era)
+	o, err := FromStoreObject(p, res.Era)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
--- a/stoatplatform/platform_test.go
+++ b/stoatplatform/platform_test.go
@@ -73,7 +73,7 @@
 		t.Fatal(done.Version, err)
 	}
 	other := object(1, "", `2`)
-	other.Token = stoatplatform.Trail("b", done.Token)
+	other.Token = stoatplatform.ChainToken("b", done.Token)
 	if _, err := w.Put(ctx, other, "b"); err != nil {
 		t.Fatal(err)
 	}
@@ -95,13 +95,13 @@
 	ctx := context.Background()
 	p, c := start(t)
 	var unavailable *stoatpaddle.UnavailableError
-	var unknown *stoatplatform.UnknownError
+	var unknown *stoatplatform.UnknownOutcomeError
 	var rate *stoatpaddle.RateLimitError
 	p.Set(stoatfake.Trouble{Down: true})
 	if _, err := c.List(ctx); !errors.As(err, &unavailable) {
 		t.Error("down:", err)
 	}
-	w := &stoatplatform.Writer{Platform: c, Rand: rand.New(rand.NewPCG(1, 1)), Tries: 2}
+	w := &stoatplatform.Writer{Platform: c, Rand: rand.New(rand.NewPCG(1, 1)), MaxAttempts: 2}
 	if _, err := w.Put(ctx, object(0, "a", `1`), "a"); !errors.As(err, &unknown) || unknown.Token != "a" {
 		t.Error("write while down:", err)
 	}
--- a/stoatplatform/retry.go
+++ b/stoatplatform/retry.go
@@ -30,9 +30,9 @@
 // maxNamedWrites is the largest number of writes that a token names, including its own.
 const maxNamedWrites = 8
 
-// Trail returns the token of a write on top of the one with token prev. The token names the last few
+// ChainToken returns the token of a write on top of the one with token prev. The token names the last few
 // writes, so that a writer that got no response recognizes its own write even after later ones.
-func Trail(own, prev stoatpaddle.WriteToken) stoatpaddle.WriteToken {
+func ChainToken(own, prev stoatpaddle.WriteToken) stoatpaddle.WriteToken {
 	parts := strings.Split(string(prev), tokenSeparator)
 	if len(parts) >= maxNamedWrites {
 		parts = parts[:maxNamedWrites-1]
@@ -43,40 +43,40 @@
 // tokenSeparator separates the writes that a token names.
 const tokenSeparator = ","
 
-// Wrote reports whether the write with token own made the object or one of its earlier versions that the
+// WrittenBy reports whether the write with token own made the object or one of its earlier versions that the
 // object's token names.
-func Wrote(o stoatpaddle.Object, own stoatpaddle.WriteToken) bool {
+func WrittenBy(o stoatpaddle.Object, own stoatpaddle.WriteToken) bool {
 	return slices.Contains(strings.Split(string(o.Token), tokenSeparator), string(own))
 }
 
-// Follows reports whether o was written on top of other or of a descendant of other: the last write of
+// DescendsFrom reports whether o was written on top of other or of a descendant of other: the last write of
 // other is among the earlier writes that the token of o names.
-func Follows(o, other stoatpaddle.Object) bool {
+func DescendsFrom(o, other stoatpaddle.Object) bool {
 	last, _, _ := strings.Cut(string(other.Token), tokenSeparator)
 	_, earlier, _ := strings.Cut(string(o.Token), tokenSeparator)
 	return last != "" && slices.Contains(strings.Split(earlier, tokenSeparator), last)
 }
 
-// UnknownError reports a write of which it is unknown whether it took effect. Repeating the write with
+// UnknownOutcomeError reports a write of which it is unknown whether it took effect. Repeating the write with
 // the same token is safe.
-type UnknownError struct {
+type UnknownOutcomeError struct {
 	Token stoatpaddle.WriteToken
 	Cause error
 }
 
 // Error names the cause and the token to repeat the write with.
-func (e *UnknownError) Error() string {
+func (e *UnknownOutcomeError) Error() string {
 	return "unknown whether the write took effect; repeat it with token " + string(e.Token) + ": " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *UnknownOutcomeError) Unwrap() error { return e.Cause }
 
 // Writer writes objects and retries a write whose response was lost.
 type Writer struct {
-	Platform stoatpaddle.Platform
-	Rand     *rand.Rand
-	Tries    int // default 4
+	Platform    stoatpaddle.Platform
+	Rand        *rand.Rand
+	MaxAttempts int // default 4
 }
 
 const defaultMaxAttempts = 4
@@ -86,13 +86,13 @@
 // no write that took effect is reported as rejected. Its errors are *stoatpaddle.ConflictError and
 // *UnknownOutcomeError.
 func (w *Writer) Put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
-	maxAttempts := w.Tries
+	maxAttempts := w.MaxAttempts
 	if maxAttempts == 0 {
 		maxAttempts = defaultMaxAttempts
 	}
 	var cause error
 	for n := range maxAttempts {
-		if n > 0 && !Pause(ctx, Backoff(w.Rand, n)) {
+		if n > 0 && !Sleep(ctx, Backoff(w.Rand, n)) {
 			break
 		}
 		done, err := w.writeOnce(ctx, o, own)
@@ -102,13 +102,13 @@
 		}
 		cause = err
 	}
-	return stoatpaddle.Object{}, &UnknownError{Token: own, Cause: cause}
+	return stoatpaddle.Object{}, &UnknownOutcomeError{Token: own, Cause: cause}
 }
 
 func (w *Writer) writeOnce(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	done, err := w.send(ctx, o)
 	var conflict *stoatpaddle.ConflictError
-	if errors.As(err, &conflict) && Wrote(conflict.Current, own) {
+	if errors.As(err, &conflict) && WrittenBy(conflict.Current, own) {
 		return conflict.Current, nil
 	}
 	return done, err
@@ -121,8 +121,8 @@
 	return w.Platform.Put(ctx, o)
 }
 
-// Pause waits for d or until the context is done, and reports whether the context is not done.
-func Pause(ctx context.Context, d time.Duration) bool {
+// Sleep waits for d or until the context is done, and reports whether the context is not done.
+func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/stoatplatform/wire.go
+++ b/stoatplatform/wire.go
@@ -8,9 +8,9 @@
 	"github.com/stoatpaddle/stoatpaddle/platform"
 )
 
-// Kind is the kind of all objects that the system keeps on the platform. With a single kind, one list and
+// StoreKind is the kind of all objects that the system keeps on the platform. With a single kind, one list and
 // one watch return all of them at one revision.
-const Kind = "stoatpaddle"
+const StoreKind = "stoatpaddle"
 
 // nameSeparator separates the kind and the name in the platform's name of an object.
 const nameSeparator = "."
@@ -25,8 +25,8 @@
 
 func objectName(ref stoatpaddle.ObjectRef) string { return string(ref.Kind) + nameSeparator + ref.Name }
 
-// ToObject converts an object to one of the platform.
-func ToObject(o stoatpaddle.Object) (platform.Object, error) {
+// ToStoreObject converts an object to one of the platform.
+func ToStoreObject(o stoatpaddle.Object) (platform.Object, error) {
 	s := spec{Token: string(o.Token), Gone: o.Deleted}
 	if !o.Deleted {
 		s.Value = o.Value
@@ -39,8 +39,8 @@
 	return platform.Object{Meta: meta, Spec: data}, nil
 }
 
-// FromObject converts an object of the platform, read in that era, or returns *stoatpaddle.DecodeError.
-func FromObject(p platform.Object, era uint64) (stoatpaddle.Object, error) {
+// FromStoreObject converts an object of the platform, read in that era, or returns *stoatpaddle.DecodeError.
+func FromStoreObject(p platform.Object, era uint64) (stoatpaddle.Object, error) {
 	kind, name, ok := strings.Cut(p.Meta.Name, nameSeparator)
 	var s spec
 	if err := json.Unmarshal(p.Spec, &s); err != nil || !ok {
