--- a/stoatedge/edge_test.go
+++ b/stoatedge/edge_test.go
@@ -77,7 +77,7 @@
 }
 
 func (r *rig) configure(version int, service string) {
-	r.store.Write(platform.KindConfig, platform.NameConfig, map[string]any{
+	r.store.Write(platform.KindConfig, platform.ConfigName, map[string]any{
 		"version": version, "routes": []map[string]any{{"name": "r", "host": "198.18.0.1", "path_prefix": "/443/", "type": "idempotent", "service": service}},
 		"services": []map[string]any{{"name": "app", "max_conns": 2000}}, "limits": map[string]any{"idle_timeout_ms": 15000},
 	})
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -86,7 +86,7 @@
 
 // readFormer returns what a replica has; the zero value if there is no such object.
 func (e *Edge) readFormer(ctx context.Context) (saveFormer, error) {
-	answer, err := e.store.Read(ctx, platform.Query{Kind: stoatplatform.StoreKind, Stale: true})
+	answer, err := e.store.Read(ctx, platform.Query{Kind: stoatplatform.StoreKind, AllowStale: true})
 	if err != nil {
 		return saveFormer{}, err
 	}
--- a/stoatplatform/client.go
+++ b/stoatplatform/client.go
@@ -111,7 +111,7 @@
 	return l, nil
 }
 
-func (c *Client) read(ctx context.Context, timeout time.Duration, q platform.Query) (platform.Answer, error) {
+func (c *Client) read(ctx context.Context, timeout time.Duration, q platform.Query) (platform.ReadResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	a, err := c.store.Read(ctx, q)
@@ -121,7 +121,7 @@
 	return a, err
 }
 
-func versionAsOf(a *platform.Answer) stoatpaddle.Version {
+func versionAsOf(a *platform.ReadResult) stoatpaddle.Version {
 	return stoatpaddle.Position{Era: stoatpaddle.Era(a.Era), Revision: stoatpaddle.Version(a.AsOf)}.Version()
 }
 
@@ -211,7 +211,7 @@
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
 	case http.StatusOK, http.StatusCreated, http.StatusConflict:
 	default:
-		return stoatpaddle.Object{}, platform.Unexpected(ref.String(), res.Status, res.Body)
+		return stoatpaddle.Object{}, platform.UnexpectedStatus(ref.String(), res.Status, res.Body)
 	}
 	var p platform.Object
 	if err := json.Unmarshal(res.Body, &p); err != nil {
--- a/stoatprocess/start_test.go
+++ b/stoatprocess/start_test.go
@@ -40,7 +40,7 @@
 	declaration := stoatpaddle.Declaration{Version: 1, IdleTimeout: time.Minute, Routes: []stoatpaddle.Route{{
 		Listen: netip.MustParseAddrPort("198.18.0.1:443"), TargetLatency: time.Second, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
 	}}}
-	store.Write(platform.KindConfig, platform.NameConfig, platform.DeclarationSpec(&declaration))
+	store.Write(platform.KindConfig, platform.ConfigName, platform.DeclarationSpec(&declaration))
 	for i := range upstreamCount {
 		reg := stoatpaddle.Registration{Service: "app", Addr: upstreamAddr, DataCentre: "here", Slots: 2}
 		store.Write(platform.KindUpstream, fmt.Sprintf("i-%08x", i+1), platform.RegistrationSpec(&reg))
--- a/stoatsoak/run_upstream.go
+++ b/stoatsoak/run_upstream.go
@@ -155,7 +155,7 @@
 		if err != nil {
 			return nil
 		}
-		if n < platform.TargetSize || !platform.ReadSegment(buf[platform.TargetSize:n], &s) {
+		if n < platform.TargetSize || !platform.DecodeSegment(buf[platform.TargetSize:n], &s) {
 			continue
 		}
 		// One that is meant for another life says nothing.
--- a/stoatsoak/run_world.go
+++ b/stoatsoak/run_world.go
@@ -340,7 +340,7 @@
 			add(r.listen, "app", true)
 		}
 	}
-	w.store.Write(platform.KindConfig, platform.NameConfig, platform.DeclarationSpec(&d))
+	w.store.Write(platform.KindConfig, platform.ConfigName, platform.DeclarationSpec(&d))
 }
 
 // living returns the upstreams there are.
