--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -149,8 +149,8 @@
 }
 
 // Contracts lists the contracts in force on the entry.
-func (c *Client) Contracts(ctx context.Context) ([]stoatstatus.Summary, error) {
-	var out []stoatstatus.Summary
+func (c *Client) Contracts(ctx context.Context) ([]stoatstatus.ContractVersion, error) {
+	var out []stoatstatus.ContractVersion
 	err := c.read(ctx, "/v1/contracts", &out)
 	return out, err
 }
--- a/stoatadmin/wire.go
+++ b/stoatadmin/wire.go
@@ -54,11 +54,11 @@
 
 func toStatus(s stoatnode.Status) stoatstatus.Status {
 	out := stoatstatus.Status{
-		Instance: string(s.Self), Ready: s.Ready, Leaving: s.Leaving, Platform: s.PlatformAvailable, Watching: s.WatchesPlatform,
-		Contracts: []stoatstatus.Summary{}, Instances: []stoatstatus.Instance{},
+		Instance: string(s.Self), Ready: s.Ready, Leaving: s.Leaving, PlatformAvailable: s.PlatformAvailable, WatchesPlatform: s.WatchesPlatform,
+		Contracts: []stoatstatus.ContractVersion{}, Instances: []stoatstatus.Instance{},
 	}
 	for _, c := range s.Contracts {
-		out.Contracts = append(out.Contracts, stoatstatus.Summary{Customer: string(c.Customer), Version: uint64(c.Version)})
+		out.Contracts = append(out.Contracts, stoatstatus.ContractVersion{Customer: string(c.Customer), Version: uint64(c.Version)})
 	}
 	for _, dc := range s.Evacuated {
 		out.Evacuated = append(out.Evacuated, string(dc))
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -216,13 +216,13 @@
 
 func (cs *clusterStatus) print(w io.Writer) {
 	for _, st := range cs.Entries {
-		_, _ = fmt.Fprintf(w, "%-16s ready=%t leaving=%t platform=%t watching=%t", st.Instance, st.Ready, st.Leaving, st.Platform, st.Watching)
+		_, _ = fmt.Fprintf(w, "%-16s ready=%t leaving=%t platform=%t watching=%t", st.Instance, st.Ready, st.Leaving, st.PlatformAvailable, st.WatchesPlatform)
 		for _, s := range st.Contracts {
 			_, _ = fmt.Fprintf(w, " %s@%d", s.Customer, s.Version)
 		}
 		if v := st.View; v != nil {
 			_, _ = fmt.Fprintf(w, " version=%d proven=%dms routes=%d serving=%d leaving=%d missing=%d gone=%d",
-				v.Version, v.Age, v.Routes, v.Serving, v.Leaving, v.Missing, v.Gone)
+				v.Version, v.AgeMS, v.Routes, v.Serving, v.Leaving, v.Missing, v.Gone)
 		}
 		_, _ = fmt.Fprintln(w)
 	}
--- a/stoatcommand/report.go
+++ b/stoatcommand/report.go
@@ -47,9 +47,9 @@
 	})
 	t := out.Total
 	out.Burns = []budgetUse{
-		newBudgetUse("flows not reset", t.Opened-t.Reset, t.Reset),
-		newBudgetUse("calls with a whole answer or a true refusal", t.Answered+t.Refused, t.Unknown+t.Cut),
-		newBudgetUse("calls answered", t.Answered, t.Refused+t.Unknown+t.Cut),
+		newBudgetUse("flows not reset", t.FlowsOpened-t.FlowsReset, t.FlowsReset),
+		newBudgetUse("calls with a whole answer or a true refusal", t.CallsAnswered+t.CallsRefused, t.CallsUnknown+t.CallsTruncated),
+		newBudgetUse("calls answered", t.CallsAnswered, t.CallsRefused+t.CallsUnknown+t.CallsTruncated),
 	}
 	if a.JSON {
 		return printJSON(c.out, out)
--- a/stoatentry/metrics.go
+++ b/stoatentry/metrics.go
@@ -50,9 +50,9 @@
 func (e *Entry) report() stoatstatus.Report {
 	flows, calls := e.engine.Stats(), e.calls.Stats()
 	return stoatstatus.Report{
-		Instance: string(e.self.ID),
-		Opened:   flows.Opened.Load(), Reset: flows.Silent.Load(), Limited: flows.Refused.Load(),
-		Answered: calls.Answered.Load(), Refused: calls.Refused.Load(), Unknown: calls.UnknownOutcome.Load(), Cut: calls.Truncated.Load(),
+		Instance:    string(e.self.ID),
+		FlowsOpened: flows.Opened.Load(), FlowsReset: flows.Silent.Load(), FlowsLimited: flows.Refused.Load(),
+		CallsAnswered: calls.Answered.Load(), CallsRefused: calls.Refused.Load(), CallsUnknown: calls.UnknownOutcome.Load(), CallsTruncated: calls.Truncated.Load(),
 	}
 }
 
