--- a/stoatecho/admit.go
+++ b/stoatecho/admit.go
@@ -30,21 +30,21 @@
 	overloadAdmitShare   = 0.3
 	overloadRefusedShare = 0.25
 	// urgentShare and overloadUrgentShare are the same for a route that is more urgent than another one to the
-	// same service. With an overloadUrgentShare of 0.5, one in twelve of its requests was refused; with 0.65,
-	// one in forty.
+	// same service. They are higher, so that an overload has mostly openings of the less urgent route refused.
 	urgentShare         = 0.75
 	overloadUrgentShare = 0.65
 	// admitFloorFactor is the factor on the answer time without a queue up to which flows are admitted whatever
 	// the objective. It keeps requests whose work alone takes most of the objective from being refused, and
 	// upstreams from idling. It covers kinds of requests that take three fifths longer than others.
 	admitFloorFactor = 1.6
-	// floorGrowth lets the answer time without a queue follow work that takes longer: by half in 800 requests.
+	// floorGrowth is the factor by which the answer time without a queue may rise with each answer, so that it
+	// follows work that takes longer: by half in 800 answers.
 	floorGrowth = 1.0005
 	// maxGroupWeight is the number of answers of the upstream that the mean of its group counts for at most.
 	// One of nine entries sees ten answers of an upstream within answerDecay, and relies on those.
 	//
-	// At most times an entry has nothing in progress at most upstreams. While that alone was taken for an empty
-	// queue, lower bounds had no effect.
+	// The group counts because an entry mostly has nothing in progress at an upstream. If that alone were taken
+	// for an empty queue, the bounds on the answer time would have no effect.
 	maxGroupWeight = 2
 	// minAnswerWeight is the number of recent answers of a group without which no flow is refused. A single one
 	// says little: a packet that was lost and retransmitted 0.2 s later looks like a queue.
@@ -62,9 +62,9 @@
 // expectedAnswer returns how long an answer of the upstream would take now, or 0 if this entry cannot tell, as
 // after a start; then flows are admitted and provide the first samples.
 //
-// Without the condition on recent answers and on something in progress, an idle upstream can be taken for a
-// full one: in a data centre with one upstream of a service left, a lost packet made one answer take 0.2 s, and
-// all new flows were refused for a second with nothing in progress.
+// Without the conditions on recent answers and on requests in progress, an idle upstream can be taken for a full
+// one: in a data centre with one upstream of a service left, a lost packet made one answer take 0.2 s, and all
+// new flows were refused for a second with nothing in progress.
 func expectedAnswer(now time.Time, h *health) time.Duration {
 	own, others := h.recentAnswers.weightAt(now), h.group.recentAnswers.weightAt(now)
 	if others < minAnswerWeight || h.group.inProgress == 0 {
--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -14,7 +14,7 @@
 func (w *world) declareObjectives(d time.Duration) {
 	w.rev++
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
-	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.builder.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: idempotentAddr, Backends: to, Idempotent: true, Objective: d, Priority: 2},
 		{Listen: nonIdempotentAddr, Backends: to, Objective: d, Priority: 1},
 	}}, w.rev)
@@ -23,10 +23,10 @@
 // keepOneUpstream leaves this data centre a single upstream, which has just started and is cold for the given
 // time.
 func (w *world) keepOneUpstream(cold time.Duration) {
-	w.book.MarkGone(w.now, "i-2", w.rev+1)
-	w.book.MarkGone(w.now, "i-1", w.rev+2)
+	w.builder.MarkGone(w.now, "i-2", w.rev+1)
+	w.builder.MarkGone(w.now, "i-1", w.rev+2)
 	w.rev += 3
-	w.book.Register(w.now, stoatpaddle.Registration{
+	w.builder.Register(w.now, stoatpaddle.Registration{
 		ID: "i-7", Target: 7, Service: "app", DataCentre: "here", Slots: 3, Created: w.rev, Cold: cold,
 	}, w.rev)
 }
@@ -129,11 +129,7 @@
 // Entries are replaced one after another, and a flow is at another entry while its request is pending here. The
 // flow is answered there, carries more requests there, and comes back after 1.5 s; what its caller acknowledges
 // then is not the request that began here. Counted as answers of 1.5 s, two such flows made an entry refuse
-// openings for a quarter of a second, 3.5 s after the last queue, at upstreams with nothing in progress:
-//
-//	59.666 s SP1422 answer was late, took 1.532s, busy 0, upstream i-50000009
-//	59.737 s SP1422 answer was late, took 1.613s, busy 0, upstream i-50000008
-//	59.951 s SP1411 overload, busy 0, mean 204ms, bound 200ms, upstream i-5000000a
+// openings for a quarter of a second, 3.5 s after the last queue, at upstreams with nothing in progress.
 func TestAnswerElsewhereIsNoOverload(t *testing.T) {
 	w := newSingleUpstreamWorld(t, 0)
 	for range 20 {
--- a/stoatecho/bench_test.go
+++ b/stoatecho/bench_test.go
@@ -30,8 +30,8 @@
 	return stoatpacket.Tuple{Src: src, Dst: idempotentAddr, Protocol: stoatpaddle.ProtocolTCP}
 }
 
-// BenchmarkFollow handles a packet of an open flow, by the number of remembered flows.
-func BenchmarkFollow(b *testing.B) {
+// BenchmarkForwardOpen handles a packet of an open flow, by the number of remembered flows.
+func BenchmarkForwardOpen(b *testing.B) {
 	for _, flows := range []int{100, 13000} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
 			t := benchTable(11)
@@ -69,7 +69,7 @@
 // shards were.
 func BenchmarkRetain(b *testing.B) {
 	const services, each = 4000, 11
-	book := stoatroute.NewBuilder(stoatroute.Config{})
+	builder := stoatroute.NewBuilder(stoatroute.Config{})
 	d := stoatpaddle.Declaration{Version: 1}
 	names := map[stoatpaddle.UpstreamID]bool{}
 	upstream := func(i int) stoatpaddle.Registration {
@@ -85,25 +85,25 @@
 	for i := range services {
 		d.Routes = append(d.Routes, stoatpaddle.Route{Listen: listen(i), Backends: []stoatpaddle.Backend{{Service: upstream(i).Service, Weight: 1}}})
 	}
-	book.ApplyDeclaration(d, 1)
+	builder.ApplyDeclaration(d, 1)
 	for i := range services * each {
-		book.Register(start, upstream(i), stoatpaddle.Version(i+2))
+		builder.Register(start, upstream(i), stoatpaddle.Version(i+2))
 	}
-	book.ApplyList(start, names, false)
+	builder.ApplyList(start, names, false)
 	e := stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start, Seed: 1})
 	now := start.Add(time.Minute)
 	for i := range services {
 		tuple := benchTuple(i)
 		tuple.Dst = listen(i)
-		e.Handle(now, book.Table(), &stoatpacket.Packet{Tuple: tuple, Opens: true})
+		e.Handle(now, builder.Table(), &stoatpacket.Packet{Tuple: tuple, Opens: true})
 	}
-	e.Retain(now, book.Table())
+	e.Retain(now, builder.Table())
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
 		u := upstream(7)
 		u.Leaving = i%2 == 0
-		book.Register(now, u, stoatpaddle.Version(50000+i))
-		e.Retain(now, book.Table())
+		builder.Register(now, u, stoatpaddle.Version(50000+i))
+		e.Retain(now, builder.Table())
 	}
 }
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -182,7 +182,7 @@
 	return here >= 1 && there*spillFactor <= here
 }
 
-// jitter randomizes the order of equal costs.
+// jitter is the greatest relative change to a cost, which randomizes the order of equal costs.
 const jitter = 0.05
 
 // backend picks the service for a new flow, at random by weight.
--- a/stoatecho/doc.go
+++ b/stoatecho/doc.go
@@ -7,7 +7,7 @@
 // upstreams: their load, and whether they are alive. Upstreams answer callers directly, so an entry sees only the
 // callers' packets and infers answers from their acknowledgements.
 //
-// An entry refuses an opening; an upstream rejects a request.
+// Two terms are kept apart: an entry refuses an opening, and an upstream rejects a request.
 //
 // The package performs no I/O and reads no clock.
 package stoatecho
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -12,7 +12,7 @@
 // endRegistration has the platform say that the upstream's registration has ended.
 func (w *world) endRegistration(id stoatpaddle.UpstreamID) {
 	w.rev++
-	w.book.MarkGone(w.now, id, w.rev)
+	w.builder.MarkGone(w.now, id, w.rev)
 }
 
 // flowsTo opens n flows to the upstream.
@@ -32,7 +32,7 @@
 	}
 }
 
-// Large uploads in a burst of nine times the usual traffic: each has many packets under way, and callers
+// Large uploads in a burst of nine times the usual traffic: each has sixteen packets under way, and callers
 // retransmit after 0.2 s what is not acknowledged. One upstream has a queue and answers after 0.6 s, while
 // another one answers at once. The uploads are slow, but none of their flows may be reset.
 func TestUploadsThroughAQueueGoOn(t *testing.T) {
@@ -119,7 +119,7 @@
 func TestPendingFlowsAreResetAfterEnd(t *testing.T) {
 	w := newWorld(t)
 	waiting, idle, other := w.flowsTo(1, 3), w.flowTo(1), w.flowTo(2)
-	if list := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(list) != 0 {
+	if list := w.e.TakeOrphanedFlows(w.now, w.builder.Table()); len(list) != 0 {
 		t.Errorf("nothing has ended: %+v", list)
 	}
 	for _, c := range append(waiting, other) {
@@ -127,7 +127,7 @@
 	}
 	w.after(200 * ms).endRegistration("i-1")
 	taken := map[stoatpacket.Tuple]bool{}
-	for _, x := range w.e.TakeOrphanedFlows(w.now, w.book.Table()) {
+	for _, x := range w.e.TakeOrphanedFlows(w.now, w.builder.Table()) {
 		if x.Upstream.ID != "i-1" || x.Ack != 1 {
 			t.Errorf("%+v", x)
 		}
@@ -136,7 +136,7 @@
 	if len(taken) != 3 || taken[other.tuple] || taken[idle.tuple] {
 		t.Errorf("returned: %v", taken)
 	}
-	if again := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(again) != 0 {
+	if again := w.e.TakeOrphanedFlows(w.now, w.builder.Table()); len(again) != 0 {
 		t.Errorf("returned twice: %+v", again)
 	}
 	wantReset(t, idle.sendRequest(), stoatpacket.DropUpstreamGone)
@@ -153,7 +153,7 @@
 	w.after(10 * ms)
 	one.ackAnswer()
 	two.sendRequest()
-	if list := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(list) != 0 {
+	if list := w.e.TakeOrphanedFlows(w.now, w.builder.Table()); len(list) != 0 {
 		t.Errorf("returned although the upstream answers: %+v", list)
 	}
 	wantForward(t, "after the end", two.retransmit())
@@ -170,7 +170,7 @@
 		w.after(20 * ms)
 	}
 	w.endRegistration("i-1")
-	if list := w.e.TakeOrphanedFlows(w.now, w.book.Table()); len(list) != 0 {
+	if list := w.e.TakeOrphanedFlows(w.now, w.builder.Table()); len(list) != 0 {
 		t.Errorf("returned while their upstream works on them: %+v", list)
 	}
 	w.after(10 * ms)
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -102,10 +102,10 @@
 
 // Engine decides for one entry. It is not safe for concurrent use.
 type Engine struct {
-	cfg     Config
-	filter  stoatfilter.Filter
-	placing stoatfilter.RankTracker
-	health  map[stoatpaddle.UpstreamKey]*health // of the upstreams that this entry has seen
+	cfg    Config
+	filter stoatfilter.Filter
+	rank   stoatfilter.RankTracker
+	health map[stoatpaddle.UpstreamKey]*health // of the upstreams that this entry has seen
 	// recheck has the upstreams that the next Retain looks at even if the table does not differ there: those
 	// that are new, since the packet may have come with the previous table, and those that are in no table but
 	// still have something in progress.
@@ -147,10 +147,10 @@
 	}
 }
 
-// SetPlace sets this entry's place among the entries of its data centre.
+// SetPlace sets this entry's rank among the entries of its data centre.
 func (e *Engine) SetPlace(now time.Time, p stoatfilter.EntryRank) {
-	e.placing.Update(now, p)
-	e.filter.EntryRank = e.placing.At(now)
+	e.rank.Update(now, p)
+	e.filter.EntryRank = e.rank.At(now)
 }
 
 // SetRegions replaces the regions of the data centres.
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -21,28 +21,28 @@
 
 const ms = time.Millisecond
 
-// world is a test fixture: an engine, the book that makes its tables, and a clock.
+// world is a test fixture: an engine, the builder of its tables, and a clock.
 type world struct {
-	t    *testing.T
-	now  time.Time
-	book *stoatroute.Builder
-	e    *stoatecho.Engine
-	rev  stoatpaddle.Version
-	port uint16
+	t       *testing.T
+	now     time.Time
+	builder *stoatroute.Builder
+	e       *stoatecho.Engine
+	rev     stoatpaddle.Version
+	port    uint16
 }
 
 // newWorld returns a world with upstreams 1 and 2 of service app in this data centre, 3 in another one, and 9 of
 // service intake in this one.
 func newWorld(t *testing.T) *world {
-	w := &world{t: t, now: start, book: stoatroute.NewBuilder(stoatroute.Config{}), port: 40000}
+	w := &world{t: t, now: start, builder: stoatroute.NewBuilder(stoatroute.Config{}), port: 40000}
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start.Add(-time.Minute), Seed: 1})
 	w.declare("app")
 	w.register(1, "app", "here")
 	w.register(2, "app", "here")
 	w.register(3, "app", "there")
 	w.register(9, "intake", "here")
-	w.book.ApplyList(w.now, map[stoatpaddle.UpstreamID]bool{"i-1": true, "i-2": true, "i-3": true, "i-9": true}, false)
-	w.book.MarkCurrent(w.now)
+	w.builder.ApplyList(w.now, map[stoatpaddle.UpstreamID]bool{"i-1": true, "i-2": true, "i-3": true, "i-9": true}, false)
+	w.builder.MarkCurrent(w.now)
 	return w
 }
 
@@ -51,14 +51,14 @@
 	to := func(s stoatpaddle.ServiceID) []stoatpaddle.Backend {
 		return []stoatpaddle.Backend{{Service: s, Weight: 1}}
 	}
-	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.builder.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: idempotentAddr, Backends: to(service), Idempotent: true}, {Listen: nonIdempotentAddr, Backends: to(service)}, {Listen: intakeAddr, Backends: to("intake")},
 	}}, w.rev)
 }
 
 func (w *world) register(target stoatpaddle.Target, service stoatpaddle.ServiceID, centre stoatpaddle.DataCentreID) {
 	w.rev++
-	w.book.Register(w.now, stoatpaddle.Registration{
+	w.builder.Register(w.now, stoatpaddle.Registration{
 		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: service, DataCentre: centre, Slots: 3, Created: w.rev,
 	}, w.rev)
 }
@@ -85,7 +85,7 @@
 
 func (c *caller) send(p stoatpacket.Packet) stoatecho.Action {
 	p.Tuple, p.Cookie = c.tuple, c.cookie
-	return c.w.e.Handle(c.w.now, c.w.book.Table(), &p)
+	return c.w.e.Handle(c.w.now, c.w.builder.Table(), &p)
 }
 
 func (c *caller) syn(copies int) stoatecho.Action {
@@ -191,7 +191,7 @@
 	c := w.caller(idempotentAddr)
 	c.open()
 	w.rev++
-	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev}, w.rev)
+	w.builder.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev}, w.rev)
 	wantReset(t, c.sendRequest(), stoatpacket.DropNoRoute)
 	wantReset(t, w.caller(idempotentAddr).syn(0), stoatpacket.DropNoRoute)
 	wantDrop(t, c.send(stoatpacket.Packet{Reset: true, Ends: true}), stoatpacket.DropNoRoute)
@@ -205,16 +205,16 @@
 	c.cookie = stoatroute.KeyOf(77)
 	wantDrop(t, c.sendRequest(), stoatpacket.DropUnverified)
 	wantDrop(t, c.retransmit(), stoatpacket.DropUnverified)
-	w.book.MarkCurrent(w.now) // sent at the same moment: it may have been first
+	w.builder.MarkCurrent(w.now) // the read began when the packet came, perhaps before it
 	wantDrop(t, c.retransmit(), stoatpacket.DropUnverified)
 	w.after(ms)
-	w.book.MarkCurrent(w.now)
+	w.builder.MarkCurrent(w.now)
 	wantReset(t, c.retransmit(), stoatpacket.DropUpstreamGone)
 }
 
 // Callers of an upstream that has ended are reset at once. An upstream that is leaving keeps its open flows and
 // gets no new ones. An upstream whose registration expired while the platform was away goes on as before.
-func TestStandings(t *testing.T) {
+func TestUpstreamStates(t *testing.T) {
 	w := newWorld(t)
 	callers := map[stoatpaddle.UpstreamID]*caller{}
 	for len(callers) < 2 {
@@ -222,17 +222,17 @@
 		callers[c.open().ID] = c
 	}
 	w.rev++
-	w.book.MarkGone(w.now, "i-1", w.rev)
+	w.builder.MarkGone(w.now, "i-1", w.rev)
 	wantReset(t, callers["i-1"].sendRequest(), stoatpacket.DropUpstreamGone)
 	w.rev++
-	w.book.Register(w.now, stoatpaddle.Registration{ID: "i-2", Target: 2, Service: "app", DataCentre: "here", Slots: 3, Leaving: true}, w.rev)
+	w.builder.Register(w.now, stoatpaddle.Registration{ID: "i-2", Target: 2, Service: "app", DataCentre: "here", Slots: 3, Leaving: true}, w.rev)
 	if a := callers["i-2"].sendRequest(); a.Verdict != stoatecho.Forward || a.Upstream.ID != "i-2" {
 		t.Errorf("%+v", a)
 	}
 	if up := w.caller(idempotentAddr).open(); up.ID != "i-3" {
 		t.Error(up.ID)
 	}
-	w.book.ApplyList(w.now, nil, true)
+	w.builder.ApplyList(w.now, nil, true)
 	if up := w.caller(idempotentAddr).open(); up.ID != "i-3" {
 		t.Error(up.ID)
 	}
@@ -251,7 +251,7 @@
 	list[0].sendRequest()
 	w.after(20 * ms)
 	w.rev++
-	w.book.MarkGone(w.now, "i-1", w.rev)
+	w.builder.MarkGone(w.now, "i-1", w.rev)
 	wantReset(t, list[1].sendRequest(), stoatpacket.DropUpstreamGone)
 	w.after(20 * ms)
 	if a := list[0].ackAnswer(); a.Verdict != stoatecho.Forward {
@@ -268,7 +268,7 @@
 // No upstream can take the flow: the caller is refused at once, so that it need not wait until it gives up.
 func TestNoUpstreamAvailable(t *testing.T) {
 	w := newWorld(t)
-	w.book.MarkGone(w.now, "i-9", 99)
+	w.builder.MarkGone(w.now, "i-9", 99)
 	wantReset(t, w.caller(intakeAddr).syn(0), stoatpacket.DropNoUpstream)
 }
 
@@ -277,7 +277,7 @@
 func TestEntryWithoutTable(t *testing.T) {
 	w := newWorld(t)
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now, Seed: 1})
-	w.book = stoatroute.NewBuilder(stoatroute.Config{})
+	w.builder = stoatroute.NewBuilder(stoatroute.Config{})
 	c := w.caller(idempotentAddr)
 	if a := c.syn(0); a.Verdict != stoatecho.Wait {
 		t.Errorf("%+v", a)
@@ -384,7 +384,7 @@
 func TestColdUpstreamIsEjectedLater(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.Register(w.now, stoatpaddle.Registration{
+	w.builder.Register(w.now, stoatpaddle.Registration{
 		ID: "i-5", Target: 5, Service: "app", DataCentre: "here", Slots: 3, Created: w.rev, Cold: 5 * time.Second,
 	}, w.rev)
 	var cold []*caller
@@ -546,7 +546,7 @@
 func TestLateAnswerIsReported(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.builder.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Objective: 200 * ms},
 	}}, w.rev)
 	c := w.caller(idempotentAddr)
@@ -686,7 +686,7 @@
 func TestCap(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.ApplyDeclaration(stoatpaddle.Declaration{
+	w.builder.ApplyDeclaration(stoatpaddle.Declaration{
 		Version: w.rev, Caps: map[stoatpaddle.ServiceID]int{"app": 2},
 		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}},
 	}, w.rev)
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -33,13 +33,13 @@
 	// which it is not ejected.
 	minFailures     = 5
 	minFailureShare = 0.15
-	// peerFailureFactor is how many times the mean failures of the other upstreams are needed in addition to
+	// peerFailureFactor is the multiple of the other upstreams' mean failures that is needed in addition to
 	// minFailures. In an overload all upstreams are late, and nothing is gained by sending flows elsewhere. And
 	// when entries restart one after another, half of the flows move to other entries in the middle of
 	// requests, which looks like two failures at each upstream in four seconds; by chance, one of forty
 	// upstreams has eight every few days.
 	peerFailureFactor = 4
-	// ejectableDivisor: a third of a service's upstreams in a data centre may be ejected, since the others
+	// ejectableDivisor limits ejections to a third of a service's upstreams in a data centre, since the others
 	// could not bear the load of more.
 	ejectableDivisor = 3
 	// minFailureBackoff and maxFailureBackoff bound how long such an upstream gets no new flows; the time
@@ -100,9 +100,9 @@
 func (e *Engine) Reports(now time.Time, suspects map[stoatpaddle.UpstreamKey]bool) []stoatoutlier.Report {
 	var out []stoatoutlier.Report
 	for k, h := range e.health {
-		named := suspects[k]
-		r := stoatoutlier.Report{Key: k, Counts: h.window.sum(now), Silence: h.silenceReport(now, named)}
-		if r.Failed > 0 || r.WaitingEntries > 0 || named && (r.Answered > 0 || !r.LastHeard.IsZero()) {
+		suspect := suspects[k]
+		r := stoatoutlier.Report{Key: k, Counts: h.window.sum(now), Silence: h.silenceReport(now, suspect)}
+		if r.Failed > 0 || r.WaitingEntries > 0 || suspect && (r.Answered > 0 || !r.LastHeard.IsZero()) {
 			out = append(out, r)
 		}
 	}
@@ -143,15 +143,15 @@
 // EjectFailing looks for upstreams that fail requests, ejects them, and returns those that it ejected. It
 // considers the upstreams of this data centre only: too little is seen of the others.
 func (e *Engine) EjectFailing(now time.Time, t *stoatroute.Table) []FailingUpstream {
-	named := map[stoatpaddle.ServiceID][]FailingUpstream{}
+	failing := map[stoatpaddle.ServiceID][]FailingUpstream{}
 	for k, s := range e.dataCentreSums {
 		if u := t.Upstream(k); s.Failed > 0 && u != nil && u.AcceptsFlows() && u.DataCentre == e.cfg.DataCentre {
-			named[u.Service] = append(named[u.Service], FailingUpstream{Upstream: u, Counts: s.Counts})
+			failing[u.Service] = append(failing[u.Service], FailingUpstream{Upstream: u, Counts: s.Counts})
 		}
 	}
 	var out []FailingUpstream
-	for _, service := range slices.Sorted(maps.Keys(named)) {
-		out = append(out, e.ejectFailingInService(now, t, named[service])...)
+	for _, service := range slices.Sorted(maps.Keys(failing)) {
+		out = append(out, e.ejectFailingInService(now, t, failing[service])...)
 	}
 	return out
 }
@@ -185,31 +185,31 @@
 	})
 	bound := minFailures + peerFailureFactor*peerFailures(failing, all)
 	var out []FailingUpstream
-	for _, m := range failing {
-		if ejected >= all/ejectableDivisor || float64(m.Failed) < bound {
+	for _, f := range failing {
+		if ejected >= all/ejectableDivisor || float64(f.Failed) < bound {
 			break
 		}
-		h := e.healthOf(m.Upstream)
+		h := e.healthOf(f.Upstream)
 		// An upstream that has just started is slow, as its registration says: for a while its requests are
 		// answered late, in each release at a third of a service's upstreams.
-		if m.Upstream.StartedCold && now.Before(m.Upstream.WarmAt.Add(failureWindow)) {
+		if f.Upstream.StartedCold && now.Before(f.Upstream.WarmAt.Add(failureWindow)) {
 			continue
 		}
 		// The counts still include what entries saw before the upstream restarted.
-		if since := m.Upstream.RestartedAt; !since.IsZero() && now.Sub(since) < failureWindow+sumDelay {
+		if since := f.Upstream.RestartedAt; !since.IsZero() && now.Sub(since) < failureWindow+sumDelay {
 			continue
 		}
 		// Once an upstream is reported, the entries that saw no failure need a moment to report its answers. Until
 		// then it would seem to fail most requests.
-		if m.FailureRatio() < minFailureShare || now.Sub(e.dataCentreSums[m.Upstream.Key].failingSince) < sumDelay {
+		if f.FailureRatio() < minFailureShare || now.Sub(e.dataCentreSums[f.Upstream.Key].failingSince) < sumDelay {
 			continue
 		}
 		if now.Before(h.failing.until) {
 			continue
 		}
-		m.Backoff = h.failing.begin(now)
+		f.Backoff = h.failing.begin(now)
 		ejected++
-		out = append(out, m)
+		out = append(out, f)
 	}
 	return out
 }
@@ -219,19 +219,19 @@
 func peerFailures(list []FailingUpstream, all int) float64 {
 	worst := all / ejectableDivisor
 	sum := 0
-	for _, m := range list[min(worst, len(list)):] {
-		sum += m.Failed
+	for _, f := range list[min(worst, len(list)):] {
+		sum += f.Failed
 	}
 	return float64(sum) / float64(all-worst)
 }
 
 // begin starts a period, twice as long as the previous one if that ended a short while ago.
-func (m *failureBackoff) begin(now time.Time) time.Duration {
-	if !m.until.IsZero() && now.Sub(m.until) < 2*failureWindow {
-		m.last = min(maxFailureBackoff, 2*m.last)
+func (b *failureBackoff) begin(now time.Time) time.Duration {
+	if !b.until.IsZero() && now.Sub(b.until) < 2*failureWindow {
+		b.last = min(maxFailureBackoff, 2*b.last)
 	} else {
-		m.last = minFailureBackoff
+		b.last = minFailureBackoff
 	}
-	m.until = now.Add(m.last)
-	return m.last
+	b.until = now.Add(b.last)
+	return b.last
 }
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -32,7 +32,7 @@
 	var ejected []stoatpaddle.UpstreamID
 	for range 4 {
 		w.e.SetSums(w.now, list)
-		for _, m := range w.e.EjectFailing(w.now, w.book.Table()) {
+		for _, m := range w.e.EjectFailing(w.now, w.builder.Table()) {
 			ejected = append(ejected, m.Upstream.ID)
 		}
 		w.after(stoatecho.CheckInterval)
@@ -97,7 +97,7 @@
 	w := newWorld(t)
 	for i := stoatpaddle.Target(4); i <= 7; i++ {
 		w.rev++
-		w.book.Register(w.now, stoatpaddle.Registration{
+		w.builder.Register(w.now, stoatpaddle.Registration{
 			ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i)), Target: i, Service: "app", DataCentre: "here", Slots: 3, Created: w.rev, Cold: 5 * time.Second,
 		}, w.rev)
 	}
@@ -135,9 +135,9 @@
 	}
 	for _, id := range []stoatpaddle.UpstreamID{"i-1", "i-2"} {
 		w.rev++
-		w.book.MarkGone(w.now, id, w.rev)
+		w.builder.MarkGone(w.now, id, w.rev)
 	}
-	w.e.Retain(w.now, w.book.Table())
+	w.e.Retain(w.now, w.builder.Table())
 	got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{4: bad, 5: good, 6: good, 7: good})
 	if diff := cmp.Diff([]stoatpaddle.UpstreamID{"i-4"}, got); diff != "" {
 		t.Error(diff)
@@ -149,7 +149,7 @@
 func TestFirstCountsAreNotEnough(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	w.e.SetSums(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
-	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 0 {
+	if got := w.e.EjectFailing(w.now, w.builder.Table()); len(got) != 0 {
 		t.Error(got)
 	}
 	if got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 60, Failed: 6}}); len(got) != 0 {
@@ -173,7 +173,7 @@
 		w.after(100 * ms)
 		sends.sendRequest()
 	}
-	w.caller(intakeAddr).syn(0) // time passes with packets only
+	w.caller(intakeAddr).syn(0) // the engine handles timeouts only when a packet comes
 	seen := w.e.Reports(w.now, map[stoatpaddle.UpstreamKey]bool{key[answered]: true, key[sends]: true})
 	got := map[stoatpaddle.UpstreamKey]stoatoutlier.Counts{}
 	for _, s := range seen {
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -13,13 +13,13 @@
 // evacuate evacuates a data centre, or withdraws its evacuation.
 func (w *world) evacuate(d stoatpaddle.DataCentreID, withdrawn bool) {
 	w.rev++
-	w.book.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
+	w.builder.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: w.rev, Withdrawn: withdrawn})
 }
 
 // declareRegions declares one route that is limited to the given regions.
 func (w *world) declareRegions(regions ...stoatpaddle.RegionID) {
 	w.rev++
-	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
+	w.builder.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
 		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true, Regions: regions},
 	}}, w.rev)
 }
@@ -144,13 +144,13 @@
 func TestColdUpstreamsGetLimitedFlows(t *testing.T) {
 	w := newWorld(t)
 	w.rev++
-	w.book.ApplyDeclaration(stoatpaddle.Declaration{
+	w.builder.ApplyDeclaration(stoatpaddle.Declaration{
 		Version: w.rev, ColdRates: map[stoatpaddle.ServiceID]float64{"app": 3},
 		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true}},
 	}, w.rev)
 	for target := stoatpaddle.Target(1); target <= 2; target++ {
 		w.rev++
-		w.book.Register(w.now, stoatpaddle.Registration{
+		w.builder.Register(w.now, stoatpaddle.Registration{
 			ID: stoatpaddle.UpstreamID([]string{"", "i-1", "i-2"}[target]), Target: target, Service: "app", DataCentre: "here", Slots: 3, Cold: 4 * time.Second,
 		}, w.rev)
 	}
--- a/stoatecho/fleet_test.go
+++ b/stoatecho/fleet_test.go
@@ -15,21 +15,21 @@
 	table := benchTable(upstreams)
 	e := stoatecho.New(stoatecho.Config{DataCentre: "here", Start: start, Seed: 1})
 	now := start.Add(time.Minute)
-	met := map[string]int{}
+	chosen := map[string]int{}
 	for i := range flows {
 		now = now.Add(20 * time.Millisecond)
 		a := e.Handle(now, table, &stoatpacket.Packet{Tuple: benchTuple(i * 7919), Opens: true})
 		if a.Upstream == nil {
 			t.Fatalf("refused: %+v", a)
 		}
-		met[string(a.Upstream.ID)]++
+		chosen[string(a.Upstream.ID)]++
 	}
 	most := 0
-	for _, n := range met {
+	for _, n := range chosen {
 		most = max(most, n)
 	}
-	if len(met) < flows/2 || most > 8 {
-		t.Errorf("%d flows went to %d upstreams, %d of them to one", flows, len(met), most)
+	if len(chosen) < flows/2 || most > 8 {
+		t.Errorf("%d flows went to %d upstreams, %d of them to one", flows, len(chosen), most)
 	}
 	if known := len(e.UpstreamStates(now)); known > flows {
 		t.Error(known, "upstreams are remembered")
--- a/stoatecho/full.go
+++ b/stoatecho/full.go
@@ -25,20 +25,20 @@
 }
 
 // noteAnswer records whether an answer was a rejection.
-func (f *rejectionRate) noteAnswer(now time.Time, rejected bool) {
-	share, sample := f.shareAt(now), 0.0
+func (r *rejectionRate) noteAnswer(now time.Time, rejected bool) {
+	share, sample := r.shareAt(now), 0.0
 	if rejected {
 		sample = 1
 	}
-	f.share, f.at = share+saturationWeight*(sample-share), now
+	r.share, r.at = share+saturationWeight*(sample-share), now
 }
 
-func (f *rejectionRate) shareAt(now time.Time) float64 {
-	if f.share == 0 {
+func (r *rejectionRate) shareAt(now time.Time) float64 {
+	if r.share == 0 {
 		return 0
 	}
-	return f.share * math.Exp(-float64(now.Sub(f.at))/float64(saturationDecay))
+	return r.share * math.Exp(-float64(now.Sub(r.at))/float64(saturationDecay))
 }
 
 // penalty returns the factor on the cost of a flow.
-func (f *rejectionRate) penalty(now time.Time) float64 { return 1 + saturationPenalty*f.shareAt(now) }
+func (r *rejectionRate) penalty(now time.Time) float64 { return 1 + saturationPenalty*r.shareAt(now) }
--- a/stoatecho/group.go
+++ b/stoatecho/group.go
@@ -48,8 +48,8 @@
 //
 // Without it, an upstream whose ejection ends looks better than any other, as it has nothing in progress. When
 // thirty of 150 upstreams were lost for good while the store was silent, so that their registrations stayed for
-// ten seconds, eighty entries sent one flow in five there, and the retransmissions of its opening to two more of
-// the lost upstreams.
+// ten seconds, eighty entries sent one flow in five to a lost upstream, and the retransmissions of its opening to
+// two more of them.
 const trialInterval = time.Second
 
 // groupSilence detects that no upstream of a group answers.
@@ -139,13 +139,13 @@
 // takes without a queue.
 type meanWithFloor struct{ mean, floor time.Duration }
 
-func (l *meanWithFloor) add(took time.Duration, weight float64) {
-	if l.mean == 0 {
-		l.mean, l.floor = took, took
+func (m *meanWithFloor) add(took time.Duration, weight float64) {
+	if m.mean == 0 {
+		m.mean, m.floor = took, took
 		return
 	}
-	l.mean += time.Duration(weight * float64(took-l.mean))
-	l.floor = min(l.mean, time.Duration(floorGrowth*float64(l.floor)))
+	m.mean += time.Duration(weight * float64(took-m.mean))
+	m.floor = min(m.mean, time.Duration(floorGrowth*float64(m.floor)))
 }
 
 // decayingMean is a mean of answer times whose weights decay with age.
@@ -155,12 +155,12 @@
 	at     time.Time
 }
 
-func (r *decayingMean) weightAt(now time.Time) float64 {
-	return r.weight * math.Exp(-float64(now.Sub(r.at))/float64(answerDecay))
+func (m *decayingMean) weightAt(now time.Time) float64 {
+	return m.weight * math.Exp(-float64(now.Sub(m.at))/float64(answerDecay))
 }
 
-func (r *decayingMean) add(now time.Time, took time.Duration) {
-	before := r.weightAt(now)
-	r.mean = time.Duration((float64(r.mean)*before + float64(took)) / (before + 1))
-	r.weight, r.at = before+1, now
+func (m *decayingMean) add(now time.Time, took time.Duration) {
+	before := m.weightAt(now)
+	m.mean = time.Duration((float64(m.mean)*before + float64(took)) / (before + 1))
+	m.weight, m.at = before+1, now
 }
--- a/stoatecho/health.go
+++ b/stoatecho/health.go
@@ -50,8 +50,8 @@
 	latencyFloor = 50 * time.Millisecond
 )
 
-// health is what this entry has seen of one upstream. It sees only the callers' packets, as answers do not pass
-// through it.
+// health is what this entry has seen of one upstream. The entry sees only the callers' packets, as answers do not
+// pass through it.
 type health struct {
 	flows              int            // open flows seen here
 	pendingRequests    int            // requests without an answer
@@ -70,7 +70,7 @@
 	avoidance          backoff        // it gets no flows while others can take them
 	window             window         // recent requests
 	failing            failureBackoff // no new flows, since it fails requests
-	life               stoatroute.Identity
+	identity           stoatroute.Identity
 	unansweredSince    time.Time // since when this entry reports that it waits in vain; zero: it does not
 	unansweredSeen     time.Time // when the latest unanswered packet was noted
 	deprioritizedUntil time.Time // new flows prefer others until then, since another entry waits for it
@@ -154,15 +154,15 @@
 // mean and mean deviation, as TCP does for its retransmission timer (RFC 6298).
 type handshake struct{ mean, deviation time.Duration }
 
-const handshakeWeight = 8 // the weight of a new sample is one eighth
+const handshakeDivisor = 8 // a new sample has a weight of one eighth
 
 func (x *handshake) add(d time.Duration) {
 	if x.mean == 0 {
 		x.mean, x.deviation = d, d/2
 		return
 	}
-	x.deviation += ((x.mean - d).Abs() - x.deviation) / handshakeWeight
-	x.mean += (d - x.mean) / handshakeWeight
+	x.deviation += ((x.mean - d).Abs() - x.deviation) / handshakeDivisor
+	x.mean += (d - x.mean) / handshakeDivisor
 }
 
 // patience returns how long an opening may wait before its upstream is suspected.
@@ -269,8 +269,8 @@
 }
 
 const (
-	// idleLoad is the load of an open flow without a request: a caller on a long flow sends a request of 40 ms
-	// about once a second.
+	// idleLoad is the load of an open flow without a request, as a share of one in progress: a caller on a long
+	// flow sends a request of 40 ms about once a second.
 	idleLoad = 0.04
 	// coldPenalty is the factor on the cost of a cold upstream, which takes that much longer.
 	coldPenalty = 1.6
@@ -306,7 +306,7 @@
 }
 
 func (e *Engine) newHealth(u *stoatroute.Upstream) *health {
-	return &health{life: stoatroute.IdentityOf(&u.Registration), group: e.groupOf(u)}
+	return &health{identity: stoatroute.IdentityOf(&u.Registration), group: e.groupOf(u)}
 }
 
 // groupOf returns the group of an upstream, and creates it if it is new.
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -12,25 +12,25 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// restarted registers a restart of an upstream under its id.
-func (w *world) restarted(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
-	w.registerRestart(target, born, 0)
+// restart registers a restart of an upstream under the same id.
+func (w *world) restart(target stoatpaddle.Target, incarnation stoatpaddle.Incarnation) {
+	w.registerRestart(target, incarnation, 0)
 }
 
-// restartedCold does the same for an upstream that is cold for five seconds.
-func (w *world) restartedCold(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
-	w.registerRestart(target, born, 5*time.Second)
+// restartCold does the same for an upstream that is cold for five seconds.
+func (w *world) restartCold(target stoatpaddle.Target, incarnation stoatpaddle.Incarnation) {
+	w.registerRestart(target, incarnation, 5*time.Second)
 }
 
-func (w *world) registerRestart(target stoatpaddle.Target, born stoatpaddle.Incarnation, cold time.Duration) {
+func (w *world) registerRestart(target stoatpaddle.Target, incarnation stoatpaddle.Incarnation, cold time.Duration) {
 	w.rev++
-	w.book.Register(w.now, stoatpaddle.Registration{
-		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: "app", DataCentre: "here", Slots: 3, Incarnation: born, Cold: cold,
+	w.builder.Register(w.now, stoatpaddle.Registration{
+		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: "app", DataCentre: "here", Slots: 3, Incarnation: incarnation, Cold: cold,
 	}, w.rev)
-	w.e.Retain(w.now, w.book.Table())
+	w.e.Retain(w.now, w.builder.Table())
 }
 
-func (w *world) inProgress(target stoatpaddle.Target) stoatecho.UpstreamState {
+func (w *world) upstreamState(target stoatpaddle.Target) stoatecho.UpstreamState {
 	for _, x := range w.e.UpstreamStates(w.now) {
 		if x.Upstream == stoatroute.KeyOf(target) {
 			return x
@@ -39,11 +39,11 @@
 	return stoatecho.UpstreamState{}
 }
 
-// An upstream crashes with requests in progress, is ejected for its silence, and restarts under its id. What
+// An upstream crashes with requests in progress, is ejected for its silence, and restarts under the same id. What
 // was counted before the restart must not make it look full or dead: it gets flows at once.
 func TestRestartedUpstreamStartsFresh(t *testing.T) {
 	w := newWorld(t)
-	w.restarted(1, 5)
+	w.restart(1, 5)
 	pending, _ := w.openAtBoth(12)
 	for _, c := range pending {
 		c.sendRequest()
@@ -54,11 +54,11 @@
 			c.retransmit()
 		}
 	}
-	if x := w.inProgress(1); !x.Ejected {
+	if x := w.upstreamState(1); !x.Ejected {
 		t.Fatalf("%+v of %d", x, len(pending))
 	}
-	w.restarted(1, 6)
-	if x := w.inProgress(1); x.Ejected || x.PendingRequests != 0 || x.Flows != 0 || x.MeanAnswer != 0 {
+	w.restart(1, 6)
+	if x := w.upstreamState(1); x.Ejected || x.PendingRequests != 0 || x.Flows != 0 || x.MeanAnswer != 0 {
 		t.Errorf("%+v", x)
 	}
 	got := map[stoatpaddle.Target]int{}
@@ -75,7 +75,7 @@
 // evidence from before: the upstream resets the flows that it does not know.
 func TestNoResetForARestart(t *testing.T) {
 	w := newWorld(t)
-	w.restarted(1, 5)
+	w.restart(1, 5)
 	flows, _ := w.openAtBoth(12)
 	for _, c := range flows {
 		c.sendRequest()
@@ -87,7 +87,7 @@
 		}
 	}
 	pending := flows[0]
-	w.restarted(1, 6)
+	w.restart(1, 6)
 	for range 4 {
 		if a := pending.retransmit(); a.Verdict != stoatecho.Forward {
 			t.Fatalf("%+v", a)
@@ -103,9 +103,9 @@
 // not enough evidence to eject it, as with any cold upstream.
 func TestRestartedColdUpstreamIsGivenTime(t *testing.T) {
 	w := newWorld(t)
-	w.restarted(1, 5)
+	w.restart(1, 5)
 	w.after(time.Minute)
-	w.restartedCold(1, 6)
+	w.restartCold(1, 6)
 	pending, _ := w.openAtBoth(12)
 	for _, c := range pending {
 		c.sendRequest()
@@ -125,7 +125,7 @@
 // retransmission goes to the same upstream: at another one the flow would open twice.
 func TestOpeningOverARestart(t *testing.T) {
 	w := newWorld(t)
-	w.restarted(1, 5)
+	w.restart(1, 5)
 	var c *caller
 	var to stoatpaddle.Target
 	for to != 1 {
@@ -133,36 +133,36 @@
 		to = c.syn(0).Upstream.Target
 	}
 	w.after(100 * ms)
-	w.restarted(1, 6)
+	w.restart(1, 6)
 	if a := c.syn(1); a.Verdict != stoatecho.Forward || a.Upstream.Target != 1 || a.Opened {
 		t.Errorf("%+v", a)
 	}
 	c.cookie = stoatroute.KeyOf(1)
 	c.send(stoatpacket.Packet{Ack: 1})
-	if x := w.inProgress(1); x.Flows != 1 || x.PendingRequests != 0 {
+	if x := w.upstreamState(1); x.Flows != 1 || x.PendingRequests != 0 {
 		t.Errorf("%+v", x)
 	}
 }
 
 // Entries counted failures of an upstream before it restarted, and their sums include these for some seconds
 // after the restart. The restarted upstream must not be ejected for them.
-func TestOldCountsDoNotJudgeANewLife(t *testing.T) {
+func TestOldCountsDoNotEjectRestarted(t *testing.T) {
 	w := newWorld(t)
 	w.register(4, "app", "here")
 	w.register(5, "app", "here")
-	w.restarted(1, 5)
+	w.restart(1, 5)
 	w.caller(idempotentAddr).open()
 	bad := []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 4, Failed: 20}}}
 	w.e.SetSums(w.now, bad)
 	w.after(time.Second)
-	w.restarted(1, 6)
+	w.restart(1, 6)
 	w.e.SetSums(w.now, bad)
-	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 0 {
+	if got := w.e.EjectFailing(w.now, w.builder.Table()); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
 	w.after(6 * time.Second)
 	w.e.SetSums(w.now, bad)
-	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 1 {
+	if got := w.e.EjectFailing(w.now, w.builder.Table()); len(got) != 1 {
 		t.Error("failures after the restart do not count either")
 	}
 }
--- a/stoatecho/retain_test.go
+++ b/stoatecho/retain_test.go
@@ -23,8 +23,8 @@
 
 // Upstreams register, end, are forgotten and restart, packets are handled with a table that is one behind, and
 // Retain looks only at what differs between two tables. After each step, the health that is kept of an upstream
-// must be of the same life as in the table, and an upstream that is not in the table may have health only while
-// something is in progress there.
+// must be of the same incarnation as in the table, and an upstream that is not in the table may have health only
+// while something is in progress there.
 func TestRetainKeepsWhatTheTableHas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		listen := netip.MustParseAddrPort("198.18.0.1:443")
@@ -44,7 +44,7 @@
 			case 0, 1:
 				b.Register(now, stoatpaddle.Registration{
 					ID: id, Target: stoatpaddle.Target(i), Service: "app", DataCentre: "here", Slots: 3,
-					Incarnation: stoatpaddle.Incarnation(rapid.IntRange(1, 3).Draw(t, "life")),
+					Incarnation: stoatpaddle.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation")),
 				}, revision)
 			case 2:
 				b.MarkGone(now, id, revision)
@@ -68,8 +68,8 @@
 				if u == nil && h.flows+h.pendingOpenings+h.pendingRequests == 0 {
 					t.Fatalf("health kept of upstream %d, which is in no table and has nothing in progress", k)
 				}
-				if u != nil && !h.life.Same(stoatroute.IdentityOf(&u.Registration)) {
-					t.Fatalf("health kept of upstream %d: life %+v, the table has %+v", k, h.life, stoatroute.IdentityOf(&u.Registration))
+				if u != nil && !h.identity.Same(stoatroute.IdentityOf(&u.Registration)) {
+					t.Fatalf("health kept of upstream %d: identity %+v, the table has %+v", k, h.identity, stoatroute.IdentityOf(&u.Registration))
 				}
 			}
 		}
--- a/stoatecho/shed_test.go
+++ b/stoatecho/shed_test.go
@@ -26,7 +26,7 @@
 	} {
 		w := newSingleUpstreamWorld(t, 0)
 		w.rev++
-		w.book.MarkGone(w.now, "i-3", w.rev)
+		w.builder.MarkGone(w.now, "i-3", w.rev)
 		for range 20 {
 			w.request(idempotentAddr, 30*ms)
 		}
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -36,9 +36,9 @@
 	aliveReportWindow = 4 * time.Second
 )
 
-// noteUnanswered records that a packet, sent at the given time, is unanswered for longer than usual. It reports
-// whether that is settled; if not, the packet has to be checked again. If this entry's own network fails or the
-// entry lags behind, it hears nothing from any upstream, and so reports nothing about this one.
+// noteUnanswered records that a packet, sent at the given time, is unanswered for longer than usual. It returns
+// false if the packet has to be checked again: while this entry's own network fails or the entry lags behind, it
+// hears nothing from any upstream, and so reports nothing about this one.
 func (e *Engine) noteUnanswered(now time.Time, h *health, sent time.Time) (settled bool) {
 	if h.lastAlive.After(sent) || e.lastAdoption.After(sent) {
 		return true
@@ -79,7 +79,7 @@
 		return
 	}
 	e.openingsChecked = now
-	var again []timeoutEntry
+	var again []timeoutItem
 	for {
 		x, due := e.patienceTimeouts.due(now, e.handshake.patience())
 		if !due {
@@ -107,14 +107,14 @@
 	return !h.unansweredSince.IsZero() && now.Sub(h.unansweredSeen) < unansweredTimeout
 }
 
-// silenceReport returns what this entry reports about the upstream's silence; named says that other entries
-// wait for the upstream.
-func (h *health) silenceReport(now time.Time, named bool) stoatoutlier.Silence {
+// silenceReport returns what this entry reports about the upstream's silence; suspect says that other entries
+// have reported the upstream.
+func (h *health) silenceReport(now time.Time, suspect bool) stoatoutlier.Silence {
 	var s stoatoutlier.Silence
 	if h.reportsSilence(now) {
 		s.WaitingEntries, s.FirstWaitSince = 1, h.unansweredSince
 	}
-	if (named || s.WaitingEntries > 0) && now.Sub(h.lastAlive) < aliveReportWindow {
+	if (suspect || s.WaitingEntries > 0) && now.Sub(h.lastAlive) < aliveReportWindow {
 		s.LastHeard = h.lastAlive
 	}
 	return s
@@ -143,30 +143,30 @@
 	if len(e.dataCentreSums) == 0 {
 		return nil
 	}
-	named := map[groupKey][]*stoatroute.Upstream{}
+	silent := map[groupKey][]*stoatroute.Upstream{}
 	for k, s := range e.dataCentreSums {
 		if u := t.Upstream(k); s.WaitingEntries > 0 && u != nil && u.AcceptsFlows() {
 			key := groupKey{service: u.Service, centre: u.DataCentre}
-			named[key] = append(named[key], u)
+			silent[key] = append(silent[key], u)
 		}
 	}
 	var out []SilentUpstream
-	for _, k := range slices.SortedFunc(maps.Keys(named), groupKey.compare) {
-		out = append(out, e.ejectSilentInGroup(now, t, named[k], delay)...)
+	for _, k := range slices.SortedFunc(maps.Keys(silent), groupKey.compare) {
+		out = append(out, e.ejectSilentInGroup(now, t, silent[k], delay)...)
 	}
 	return out
 }
 
-// ejectSilentInGroup ejects upstreams of one service in one data centre; named has those that entries wait for,
+// ejectSilentInGroup ejects upstreams of one service in one data centre; silent has those that entries wait for,
 // and is not empty. Those that most entries wait for come first.
-func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, named []*stoatroute.Upstream, delay time.Duration) []SilentUpstream {
+func (e *Engine) ejectSilentInGroup(now time.Time, t *stoatroute.Table, silent []*stoatroute.Upstream, delay time.Duration) []SilentUpstream {
 	var out []SilentUpstream
-	slices.SortFunc(named, func(a, b *stoatroute.Upstream) int {
+	slices.SortFunc(silent, func(a, b *stoatroute.Upstream) int {
 		return cmp.Or(cmp.Compare(e.dataCentreSums[b.Key].WaitingEntries, e.dataCentreSums[a.Key].WaitingEntries), cmp.Compare(a.Key, b.Key))
 	})
-	quota := silentQuota{upstreams: len(t.CandidatesIn(named[0].Service, named[0].DataCentre))}
-	e.eachSeen(t, e.groupOf(named[0]), func(h *health) { quota.count(now, h) })
-	for _, u := range named {
+	quota := silentQuota{upstreams: len(t.CandidatesIn(silent[0].Service, silent[0].DataCentre))}
+	e.eachSeen(t, e.groupOf(silent[0]), func(h *health) { quota.count(now, h) })
+	for _, u := range silent {
 		h, s := e.healthOf(u), e.dataCentreSums[u.Key].Silence
 		if s.Ended() {
 			h.aliveElsewhere(s.LastHeard)
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -57,13 +57,13 @@
 	// The first round finds the upstreams that entries wait for, the second one adds the signs of life of the
 	// others.
 	for range 2 {
-		named := map[stoatpaddle.UpstreamKey]bool{}
+		suspects := map[stoatpaddle.UpstreamKey]bool{}
 		for k := range sums {
-			named[k] = true
+			suspects[k] = true
 		}
 		sums = map[stoatpaddle.UpstreamKey]stoatoutlier.Report{}
 		for _, w := range x.list {
-			for _, r := range w.e.Reports(w.now, named) {
+			for _, r := range w.e.Reports(w.now, suspects) {
 				s := sums[r.Key]
 				sums[r.Key] = stoatoutlier.Report{Key: r.Key, Counts: s.Counts.Add(r.Counts), Silence: s.Silence.Add(r.Silence)}
 			}
@@ -78,7 +78,7 @@
 	var out [][]stoatecho.SilentUpstream
 	for _, w := range x.list {
 		w.e.SetSums(w.now, sum)
-		out = append(out, w.e.EjectSilent(w.now, w.book.Table(), 150*ms))
+		out = append(out, w.e.EjectSilent(w.now, w.builder.Table(), 150*ms))
 	}
 	return out
 }
@@ -134,7 +134,7 @@
 // An upstream falls silent. Three entries have each sent it something, too little to eject it on their own. On
 // their combined reports it is ejected at all of them, and at a fourth entry that sent nothing. The pending
 // flow there is not reset, since the upstream may only be full.
-func TestSilenceIsPooled(t *testing.T) {
+func TestSilenceReportsAreCombined(t *testing.T) {
 	x := newEntries(t, 4)
 	waiting := x.list[2].flowTo(1)
 	x.syncClocks()
@@ -241,7 +241,7 @@
 	}
 	for range 5 {
 		w.e.SetSums(w.now, sum)
-		w.e.EjectSilent(w.now, w.book.Table(), 150*ms)
+		w.e.EjectSilent(w.now, w.builder.Table(), 150*ms)
 	}
 	avoided := 0
 	for _, p := range w.e.UpstreamStates(w.now) {
@@ -302,7 +302,7 @@
 		if got := w.e.Reports(w.now, nil); len(got) != 1 {
 			t.Fatalf("an entry does not report that it waits: %+v", got)
 		}
-		w.e.Handle(w.now, w.book.Table(), &stoatpacket.Packet{Tuple: moved.tuple, Cookie: moved.cookie, Seq: 100, Ack: 1, Size: 100})
+		w.e.Handle(w.now, w.builder.Table(), &stoatpacket.Packet{Tuple: moved.tuple, Cookie: moved.cookie, Seq: 100, Ack: 1, Size: 100})
 	}
 	for range 20 {
 		x.after(20 * ms)
@@ -317,7 +317,7 @@
 
 // The local data centre is evacuated, so that all flows go to another one. An upstream there falls silent: the
 // reports of two entries are enough to eject it there too.
-func TestSilenceElsewhereIsPooled(t *testing.T) {
+func TestRemoteSilenceReportsAreCombined(t *testing.T) {
 	x := newEntries(t, 3)
 	for _, w := range x.list {
 		w.register(4, "app", "there")
--- a/stoatecho/timeout.go
+++ b/stoatecho/timeout.go
@@ -16,45 +16,45 @@
 	requestTimeout = time.Second
 )
 
-// timeoutEntry is a packet of a flow that has been unanswered since the given time.
-type timeoutEntry struct {
+// timeoutItem is a packet of a flow that has been unanswered since the given time.
+type timeoutItem struct {
 	tuple stoatpacket.Tuple
 	since time.Time
 }
 
 // timeoutQueue is a FIFO queue of unanswered packets.
 type timeoutQueue struct {
-	list []timeoutEntry
+	list []timeoutItem
 	head int
 }
 
 func (x *timeoutQueue) add(t stoatpacket.Tuple, since time.Time) {
-	x.list = append(x.list, timeoutEntry{tuple: t, since: since})
+	x.list = append(x.list, timeoutItem{tuple: t, since: since})
 }
 
-// due removes and returns the oldest entry if it has reached the timeout.
-func (x *timeoutQueue) due(now time.Time, timeout time.Duration) (timeoutEntry, bool) {
+// due removes and returns the oldest item if it has reached the timeout.
+func (x *timeoutQueue) due(now time.Time, timeout time.Duration) (timeoutItem, bool) {
 	if x.head == len(x.list) {
 		x.list, x.head = x.list[:0], 0
-		return timeoutEntry{}, false
+		return timeoutItem{}, false
 	}
-	e := x.list[x.head]
-	if now.Sub(e.since) < timeout {
-		return timeoutEntry{}, false
+	item := x.list[x.head]
+	if now.Sub(item.since) < timeout {
+		return timeoutItem{}, false
 	}
 	x.head++
 	if x.head >= compactAt && 2*x.head >= len(x.list) {
 		x.list = append(x.list[:0], x.list[x.head:]...)
 		x.head = 0
 	}
-	return e, true
+	return item, true
 }
 
-// compactAt is the number of removed entries from which the list is compacted.
+// compactAt is the number of removed items from which the list is compacted.
 const compactAt = 256
 
 // startRequestTimeout queues a pending request. A flow is in the queue at most once, whatever the number of its
-// requests: separate entries would be queued again for as long as the flow is busy.
+// requests: an item for each of them would be queued again for as long as the flow is busy.
 func (e *Engine) startRequestTimeout(now time.Time, t stoatpacket.Tuple, f *flow) {
 	if !f.hasRequestTimeout {
 		f.hasRequestTimeout = true
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -101,7 +101,7 @@
 // answeredElsewhere records that another entry saw the answer to the request that began here, at an unknown time.
 //
 // When entries are replaced one after another, flows come back after 1.5 s. Counted as the answer time, that looks
-// like a queue: two such flows had openings refused at upstreams with nothing in progress.
+// like a queue: two such flows were enough for openings to be refused at upstreams with nothing in progress.
 func (e *Engine) answeredElsewhere(now time.Time, h *health, f *flow) {
 	h.requestEnded()
 	e.noteAlive(now, h)
@@ -221,8 +221,8 @@
 	}
 }
 
-// Retain forgets the health of upstreams that are no longer in the table, and of those that restarted under their
-// id.
+// Retain forgets the health of upstreams that are no longer in the table, and of those that restarted under the
+// same id.
 func (e *Engine) Retain(now time.Time, t *stoatroute.Table) {
 	restarted := map[stoatpaddle.UpstreamKey]bool{}
 	before := len(e.health)
@@ -237,9 +237,9 @@
 			return
 		}
 		delete(e.recheck, k)
-		life := stoatroute.IdentityOf(&u.Registration)
-		if h.life.Same(life) {
-			h.life = life
+		identity := stoatroute.IdentityOf(&u.Registration)
+		if h.identity.Same(identity) {
+			h.identity = identity
 			return
 		}
 		h.group.inProgress -= h.pendingOpenings + h.pendingRequests
--- a/stoatecho/yield_test.go
+++ b/stoatecho/yield_test.go
@@ -69,7 +69,7 @@
 		// The objective is so long that answer times do not matter here.
 		w.declareObjectives(20 * time.Second)
 		w.rev++
-		w.book.MarkGone(w.now, "i-3", w.rev)
+		w.builder.MarkGone(w.now, "i-3", w.rev)
 		for range 40 {
 			w.after(100 * ms)
 			f := w.caller(idempotentAddr)
