--- a/stoatoutlier/delay.go
+++ b/stoatoutlier/delay.go
@@ -6,8 +6,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// delayEstimator measures how long a report of this entry, that it waits for an upstream, takes to the root
-// of the relay tree and back in the sum.
+// delayEstimator measures how long this entry's report that it waits for an upstream takes to the root of the
+// relay tree and back in the sum.
 //
 // A fixed delay is not enough: a data centre of three hundred entries has a deeper tree than one of thirty.
 // Two entries lost a packet to the same upstream there, and the report that a third entry had heard from it
--- a/stoatoutlier/delta.go
+++ b/stoatoutlier/delta.go
@@ -36,13 +36,13 @@
 // When a hundred upstreams stop answering, the full list, sent at each change, would go through each link
 // of the tree fifty times a second with two kilobytes each time.
 type DeltaTracker struct {
-	sent     map[stoatpaddle.UpstreamKey]claim
+	sent     map[stoatpaddle.UpstreamKey]reportSummary
 	fullAt   time.Time // when everything was last sent; zero: never
 	countsAt time.Time // when counts were last sent
 }
 
-// claim is the part of a report that other entries act upon within milliseconds, and the failure count.
-type claim struct {
+// reportSummary is the part of a report that other entries act upon within milliseconds, and the failure count.
+type reportSummary struct {
 	reported bool // the upstream was sent
 	waiting  int  // waiting entries, at most two: more make no difference
 	alive    bool // a sign of life came after the first entry of the data centre began to wait
@@ -51,10 +51,10 @@
 
 // Next returns the update to send for a list, and whether there is anything to send. first returns since
 // when an entry of the data centre has been waiting for an upstream, as far as the receiver knows. A
-// changed claim is due at once, failure counts after countInterval, and everything after fullInterval.
+// changed summary is due at once, failure counts after countInterval, and everything after fullInterval.
 func (t *DeltaTracker) Next(now time.Time, reports []Report, first func(*Report) time.Time) (Update, bool) {
 	if t.sent == nil {
-		t.sent = map[stoatpaddle.UpstreamKey]claim{}
+		t.sent = map[stoatpaddle.UpstreamKey]reportSummary{}
 	}
 	countsDue := now.Sub(t.countsAt) >= countInterval
 	u := Update{Full: len(reports) > 0 && now.Sub(t.fullAt) >= fullInterval}
@@ -62,7 +62,7 @@
 	for i := range reports {
 		r := &reports[i]
 		listed[r.Key] = true
-		c, old := claimOf(r, first(r)), t.sent[r.Key]
+		c, old := summaryOf(r, first(r)), t.sent[r.Key]
 		if u.Full || c.differs(old, countsDue) {
 			u.Reports = append(u.Reports, *r)
 			t.sent[r.Key] = c
@@ -86,19 +86,19 @@
 	return u, len(u.Reports) > 0
 }
 
-func claimOf(r *Report, first time.Time) claim {
-	return claim{
+func summaryOf(r *Report, first time.Time) reportSummary {
+	return reportSummary{
 		reported: true, waiting: min(2, r.WaitingEntries), failed: r.Failed,
 		alive: !first.IsZero() && r.LastHeard.After(first),
 	}
 }
 
-// differs reports whether the claim has to be sent. Once two entries wait for an upstream, its failure
+// differs reports whether the summary has to be sent. Once two entries wait for an upstream, its failure
 // count makes no difference any more.
-func (c claim) differs(old claim, countsDue bool) bool {
-	if c.reported != old.reported {
+func (s reportSummary) differs(old reportSummary, countsDue bool) bool {
+	if s.reported != old.reported {
 		// Failures without a wait are collected until counts are due.
-		return countsDue || c.waiting > 0 || c.alive
+		return countsDue || s.waiting > 0 || s.alive
 	}
-	return c.waiting != old.waiting || c.alive != old.alive || countsDue && c.waiting < 2 && c.failed != old.failed
+	return s.waiting != old.waiting || s.alive != old.alive || countsDue && s.waiting < 2 && s.failed != old.failed
 }
--- a/stoatoutlier/pacer.go
+++ b/stoatoutlier/pacer.go
@@ -13,7 +13,8 @@
 	roundRate  = 6.0
 )
 
-// Pacer limits how often an entry runs a round. Its zero value is ready to use.
+// Pacer limits how often an entry acts on the reports and sends its own, which is a round. Its zero value is
+// ready to use.
 type Pacer struct {
 	spent float64   // rounds taken out of the burst
 	last  time.Time // time of the last round
