--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -226,7 +226,7 @@
 // drain marks an upstream as leaving and checks that it gets no new flow after 3 s.
 func (w *world) drain() (string, error) {
 	id := stoatpaddle.UpstreamID(string(customers[0].flow) + "-a")
-	if _, err := w.admin(1).Mark(w.ctx, stoatpaddle.InstanceID(id), stoatpaddle.StateLeaving); err != nil {
+	if _, err := w.admin(1).SetInstanceState(w.ctx, stoatpaddle.InstanceID(id), stoatpaddle.StateLeaving); err != nil {
 		return "", err
 	}
 	marked := time.Now()
@@ -283,7 +283,7 @@
 	if last >= leavingWithin {
 		w.broken = append(w.broken, "a new flow reached an evacuated data centre after "+last.String())
 	}
-	_, err = w.admin(0).TakeBack(w.ctx, dc)
+	_, err = w.admin(0).EndEvacuation(w.ctx, dc)
 	return fmt.Sprintf("in force everywhere after %d ms, last new flow there after %d ms", took.Milliseconds(), last.Milliseconds()), err
 }
 
--- a/stoatdemo/run_client.go
+++ b/stoatdemo/run_client.go
@@ -44,7 +44,7 @@
 // call sends one call to a random entry and counts how it ended.
 func (c *client) call(hc *http.Client) {
 	c.w.mu.Lock()
-	addr := c.w.sets[c.rnd.IntN(len(c.w.sets))].Call
+	addr := c.w.sets[c.rnd.IntN(len(c.w.sets))].CallAddr
 	c.w.mu.Unlock()
 	body := strings.Repeat(callBody, 1+c.rnd.IntN(500))
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr.String()+"/claim", strings.NewReader(body))
--- a/stoatdemo/run_world.go
+++ b/stoatdemo/run_world.go
@@ -156,10 +156,10 @@
 	dc := centres[n%len(centres)]
 	set := stoatsetting.Settings{
 		Instance:   stoatpaddle.InstanceID(string(dc) + "-" + strconv.Itoa(n/len(centres)+1)),
-		DataCentre: dc, Cluster: "demo", Platform: w.addr, Egress: w.callers.Addr(),
-		Level: "info", Stop: stopDeadline, Settle: time.Minute,
+		DataCentre: dc, Cluster: "demo", PlatformAddr: w.addr, EgressAddr: w.callers.Addr(),
+		LogLevel: "info", StopDeadline: stopDeadline, SettleTime: time.Minute,
 	}
-	for _, a := range []*netip.AddrPort{&set.Tunnel, &set.Relay, &set.Peer, &set.Admin, &set.Call} {
+	for _, a := range []*netip.AddrPort{&set.TunnelAddr, &set.RelayAddr, &set.PeerAddr, &set.AdminAddr, &set.CallAddr} {
 		addr, err := stoatfake.FreeAddr()
 		if err != nil {
 			return err
@@ -183,7 +183,7 @@
 	defer w.mu.Unlock()
 	var list []netip.AddrPort
 	for _, s := range w.sets {
-		list = append(list, s.Tunnel)
+		list = append(list, s.TunnelAddr)
 	}
 	w.fabric.Set(list)
 }
@@ -195,7 +195,7 @@
 	e := w.entries[i]
 	w.entries = append(w.entries[:i:i], w.entries[i+1:]...)
 	w.sets = append(w.sets[:i:i], w.sets[i+1:]...)
-	w.retired += e.ControlBytes()
+	w.retired += e.ControlBytesSent()
 	return e
 }
 
@@ -203,11 +203,11 @@
 func (w *world) admin(i int) *stoatadmin.Client {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return stoatadmin.NewClient(w.sets[i].Admin.String())
+	return stoatadmin.NewClient(w.sets[i].AdminAddr.String())
 }
 
 func (w *world) apply(i int, c stoatpaddle.Contract, base stoatpaddle.Version) (stoatpaddle.Version, error) {
-	a, err := w.admin(i).Apply(w.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.Change{Base: base})
+	a, err := w.admin(i).Apply(w.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.ChangeOptions{Base: base})
 	return stoatpaddle.Version(a.Version), err
 }
 
@@ -217,7 +217,7 @@
 	defer w.mu.Unlock()
 	total := w.retired
 	for _, e := range w.entries {
-		total += e.ControlBytes()
+		total += e.ControlBytesSent()
 	}
 	return total
 }
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -13,24 +13,24 @@
 )
 
 // restart registers a restart of an upstream under the same id.
-func (w *world) restart(target stoatpaddle.Target, incarnation stoatpaddle.Incarnation) {
+func (w *world) restart(target stoatpaddle.TargetID, incarnation stoatpaddle.Incarnation) {
 	w.registerRestart(target, incarnation, 0)
 }
 
 // restartCold does the same for an upstream that is cold for five seconds.
-func (w *world) restartCold(target stoatpaddle.Target, incarnation stoatpaddle.Incarnation) {
+func (w *world) restartCold(target stoatpaddle.TargetID, incarnation stoatpaddle.Incarnation) {
 	w.registerRestart(target, incarnation, 5*time.Second)
 }
 
-func (w *world) registerRestart(target stoatpaddle.Target, incarnation stoatpaddle.Incarnation, cold time.Duration) {
+func (w *world) registerRestart(target stoatpaddle.TargetID, incarnation stoatpaddle.Incarnation, cold time.Duration) {
 	w.rev++
 	w.builder.Register(w.now, stoatpaddle.Registration{
-		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: "app", DataCentre: "here", Slots: 3, Incarnation: incarnation, Cold: cold,
+		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: "app", DataCentre: "here", Slots: 3, Incarnation: incarnation, ColdRemaining: cold,
 	}, w.rev)
 	w.e.Retain(w.now, w.builder.Table())
 }
 
-func (w *world) upstreamState(target stoatpaddle.Target) stoatecho.UpstreamState {
+func (w *world) upstreamState(target stoatpaddle.TargetID) stoatecho.UpstreamState {
 	for _, x := range w.e.UpstreamStates(w.now) {
 		if x.Upstream == stoatroute.KeyOf(target) {
 			return x
@@ -61,7 +61,7 @@
 	if x := w.upstreamState(1); x.Ejected || x.PendingRequests != 0 || x.Flows != 0 || x.MeanAnswer != 0 {
 		t.Errorf("%+v", x)
 	}
-	got := map[stoatpaddle.Target]int{}
+	got := map[stoatpaddle.TargetID]int{}
 	for range 8 {
 		got[w.caller(idempotentAddr).open().Target]++
 	}
@@ -127,7 +127,7 @@
 	w := newWorld(t)
 	w.restart(1, 5)
 	var c *caller
-	var to stoatpaddle.Target
+	var to stoatpaddle.TargetID
 	for to != 1 {
 		c = w.caller(idempotentAddr)
 		to = c.syn(0).Upstream.Target
--- a/stoatedge/controller.go
+++ b/stoatedge/controller.go
@@ -148,7 +148,7 @@
 
 func (ctl *controller) emit(effect any) { ctl.effects = append(ctl.effects, effect) }
 
-func (ctl *controller) log(e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (ctl *controller) log(e *stoatevent.Definition, fields ...stoatevent.Field) {
 	ctl.emit(logEvent{entry: e, fields: fields})
 }
 
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -121,9 +121,9 @@
 	}}
 }
 
-func registered(id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) change {
+func registered(id stoatpaddle.UpstreamID, target stoatpaddle.TargetID, revision stoatpaddle.Version) change {
 	return change{name: string(id), revision: revision, registration: &stoatpaddle.Registration{
-		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, Created: revision,
+		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, CreateRevision: revision,
 	}}
 }
 
@@ -180,7 +180,7 @@
 	s.answer(upstreams, 10, registered("i-1", 1, 6))
 	child := stoatrelay.ChildStateOf(s.table)
 	c := declared(2, 8)
-	c.declaration.Routes[0].Earlier = []stoatpaddle.ServiceID{"before"}
+	c.declaration.Routes[0].FormerServices = []stoatpaddle.ServiceID{"before"}
 	s.receiveUpdate(parentUpdate{parent: "10.0.0.2:1", whole: true, known: position(10)}, c, registered("i-1", 1, 6))
 	r := s.table.Route(listen)
 	if !r.EverUsed("before") || !r.EverUsed("app") || r.EverUsed("other") {
@@ -211,7 +211,7 @@
 // for: after a few pages it waits for a parent, which sends the rest, and reads on if it finds none.
 func TestLongListWaitsForAParent(t *testing.T) {
 	page := func(s *session, i int) {
-		s.end(upstreams, stoatfeed.Result{AsOf: position(10), More: true, Last: string(rune('a' + i))}, registered(stoatpaddle.UpstreamID(rune('a'+i)), stoatpaddle.Target(i+1), 6))
+		s.end(upstreams, stoatfeed.Result{AsOf: position(10), More: true, Last: string(rune('a' + i))}, registered(stoatpaddle.UpstreamID(rune('a'+i)), stoatpaddle.TargetID(i+1), 6))
 	}
 	for name, c := range map[string]struct {
 		reliesOnOthers bool
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -72,20 +72,20 @@
 	group, ctx := errgroup.WithContext(ctx)
 	limitMemory(cfg.Settings.MemoryBytes())
 	now := clock()
-	seed := uint64(now.UnixNano()) ^ addrSeed(cfg.Settings.Tunnel)
+	seed := uint64(now.UnixNano()) ^ addrSeed(cfg.Settings.TunnelAddr)
 	e := &Edge{
 		current: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
 		log:        newEventLog(cfg.Log, cfg.Settings),
-		store:      platform.NewStore(cfg.Settings.Platform),
+		store:      platform.NewStore(cfg.Settings.PlatformAddr),
 		engine:     stoatecho.New(stoatecho.Config{DataCentre: cfg.Settings.DataCentre, Regions: cfg.Settings.Regions, Start: now, Seed: seed}),
-		callerPort: cfg.Settings.Tunnel.Port(),
-		ownAddr:    cfg.Settings.Tunnel.Addr(),
+		callerPort: cfg.Settings.TunnelAddr.Port(),
+		ownAddr:    cfg.Settings.TunnelAddr.Addr(),
 		events:     newEventQueue(),
 		tableReady: make(chan struct{}),
 		observed:   make(chan struct{}, 1),
 		reports:    make(chan pendingReport, 1),
 		relay: newRelayState(stoattree.Config{
-			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, CPUShare: cfg.Settings.Share, LinkMbps: cfg.Settings.Link,
+			Self: cfg.Settings.AdminAddr, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, CPUShare: cfg.Settings.CPUShare, LinkMbps: cfg.Settings.LinkMbps,
 			Rand: rand.New(rand.NewPCG(seed, 2)),
 		}),
 	}
@@ -97,11 +97,11 @@
 		return nil, err
 	}
 	ctl := newController(controllerConfig{
-		Apply: e.current.Bound(), Evacuations: e.current.Evacuate > 0, Return: e.current.Return, Life: e.current.Life, Seeds: seedRoleOf(e.current), Seed: seed,
+		Apply: e.current.MaxDelay(), Evacuations: e.current.MaxEvacuateDelay > 0, Return: e.current.GracePeriod, Life: e.current.FlowLifetime, Seeds: seedRoleOf(e.current), Seed: seed,
 	})
 	e.group.Go(func() error { return e.control(ctl) })
-	e.log.emit(now, EventStart, stoatevent.F("tunnel", e.current.Tunnel.String()), stoatevent.F("centre", string(e.current.DataCentre)),
-		stoatevent.F("platform", e.current.Platform.String()), stoatevent.F("apply", e.current.Apply.String()), stoatevent.F("evacuate", e.current.Evacuate.String()))
+	e.log.emit(now, EventStart, stoatevent.F("tunnel", e.current.TunnelAddr.String()), stoatevent.F("centre", string(e.current.DataCentre)),
+		stoatevent.F("platform", e.current.PlatformAddr.String()), stoatevent.F("apply", e.current.MaxApplyDelay.String()), stoatevent.F("evacuate", e.current.MaxEvacuateDelay.String()))
 	e.startWorkers()
 	e.post(started{})
 	e.waitForTable()
@@ -130,8 +130,8 @@
 
 // seedRoleOf returns what the settings say about seeds.
 func seedRoleOf(set stoatsetting.Settings) seedRole {
-	other := func(seed netip.AddrPort) bool { return seed != set.Admin }
-	return seedRole{otherSeeds: slices.ContainsFunc(set.Seeds, other), isSeed: slices.Contains(set.Seeds, set.Admin)}
+	other := func(seed netip.AddrPort) bool { return seed != set.AdminAddr }
+	return seedRole{otherSeeds: slices.ContainsFunc(set.Seeds, other), isSeed: slices.Contains(set.Seeds, set.AdminAddr)}
 }
 
 // addrSeed keeps entries that start in the same nanosecond from making the same random choices.
@@ -147,7 +147,7 @@
 // openTunnel opens the packet socket. Packets wait in its buffer until there is a table.
 func (e *Edge) openTunnel() error {
 	var err error
-	if e.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.current.Tunnel)); err != nil {
+	if e.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.current.TunnelAddr)); err != nil {
 		return err
 	}
 	// The buffer holds half a second of traffic at the busiest entry. The kernel may grant less.
@@ -160,13 +160,13 @@
 func (e *Edge) openServers() error {
 	set := e.settings()
 	e.metrics = e.newMetrics()
-	if err := e.listen(set.Ready, http.HandlerFunc(e.readiness)); err != nil {
+	if err := e.listen(set.ReadyAddr, http.HandlerFunc(e.readiness)); err != nil {
 		return err
 	}
-	if err := e.listen(set.Admin, e.admin()); err != nil || !set.Metrics.IsValid() {
+	if err := e.listen(set.AdminAddr, e.admin()); err != nil || !set.MetricsAddr.IsValid() {
 		return err
 	}
-	return e.listen(set.Metrics, http.HandlerFunc(e.writeMetrics))
+	return e.listen(set.MetricsAddr, http.HandlerFunc(e.writeMetrics))
 }
 
 const (
--- a/stoatedge/evacuation_test.go
+++ b/stoatedge/evacuation_test.go
@@ -198,7 +198,7 @@
 	s := newEvacuationSession(t, false, false).answerFirstLists()
 	var many []change
 	for i := range stoatpaddle.Version(40) {
-		many = append(many, registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", 100+i)), stoatpaddle.Target(100+i), 20+i))
+		many = append(many, registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", 100+i)), stoatpaddle.TargetID(100+i), 20+i))
 	}
 	before := s.events[EventStandingChanged.Number]
 	s.answer(upstreams, 60, many...)
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -33,8 +33,8 @@
 	declaration  *stoatpaddle.Declaration
 	registration *stoatpaddle.Registration
 	evacuation   *stoatpaddle.Evacuation
-	fault        error              // why the object cannot be used
-	target       stoatpaddle.Target // the target in the name of an object that cannot be used; 0: none
+	fault        error                // why the object cannot be used
+	target       stoatpaddle.TargetID // the target in the name of an object that cannot be used; 0: none
 }
 
 // The events of the controller.
@@ -129,7 +129,7 @@
 	publishTable struct{ table *stoatroute.Table }
 	// logEvent logs a numbered event.
 	logEvent struct {
-		entry  *stoatevent.Entry
+		entry  *stoatevent.Definition
 		fields []stoatevent.Field
 	}
 )
--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -18,7 +18,7 @@
 
 // eventLog writes events without ever blocking traffic.
 type eventLog struct {
-	pipe         *stoatevent.Pipe
+	pipe         *stoatevent.AsyncWriter
 	mu           sync.RWMutex // guards logger
 	logger       *stoatevent.Logger
 	sampler      *stoatevent.Sampler
@@ -29,13 +29,13 @@
 }
 
 func newEventLog(w io.Writer, set stoatsetting.Settings) *eventLog {
-	l := &eventLog{pipe: stoatevent.NewPipe(), name: string(set.Instance)}
+	l := &eventLog{pipe: stoatevent.NewAsyncWriter(), name: string(set.Instance)}
 	l.sampler = stoatevent.NewSampler(map[stoatevent.Number]int{
 		EventFlowPlaced.Number: maxPacketLines, EventFlowReset.Number: maxPacketLines,
 		EventPacketDropped.Number: maxPacketLines, EventUpstreamEjected.Number: maxPacketLines,
 		EventLateAnswer.Number: maxPacketLines, EventInvalidObject.Number: maxPacketLines, EventIncarnation.Number: maxPacketLines,
 	})
-	l.setLevel(set.Level)
+	l.setLevel(set.LogLevel)
 	l.group.Go(func() error { return l.pipe.Run(w) })
 	return l
 }
@@ -46,16 +46,18 @@
 	l.logger = stoatevent.NewLogger(stoatevent.Config{Writer: l.pipe, Level: level, Instance: l.name})
 }
 
-func (l *eventLog) admit(now time.Time, e *stoatevent.Entry) bool { return l.sampler.Admit(now, e) }
+func (l *eventLog) admit(now time.Time, e *stoatevent.Definition) bool {
+	return l.sampler.Allow(now, e)
+}
 
 // write writes a line that was admitted.
-func (l *eventLog) write(e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (l *eventLog) write(e *stoatevent.Definition, fields ...stoatevent.Field) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	l.logger.Emit(e, fields...)
 }
 
-func (l *eventLog) emit(now time.Time, e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (l *eventLog) emit(now time.Time, e *stoatevent.Definition, fields ...stoatevent.Field) {
 	if l.admit(now, e) {
 		l.write(e, fields...)
 	}
@@ -71,10 +73,10 @@
 	}
 	l.lastReport = now
 	var fields []stoatevent.Field
-	for _, left := range l.sampler.Take() {
+	for _, left := range l.sampler.TakeOmitted() {
 		fields = append(fields, stoatevent.F(left.Number.String(), strconv.FormatInt(left.Count, 10)))
 	}
-	if lost := l.pipe.Lost(); lost > l.lostReported {
+	if lost := l.pipe.Dropped(); lost > l.lostReported {
 		fields = append(fields, stoatevent.F("writer", strconv.FormatInt(lost-l.lostReported, 10)))
 		l.lostReported = lost
 	}
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -310,7 +310,7 @@
 // The settings name a single seed. Other entries wait for its proofs, so it proves its state as often as one
 // of three seeds.
 func TestLoneSeedProvesForOthers(t *testing.T) {
-	set := stoatsetting.Settings{Admin: seedAdmin, Seeds: []netip.AddrPort{seedAdmin}}
+	set := stoatsetting.Settings{AdminAddr: seedAdmin, Seeds: []netip.AddrPort{seedAdmin}}
 	if got := seedRoleOf(set); got != (seedRole{isSeed: true}) || got.reliesOnOthers() {
 		t.Error(got)
 	}
@@ -321,11 +321,11 @@
 	if c := s.calls[declarations]; c.Wait > 1350*ms {
 		t.Error("others wait as long as", c.Wait)
 	}
-	set.Admin = childAdmin
+	set.AdminAddr = childAdmin
 	if got := seedRoleOf(set); !got.reliesOnOthers() {
 		t.Error(got)
 	}
-	if got := seedRoleOf(stoatsetting.Settings{Admin: seedAdmin}); got != (seedRole{}) {
+	if got := seedRoleOf(stoatsetting.Settings{AdminAddr: seedAdmin}); got != (seedRole{}) {
 		t.Error(got)
 	}
 }
--- a/stoatedge/restored_test.go
+++ b/stoatedge/restored_test.go
@@ -81,7 +81,7 @@
 	s.answer(declarations, 24)
 	s.answer(upstreams, 24, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	s.answer(upstreams, 26, deletedUpstream("i-1", 25), deletedUpstream("i-2", 26))
-	for _, target := range []stoatpaddle.Target{1, 2} {
+	for _, target := range []stoatpaddle.TargetID{1, 2} {
 		if u := s.table.Upstream(stoatroute.KeyOf(target)); u.State != stoatroute.Missing {
 			t.Error(target, u.State)
 		}
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -21,7 +21,7 @@
 // dropped as forged.
 
 // formerRef names the object that has the former services.
-var formerRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectRoutes, Name: "former"}
+var formerRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectFormerServices, Name: "former"}
 
 const (
 	// maxSavePause spreads the attempts of the seeds: the first one writes, and the others find the object up
@@ -86,12 +86,12 @@
 
 // readFormer returns what a replica has; the zero value if there is no such object.
 func (e *Edge) readFormer(ctx context.Context) (saveFormer, error) {
-	answer, err := e.store.Read(ctx, platform.Query{Kind: stoatplatform.Kind, Stale: true})
+	answer, err := e.store.Read(ctx, platform.Query{Kind: stoatplatform.StoreKind, AllowStale: true})
 	if err != nil {
 		return saveFormer{}, err
 	}
 	for _, item := range answer.Items {
-		o, err := stoatplatform.FromObject(item, answer.Era)
+		o, err := stoatplatform.FromStoreObject(item, answer.Era)
 		if err != nil || o.Ref != formerRef {
 			continue
 		}
@@ -102,10 +102,10 @@
 
 // saveFormer saves the former services, unless another entry has saved those of the same or a later version.
 func (e *Edge) saveFormer(x saveFormer) {
-	client := stoatplatform.New(stoatplatform.Config{Addr: e.settings().Platform})
+	client := stoatplatform.New(stoatplatform.Config{Addr: e.settings().PlatformAddr})
 	var err error
 	for range saveAttempts {
-		if !stoatplatform.Pause(e.ctx, time.Duration(rand.Int64N(int64(maxSavePause)))) {
+		if !stoatplatform.Sleep(e.ctx, time.Duration(rand.Int64N(int64(maxSavePause)))) {
 			return
 		}
 		if err = writeFormer(e.ctx, client, x); err == nil {
--- a/stoatedge/run_parent.go
+++ b/stoatedge/run_parent.go
@@ -133,7 +133,7 @@
 		return false, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, N: &e.relay.received}))
+	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, Count: &e.relay.received}))
 	if res.StatusCode != http.StatusOK {
 		return false, e.handleRefusal(addr, dec)
 	}
@@ -145,7 +145,7 @@
 			}
 			return accepted, &unreachableError{addr: addr, cause: err}
 		}
-		silence := stoatfeed.Fraction(e.settings().Bound(), silenceShare)
+		silence := stoatfeed.Fraction(e.settings().MaxDelay(), silenceShare)
 		watchdog.Stop()
 		watchdog = time.AfterFunc(silence, func() { cancel(&silentError{after: silence}) })
 		accepted = true
--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -196,7 +196,7 @@
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, peerTimeout)
 	defer cancel()
-	url := "http://" + x.to.String() + pathReports + "?" + paramFrom + "=" + e.settings().Admin.String() + "&" + paramSize + "=" + strconv.Itoa(x.size)
+	url := "http://" + x.to.String() + pathReports + "?" + paramFrom + "=" + e.settings().AdminAddr.String() + "&" + paramSize + "=" + strconv.Itoa(x.size)
 	if x.update.Full {
 		url += "&" + paramWhole + "=1"
 	}
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -29,7 +29,7 @@
 
 func newPacketBuffers() *packetBuffers {
 	return &packetBuffers{
-		buf:   make([]byte, platform.TargetSize+platform.HeaderSize+platform.MaxData+1),
+		buf:   make([]byte, platform.TargetSize+platform.HeaderSize+platform.MaxDataSize+1),
 		reset: make([]byte, platform.HeaderSize),
 	}
 }
@@ -50,7 +50,7 @@
 		now := clock()
 		e.stop.notePacket(now)
 		bufs.drained = e.reader.drained
-		reason := platform.ReadPacket(bufs.buf[platform.TargetSize:platform.TargetSize+n], &p)
+		reason := platform.DecodePacket(bufs.buf[platform.TargetSize:platform.TargetSize+n], &p)
 		// Resets towards this entry itself would come back as packets.
 		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.ownAddr {
 			reason = stoatpacket.DropOwnSource
@@ -200,7 +200,7 @@
 
 // logFlow logs an event of one flow: the flow, the upstream, and the version and age of the state that
 // decided.
-func (e *Edge) logFlow(now time.Time, entry *stoatevent.Entry, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
+func (e *Edge) logFlow(now time.Time, entry *stoatevent.Definition, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
 	if !e.log.admit(now, entry) {
 		return
 	}
--- a/stoatedge/run_updates.go
+++ b/stoatedge/run_updates.go
@@ -136,7 +136,7 @@
 // streamUpdates sends messages to a child until something ends the connection, and returns what did.
 func (e *Edge) streamUpdates(w http.ResponseWriter, r *http.Request, join stoattree.JoinRequest) string {
 	rc := http.NewResponseController(w)
-	out := &stoatcount.Writer{W: w, N: &e.relay.sent}
+	out := &stoatcount.Writer{W: w, Count: &e.relay.sent}
 	var child stoatrelay.ChildState
 	var reports stoatoutlier.DeltaTracker
 	for {
@@ -144,7 +144,7 @@
 		if e.stop.requested() {
 			return "this entry stops"
 		}
-		now, bound := clock(), e.settings().Bound()
+		now, bound := clock(), e.settings().MaxDelay()
 		msg, held, err := e.message(now, join, child, &reports)
 		if err != nil {
 			return err.Error()
@@ -199,7 +199,7 @@
 func (e *Edge) headFor(now time.Time, s *announcement, join stoattree.JoinRequest, body bool, reports *stoatoutlier.DeltaTracker, era stoatpaddle.Era) ([]byte, error) {
 	h := stoatrelay.Head{
 		PositionRevision: uint64(s.known.Revision), PositionEra: uint64(s.known.Era), BodyEra: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), HasBody: body,
-		Path: stoatrelay.FormatAddrs(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
+		Path: stoatrelay.FormatAddrs(append(s.path[:len(s.path):len(s.path)], e.settings().AdminAddr)),
 	}
 	h.Centre = string(e.settings().DataCentre)
 	if sum := e.relay.observedSum.Load(); sum != nil && join.Centre == e.settings().DataCentre {
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -139,8 +139,8 @@
 func (m *silenceModel) declare() {
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
 	m.book.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
-		{Listen: silenceListen[0], Backends: to, Idempotent: true, Objective: silenceGoal, Priority: 2},
-		{Listen: silenceListen[1], Backends: to, Objective: silenceGoal, Priority: 1},
+		{Listen: silenceListen[0], Backends: to, Idempotent: true, TargetLatency: silenceGoal, Priority: 2},
+		{Listen: silenceListen[1], Backends: to, TargetLatency: silenceGoal, Priority: 1},
 	}}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
 	failing := int(m.cfg.Share * float64(m.cfg.Upstreams))
@@ -148,7 +148,7 @@
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		names[id] = true
 		m.book.Register(m.now(), stoatpaddle.Registration{
-			ID: id, Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "here", Slots: silenceSlots, Created: stoatpaddle.Version(i + 2),
+			ID: id, Target: stoatpaddle.TargetID(i + 1), Service: "app", DataCentre: "here", Slots: silenceSlots, CreateRevision: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 		m.ups = append(m.ups, &silentUpstream{m: m, fails: i < failing, held: map[stoatpacket.Tuple]uint32{}})
 	}
@@ -174,7 +174,7 @@
 		}
 	}
 	for i := range m.ups {
-		if _, seen := m.known[i]; !seen && m.fails(i) && avoid[stoatroute.KeyOf(stoatpaddle.Target(i+1))]*10 >= 9*len(m.entries) {
+		if _, seen := m.known[i]; !seen && m.fails(i) && avoid[stoatroute.KeyOf(stoatpaddle.TargetID(i+1))]*10 >= 9*len(m.entries) {
 			m.known[i] = m.q.now - silenceFrom
 		}
 	}
