--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -279,7 +279,7 @@
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now, Seed: 1})
 	w.builder = stoatroute.NewBuilder(stoatroute.Config{})
 	c := w.caller(idempotentAddr)
-	if a := c.syn(0); a.Verdict != stoatecho.Wait {
+	if a := c.syn(0); a.Verdict != stoatecho.Hold {
 		t.Errorf("%+v", a)
 	}
 	w.after(1100 * ms)
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -31,7 +31,7 @@
 	}
 	var ejected []stoatpaddle.UpstreamID
 	for range 4 {
-		w.e.SetSums(w.now, list)
+		w.e.SetDataCentreSums(w.now, list)
 		for _, m := range w.e.EjectFailing(w.now, w.builder.Table()) {
 			ejected = append(ejected, m.Upstream.ID)
 		}
@@ -148,7 +148,7 @@
 // yet, so that it seems to fail most of its requests: it must not be ejected yet.
 func TestFirstCountsAreNotEnough(t *testing.T) {
 	w := newSixUpstreamWorld(t)
-	w.e.SetSums(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
+	w.e.SetDataCentreSums(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
 	if got := w.e.EjectFailing(w.now, w.builder.Table()); len(got) != 0 {
 		t.Error(got)
 	}
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -153,15 +153,15 @@
 	w.restart(1, 5)
 	w.caller(idempotentAddr).open()
 	bad := []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 4, Failed: 20}}}
-	w.e.SetSums(w.now, bad)
+	w.e.SetDataCentreSums(w.now, bad)
 	w.after(time.Second)
 	w.restart(1, 6)
-	w.e.SetSums(w.now, bad)
+	w.e.SetDataCentreSums(w.now, bad)
 	if got := w.e.EjectFailing(w.now, w.builder.Table()); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
 	w.after(6 * time.Second)
-	w.e.SetSums(w.now, bad)
+	w.e.SetDataCentreSums(w.now, bad)
 	if got := w.e.EjectFailing(w.now, w.builder.Table()); len(got) != 1 {
 		t.Error("failures after the restart do not count either")
 	}
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -77,7 +77,7 @@
 	}
 	var out [][]stoatecho.SilentUpstream
 	for _, w := range x.list {
-		w.e.SetSums(w.now, sum)
+		w.e.SetDataCentreSums(w.now, sum)
 		out = append(out, w.e.EjectSilent(w.now, w.builder.Table(), 150*ms))
 	}
 	return out
@@ -240,7 +240,7 @@
 		}})
 	}
 	for range 5 {
-		w.e.SetSums(w.now, sum)
+		w.e.SetDataCentreSums(w.now, sum)
 		w.e.EjectSilent(w.now, w.builder.Table(), 150*ms)
 	}
 	avoided := 0
--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -106,8 +106,8 @@
 	delay, steady := e.pool.PropagationDelay(), e.pool.Stable(now)
 	place, size, parent := e.currentPlace()
 	e.engineMu.Lock()
-	e.engine.SetPlace(now, place)
-	e.engine.SetSums(now, sum)
+	e.engine.SetRank(now, place)
+	e.engine.SetDataCentreSums(now, sum)
 	failing := e.engine.EjectFailing(now, t)
 	var silent []stoatecho.SilentUpstream
 	if steady {
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -72,7 +72,7 @@
 		e.engine.NoteQueueEmpty(bufs.drained)
 	}
 	a := e.engine.Handle(now, t, p)
-	if a.Verdict == stoatecho.Wait && !e.held.Add(now, p, bufs.buf[platform.TargetSize:platform.TargetSize+n]) {
+	if a.Verdict == stoatecho.Hold && !e.held.Add(now, p, bufs.buf[platform.TargetSize:platform.TargetSize+n]) {
 		a.Verdict = stoatecho.Drop
 		e.counts.dropped[a.Reason].Add(1)
 	}
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -99,7 +99,7 @@
 	e.due, e.next = false, e.m.q.now+e.pacer.RecordRound(now)
 	own := e.engine.Reports(now, e.pool.Suspects(now))
 	sum, report, to := e.pool.Aggregate(now, own, e.reports)
-	e.engine.SetSums(now, sum)
+	e.engine.SetDataCentreSums(now, sum)
 	table := e.m.book.Table()
 	e.engine.EjectFailing(now, table)
 	if e.pool.Stable(now) {
