--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -167,7 +167,7 @@
 		case x := <-e.reports:
 			e.relay.reportedSize.Store(int64(x.size))
 			if !e.sendReport(x) {
-				e.pool.ResetParentStream()
+				e.pool.ForceFullUpdate()
 				e.relay.reportedSize.Store(0)
 			}
 			e.reportPending.Store(false)
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -120,7 +120,7 @@
 	e.m.q.after(e.hop(), func() {
 		now := e.m.now()
 		if !e.parent.pool.HandleChildUpdate(now, e.addr(), stoatoutlier.Update{Full: u.Full, Reports: stoatoutlier.Decode(now, wire)}) {
-			e.pool.ResetParentStream()
+			e.pool.ForceFullUpdate()
 		}
 		e.reports = false
 		e.notice()
