--- a/stoatflow/choose.go
+++ b/stoatflow/choose.go
@@ -32,9 +32,9 @@
 //
 // The flow goes to its preferred upstream unless that has more than the mean load. Then it is diverted with
 // a probability proportional to the excess, to one of the upstreams below the mean, each with a probability
-// proportional to its deficit. With a hard bound all owners, whose reports of each other's load are old,
-// would divert flows at the same moment and overload the next upstream. With a proportional rule each owner
-// corrects its part.
+// proportional to its deficit. With a hard limit on the load all owners, which know each other's load only
+// from old reports, would divert flows at the same moment and overload the next upstream. With a
+// proportional rule each owner corrects its part.
 func (e *Engine) choose(p *packetDecision, preferred *stoatview.Upstream) (*slot, slotIndex, bool) {
 	r := e.reg.Load()
 	preferredSlot, preferredIndex := r.find(preferred.Key)
@@ -59,8 +59,8 @@
 	return alternative, r.byKey[alternative.key], true
 }
 
-// computeMean sets the mean load. Upstreams in slow start are left out: they would make all others look
-// overloaded for as long as the flows of those live.
+// computeMean sets the mean load. Upstreams in slow start are left out: with their low load all others would
+// look overloaded for as long as the flows of the others live.
 func (b *balancer) computeMean() {
 	var load, weight float64
 	for i, u := range b.set.Upstreams {
--- a/stoatflow/engine.go
+++ b/stoatflow/engine.go
@@ -74,7 +74,7 @@
 	To         netip.AddrPort
 	Header     Header
 	Reason     stoatpacket.DropReason
-	NotifyAddr netip.AddrPort // if valid, the entry to notify of the upstream of the flow with a KindNotice datagram
+	NotifyAddr netip.AddrPort // if valid, the entry that is to get a KindNotice datagram about the flow
 }
 
 // Engine holds the flow table of one entry. Its methods may be called concurrently.
@@ -148,9 +148,9 @@
 
 // gain returns the weight of load differences for a customer. It is lower while the byte budget is short,
 // because a tracked flow whose copy has not been sent breaks if this entry dies.
-func (e *Engine) gain(lean stoatpaddle.Preference) float64 {
+func (e *Engine) gain(preference stoatpaddle.Preference) float64 {
 	gain := e.cfg.Gain * e.outbox.gainFactor()
-	if lean == stoatpaddle.PreferFewTracked {
+	if preference == stoatpaddle.PreferFewTracked {
 		return gain * leanFlowsGain
 	}
 	return gain
--- a/stoatflow/engine_test.go
+++ b/stoatflow/engine_test.go
@@ -136,8 +136,8 @@
 }
 
 // While views point at each other in a cycle a packet is relayed until its hops are used up. A segment of
-// an open flow is dropped and sent again by the caller: if the last entry placed it by hash, it could break
-// the flow. An opening packet is placed.
+// an open flow must then be dropped, and the caller sends it again: if the last entry placed it by hash, it
+// could break the flow. An opening packet must be placed.
 func TestPacketWithExhaustedHops(t *testing.T) {
 	s := &session{engines: map[string]*stoatflow.Engine{}, views: map[string]*stoatview.View{}, upstreams: []string{"a-1", "a-2"}, entries: []string{"a1", "a2"}}
 	s.updateViews()
@@ -158,8 +158,8 @@
 	}
 }
 
-// A datagram on the relay port that no entry made, or that was made for another flow, is refused. Otherwise
-// anyone could make an entry decide for flows that it does not own.
+// A datagram on the relay port that no entry made, or that was made for another flow, must be refused.
+// Otherwise anyone could make an entry decide for flows that it does not own.
 func TestForgedHeaders(t *testing.T) {
 	seed := stoatpacket.Seed{K0: 1, K1: 2}
 	var b [64]byte
--- a/stoatflow/handle.go
+++ b/stoatflow/handle.go
@@ -77,7 +77,8 @@
 	}
 	sl := e.reg.Load().slots[f.slot]
 	// Two flows may have the same hash. Without this check the second would follow the first, perhaps to an
-	// upstream of another customer. Its packets go to its preferred upstream without a table entry.
+	// upstream of another customer. Packets of the second go to its preferred upstream without a table
+	// entry.
 	if sl.ref != p.in.Service.Ref {
 		return e.forwardStateless(p), true
 	}
@@ -145,8 +146,8 @@
 	}
 }
 
-// claimLifetime is longer than entries take to learn of a change. With an even longer one the claimant may
-// have left by its end.
+// claimLifetime is longer than entries take to learn of a change. If it were much longer, the claimant might
+// have left before the claim expires.
 const claimLifetime = 10 * time.Second
 
 // answerLookup handles a lookup, which is a packet whose owner does not know the flow.
@@ -198,8 +199,8 @@
 	if ownedHere {
 		return Action{}, false
 	}
-	// The sender regards this entry as the owner, and this entry the sender. The receiver decides, because
-	// otherwise the packet would go back and forth without end.
+	// The sender regards this entry as the owner, and this entry regards the sender as the owner. The
+	// receiver decides, because otherwise the packet would go back and forth without end.
 	if h.Kind == KindRelay && owner.Relay == p.in.From {
 		return Action{}, false
 	}
--- a/stoatflow/header.go
+++ b/stoatflow/header.go
@@ -69,7 +69,8 @@
 	return uint32(siphash.Hash(seed.K1, seed.K0, msg[:]))
 }
 
-// noticeSize is the length of the flow and its upstream, which follow the header of a KindNotice datagram.
+// noticeSize is the length in bytes of the flow and its upstream, which follow the header of a KindNotice
+// datagram.
 const noticeSize = 12
 
 // EncodeNotice encodes a KindNotice datagram into b and returns its length.
@@ -80,8 +81,8 @@
 	return HeaderSize + noticeSize
 }
 
-// DecodeNotice decodes what follows the header of a KindNotice datagram. ok is false unless an entry of
-// the cluster made the datagram.
+// DecodeNotice decodes the record in a KindNotice datagram. ok is false unless an entry of the cluster made
+// the datagram.
 func DecodeNotice(b []byte, seed stoatpacket.Seed) (r Record, ok bool) {
 	if len(b) < HeaderSize+noticeSize {
 		return Record{}, false
--- a/stoatflow/outbox.go
+++ b/stoatflow/outbox.go
@@ -71,7 +71,7 @@
 	return n
 }
 
-// minBatchRoom is the least room that a batch gets, so that its fixed overhead pays off.
+// minBatchRoom is the least room in bytes that a batch gets, so that its fixed overhead pays off.
 const minBatchRoom = BatchOverhead + 4*RecordSize
 
 // queue holds the records that wait to be sent to one entry.
@@ -193,7 +193,8 @@
 }
 
 // drained reports whether nothing is left that is due. A few drops may remain, since they wait for other
-// records. The entries that hold those copies remove them once they are idle.
+// records. The stop need not wait for them: an entry that takes over a flow from its copy removes the flow
+// once it is idle.
 func (o *outbox) drained() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -216,7 +217,7 @@
 	}
 }
 
-// flush removes as many bytes as the budget allows and returns them in batches, starting with another
+// flush removes as many records as the budget allows and returns them in batches, starting with another
 // destination each time.
 func (o *outbox) flush(now time.Time, budget int, connected func(stoatpaddle.InstanceID) bool) []Batch {
 	o.mu.Lock()
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -65,7 +65,8 @@
 // copyLag is how long it may take until the copies of newly tracked flows have left an entry that dies.
 const copyLag = 5 * time.Second
 
-// adoptOpen places a flow that may be open already, by the upstream set that was in force when it opened.
+// adoptOpen places a flow that may be open already. This entry would know a flow that opened after it became
+// the owner, so the upstream set that was in force when the ownership changed applies.
 func (e *Engine) adoptOpen(p *packetDecision) Action {
 	s := p.in.Service
 	if p.view.RecentlyPartitioned(p.now) && (p.view.MayBeBeyondPartition(s, p.key, p.now) || !p.waitedForPartition()) {
@@ -145,8 +146,8 @@
 		f.flags |= closing
 	}
 	p.sh.flows[p.key] = f
-	// Another entry may hold a record of the flow that this one replaces. If ownership changed since,
-	// nothing told that entry to drop it. The new record overwrites it.
+	// Another entry may hold a record of an earlier flow that this flow replaces. If ownership changed
+	// since, nothing told that entry to drop the record. The new record overwrites it.
 	if (f.flags&tracked != 0 || p.replacesTracked) && f.flags&closing == 0 {
 		e.enqueueCopies(p.view, p.in.Service, p.key, sl)
 	}
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// ReceiveNotice applies a KindNotice datagram, which says where a flow goes that this entry owns.
+// ReceiveNotice applies a KindNotice datagram, which gives the upstream of a flow that this entry owns.
 func (e *Engine) ReceiveNotice(now time.Time, v *stoatview.View, r Record) {
 	e.receiveMove(now, v, e.reg.Load(), r)
 }
--- a/stoatflow/scan.go
+++ b/stoatflow/scan.go
@@ -117,7 +117,7 @@
 	return preferred == nil || preferred.Key != sl.key
 }
 
-// enqueueRecords queues the records that the change of the placement from old to st requires.
+// enqueueRecords queues the records that the change of the placement from old to pl requires.
 func (e *Engine) enqueueRecords(v *stoatview.View, old, pl placement, k stoatpaddle.FlowHash, sl *slot) {
 	r := Record{Key: k, Upstream: sl.key}
 	if !pl.owns(v.Self) {
@@ -191,8 +191,8 @@
 
 // enqueueCopies queues the copies of a flow that has just become tracked.
 //
-// The copy in the data centre of the upstream is needed only if that is partitioned, and most flows are
-// short, so enqueueBackup queues it later.
+// The copy in the data centre of the upstream is needed only if that data centre is partitioned, and most
+// flows are short, so enqueueBackup queues it later.
 func (e *Engine) enqueueCopies(v *stoatview.View, s *stoatview.Service, k stoatpaddle.FlowHash, sl *slot) {
 	pl := placementOf(v, s, k, sl)
 	if pl.owns(v.Self) {
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -181,7 +181,8 @@
 	Open     uint32
 }
 
-// Loads returns the engine's own load on each upstream, in the order in which they were first seen.
+// Loads returns the engine's own load on each upstream that has any, in the order in which the upstreams
+// were first seen.
 func (e *Engine) Loads() []UpstreamLoad {
 	r := e.reg.Load()
 	out := make([]UpstreamLoad, 0, len(r.slots))
