--- a/stoatview/entryset.go
+++ b/stoatview/entryset.go
@@ -67,8 +67,8 @@
 	return owner, next
 }
 
-// topTwo returns the members with the two highest scores within dc, or over all data centres if dc is
-// empty.
+// topTwo returns the members other than excluded with the two highest scores within dc, or over all data
+// centres if dc is empty.
 func (e *EntrySet) topTwo(k stoatpaddle.FlowHash, dc stoatpaddle.DataCentreID, excluded *Member) (first, second *Member) {
 	var firstScore, secondScore uint64
 	for _, m := range e.Members {
--- a/stoatview/next.go
+++ b/stoatview/next.go
@@ -223,8 +223,8 @@
 	s.Active = append(s.Active, up)
 }
 
-// effectiveWeight returns the upstream's weight times the share of its data centre. If the service declares
-// shares, a data centre without one gets 0.
+// effectiveWeight returns the upstream's weight times the weight of its data centre. If the service declares
+// weights of data centres, one without a weight counts as 0.
 func effectiveWeight(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) stoatpaddle.Weight {
 	if len(svc.CentreWeights) == 0 {
 		return u.Weight
--- a/stoatview/owner.go
+++ b/stoatview/owner.go
@@ -86,9 +86,9 @@
 	return append(buf, m)
 }
 
-// PreviousOwner returns the entry that owned this flow within this entry's data centre before this entry
-// did, or nil if ownership did not change less than settle ago. An entry that receives a lookup
-// soon after it joined forwards the lookup to that entry, which may know the flow.
+// PreviousOwner returns the entry that owned the flow within this entry's data centre before this entry did,
+// or nil if this entry is not the owner or has been for at least settle. An entry that receives a lookup
+// soon after it joined forwards the lookup to the previous owner, which may know the flow.
 func (v *View) PreviousOwner(k stoatpaddle.FlowHash, now time.Time, settle time.Duration) *Member {
 	self := v.Entries.Find(v.Self)
 	if self == nil || v.Entries.Owner(k, self.DataCentre) != self {
@@ -114,11 +114,11 @@
 	return len(v.Partitioned) > 0 || now.Sub(v.partitionSeen) < PartitionGrace
 }
 
-// MayBeBeyondPartition reports whether a packet that opens nothing and is unknown here may belong to a
-// flow that only entries beyond a partition know. That is so if its preferred upstream is
-// beyond the partition, if this entry owned the flow before the partition, and so would know
-// it had it opened here, or if this entry took ownership because of the partition. For
-// PartitionGrace after a partition it is so for every flow.
+// MayBeBeyondPartition reports whether an unknown packet that opens nothing may belong to a flow that only
+// entries beyond a partition know. That is so in three cases: the flow's preferred upstream is beyond the
+// partition; this entry has owned the flow since before the partition and would know it had it opened here;
+// or this entry became the owner because of the partition. For PartitionGrace after a partition it is so
+// for every flow.
 func (v *View) MayBeBeyondPartition(s *Service, k stoatpaddle.FlowHash, now time.Time) bool {
 	if len(v.Partitioned) == 0 {
 		return v.RecentlyPartitioned(now)
--- a/stoatview/set.go
+++ b/stoatview/set.go
@@ -21,7 +21,8 @@
 	seed        uint64
 }
 
-// UpstreamSet holds the upstreams that take new flows of one service, in ascending order of key. It is immutable.
+// UpstreamSet holds the upstreams that take new flows of one service, in ascending order of key. It is
+// immutable.
 type UpstreamSet struct {
 	Upstreams    []*Upstream
 	equalWeights bool // the upstreams all have the same weight
@@ -48,7 +49,7 @@
 // and Ravishankar 2008) would make it logarithmic.
 func (s *UpstreamSet) Preferred(k stoatpaddle.FlowHash) *Upstream {
 	if !s.equalWeights {
-		return s.firstWeighted(k)
+		return s.preferredWeighted(k)
 	}
 	var best *Upstream
 	var bestScore uint64
@@ -60,7 +61,7 @@
 	return best
 }
 
-func (s *UpstreamSet) firstWeighted(k stoatpaddle.FlowHash) *Upstream {
+func (s *UpstreamSet) preferredWeighted(k stoatpaddle.FlowHash) *Upstream {
 	var best *Upstream
 	var bestScore float64
 	for _, u := range s.Upstreams {
