--- a/stoatpacket/packet.go
+++ b/stoatpacket/packet.go
@@ -27,7 +27,7 @@
 	DropPartitioned     // its flow may be known only to entries beyond a partition
 	DropLength          // its length field differs from the length of the datagram
 	DropFlags           // flags that no caller sends
-	DropOwnSource       // the caller's address is one of this entry
+	DropOwnSource       // the caller's address is one of this entry's
 	DropForged          // the cookie belongs to a service that the route never had
 	DropUnverified      // this entry cannot verify the cookie yet
 	DropUnconfigured    // this entry has no configuration yet
