--- a/stoatpeer/codec.go
+++ b/stoatpeer/codec.go
@@ -30,7 +30,7 @@
 	// MaxFrame limits the bytes of a frame, so that a wrong length cannot exhaust the entry's memory. It
 	// leaves room for several objects of the platform's maximum size, one megabyte.
 	MaxFrame = 4 << 20
-	// maxList limits the length of a list before any element is read.
+	// maxList limits the number of elements of a list; it is checked before any element is read.
 	maxList = 1 << 20
 )
 
--- a/stoatpeer/encode.go
+++ b/stoatpeer/encode.go
@@ -124,7 +124,7 @@
 	}
 }
 
-const flowHashSize = stoatpaddle.FlowHashBits / 8
+const flowHashSize = stoatpaddle.FlowHashBits / 8 // bytes
 
 // appendFlow appends a flow's hash in big-endian order, without the leading bytes that it does not use.
 func appendFlow(b []byte, k stoatpaddle.FlowHash) []byte {
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -22,8 +22,8 @@
 const (
 	dialTimeout  = time.Second
 	helloTimeout = 2 * time.Second
-	// idleTimeout is how long a connection may be without a message. Heartbeats come every half second, so
-	// that a connection without any is closed although TCP still considers it open.
+	// idleTimeout is how long a connection may be without a message. Heartbeats come every half second, so a
+	// connection without any is closed even if TCP still considers it open.
 	idleTimeout = 3 * time.Second
 	queueSize   = 512 // frames that wait for one peer
 )
@@ -41,8 +41,8 @@
 	Addr    netip.AddrPort
 	Handler Handler
 	Log     stoatevent.Sink
-	// Partitioned reports whether the network between this entry and the instance counts as cut. It is for
-	// tests.
+	// Partitioned reports whether the network between this entry and the instance is treated as cut. Only
+	// tests set it.
 	Partitioned func(id stoatpaddle.InstanceID) bool
 }
 
@@ -63,15 +63,15 @@
 
 // peerConn is one connection after both hellos.
 type peerConn struct {
-	id     stoatpaddle.InstanceID
-	conn   net.Conn
-	queue  chan []byte
-	once   sync.Once
-	closed chan struct{}
+	id        stoatpaddle.InstanceID
+	conn      net.Conn
+	queue     chan []byte
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 func (c *peerConn) close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		close(c.closed)
 		_ = c.conn.Close()
 	})
@@ -122,7 +122,7 @@
 	_ = t.group.Wait()
 }
 
-// Bytes returns the bytes of frames sent and received.
+// Bytes returns the number of bytes of frames sent and received, without the hellos.
 func (t *Transport) Bytes() (sent, received int64) { return t.sent.Load(), t.received.Load() }
 
 func (t *Transport) accept() error {
