--- a/stoattunnel/parse.go
+++ b/stoattunnel/parse.go
@@ -56,8 +56,8 @@
 	if err := r.ip4.DecodeFromBytes(data, r.feedback); err != nil {
 		return stoatpacket.DropShort
 	}
-	// A later fragment has no ports, so that its flow is not known. The first one would reach an upstream
-	// that never gets the rest.
+	// Fragments after the first have no ports, so their flow is not known, and the first would reach an
+	// upstream that never gets the rest.
 	if r.ip4.FragOffset != 0 || r.ip4.Flags&layers.IPv4MoreFragments != 0 {
 		return stoatpacket.DropFragment
 	}
