--- a/stoatmessage/message.go
+++ b/stoatmessage/message.go
@@ -14,7 +14,8 @@
 	Instance stoatpaddle.Instance
 }
 
-// Digest summarizes the object versions that an entry holds. Entries with different digests hold different versions.
+// Digest summarizes the object versions that an entry holds. Entries with different digests hold different
+// versions.
 type Digest struct {
 	Newest   stoatpaddle.Version // highest version
 	Checksum uint32              // XOR of the hashes of all objects with their versions
@@ -41,7 +42,7 @@
 // Objects carries objects that were requested.
 type Objects struct{ Objects []stoatpaddle.Object }
 
-// Members lists the instances that the sender knows, with their states.
+// Members lists the entries that the sender knows, with their states.
 type Members struct{ Instances []stoatpaddle.Instance }
 
 // Flows carries flow records and load reports.
