--- a/stoatedge/answer_test.go
+++ b/stoatedge/answer_test.go
@@ -41,9 +41,9 @@
 func TestInterruptDuringAPause(t *testing.T) {
 	e := &Edge{ctx: t.Context(), events: newEventQueue()}
 	var c callCancel
-	given := c.begin(t.Context())
+	callCtx := c.begin(t.Context())
 	c.interrupt()
-	e.call(given, startCall{topic: upstreams, call: stoatfeed.Call{Pause: time.Hour}})
+	e.call(callCtx, startCall{topic: upstreams, call: stoatfeed.Call{Pause: time.Hour}})
 	list := e.events.take()
 	if x, ok := list[0].(callEnded); len(list) != 1 || !ok || x.result.Outcome != stoatfeed.Interrupted {
 		t.Errorf("%+v", list)
--- a/stoatedge/apply.go
+++ b/stoatedge/apply.go
@@ -85,11 +85,11 @@
 }
 
 func (ctl *controller) logEvacuation(e stoatpaddle.Evacuation, source string) {
-	entry := EventEvacuated
+	definition := EventEvacuated
 	if e.Withdrawn {
-		entry = EventEvacuationWithdrawn
+		definition = EventEvacuationWithdrawn
 	}
-	ctl.log(entry, stoatevent.F("centre", string(e.DataCentre)), stoatevent.F("revision", e.Revision.String()), stoatevent.F("source", source))
+	ctl.log(definition, stoatevent.F("centre", string(e.DataCentre)), stoatevent.F("revision", e.Revision.String()), stoatevent.F("source", source))
 }
 
 // register applies an upstream's registration.
--- a/stoatedge/controller.go
+++ b/stoatedge/controller.go
@@ -56,8 +56,8 @@
 	upstreamPages   pages[stoatpaddle.UpstreamID]
 	evacuationPages pages[stoatpaddle.DataCentreID]
 	follower        follower
-	applyBound      time.Duration // how soon a change has to be in force
-	returnTimeout   time.Duration // how long a lapsed registration may take to come back
+	maxDelay        time.Duration // how soon a change has to be in force
+	gracePeriod     time.Duration // how long a lapsed registration may take to come back
 	openProof       *proof        // the proof that is not matched yet; nil: none
 	rand            *rand.Rand
 	known           stoatpaddle.Position // everything up to it is known, of all topics, once ready
@@ -75,29 +75,29 @@
 }
 
 type controllerConfig struct {
-	Apply time.Duration
+	MaxDelay time.Duration
 	// Evacuations reports whether the platform has evacuations to follow.
-	Evacuations bool
-	Return      time.Duration
-	Life        time.Duration
-	Seeds       seedRole
-	Seed        uint64
+	Evacuations  bool
+	GracePeriod  time.Duration
+	FlowLifetime time.Duration
+	Seeds        seedRole
+	Seed         uint64
 }
 
 func newController(cfg controllerConfig) *controller {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, 1))
 	ctl := &controller{
-		applyBound: cfg.Apply, rand: rnd, reading: true, topics: []topic{declarations, upstreams},
-		returnTimeout: cfg.Return,
-		state:         stoatroute.NewBuilder(stoatroute.Config{GracePeriod: cfg.Return, Retention: cfg.Life, RequireEvacuations: cfg.Evacuations}),
-		evacuations:   cfg.Evacuations,
+		maxDelay: cfg.MaxDelay, rand: rnd, reading: true, topics: []topic{declarations, upstreams},
+		gracePeriod: cfg.GracePeriod,
+		state:       stoatroute.NewBuilder(stoatroute.Config{GracePeriod: cfg.GracePeriod, Retention: cfg.FlowLifetime, RequireEvacuations: cfg.Evacuations}),
+		evacuations: cfg.Evacuations,
 	}
 	if cfg.Evacuations {
 		ctl.topics = append(ctl.topics, evacuations)
 	}
-	ctl.feeds[declarations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd})
-	ctl.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd, AllowStale: true})
-	ctl.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd, AllowStale: true})
+	ctl.feeds[declarations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.MaxDelay, Rand: rnd})
+	ctl.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.MaxDelay, Rand: rnd, AllowStale: true})
+	ctl.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.MaxDelay, Rand: rnd, AllowStale: true})
 	ctl.setSeedRole(time.Time{}, cfg.Seeds)
 	return ctl
 }
@@ -132,11 +132,11 @@
 	case unknownCookie:
 		ctl.verify(now, upstreams)
 	case settingsChanged:
-		ctl.applyBound, ctl.returnTimeout = x.apply, x.returnTimeout
+		ctl.maxDelay, ctl.gracePeriod = x.maxDelay, x.gracePeriod
 		ctl.setSeedRole(now, x.seeds)
-		ctl.state.SetConfig(stoatroute.Config{GracePeriod: x.returnTimeout, Retention: x.flowLifetime, RequireEvacuations: ctl.evacuations})
+		ctl.state.SetConfig(stoatroute.Config{GracePeriod: x.gracePeriod, Retention: x.flowLifetime, RequireEvacuations: ctl.evacuations})
 		for _, t := range ctl.topics {
-			ctl.feeds[t].SetMaxDelay(x.apply)
+			ctl.feeds[t].SetMaxDelay(x.maxDelay)
 		}
 	}
 	ctl.logStandings()
@@ -149,7 +149,7 @@
 func (ctl *controller) emit(effect any) { ctl.effects = append(ctl.effects, effect) }
 
 func (ctl *controller) log(e *stoatevent.Definition, fields ...stoatevent.Field) {
-	ctl.emit(logEvent{entry: e, fields: fields})
+	ctl.emit(logEvent{definition: e, fields: fields})
 }
 
 func (ctl *controller) startCall(now time.Time, t topic) {
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -45,7 +45,7 @@
 // platform itself or relies on them.
 func startSession(t *testing.T, otherSeeds, reliesOnOthers bool) *session {
 	s := newSessionOf(t, controllerConfig{
-		Apply: 3 * time.Second, Return: 2 * time.Second, Life: time.Minute, Seeds: seedRole{otherSeeds: otherSeeds, isSeed: otherSeeds && !reliesOnOthers}, Seed: 1,
+		MaxDelay: 3 * time.Second, GracePeriod: 2 * time.Second, FlowLifetime: time.Minute, Seeds: seedRole{otherSeeds: otherSeeds, isSeed: otherSeeds && !reliesOnOthers}, Seed: 1,
 	})
 	s.step(started{})
 	return s
@@ -70,7 +70,7 @@
 		case publishTable:
 			s.table = x.table
 		case logEvent:
-			s.events[x.entry.Number]++
+			s.events[x.definition.Number]++
 		case findParent:
 			s.searches = append(s.searches, x)
 		case leaveParent:
@@ -424,7 +424,7 @@
 // Changed bounds apply to the next call.
 func TestChangedBounds(t *testing.T) {
 	s := newRunningSession(t)
-	s.step(settingsChanged{apply: time.Second, returnTimeout: time.Second, flowLifetime: time.Minute})
+	s.step(settingsChanged{maxDelay: time.Second, gracePeriod: time.Second, flowLifetime: time.Minute})
 	s.answer(declarations, 10)
 	if w := s.calls[declarations].Wait; w != 650*ms {
 		t.Error(w)
@@ -507,14 +507,14 @@
 // incarnation that takes effect late is logged too, and ignored.
 func TestRestartIsLogged(t *testing.T) {
 	s := newRunningSession(t)
-	born := func(life stoatpaddle.Incarnation, revision stoatpaddle.Version) change {
+	withIncarnation := func(incarnation stoatpaddle.Incarnation, revision stoatpaddle.Version) change {
 		c := registered("i-1", 1, revision)
-		c.registration.Incarnation = life
+		c.registration.Incarnation = incarnation
 		return c
 	}
-	s.answer(upstreams, 11, born(5, 11))
-	s.answer(upstreams, 12, born(7, 12))
-	s.answer(upstreams, 13, born(5, 13))
+	s.answer(upstreams, 11, withIncarnation(5, 11))
+	s.answer(upstreams, 12, withIncarnation(7, 12))
+	s.answer(upstreams, 13, withIncarnation(5, 13))
 	if got := s.table.Upstream(stoatroute.KeyOf(1)); got.Incarnation != 7 || got.Revision != 12 || s.events[EventIncarnation.Number] != 2 {
 		t.Errorf("%+v %v", got, s.events)
 	}
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -55,11 +55,11 @@
 	tableReady      chan struct{} // closed when the first table that is enough to place flows is in force
 	tableReadyOnce  sync.Once     // closes tableReady
 	relay           *relayState
-	pool            stoatoutlier.Aggregator
+	aggregator      stoatoutlier.Aggregator
 	observed        chan struct{}             // what entries observed of upstreams changed
 	reports         chan pendingReport        // to the parent
 	reportPending   atomic.Bool               // a report is in progress
-	wakeStream      stoatoutlier.DeltaTracker // what children were last woken for; used by shareObservations only
+	wakeTracker     stoatoutlier.DeltaTracker // what children were last woken for; used by shareObservations only
 	group           *errgroup.Group
 	ctx             context.Context
 	cancel          context.CancelFunc
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	ctl := newController(controllerConfig{
-		Apply: e.current.MaxDelay(), Evacuations: e.current.MaxEvacuateDelay > 0, Return: e.current.GracePeriod, Life: e.current.FlowLifetime, Seeds: seedRoleOf(e.current), Seed: seed,
+		MaxDelay: e.current.MaxDelay(), Evacuations: e.current.MaxEvacuateDelay > 0, GracePeriod: e.current.GracePeriod, FlowLifetime: e.current.FlowLifetime, Seeds: seedRoleOf(e.current), Seed: seed,
 	})
 	e.group.Go(func() error { return e.control(ctl) })
 	e.log.emit(now, EventStart, stoatevent.F("tunnel", e.current.TunnelAddr.String()), stoatevent.F("centre", string(e.current.DataCentre)),
@@ -151,7 +151,7 @@
 		return err
 	}
 	// The buffer holds half a second of traffic at the busiest entry. The kernel may grant less.
-	_ = e.conn.SetReadBuffer(receiveBuffer)
+	_ = e.conn.SetReadBuffer(receiveBufferBytes)
 	e.reader, err = newReader(e.conn, func() bool { return e.pause.starved(uptime()) })
 	return err
 }
@@ -170,8 +170,8 @@
 }
 
 const (
-	receiveBuffer = 1 << 20
-	headerTimeout = 5 * time.Second
+	receiveBufferBytes = 1 << 20
+	headerTimeout      = 5 * time.Second
 )
 
 func (e *Edge) listen(addr netip.AddrPort, h http.Handler) error {
--- a/stoatedge/edge_test.go
+++ b/stoatedge/edge_test.go
@@ -27,13 +27,13 @@
 
 // rig is a platform, two upstreams and a caller on their own loopback addresses.
 type rig struct {
-	t        testing.TB
-	store    *stoatfake.Platform
-	addr     netip.AddrPort
-	caller   *net.UDPConn
-	port     uint16
-	upstream [2]*net.UDPConn
-	evacuate time.Duration // of entries started from now on; 0: they follow no evacuations
+	t                testing.TB
+	store            *stoatfake.Platform
+	addr             netip.AddrPort
+	caller           *net.UDPConn
+	port             uint16
+	upstream         [2]*net.UDPConn
+	maxEvacuateDelay time.Duration // of entries started from now on; 0: they follow no evacuations
 }
 
 const (
@@ -114,7 +114,7 @@
 	set := stoatsetting.Settings{
 		Instance: "edge-" + stoatpaddle.InstanceID(host), DataCentre: "here", LogLevel: "info", PlatformAddr: r.addr, Seeds: seeds,
 		TunnelAddr: netip.AddrPortFrom(netip.MustParseAddr(host), r.port), ReadyAddr: free(), AdminAddr: free(),
-		MaxEvacuateDelay: r.evacuate,
+		MaxEvacuateDelay: r.maxEvacuateDelay,
 		MaxApplyDelay:    600 * time.Millisecond, GracePeriod: 500 * time.Millisecond, FlowLifetime: time.Minute, StopDeadline: 4 * time.Second,
 	}
 	l := &logBuffer{}
@@ -324,7 +324,7 @@
 // continues. An entry that starts meanwhile places no flow there either, not even its first one.
 func TestEvacuationReachesAll(t *testing.T) {
 	r := newRig(t)
-	r.evacuate = 600 * time.Millisecond
+	r.maxEvacuateDelay = 600 * time.Millisecond
 	seed, setSeed, logSeed := r.start("127.0.0.11")
 	r.wait("the seed is ready", func() bool { return isReady(setSeed) })
 	b, setB, _ := r.start("127.0.0.12", setSeed.AdminAddr)
@@ -424,14 +424,14 @@
 				continue
 			}
 			r.t.Cleanup(func() { _, _ = in.Close(), out.Close() })
-			go p.carry(in, out)
-			go p.carry(out, in)
+			go p.forward(in, out)
+			go p.forward(out, in)
 		}
 	}()
 	return p
 }
 
-func (p *proxy) carry(from, to net.Conn) {
+func (p *proxy) forward(from, to net.Conn) {
 	buf := make([]byte, 4096)
 	for {
 		n, err := from.Read(buf)
--- a/stoatedge/evacuation_test.go
+++ b/stoatedge/evacuation_test.go
@@ -12,7 +12,7 @@
 // newEvacuationSession returns a session of an entry that follows evacuations and has got no answer yet.
 func newEvacuationSession(t *testing.T, otherSeeds, reliesOnOthers bool) *session {
 	s := newSessionOf(t, controllerConfig{
-		Apply: 3 * time.Second, Evacuations: true, Return: 2 * time.Second, Life: time.Minute,
+		MaxDelay: 3 * time.Second, Evacuations: true, GracePeriod: 2 * time.Second, FlowLifetime: time.Minute,
 		Seeds: seedRole{otherSeeds: otherSeeds, isSeed: otherSeeds && !reliesOnOthers}, Seed: 1,
 	})
 	s.step(started{})
@@ -150,25 +150,25 @@
 // one whose state is older, does not bring back an evacuation that was withdrawn.
 func TestEvacuationFromParent(t *testing.T) {
 	s := newEvacuationSession(t, true, true)
-	tell := func(known stoatpaddle.Version, list ...stoatpaddle.Evacuation) {
+	update := func(known stoatpaddle.Version, list ...stoatpaddle.Evacuation) {
 		s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: position(known), evacuations: list},
 			declared(1, 5), registered("i-1", 1, 6))
 	}
 	here := func(revision stoatpaddle.Version, withdrawn bool) stoatpaddle.Evacuation {
 		return stoatpaddle.Evacuation{DataCentre: "here", Revision: revision, Withdrawn: withdrawn}
 	}
-	tell(10, here(8, false))
+	update(10, here(8, false))
 	if !s.table.Ready() {
 		t.Fatal("not ready")
 	}
 	s.wantEvacuated("the first update", true)
-	tell(14, here(13, true))
+	update(14, here(13, true))
 	s.wantEvacuated("an update that it is withdrawn", false)
-	tell(12, here(8, false))
+	update(12, here(8, false))
 	s.wantEvacuated("an update of a parent that knows less", false)
-	tell(16, here(15, false))
+	update(16, here(15, false))
 	s.wantEvacuated("evacuated again", true)
-	tell(16)
+	update(16)
 	s.wantEvacuated("an update of a parent that does not know of it", true)
 }
 
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -81,8 +81,8 @@
 	formerLoaded struct{ former []stoatroute.FormerService }
 	// settingsChanged carries changed settings.
 	settingsChanged struct {
-		apply, returnTimeout, flowLifetime time.Duration
-		seeds                              seedRole
+		maxDelay, gracePeriod, flowLifetime time.Duration
+		seeds                               seedRole
 	}
 )
 
@@ -129,8 +129,8 @@
 	publishTable struct{ table *stoatroute.Table }
 	// logEvent logs a numbered event.
 	logEvent struct {
-		entry  *stoatevent.Definition
-		fields []stoatevent.Field
+		definition *stoatevent.Definition
+		fields     []stoatevent.Field
 	}
 )
 
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -111,7 +111,7 @@
 	x := findParent{searchID: f.searchID, known: ctl.known}
 	if ctl.ready && ctl.failingSince().IsZero() {
 		// The platform answers this entry, so a parent's state that is too old is of no use.
-		x.maxAge = stoatfeed.Fraction(ctl.applyBound, maxParentAgeShare)
+		x.maxAge = stoatfeed.Fraction(ctl.maxDelay, maxParentAgeShare)
 	}
 	ctl.emit(x)
 }
@@ -221,7 +221,7 @@
 // parentIsCurrent reports whether the parent's state is recent enough to be relied on. That may hold for some
 // time after the parent has ended, which is time to find another one.
 func (ctl *controller) parentIsCurrent(now time.Time) bool {
-	return now.Sub(ctl.follower.currentAt) <= stoatfeed.Fraction(ctl.applyBound, maxParentAgeShare)
+	return now.Sub(ctl.follower.currentAt) <= stoatfeed.Fraction(ctl.maxDelay, maxParentAgeShare)
 }
 
 // stopReading ends reading the platform. The calls in progress are cancelled, since their results are older
--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -18,7 +18,7 @@
 
 // eventLog writes events without ever blocking traffic.
 type eventLog struct {
-	pipe         *stoatevent.AsyncWriter
+	writer       *stoatevent.AsyncWriter
 	mu           sync.RWMutex // guards logger
 	logger       *stoatevent.Logger
 	sampler      *stoatevent.Sampler
@@ -29,21 +29,21 @@
 }
 
 func newEventLog(w io.Writer, set stoatsetting.Settings) *eventLog {
-	l := &eventLog{pipe: stoatevent.NewAsyncWriter(), name: string(set.Instance)}
+	l := &eventLog{writer: stoatevent.NewAsyncWriter(), name: string(set.Instance)}
 	l.sampler = stoatevent.NewSampler(map[stoatevent.Number]int{
 		EventFlowPlaced.Number: maxPacketLines, EventFlowReset.Number: maxPacketLines,
 		EventPacketDropped.Number: maxPacketLines, EventUpstreamEjected.Number: maxPacketLines,
 		EventLateAnswer.Number: maxPacketLines, EventInvalidObject.Number: maxPacketLines, EventIncarnation.Number: maxPacketLines,
 	})
 	l.setLevel(set.LogLevel)
-	l.group.Go(func() error { return l.pipe.Run(w) })
+	l.group.Go(func() error { return l.writer.Run(w) })
 	return l
 }
 
 func (l *eventLog) setLevel(level string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.logger = stoatevent.NewLogger(stoatevent.Config{Writer: l.pipe, Level: level, Instance: l.name})
+	l.logger = stoatevent.NewLogger(stoatevent.Config{Writer: l.writer, Level: level, Instance: l.name})
 }
 
 func (l *eventLog) admit(now time.Time, e *stoatevent.Definition) bool {
@@ -73,10 +73,10 @@
 	}
 	l.lastReport = now
 	var fields []stoatevent.Field
-	for _, left := range l.sampler.TakeOmitted() {
-		fields = append(fields, stoatevent.F(left.Number.String(), strconv.FormatInt(left.Count, 10)))
+	for _, omitted := range l.sampler.TakeOmitted() {
+		fields = append(fields, stoatevent.F(omitted.Number.String(), strconv.FormatInt(omitted.Count, 10)))
 	}
-	if lost := l.pipe.Dropped(); lost > l.lostReported {
+	if lost := l.writer.Dropped(); lost > l.lostReported {
 		fields = append(fields, stoatevent.F("writer", strconv.FormatInt(lost-l.lostReported, 10)))
 		l.lostReported = lost
 	}
@@ -87,6 +87,6 @@
 }
 
 func (l *eventLog) close() {
-	l.pipe.Close()
+	l.writer.Close()
 	_ = l.group.Wait()
 }
--- a/stoatedge/metrics.go
+++ b/stoatedge/metrics.go
@@ -89,7 +89,7 @@
 	set.NewGauge("stoatpaddle_tree_depth", func() float64 { return float64(e.Depth()) })
 	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="sent"}`, func() float64 { return float64(e.relay.sent.Load()) })
 	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="received"}`, func() float64 { return float64(e.relay.received.Load()) })
-	set.NewGauge("stoatpaddle_log_lost_total", func() float64 { return float64(e.log.pipe.Dropped()) })
+	set.NewGauge("stoatpaddle_log_lost_total", func() float64 { return float64(e.log.writer.Dropped()) })
 	return set
 }
 
@@ -97,8 +97,8 @@
 func (e *Edge) writeMetrics(w http.ResponseWriter, _ *http.Request) {
 	stats := e.Stats()
 	e.counts.stats.Store(&stats)
-	for _, left := range e.log.sampler.TotalOmitted() {
-		e.metrics.GetOrCreateCounter(fmt.Sprintf("stoatpaddle_log_left_out_total{event=%q}", left.Number)).Set(uint64(left.Count))
+	for _, omitted := range e.log.sampler.TotalOmitted() {
+		e.metrics.GetOrCreateCounter(fmt.Sprintf("stoatpaddle_log_left_out_total{event=%q}", omitted.Number)).Set(uint64(omitted.Count))
 	}
 	e.metrics.WritePrometheus(w)
 	e.writeInProgress(w)
--- a/stoatedge/parts_test.go
+++ b/stoatedge/parts_test.go
@@ -115,11 +115,11 @@
 	defer e.log.close()
 	e.table.Store(&stoatroute.Table{})
 	e.relay = newRelayState(stoattree.Config{})
-	m := newPacketBuffers()
+	bufs := newPacketBuffers()
 	const packets = 3000
 	for i := range packets {
 		p := stoatpacket.Packet{Opens: true, Seq: uint32(i)}
-		e.handle(clock(), m, 31, &p)
+		e.handle(clock(), bufs, 31, &p)
 	}
 	if held, dropped := len(e.held.Take()), e.counts.dropped[stoatpacket.DropUnconfigured].Load(); int64(held)+dropped != packets || dropped == 0 {
 		t.Error(held, dropped)
--- a/stoatedge/pause.go
+++ b/stoatedge/pause.go
@@ -18,9 +18,9 @@
 }
 
 // tick records that the process runs, and returns for how long it did not; 0: it was not paused.
-func (w *pauseDetector) tick(up time.Duration) time.Duration {
-	gap := up - time.Duration(w.lastTick.Swap(int64(up)))
-	w.lastGap.Store(int64(gap))
+func (d *pauseDetector) tick(up time.Duration) time.Duration {
+	gap := up - time.Duration(d.lastTick.Swap(int64(up)))
+	d.lastGap.Store(int64(gap))
 	if gap < minPause {
 		return 0
 	}
@@ -33,6 +33,6 @@
 
 // starved reports whether the process recently did not run for a while: packets may have waited although the
 // socket was empty at the last look.
-func (w *pauseDetector) starved(up time.Duration) bool {
-	return max(up-time.Duration(w.lastTick.Load()), time.Duration(w.lastGap.Load())) > starvedAfter
+func (d *pauseDetector) starved(up time.Duration) bool {
+	return max(up-time.Duration(d.lastTick.Load()), time.Duration(d.lastGap.Load())) > starvedAfter
 }
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -314,7 +314,7 @@
 	if got := seedRoleOf(set); got != (seedRole{isSeed: true}) || got.reliesOnOthers() {
 		t.Error(got)
 	}
-	ctl := newController(controllerConfig{Apply: 3 * time.Second, Seeds: seedRoleOf(set), Seed: 1})
+	ctl := newController(controllerConfig{MaxDelay: 3 * time.Second, Seeds: seedRoleOf(set), Seed: 1})
 	s := &session{t: t, now: time.Unix(1000, 0), events: map[stoatevent.Number]int{}, ctl: ctl}
 	s.step(started{})
 	s.answer(declarations, 10, declared(1, 5))
@@ -333,7 +333,7 @@
 // Changed settings name no other entry any more: the entry reads the platform itself.
 func TestSeedsTakenAway(t *testing.T) {
 	s := newFollowerSession(t)
-	s.step(settingsChanged{apply: 3 * time.Second, returnTimeout: 2 * time.Second, flowLifetime: time.Minute})
+	s.step(settingsChanged{maxDelay: 3 * time.Second, gracePeriod: 2 * time.Second, flowLifetime: time.Minute})
 	if c := s.calls[declarations]; c == nil || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
--- a/stoatedge/reader_test.go
+++ b/stoatedge/reader_test.go
@@ -40,8 +40,8 @@
 			t.Fatal(i, n, err, r.drained)
 		}
 	}
-	// find makes the reader look at the empty socket.
-	find := func() {
+	// readUntilEmpty makes the reader look at the empty socket.
+	readUntilEmpty := func() {
 		for !r.empty {
 			_ = conn.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 			if n, err := r.read(buf); err == nil {
@@ -50,14 +50,14 @@
 		}
 		_ = conn.SetReadDeadline(time.Time{})
 	}
-	find()
+	readUntilEmpty()
 	r.drained = time.Unix(2000, 0)
 	send()
 	if n, err := r.read(buf); n != 1 || err != nil || r.drained.Equal(time.Unix(2000, 0)) || r.empty {
 		t.Error("it was empty until the packet came:", n, err, r.drained)
 	}
 	// The process did not run while the reader waited: the packet may have been there for long.
-	find()
+	readUntilEmpty()
 	starved, r.drained = true, time.Unix(3000, 0)
 	send()
 	if n, err := r.read(buf); n != 1 || err != nil || !r.drained.Equal(time.Unix(3000, 0)) || r.empty {
--- a/stoatedge/reload.go
+++ b/stoatedge/reload.go
@@ -27,7 +27,7 @@
 	e.engineMu.Lock()
 	e.engine.SetRegions(next.Regions)
 	e.engineMu.Unlock()
-	e.post(settingsChanged{apply: next.MaxDelay(), returnTimeout: next.GracePeriod, flowLifetime: next.FlowLifetime, seeds: seedRoleOf(next)})
+	e.post(settingsChanged{maxDelay: next.MaxDelay(), gracePeriod: next.GracePeriod, flowLifetime: next.FlowLifetime, seeds: seedRoleOf(next)})
 	e.log.emit(now, EventSettingsReloaded, stoatevent.F("applied", strings.Join(applied, ",")), stoatevent.F("kept", strings.Join(kept, ",")))
 }
 
--- a/stoatedge/restored_test.go
+++ b/stoatedge/restored_test.go
@@ -102,22 +102,22 @@
 // revisions belong to the earlier era.
 func TestRestoreReportedByParent(t *testing.T) {
 	s := startSession(t, true, true)
-	in := func(era stoatpaddle.Era, rev stoatpaddle.Version) stoatpaddle.Position {
+	positionIn := func(era stoatpaddle.Era, rev stoatpaddle.Version) stoatpaddle.Position {
 		return stoatpaddle.Position{Era: era, Revision: rev}
 	}
-	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: in(1, 30), era: 1}, declared(21, 26), registered("i-1", 1, 6), registered("i-2", 2, 28))
-	s.receiveUpdate(parentUpdate{parent: "parent", age: 300 * ms, known: in(1, 30), era: 2})
+	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, whole: true, known: positionIn(1, 30), era: 1}, declared(21, 26), registered("i-1", 1, 6), registered("i-2", 2, 28))
+	s.receiveUpdate(parentUpdate{parent: "parent", age: 300 * ms, known: positionIn(1, 30), era: 2})
 	s.wantNoCalls("the parent lists for its children")
-	if s.events[EventPlatformRestored.Number] != 1 || s.parentsLeft != 0 || s.announcedPos != in(1, 30) || len(s.table.Candidates("app")) != 2 {
+	if s.events[EventPlatformRestored.Number] != 1 || s.parentsLeft != 0 || s.announcedPos != positionIn(1, 30) || len(s.table.Candidates("app")) != 2 {
 		t.Fatal(s.events, s.parentsLeft, s.announcedPos)
 	}
 	d := declared(24, 25)
-	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, known: in(2, 25), era: 2, delta: &stoatrelay.Delta{Revision: 25, Base: 21, Declaration: *d.declaration}})
-	if s.table.Declaration.Version != 24 || s.announcedPos != in(2, 25) || s.parentsLeft != 0 {
+	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, known: positionIn(2, 25), era: 2, delta: &stoatrelay.Delta{Revision: 25, Base: 21, Declaration: *d.declaration}})
+	if s.table.Declaration.Version != 24 || s.announcedPos != positionIn(2, 25) || s.parentsLeft != 0 {
 		t.Error(s.table.Declaration.Version, s.announcedPos, s.parentsLeft)
 	}
 	gone := stoatroute.RemoteUpstream{Registration: *registered("i-2", 2, 28).registration, Revision: 40, State: stoatroute.Gone}
-	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, known: in(1, 41), era: 1, upstreams: []stoatroute.RemoteUpstream{gone}})
+	s.receiveUpdate(parentUpdate{parent: "parent", age: 100 * ms, known: positionIn(1, 41), era: 1, upstreams: []stoatroute.RemoteUpstream{gone}})
 	if s.parentsLeft != 1 || len(s.table.Candidates("app")) != 2 {
 		t.Error("an update of an earlier era is applied:", s.parentsLeft, len(s.table.Candidates("app")))
 	}
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -79,7 +79,7 @@
 	case platformStatus:
 		e.platformAnswers.Store(x.answers)
 	case logEvent:
-		e.log.emit(clock(), x.entry, x.fields...)
+		e.log.emit(clock(), x.definition, x.fields...)
 	}
 }
 
--- a/stoatedge/run_parent.go
+++ b/stoatedge/run_parent.go
@@ -38,17 +38,17 @@
 	cancel   context.CancelCauseFunc
 }
 
-func (p *searchCancel) set(searchID int, cancel context.CancelCauseFunc) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.searchID, p.cancel = searchID, cancel
+func (s *searchCancel) set(searchID int, cancel context.CancelCauseFunc) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.searchID, s.cancel = searchID, cancel
 }
 
-func (p *searchCancel) leave(x leaveParent) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.searchID == x.searchID && p.cancel != nil {
-		p.cancel(&leftError{why: x.why})
+func (s *searchCancel) leave(x leaveParent) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.searchID == x.searchID && s.cancel != nil {
+		s.cancel(&leftError{why: x.why})
 	}
 }
 
@@ -113,7 +113,7 @@
 	if e.ctx.Err() != nil {
 		return
 	}
-	e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
+	e.aggregator.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
 	e.setPlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	if left := context.Cause(ctx); left != nil {
 		cause = left
@@ -174,12 +174,12 @@
 	if err := dec.Decode(&w); err != nil {
 		return &stoatpaddle.DecodeError{What: "a refusal of " + addr.String(), Cause: err}
 	}
-	try, err := stoatrelay.ParseAddrs(w.Alternatives)
+	alternatives, err := stoatrelay.ParseAddrs(w.Alternatives)
 	if err != nil {
 		return err
 	}
 	e.relay.mu.Lock()
-	e.relay.tree.AddCandidates(try)
+	e.relay.tree.AddCandidates(alternatives)
 	e.relay.mu.Unlock()
 	return &refusedError{addr: addr, reason: w.Reason}
 }
@@ -194,12 +194,12 @@
 		searchID: searchID, parent: addr.String(), path: m.Path, known: m.Position, era: m.Era, age: m.Age, whole: m.Full, delta: m.Delta,
 		upstreams: m.Upstreams, evacuations: m.Evacuations,
 	}
-	relatives, err := stoatrelay.ParseAddrs(h.Siblings)
+	siblings, err := stoatrelay.ParseAddrs(h.Siblings)
 	if err != nil {
 		return err
 	}
 	e.relay.mu.Lock()
-	e.relay.tree.SetSiblings(relatives)
+	e.relay.tree.SetSiblings(siblings)
 	looped := e.relay.tree.FormsLoop(x.path)
 	e.relay.mu.Unlock()
 	if looped {
@@ -207,11 +207,11 @@
 	}
 	if stoatpaddle.DataCentreID(h.Centre) == e.settings().DataCentre {
 		now := clock()
-		e.pool.HandleParentUpdate(now, addr, stoatoutlier.Update{Full: h.FullReports, Reports: stoatoutlier.Decode(now, h.Reports)})
+		e.aggregator.HandleParentUpdate(now, addr, stoatoutlier.Update{Full: h.FullReports, Reports: stoatoutlier.Decode(now, h.Reports)})
 		e.setPlace(addr, stoatfilter.EntryRank{Rank: h.Rank, Entries: h.DataCentreEntries})
 		e.notifyObserved()
 	} else {
-		e.pool.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
+		e.aggregator.HandleParentUpdate(clock(), netip.AddrPort{}, stoatoutlier.Update{})
 		e.setPlace(netip.AddrPort{}, stoatfilter.EntryRank{})
 	}
 	e.post(x)
--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -52,7 +52,7 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if !e.pool.HandleChildUpdate(now, from, u) {
+	if !e.aggregator.HandleChildUpdate(now, from, u) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -76,7 +76,7 @@
 		case <-e.observed:
 		}
 		now := clock()
-		e.judge(now)
+		e.checkUpstreams(now)
 		pause.Reset(pacer.RecordRound(now))
 		select {
 		case <-e.ctx.Done():
@@ -94,16 +94,16 @@
 	}
 }
 
-// judge looks for upstreams that fail requests or answer no entry, by the observations of all entries of this
+// checkUpstreams looks for upstreams that fail requests or answer no entry, by the observations of all entries of this
 // data centre, and passes on those of this entry.
-func (e *Edge) judge(now time.Time) {
+func (e *Edge) checkUpstreams(now time.Time) {
 	t := e.table.Load()
-	suspects := e.pool.Suspects(now)
+	suspects := e.aggregator.Suspects(now)
 	e.engineMu.Lock()
 	own := e.engine.Reports(now, suspects)
 	e.engineMu.Unlock()
-	sum, report, to := e.pool.Aggregate(now, own, e.reportPending.Load())
-	delay, steady := e.pool.PropagationDelay(), e.pool.Stable(now)
+	sum, report, to := e.aggregator.Aggregate(now, own, e.reportPending.Load())
+	delay, steady := e.aggregator.PropagationDelay(), e.aggregator.Stable(now)
 	place, size, parent := e.currentPlace()
 	e.engineMu.Lock()
 	e.engine.SetRank(now, place)
@@ -120,7 +120,7 @@
 	}
 	e.logSilent(now, silent)
 	e.relay.observedSum.Store(&sum)
-	if _, due := e.wakeStream.Next(now, sum, stoatoutlier.FirstWait); due {
+	if _, due := e.wakeTracker.Next(now, sum, stoatoutlier.FirstWait); due {
 		e.relay.notifier.notify()
 	}
 	// The count is needed only if entries share a limit.
@@ -167,7 +167,7 @@
 		case x := <-e.reports:
 			e.relay.reportedSize.Store(int64(x.size))
 			if !e.sendReport(x) {
-				e.pool.ForceFullUpdate()
+				e.aggregator.ForceFullUpdate()
 				e.relay.reportedSize.Store(0)
 			}
 			e.reportPending.Store(false)
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -156,8 +156,8 @@
 	}
 	if a.Ejected != nil {
 		// The packet itself may have gone to another upstream.
-		of := stoatecho.Action{Upstream: a.Ejected, Retransmissions: a.Retransmissions}
-		e.logFlow(now, EventUpstreamEjected, t, of, p, stoatevent.F("centre", string(a.Ejected.DataCentre)),
+		ejection := stoatecho.Action{Upstream: a.Ejected, Retransmissions: a.Retransmissions}
+		e.logFlow(now, EventUpstreamEjected, t, ejection, p, stoatevent.F("centre", string(a.Ejected.DataCentre)),
 			stoatevent.F("silence", a.Silence.Round(time.Millisecond).String()), stoatevent.F("waiting", strconv.Itoa(a.PendingRequests)))
 	}
 }
@@ -200,8 +200,8 @@
 
 // logFlow logs an event of one flow: the flow, the upstream, and the version and age of the state that
 // decided.
-func (e *Edge) logFlow(now time.Time, entry *stoatevent.Definition, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
-	if !e.log.admit(now, entry) {
+func (e *Edge) logFlow(now time.Time, definition *stoatevent.Definition, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
+	if !e.log.admit(now, definition) {
 		return
 	}
 	fields := append(more, stoatevent.F("flow", p.Tuple.Src.String()+">"+p.Tuple.Dst.String()))
@@ -212,7 +212,7 @@
 		fields = append(fields, stoatevent.F("repeats", strconv.Itoa(a.Retransmissions)))
 	}
 	fields = append(fields, stoatevent.F("version", t.Declaration.Version.String()), stoatevent.F("proven", ageText(e.ViewAge(now))))
-	e.log.write(entry, fields...)
+	e.log.write(definition, fields...)
 }
 
 func (e *Edge) logDrop(now time.Time, p *stoatpacket.Packet, reason stoatpacket.DropReason) {
--- a/stoatedge/run_updates.go
+++ b/stoatedge/run_updates.go
@@ -123,7 +123,7 @@
 	e.relay.mu.Lock()
 	e.relay.tree.RemoveChild(join.From, a.Admission)
 	e.relay.mu.Unlock()
-	e.pool.RemoveChild(join.From)
+	e.aggregator.RemoveChild(join.From)
 	e.log.emit(clock(), EventChildLeft, stoatevent.F("child", join.From.String()), stoatevent.F("cause", cause))
 }
 
