--- a/stoatedge/answer_test.go
+++ b/stoatedge/answer_test.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Events reach the control goroutine in order, including those that it sends itself, and a late event does
-// not block its sender.
+// Events reach the control goroutine in order, including those that it sends itself, and an event that comes
+// after the end does not block its sender.
 func TestEventQueue(t *testing.T) {
 	q := newEventQueue()
 	q.post(1)
--- a/stoatedge/controller.go
+++ b/stoatedge/controller.go
@@ -49,7 +49,7 @@
 	// registration that ended meanwhile may have lapsed in an outage that this entry did not notice.
 	unwatched       bool
 	platformAnswers bool                // whether the platform answers, as last reported in platformStatus
-	deferred        [topicCount]bool    // no call is made until the configuration has been answered
+	deferred        [topicCount]bool    // no call is made until a call about the configuration is answered
 	behind          [topicCount]bool    // the last answer was older than what is known
 	restoreGraceEnd time.Time           // a registration that ends before may have lapsed because of a restore
 	rejected        stoatpaddle.Version // the last configuration that was read and rejected
@@ -60,7 +60,7 @@
 	gracePeriod     time.Duration // how long a lapsed registration may take to come back
 	openProof       *proof        // the proof that is not matched yet; nil: none
 	rand            *rand.Rand
-	known           stoatpaddle.Position // everything up to it is known, of all topics, once ready
+	known           stoatpaddle.Position // up to it all topics are known, once ready
 	startedAt       time.Time            // when the entry started
 	lastAnswer      time.Time            // when the platform last answered; at first the start
 	ready           bool
@@ -170,7 +170,7 @@
 	return !ctl.ready && ctl.follower.mayRely && ctl.pagesRead[t] >= pagesWithoutParent
 }
 
-// verify asks the platform itself about a topic, at once.
+// verify asks the platform itself, not a replica, about a topic at once.
 func (ctl *controller) verify(now time.Time, t topic) {
 	ctl.feeds[t].RequestExact()
 	if !ctl.reading && !ctl.pending[t] {
@@ -264,8 +264,8 @@
 	}
 }
 
-// callNext makes the next call about a topic. While the platform answers none, a single call at a time finds
-// out when it is back, since each call is paid for.
+// callNext makes the next call about a topic. While the platform answers no call, a single call at a time
+// finds out when the platform is back, since each call is paid for.
 func (ctl *controller) callNext(now time.Time, t topic) {
 	if !ctl.reading {
 		return
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -279,7 +279,7 @@
 
 // The replica that the watch of upstreams asks is seconds behind: the platform has reported a later revision
 // to the watch of the configuration. The replica is asked again at once, then the platform itself, so that a
-// leaving upstream is known within the bound.
+// leaving upstream is known within the maximum delay.
 func TestLaggingReplicaIsDetected(t *testing.T) {
 	s := newRunningSession(t)
 	s.advance(time.Second)
@@ -398,8 +398,7 @@
 	}
 }
 
-// A parent that is cut off sends outdated state to an entry that is in touch with the platform: nothing
-// changes.
+// A parent that is cut off sends outdated state to an entry that reaches the platform: nothing changes.
 func TestParentThatIsBehind(t *testing.T) {
 	s := startSession(t, true, true)
 	s.answer(declarations, 10, declared(1, 5))
@@ -421,7 +420,7 @@
 	}
 }
 
-// Changed bounds apply to the next call.
+// Changed settings apply to the next call.
 func TestChangedBounds(t *testing.T) {
 	s := newRunningSession(t)
 	s.step(settingsChanged{maxDelay: time.Second, gracePeriod: time.Second, flowLifetime: time.Minute})
@@ -543,7 +542,8 @@
 
 // Guards against a reset of an open flow: another writer has overwritten an upstream's registration when an
 // entry starts. The object is in the list but cannot be read. If it counted as missing from the list, the
-// platform's own answer would prove that the upstream is gone.
+// platform's own answer would prove that the upstream is gone. Such a flow was reset 0.6 s after the entry
+// had started, although its upstream was serving.
 func TestUnreadableRegistrationIsNotMissing(t *testing.T) {
 	s := newSession(t)
 	s.answer(declarations, 10, declared(1, 5))
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -56,7 +56,7 @@
 	tableReadyOnce  sync.Once     // closes tableReady
 	relay           *relayState
 	aggregator      stoatoutlier.Aggregator
-	observed        chan struct{}             // what entries observed of upstreams changed
+	observed        chan struct{}             // signals that what entries observed of upstreams changed
 	reports         chan pendingReport        // to the parent
 	reportPending   atomic.Bool               // a report is in progress
 	wakeTracker     stoatoutlier.DeltaTracker // what children were last woken for; used by shareObservations only
@@ -150,7 +150,8 @@
 	if e.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.current.TunnelAddr)); err != nil {
 		return err
 	}
-	// The buffer holds half a second of traffic at the busiest entry. The kernel may grant less.
+	// The buffer holds half a second of traffic at the busiest entry. The kernel may grant less, and the entry
+	// works with that too.
 	_ = e.conn.SetReadBuffer(receiveBufferBytes)
 	e.reader, err = newReader(e.conn, func() bool { return e.pause.starved(uptime()) })
 	return err
--- a/stoatedge/edge_test.go
+++ b/stoatedge/edge_test.go
@@ -25,7 +25,7 @@
 // waitTimeout bounds how long a test waits for an event that has to come; no test depends on how soon.
 const waitTimeout = 20 * time.Second
 
-// rig is a platform, two upstreams and a caller on their own loopback addresses.
+// rig has a platform, two upstreams and a caller, each on its own loopback address.
 type rig struct {
 	t                testing.TB
 	store            *stoatfake.Platform
@@ -382,8 +382,8 @@
 func depth(e *stoatedge.Edge) int { return e.Depth() }
 
 // The parent's connection goes silent for good without being closed, since a device between the two entries
-// lost track of it. The child leaves the parent within the bound and finds another way, so that a change
-// comes into force.
+// lost track of it. The child leaves the parent within the maximum delay and finds another way, so that a
+// change comes into force.
 func TestSilentParent(t *testing.T) {
 	r := newRig(t)
 	_, setSeed, _ := r.start("127.0.0.11")
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -9,23 +9,22 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// Which entries read the platform, and which ones get updates from other entries.
-//
+// This file decides which entries read the platform, and which ones get updates from other entries.
 //
 // Each call is paid for and counts toward the platform's rate limits, which grow more slowly than the number
 // of entries. Twelve entries that all read the platform use up six of eight reads a second; a hundred entries
 // would each list and watch a hundred and fifty upstreams.
 //
-//
 // Therefore the entries that the settings name as seeds read the platform. Each other entry has a parent,
 // which sends its state, the changes to it, and how long ago that state was known to be current. An entry
 // whose parent falls silent or falls behind reads the platform itself, at once, until it finds another
 // parent.
 
 const (
-	// maxParentAgeShare is how old the parent's state may be, as a share of the apply bound, before the entry
-	// reads the platform itself. Readers prove their state every 0.45 to 0.5 of the bound, and after 0.65 if
-	// a watch went silent. The rest of the bound is many times what a call takes.
+	// maxParentAgeShare is how old the parent's state may be, as a share of the maximum delay, before the entry
+	// reads the platform itself. Entries that read the platform prove their state current each 0.45 to 0.5 of
+	// the maximum delay, and after 0.65 of it if a watch went silent. The rest of the delay is many times what
+	// a call takes.
 	maxParentAgeShare = 0.72
 	// searchInterval is the pause between two searches for a parent; up to half of it is added at random. The
 	// pause of an entry that is not ready starts at minSearchBackoff instead.
@@ -47,7 +46,7 @@
 	mayRely    bool   // the parent's state suffices: this entry is not a seed
 	searchID   int    // of the latest search
 	searching  bool   // that search is running, or has found a parent
-	parent     string // its address; "": none
+	parent     string // the parent's address; "": none
 	path       []netip.AddrPort
 	currentAt  time.Time     // when the parent's state was last known to be current; zero: never
 	nextSearch time.Time     // when to search next
@@ -152,8 +151,8 @@
 		f.currentAt = now.Add(-x.age)
 	}
 	ctl.applyUpdate(now, x, later)
-	// A parent that has lost touch with the platform itself, or that only helps a seed in an outage, does not
-	// know which registrations lapsed in the outage. The feeds still have to find that out.
+	// A parent that cannot reach the platform itself, or that only helps a seed in an outage, does not know
+	// which registrations lapsed in the outage. The feeds still have to find that out.
 	enough := later && f.mayRely && ctl.parentIsCurrent(now)
 	for _, t := range ctl.topics {
 		if enough {
@@ -218,8 +217,8 @@
 	return d.Round(time.Millisecond).String()
 }
 
-// parentIsCurrent reports whether the parent's state is recent enough to be relied on. That may hold for some
-// time after the parent has ended, which is time to find another one.
+// parentIsCurrent reports whether the parent's state is recent enough to be relied on. It stays so for some
+// time after the parent has ended, in which the entry can find another parent.
 func (ctl *controller) parentIsCurrent(now time.Time) bool {
 	return now.Sub(ctl.follower.currentAt) <= stoatfeed.Fraction(ctl.maxDelay, maxParentAgeShare)
 }
--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -12,8 +12,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// maxPacketLines limits the log lines per second of each event that packets cause, so that a flood of packets
-// does not become a flood of lines. State changes have no limit.
+// maxPacketLines limits the log lines per second of each event that packets or faulty objects cause, so that a
+// flood of them does not become a flood of lines. State changes have no limit.
 const maxPacketLines = 40
 
 // eventLog writes events without ever blocking traffic.
--- a/stoatedge/memory.go
+++ b/stoatedge/memory.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// maxGCPercent is the growth of the heap that triggers a collection where there is enough memory: a
-	// collection takes 10 ms and more at a tenth of a core, above all at a start.
+	// maxGCPercent is the growth of the heap, in per cent, that triggers a collection where there is enough
+	// memory: a collection takes 10 ms and more at a tenth of a core, above all at a start.
 	maxGCPercent = 400
-	// minGCPercent is the lower limit: below it most processor time is spent on collections.
+	// minGCPercent is the lower limit of that growth: below it most processor time is spent on collections.
 	minGCPercent = 40
 	// heapShare is the share of the machine's memory that the heap may reach before it is collected. The rest
 	// is for the program, sockets and bursts.
 	heapShare = 1.0 / 8
-	// limitShare is the share of it at which the runtime collects at any cost, since a process that needs
-	// more than its machine has is killed.
+	// limitShare is the share of the machine's memory at which the runtime collects at any cost, since a
+	// process that needs more memory than its machine has is killed.
 	limitShare = 0.75
 	// If the memory is not known, a small heap is collected rarely, and a large one at the runtime's default.
+	// The sizes are in bytes.
 	smallHeapMax, mediumHeapMax, mediumHeapPercent, largeHeapPercent = 12 << 20, 48 << 20, 200, 100
 )
 
--- a/stoatedge/parts_test.go
+++ b/stoatedge/parts_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Changed settings: bounds are in force at once, and addresses need a restart.
+// Changed settings: delays and the log level are in force at once, and the instance's name needs a restart.
 func TestMergeSettings(t *testing.T) {
 	old := stoatsetting.Settings{Instance: "a", LogLevel: "info", MaxApplyDelay: time.Second}
 	next := stoatsetting.Settings{Instance: "b", LogLevel: "debug", MaxApplyDelay: 2 * time.Second, StopDeadline: time.Second}
@@ -108,8 +108,8 @@
 	}
 }
 
-// A flood of packets reaches an entry that has no table yet: packets that find no room in the hold are
-// counted.
+// A flood of packets reaches an entry that has no table yet: packets that find no room in the queue of held
+// packets are counted.
 func TestDropsAreCountedWhenHoldIsFull(t *testing.T) {
 	e := &Edge{engine: stoatecho.New(stoatecho.Config{Start: clock()}), log: newEventLog(io.Discard, stoatsetting.Settings{})}
 	defer e.log.close()
--- a/stoatedge/pause.go
+++ b/stoatedge/pause.go
@@ -32,7 +32,7 @@
 const starvedAfter = 2 * tickInterval
 
 // starved reports whether the process recently did not run for a while: packets may have waited although the
-// socket was empty at the last look.
+// socket was empty at the last read.
 func (d *pauseDetector) starved(up time.Duration) bool {
 	return max(up-time.Duration(d.lastTick.Load()), time.Duration(d.lastGap.Load())) > starvedAfter
 }
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -42,8 +42,8 @@
 	ctl.openProof = nil
 }
 
-// retryProof asks the replicas that are behind the open proof again: first the replicas, and then the
-// platform itself.
+// retryProof asks the replicas that are behind the open proof again. If one of them is still behind then,
+// updateProof asks the platform itself.
 func (ctl *controller) retryProof(now time.Time) {
 	if ctl.openProof == nil || ctl.openProof.retried || now.Sub(ctl.openProof.receivedAt) <= answerWait {
 		return
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -59,7 +59,7 @@
 
 // The parent does not run, or is cut off from the platform, and an upstream is marked as leaving just after
 // that. The entry notices by the age of the parent's state, and asks the platform itself at once about both
-// topics in turn, with a quarter of the bound left.
+// topics in turn, with a quarter of the maximum delay left.
 func TestOutdatedParentIsDetected(t *testing.T) {
 	s := newFollowerSession(t)
 	s.receiveUpdate(parentUpdate{parent: "parent", age: 0, known: position(10)})
--- a/stoatedge/restore_test.go
+++ b/stoatedge/restore_test.go
@@ -10,7 +10,7 @@
 // some seconds old and assigns revisions again. Entries that compared them with earlier ones took each list
 // for that of a lagging replica and repeated it at once, at 150 to 220 calls a second, and rejected its
 // configuration. Once the revisions had caught up, a watch went on from there and missed what had been
-// written below.
+// written at lower revisions: callers used a removed route for 7 s and more after its removal was confirmed.
 func TestConfigurationAfterARestore(t *testing.T) {
 	r := newRig(t)
 	seed, set, _ := r.start("127.0.0.11")
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// eraOf returns the era of an answer, or of one that refuses to go on from a revision.
+// eraOf returns the era of an answer, or of a refusal to continue from a revision.
 func eraOf(a platform.ReadResult, err error) stoatpaddle.Era {
 	var history *platform.HistoryError
 	if errors.As(err, &history) {
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -17,8 +17,8 @@
 )
 
 // The former services of routes are saved at the platform. The configuration has the present services only,
-// and after a power loss of all entries nobody else knows the former ones: packets of flows there would be
-// dropped as forged.
+// and after a power loss of all entries no entry knows the former ones: packets of flows at these services
+// would be dropped as forged.
 
 // formerRef names the object that has the former services.
 var formerRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectFormerServices, Name: "former"}
@@ -69,7 +69,7 @@
 	return x, nil
 }
 
-// loadFormer loads the former services. A replica is enough: what it lacks is some seconds old, and the
+// loadFormer loads the former services. A replica is enough: what it lacks was saved some seconds ago, and the
 // entries that ran at that time send it.
 func (e *Edge) loadFormer() {
 	ctx, cancel := context.WithTimeout(e.ctx, loadTimeout)
--- a/stoatedge/run_place.go
+++ b/stoatedge/run_place.go
@@ -6,8 +6,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfilter"
 )
 
-// The place of an entry among those of its data centre, by which they share limits without asking each other.
-// Counts go up the relay tree, ranks come down it.
+// Entries of one data centre share limits without asking each other. Each entry computes its part from its
+// place, which is its rank among them and their number. Counts go up the relay tree, and ranks come down it.
 
 // assignedPlace is the place that the parent assigned to this entry.
 type assignedPlace struct {
@@ -29,7 +29,7 @@
 }
 
 // currentPlace returns this entry's place and the number of entries below it, itself included. To is the parent
-// that has to be told of that number; an invalid address means none.
+// if it does not know that number yet; an invalid address means that nothing has to be reported.
 func (e *Edge) currentPlace() (own stoatfilter.EntryRank, size int, to netip.AddrPort) {
 	e.relay.mu.Lock()
 	defer e.relay.mu.Unlock()
--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -60,7 +60,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// shareObservations adds up the observations of entries, and judges upstreams by them: at each change, and
+// shareObservations adds up the observations of entries, and checks the upstreams by them: at each change, and
 // periodically.
 func (e *Edge) shareObservations() error {
 	t := time.NewTicker(stoatecho.CheckInterval)
@@ -94,8 +94,8 @@
 	}
 }
 
-// checkUpstreams looks for upstreams that fail requests or answer no entry, by the observations of all entries of this
-// data centre, and passes on those of this entry.
+// checkUpstreams looks for upstreams that fail requests or answer no entry, by the observations of all entries
+// of this data centre, and passes on those of this entry.
 func (e *Edge) checkUpstreams(now time.Time) {
 	t := e.table.Load()
 	suspects := e.aggregator.Suspects(now)
@@ -123,7 +123,7 @@
 	if _, due := e.wakeTracker.Next(now, sum, stoatoutlier.FirstWait); due {
 		e.relay.notifier.notify()
 	}
-	// The count is needed only if entries share a limit.
+	// The number of entries is needed only if entries share a limit.
 	if !to.IsValid() && !e.reportPending.Load() && len(t.Declaration.ColdRates) > 0 {
 		to = parent
 	}
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// handle decides about the packet in m and applies the decision.
+// handle decides about p, whose n bytes are in bufs, and applies the decision.
 func (e *Edge) handle(now time.Time, bufs *packetBuffers, n int, p *stoatpacket.Packet) {
 	e.engineMu.Lock()
 	t := e.table.Load()
@@ -178,7 +178,7 @@
 	return []stoatevent.Field{stoatevent.F("busy", strconv.Itoa(a.InProgress)), stoatevent.F("mean", a.ExpectedAnswer.Round(time.Millisecond).String())}
 }
 
-// sendReset tells the caller of the packet that its flow cannot go on.
+// sendReset tells the caller of the packet that its flow cannot continue.
 func (e *Edge) sendReset(bufs *packetBuffers, p *stoatpacket.Packet) {
 	platform.PutReset(bufs.reset, p)
 	_, _ = e.conn.WriteToUDPAddrPort(bufs.reset, netip.AddrPortFrom(p.Tuple.Src.Addr(), e.callerPort))
@@ -198,8 +198,8 @@
 	}
 }
 
-// logFlow logs an event of one flow: the flow, the upstream, and the version and age of the state that
-// decided.
+// logFlow logs an event of one flow, with the flow, the upstream, and the version and age of the state that
+// the decision was based on.
 func (e *Edge) logFlow(now time.Time, definition *stoatevent.Definition, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
 	if !e.log.admit(now, definition) {
 		return
--- a/stoatedge/run_updates.go
+++ b/stoatedge/run_updates.go
@@ -28,18 +28,18 @@
 	paramFrom   = "from"
 	paramCentre = "centre"
 	paramKnown  = "known"
-	paramEra    = "era" // of paramKnown
-	paramNear   = "near"
+	paramEra    = "era"    // of paramKnown
+	paramNear   = "near"   // set: only a parent in the same data centre will do
 	paramWithin = "within" // ms; how old the state may be at most
 	paramSkip   = "skip"
 )
 
 const (
-	// keepaliveShare is the longest pause between two messages, as a share of the apply bound: half of the
-	// silence after which a child leaves its parent.
+	// keepaliveShare is the longest pause between two messages, as a share of the maximum delay until a change
+	// is in force: half of the silence after which a child leaves its parent.
 	keepaliveShare = 0.36
-	// silenceShare is the silence after which a child leaves its parent, as a share of the apply bound. The
-	// rest of the bound is for asking the platform itself.
+	// silenceShare is the silence after which a child leaves its parent, as a share of that delay. The rest of
+	// the delay is for asking the platform itself.
 	silenceShare = 0.72
 )
 
@@ -225,8 +225,8 @@
 	encoded   []byte
 }
 
-// bodyCacheTTL is how long a body is reused. It is short since a body has the remaining time for which upstreams
-// are cold.
+// bodyCacheTTL is how long a body is reused. It is short since a body says for how much longer upstreams are
+// cold.
 const bodyCacheTTL = 200 * time.Millisecond
 
 // get returns what t has that a child does not, encoded; nil if there is nothing.
--- a/stoatedge/wake.go
+++ b/stoatedge/wake.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if t.EvacuationSeq() == ctl.lastWake.evacuation && now.Sub(ctl.lastWake.at) < wakeInterval {
-		return // the next tick is near
+		return // a later tick wakes them
 	}
 	ctl.lastWake = wakeState{at: now, change: t.ChangeSeq, evacuation: t.EvacuationSeq()}
 	ctl.emit(wakeChildren{})
