--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -22,7 +22,7 @@
 
 const (
 	// maxParentAgeShare is how old the parent's state may be, as a share of the maximum delay, before the entry
-	// reads the platform itself. Entries that read the platform prove their state current each 0.45 to 0.5 of
+	// reads the platform itself. Entries that read the platform prove their state at intervals of 0.45 to 0.5 of
 	// the maximum delay, and after 0.65 of it if a watch went silent. The rest of the delay is many times what
 	// a call takes.
 	maxParentAgeShare = 0.72
