--- a/stoatedge/answer_test.go
+++ b/stoatedge/answer_test.go
@@ -41,17 +41,17 @@
 func TestInterruptDuringAPause(t *testing.T) {
 	e := &Edge{ctx: t.Context(), events: newEventQueue()}
 	var c callCancel
-	given := c.begin(t.Context())
+	callCtx := c.begin(t.Context())
 	c.interrupt()
-	e.call(given, startCall{topic: upstreams, call: stoatfeed.Call{Pause: time.Hour}})
+	e.call(callCtx, startCall{topic: upstreams, call: stoatfeed.Call{Pause: time.Hour}})
 	list := e.events.take()
 	if x, ok := list[0].(callEnded); len(list) != 1 || !ok || x.result.Outcome != stoatfeed.Interrupted {
 		t.Errorf("%+v", list)
 	}
 }
 
-// Events reach the control goroutine in order, including those that it sends itself, and a late event does
-// not block its sender.
+// Events reach the control goroutine in order, including those that it sends itself, and an event that comes
+// after the end does not block its sender.
 func TestEventQueue(t *testing.T) {
 	q := newEventQueue()
 	q.post(1)
--- a/stoatedge/controller.go
+++ b/stoatedge/controller.go
@@ -49,18 +49,18 @@
 	// registration that ended meanwhile may have lapsed in an outage that this entry did not notice.
 	unwatched       bool
 	platformAnswers bool                // whether the platform answers, as last reported in platformStatus
-	deferred        [topicCount]bool    // no call is made until the configuration has been answered
+	deferred        [topicCount]bool    // no call is made until a call about the configuration is answered
 	behind          [topicCount]bool    // the last answer was older than what is known
 	restoreGraceEnd time.Time           // a registration that ends before may have lapsed because of a restore
 	rejected        stoatpaddle.Version // the last configuration that was read and rejected
 	upstreamPages   pages[stoatpaddle.UpstreamID]
 	evacuationPages pages[stoatpaddle.DataCentreID]
 	follower        follower
-	applyBound      time.Duration // how soon a change has to be in force
-	returnTimeout   time.Duration // how long a lapsed registration may take to come back
+	maxDelay        time.Duration // how soon a change has to be in force
+	gracePeriod     time.Duration // how long a lapsed registration may take to come back
 	openProof       *proof        // the proof that is not matched yet; nil: none
 	rand            *rand.Rand
-	known           stoatpaddle.Position // everything up to it is known, of all topics, once ready
+	known           stoatpaddle.Position // up to it all topics are known, once ready
 	startedAt       time.Time            // when the entry started
 	lastAnswer      time.Time            // when the platform last answered; at first the start
 	ready           bool
@@ -75,29 +75,29 @@
 }
 
 type controllerConfig struct {
-	Apply time.Duration
+	MaxDelay time.Duration
 	// Evacuations reports whether the platform has evacuations to follow.
-	Evacuations bool
-	Return      time.Duration
-	Life        time.Duration
-	Seeds       seedRole
-	Seed        uint64
+	Evacuations  bool
+	GracePeriod  time.Duration
+	FlowLifetime time.Duration
+	Seeds        seedRole
+	Seed         uint64
 }
 
 func newController(cfg controllerConfig) *controller {
 	rnd := rand.New(rand.NewPCG(cfg.Seed, 1))
 	ctl := &controller{
-		applyBound: cfg.Apply, rand: rnd, reading: true, topics: []topic{declarations, upstreams},
-		returnTimeout: cfg.Return,
-		state:         stoatroute.NewBuilder(stoatroute.Config{GracePeriod: cfg.Return, Retention: cfg.Life, RequireEvacuations: cfg.Evacuations}),
-		evacuations:   cfg.Evacuations,
+		maxDelay: cfg.MaxDelay, rand: rnd, reading: true, topics: []topic{declarations, upstreams},
+		gracePeriod: cfg.GracePeriod,
+		state:       stoatroute.NewBuilder(stoatroute.Config{GracePeriod: cfg.GracePeriod, Retention: cfg.FlowLifetime, RequireEvacuations: cfg.Evacuations}),
+		evacuations: cfg.Evacuations,
 	}
 	if cfg.Evacuations {
 		ctl.topics = append(ctl.topics, evacuations)
 	}
-	ctl.feeds[declarations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd})
-	ctl.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd, AllowStale: true})
-	ctl.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.Apply, Rand: rnd, AllowStale: true})
+	ctl.feeds[declarations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.MaxDelay, Rand: rnd})
+	ctl.feeds[upstreams] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.MaxDelay, Rand: rnd, AllowStale: true})
+	ctl.feeds[evacuations] = stoatfeed.New(stoatfeed.Config{MaxDelay: cfg.MaxDelay, Rand: rnd, AllowStale: true})
 	ctl.setSeedRole(time.Time{}, cfg.Seeds)
 	return ctl
 }
@@ -132,11 +132,11 @@
 	case unknownCookie:
 		ctl.verify(now, upstreams)
 	case settingsChanged:
-		ctl.applyBound, ctl.returnTimeout = x.apply, x.returnTimeout
+		ctl.maxDelay, ctl.gracePeriod = x.maxDelay, x.gracePeriod
 		ctl.setSeedRole(now, x.seeds)
-		ctl.state.SetConfig(stoatroute.Config{GracePeriod: x.returnTimeout, Retention: x.flowLifetime, RequireEvacuations: ctl.evacuations})
+		ctl.state.SetConfig(stoatroute.Config{GracePeriod: x.gracePeriod, Retention: x.flowLifetime, RequireEvacuations: ctl.evacuations})
 		for _, t := range ctl.topics {
-			ctl.feeds[t].SetMaxDelay(x.apply)
+			ctl.feeds[t].SetMaxDelay(x.maxDelay)
 		}
 	}
 	ctl.logStandings()
@@ -149,7 +149,7 @@
 func (ctl *controller) emit(effect any) { ctl.effects = append(ctl.effects, effect) }
 
 func (ctl *controller) log(e *stoatevent.Definition, fields ...stoatevent.Field) {
-	ctl.emit(logEvent{entry: e, fields: fields})
+	ctl.emit(logEvent{definition: e, fields: fields})
 }
 
 func (ctl *controller) startCall(now time.Time, t topic) {
@@ -170,7 +170,7 @@
 	return !ctl.ready && ctl.follower.mayRely && ctl.pagesRead[t] >= pagesWithoutParent
 }
 
-// verify asks the platform itself about a topic, at once.
+// verify asks the platform itself, not a replica, about a topic at once.
 func (ctl *controller) verify(now time.Time, t topic) {
 	ctl.feeds[t].RequestExact()
 	if !ctl.reading && !ctl.pending[t] {
@@ -264,8 +264,8 @@
 	}
 }
 
-// callNext makes the next call about a topic. While the platform answers none, a single call at a time finds
-// out when it is back, since each call is paid for.
+// callNext makes the next call about a topic. While the platform answers no call, a single call at a time
+// finds out when the platform is back, since each call is paid for.
 func (ctl *controller) callNext(now time.Time, t topic) {
 	if !ctl.reading {
 		return
--- a/stoatedge/run_reports.go
+++ b/stoatedge/run_reports.go
@@ -52,7 +52,7 @@
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
-	if !e.pool.HandleChildUpdate(now, from, u) {
+	if !e.aggregator.HandleChildUpdate(now, from, u) {
 		w.WriteHeader(http.StatusConflict)
 		return
 	}
@@ -60,7 +60,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// shareObservations adds up the observations of entries, and judges upstreams by them: at each change, and
+// shareObservations adds up the observations of entries, and checks the upstreams by them: at each change, and
 // periodically.
 func (e *Edge) shareObservations() error {
 	t := time.NewTicker(stoatecho.CheckInterval)
@@ -76,7 +76,7 @@
 		case <-e.observed:
 		}
 		now := clock()
-		e.judge(now)
+		e.checkUpstreams(now)
 		pause.Reset(pacer.RecordRound(now))
 		select {
 		case <-e.ctx.Done():
@@ -94,16 +94,16 @@
 	}
 }
 
-// judge looks for upstreams that fail requests or answer no entry, by the observations of all entries of this
-// data centre, and passes on those of this entry.
-func (e *Edge) judge(now time.Time) {
+// checkUpstreams looks for upstreams that fail requests or answer no entry, by the observations of all entries
+// of this data centre, and passes on those of this entry.
+func (e *Edge) checkUpstreams(now time.Time) {
 	t := e.table.Load()
-	suspects := e.pool.Suspects(now)
+	suspects := e.aggregator.Suspects(now)
 	e.engineMu.Lock()
 	own := e.engine.Reports(now, suspects)
 	e.engineMu.Unlock()
-	sum, report, to := e.pool.Aggregate(now, own, e.reportPending.Load())
-	delay, steady := e.pool.PropagationDelay(), e.pool.Stable(now)
+	sum, report, to := e.aggregator.Aggregate(now, own, e.reportPending.Load())
+	delay, steady := e.aggregator.PropagationDelay(), e.aggregator.Stable(now)
 	place, size, parent := e.currentPlace()
 	e.engineMu.Lock()
 	e.engine.SetRank(now, place)
@@ -120,10 +120,10 @@
 	}
 	e.logSilent(now, silent)
 	e.relay.observedSum.Store(&sum)
-	if _, due := e.wakeStream.Next(now, sum, stoatoutlier.FirstWait); due {
+	if _, due := e.wakeTracker.Next(now, sum, stoatoutlier.FirstWait); due {
 		e.relay.notifier.notify()
 	}
-	// The count is needed only if entries share a limit.
+	// The number of entries is needed only if entries share a limit.
 	if !to.IsValid() && !e.reportPending.Load() && len(t.Declaration.ColdRates) > 0 {
 		to = parent
 	}
@@ -167,7 +167,7 @@
 		case x := <-e.reports:
 			e.relay.reportedSize.Store(int64(x.size))
 			if !e.sendReport(x) {
-				e.pool.ForceFullUpdate()
+				e.aggregator.ForceFullUpdate()
 				e.relay.reportedSize.Store(0)
 			}
 			e.reportPending.Store(false)
