--- a/stoatfake/addr.go
+++ b/stoatfake/addr.go
@@ -6,30 +6,30 @@
 	"sync"
 )
 
-// addrTries bounds the ports that FreeAddr looks at.
-const addrTries = 50
+// maxAddrTries bounds the ports that FreeAddr looks at.
+const maxAddrTries = 50
 
-// handed are the addresses that this process got: one that is free stays so until it is used, and the
+// issued are the addresses that this process got: one that is free stays so until it is used, and the
 // kernel may name it again before that. A contract then has two upstreams at one address and is refused.
-var handed sync.Map
+var issued sync.Map
 
 // FreeAddr returns a loopback address whose port is free for both TCP and UDP, another one each time.
 func FreeAddr() (netip.AddrPort, error) {
 	last := error(&net.AddrError{Err: "no address is free that was not handed out", Addr: "127.0.0.1"})
-	for range addrTries {
-		addr, err := tryAddr()
+	for range maxAddrTries {
+		addr, err := probeAddr()
 		if err != nil {
 			last = err
 			continue
 		}
-		if _, known := handed.LoadOrStore(addr, true); !known {
+		if _, used := issued.LoadOrStore(addr, true); !used {
 			return addr, nil
 		}
 	}
 	return netip.AddrPort{}, last
 }
 
-func tryAddr() (netip.AddrPort, error) {
+func probeAddr() (netip.AddrPort, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return netip.AddrPort{}, err
--- a/stoatfake/caller.go
+++ b/stoatfake/caller.go
@@ -33,35 +33,35 @@
 }
 
 type callerFlow struct {
-	tuple   stoatpacket.Tuple
-	seq     uint32
-	open    bool
-	closing bool
-	waiting bool // for an acknowledgment
-	// asked is when what it waits for was first sent.
-	asked   time.Time
-	since   time.Time
-	payload []byte
+	tuple       stoatpacket.Tuple
+	seq         uint32
+	open        bool
+	closing     bool
+	awaitingAck bool // for an acknowledgment
+	// firstSent is when what it waits for was first sent.
+	firstSent time.Time
+	lastSent  time.Time
+	payload   []byte
 }
 
 // Callers is a stand-in for callers that hold flows open; a flow that is reset is opened anew.
 type Callers struct {
-	cfg    CallersConfig
-	conn   *net.UDPConn
-	fabric *Fabric
-	mu     sync.Mutex
-	rnd    *rand.Rand
-	flows  map[stoatpacket.Tuple]*callerFlow
-	order  []*callerFlow
-	next   uint32
-	counts Counts
-	done   chan struct{}
+	cfg     CallersConfig
+	conn    *net.UDPConn
+	fabric  *Fabric
+	mu      sync.Mutex
+	rnd     *rand.Rand
+	flows   map[stoatpacket.Tuple]*callerFlow
+	slots   []*callerFlow
+	created uint32
+	counts  Counts
+	done    chan struct{}
 }
 
-// callerTick is how often the callers look at a part of their flows.
+// tickInterval is how often the callers look at a part of their flows.
 const (
-	callerTick  = 10 * time.Millisecond
-	callerAgain = time.Second // a segment without an answer is sent again
+	tickInterval    = 10 * time.Millisecond
+	retransmitDelay = time.Second // a segment without an answer is sent again
 )
 
 // NewCallers opens the callers' socket, where answers arrive.
@@ -83,7 +83,7 @@
 func (c *Callers) Addr() netip.AddrPort { return c.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Start begins to open flows.
-func (c *Callers) Start(group *errgroup.Group) { group.Go(c.drive) }
+func (c *Callers) Start(group *errgroup.Group) { group.Go(c.run) }
 
 // Close ends the callers.
 func (c *Callers) Close() {
@@ -96,7 +96,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.counts
-	for _, f := range c.order {
+	for _, f := range c.slots {
 		if f.open {
 			out.Open++
 		}
@@ -110,8 +110,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
-	for _, f := range c.order {
-		if f.open && f.waiting && f.asked.Before(before) {
+	for _, f := range c.slots {
+		if f.open && f.awaitingAck && f.firstSent.Before(before) {
 			n++
 		}
 	}
@@ -120,8 +120,8 @@
 
 // newFlow returns a flow from a fresh address; it is called under the lock.
 func (c *Callers) newFlow() *callerFlow {
-	c.next++
-	n := c.next
+	c.created++
+	n := c.created
 	src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, byte(n >> 14), byte(n >> 6)}), uint16(1024+n&63))
 	dst := c.cfg.Services[int(n)%len(c.cfg.Services)]
 	f := &callerFlow{
@@ -132,37 +132,37 @@
 	return f
 }
 
-// drive looks at every flow once in Every, a part at each tick.
-func (c *Callers) drive() error {
-	ticker := time.NewTicker(callerTick)
+// run looks at every flow once in Every, a part at each tick.
+func (c *Callers) run() error {
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	c.mu.Lock()
 	for range c.cfg.Flows {
-		c.order = append(c.order, c.newFlow())
+		c.slots = append(c.slots, c.newFlow())
 	}
 	c.mu.Unlock()
-	parts := max(1, int(c.cfg.Every/callerTick))
+	parts := max(1, int(c.cfg.Every/tickInterval))
 	for n := 0; ; n++ {
 		select {
 		case <-c.done:
 			return nil
 		case <-ticker.C:
 		}
-		for i := n % parts; i < len(c.order); i += parts {
-			if packet := c.act(i); packet != nil {
+		for i := n % parts; i < len(c.slots); i += parts {
+			if packet := c.nextPacket(i); packet != nil {
 				c.fabric.Send(packet)
 			}
 		}
 	}
 }
 
-// act returns the packet that flow i sends now.
-func (c *Callers) act(i int) []byte {
+// nextPacket returns the packet that flow i sends now.
+func (c *Callers) nextPacket(i int) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	f := c.order[i]
+	f := c.slots[i]
 	now := time.Now()
-	if f.waiting && now.Sub(f.since) < callerAgain {
+	if f.awaitingAck && now.Sub(f.lastSent) < retransmitDelay {
 		return nil
 	}
 	s := stoattunnel.Segment{Src: f.tuple.Src, Dst: f.tuple.Dst, Seq: f.seq}
@@ -175,10 +175,10 @@
 	default:
 		s.ACK, s.Payload = true, f.payload
 	}
-	if !f.waiting {
-		f.asked = now
+	if !f.awaitingAck {
+		f.firstSent = now
 	}
-	f.waiting, f.since = true, now
+	f.awaitingAck, f.lastSent = true, now
 	data, err := stoattunnel.BuildSegment(s)
 	if err != nil {
 		return nil
@@ -195,15 +195,15 @@
 			return nil
 		}
 		if parser.Parse(buf[:n], &p) == stoatpacket.DropNone {
-			if packet := c.answer(&p); packet != nil {
+			if packet := c.handle(&p); packet != nil {
 				c.fabric.Send(packet)
 			}
 		}
 	}
 }
 
-// answer takes one packet in and returns the acknowledgment that completes an opening.
-func (c *Callers) answer(p *stoatpacket.Packet) []byte {
+// handle takes one packet in and returns the acknowledgment that completes an opening.
+func (c *Callers) handle(p *stoatpacket.Packet) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f := c.flows[stoatpacket.Tuple{Src: p.Tuple.Dst, Dst: p.Tuple.Src, Protocol: p.Tuple.Protocol}]
@@ -212,12 +212,12 @@
 	}
 	switch {
 	case p.Reset:
-		c.reset(f)
+		c.handleReset(f)
 	case f.closing:
 		c.counts.Closed++
 		c.replace(f)
 	case !f.open && p.Ack == f.seq+1:
-		f.open, f.waiting = true, false
+		f.open, f.awaitingAck = true, false
 		f.seq++
 		c.counts.Opened++
 		data, err := stoattunnel.BuildSegment(stoattunnel.Segment{Src: f.tuple.Src, Dst: f.tuple.Dst, Seq: f.seq, ACK: true, Ack: 1})
@@ -226,12 +226,12 @@
 		}
 	case f.open && p.Ack == f.seq+uint32(len(f.payload)):
 		f.seq = p.Ack
-		f.waiting = false
+		f.awaitingAck = false
 	}
 	return nil
 }
 
-func (c *Callers) reset(f *callerFlow) {
+func (c *Callers) handleReset(f *callerFlow) {
 	switch {
 	case f.closing:
 		c.counts.Closed++
@@ -247,9 +247,9 @@
 func (c *Callers) replace(f *callerFlow) {
 	delete(c.flows, f.tuple)
 	fresh := c.newFlow()
-	for i, o := range c.order {
+	for i, o := range c.slots {
 		if o == f {
-			c.order[i] = fresh
+			c.slots[i] = fresh
 			return
 		}
 	}
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -28,8 +28,8 @@
 	Reads       int           // a second; more are refused; a waiting watch is one
 }
 
-// pageItems is how many objects a page of a list holds.
-const pageItems = 500
+// pageSize is how many objects a page of a list holds.
+const pageSize = 500
 
 type key struct{ kind, name string }
 
@@ -42,19 +42,19 @@
 // Platform is a stand-in for the users' object store, written from their published
 // protocol; it is an http.Handler.
 type Platform struct {
-	mu       sync.Mutex
-	trouble  Trouble
-	objects  map[key]platform.Object
-	history  []change
-	revision uint64
-	from     uint64 // the history after this revision is kept
-	lag      uint64 // the revision that replicas show, while they lag
-	era      uint64 // how often a copy was restored
-	changed  chan struct{}
-	second   int64
-	writes   int
-	reads    int
-	calls    int64
+	mu              sync.Mutex
+	faults          Trouble
+	objects         map[key]platform.Object
+	history         []change
+	revision        uint64
+	compacted       uint64 // the history after this revision is kept
+	replicaRevision uint64 // the revision that replicas show, while they lag
+	era             uint64 // how often a copy was restored
+	changed         chan struct{}
+	second          int64
+	writes          int
+	reads           int
+	calls           int64
 }
 
 // NewPlatform returns an empty platform.
@@ -74,7 +74,7 @@
 func (p *Platform) Save() Copy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Copy{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, from: p.from}
+	return Copy{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, from: p.compacted}
 }
 
 // Restore makes a copy what the platform holds. What was written since the copy was made is lost, and
@@ -82,29 +82,29 @@
 func (p *Platform) Restore(c Copy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.objects, p.history, p.revision, p.from = maps.Clone(c.objects), slices.Clone(c.history), c.revision, c.from
-	p.lag = min(p.lag, p.revision)
+	p.objects, p.history, p.revision, p.compacted = maps.Clone(c.objects), slices.Clone(c.history), c.revision, c.from
+	p.replicaRevision = min(p.replicaRevision, p.revision)
 	p.era++
-	p.wake()
+	p.wakeWatches()
 }
 
 // Set replaces the trouble.
 func (p *Platform) Set(t Trouble) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.trouble, p.lag = t, p.revision
-	p.wake()
+	p.faults, p.replicaRevision = t, p.revision
+	p.wakeWatches()
 }
 
 // Forget drops the history: watches from before now are answered with 410.
 func (p *Platform) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.history, p.from = nil, p.revision
-	p.wake()
+	p.history, p.compacted = nil, p.revision
+	p.wakeWatches()
 }
 
-func (p *Platform) wake() {
+func (p *Platform) wakeWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
@@ -139,7 +139,7 @@
 	delete(p.objects, k)
 	p.revision++
 	o.Meta.Revision = p.revision
-	p.note(k, platform.Event{Object: o, Deleted: true})
+	p.record(k, platform.Event{Object: o, Deleted: true})
 }
 
 // Names returns the names of a kind's objects, in any order.
@@ -180,13 +180,13 @@
 	}
 	o.Meta.Revision, o.Spec = p.revision, spec
 	p.objects[k] = o
-	p.note(k, platform.Event{Object: o})
+	p.record(k, platform.Event{Object: o})
 	return o
 }
 
-func (p *Platform) note(k key, ev platform.Event) {
+func (p *Platform) record(k key, ev platform.Event) {
 	p.history = append(p.history, change{key: k, ev: ev})
-	p.wake()
+	p.wakeWatches()
 }
 
 // ServeHTTP implements http.Handler.
@@ -200,7 +200,7 @@
 		time.Sleep(t.Slow)
 	}
 	if t.Down {
-		hangUp(w)
+		closeConn(w)
 		return
 	}
 	if !allowed {
@@ -227,19 +227,19 @@
 	if now := time.Now().Unix(); now != p.second {
 		p.second, p.writes, p.reads = now, 0, 0
 	}
-	count, limit := &p.reads, p.trouble.Reads
+	count, limit := &p.reads, p.faults.Reads
 	if write {
-		count, limit = &p.writes, p.trouble.Writes
+		count, limit = &p.writes, p.faults.Writes
 	}
 	if replica {
-		return p.trouble, true
+		return p.faults, true
 	}
 	*count++
-	return p.trouble, limit == 0 || *count <= limit
+	return p.faults, limit == 0 || *count <= limit
 }
 
-// hangUp closes the connection without an answer.
-func hangUp(w http.ResponseWriter) {
+// closeConn closes the connection without an answer.
+func closeConn(w http.ResponseWriter) {
 	if h, ok := w.(http.Hijacker); ok {
 		if conn, _, err := h.Hijack(); err == nil {
 			_ = conn.Close()
@@ -255,7 +255,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	answer(w, http.StatusOK, o)
+	respond(w, http.StatusOK, o)
 }
 
 // list answers one page. A lagging replica is not modelled for lists: nothing asks one.
@@ -271,10 +271,10 @@
 	a.AsOf = p.revision
 	p.mu.Unlock()
 	slices.SortFunc(a.Items, func(x, y platform.Object) int { return cmp.Compare(x.Meta.Name, y.Meta.Name) })
-	if len(a.Items) > pageItems {
-		a.Items, a.More = a.Items[:pageItems], true
+	if len(a.Items) > pageSize {
+		a.Items, a.More = a.Items[:pageSize], true
 	}
-	answer(w, http.StatusOK, a)
+	respond(w, http.StatusOK, a)
 }
 
 func (p *Platform) write(w http.ResponseWriter, r *http.Request, k key) {
@@ -287,31 +287,31 @@
 		k.name = sent.Meta.Name
 	}
 	p.mu.Lock()
-	current, standing := p.objects[k]
-	if status := refusal(r.Method, sent, current, standing); status != 0 {
+	current, exists := p.objects[k]
+	if status := refusal(r.Method, sent, current, exists); status != 0 {
 		p.mu.Unlock()
-		answer(w, status, current)
+		respond(w, status, current)
 		return
 	}
 	o := p.put(k, sent.Spec)
-	lose := p.trouble.LoseWrites > 0
+	lose := p.faults.LoseWrites > 0
 	if lose {
-		p.trouble.LoseWrites--
+		p.faults.LoseWrites--
 	}
 	p.mu.Unlock()
 	if lose {
-		hangUp(w)
+		closeConn(w)
 		return
 	}
-	answer(w, http.StatusOK, o)
+	respond(w, http.StatusOK, o)
 }
 
 // refusal returns the status of a write whose condition does not hold, or 0.
-func refusal(method string, sent, current platform.Object, standing bool) int {
+func refusal(method string, sent, current platform.Object, exists bool) int {
 	switch {
-	case method == http.MethodPost && standing:
+	case method == http.MethodPost && exists:
 		return http.StatusConflict
-	case method == http.MethodPut && !standing:
+	case method == http.MethodPut && !exists:
 		return http.StatusNotFound
 	case method == http.MethodPut && sent.Meta.Revision != 0 && sent.Meta.Revision != current.Meta.Revision:
 		return http.StatusConflict
@@ -321,8 +321,8 @@
 	return 0
 }
 
-// since returns the changes of a kind after a revision, as far as the asker may see.
-func (p *Platform) since(kind string, from, seen uint64) []platform.Event {
+// eventsAfter returns the changes of a kind after a revision, as far as the asker may see.
+func (p *Platform) eventsAfter(kind string, from, seen uint64) []platform.Event {
 	events := []platform.Event{}
 	for _, c := range p.history {
 		if rev := c.ev.Object.Meta.Revision; c.key.kind == kind && rev > from && rev <= seen {
@@ -340,21 +340,21 @@
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		t, seen, changed, kept, whole := p.trouble, p.revision, p.changed, p.from, p.revision
+		t, seen, changed, compacted, revision := p.faults, p.revision, p.changed, p.compacted, p.revision
 		if t.Lagging && replica {
-			seen = min(seen, p.lag)
+			seen = min(seen, p.replicaRevision)
 		}
-		events := p.since(kind, from, seen)
+		events := p.eventsAfter(kind, from, seen)
 		p.mu.Unlock()
 		switch {
 		case t.Down:
-			hangUp(w)
+			closeConn(w)
 			return
-		case from < kept || from > whole:
+		case from < compacted || from > revision:
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(events) > 0 && !t.SilentWatch:
-			answer(w, http.StatusOK, platform.Answer{Events: events, AsOf: seen})
+			respond(w, http.StatusOK, platform.Answer{Events: events, AsOf: seen})
 			return
 		}
 		select {
@@ -363,7 +363,7 @@
 			return
 		case <-timer.C:
 			if !t.SilentWatch {
-				answer(w, http.StatusOK, platform.Answer{Events: events, AsOf: seen})
+				respond(w, http.StatusOK, platform.Answer{Events: events, AsOf: seen})
 				return
 			}
 			<-r.Context().Done()
@@ -372,10 +372,10 @@
 	}
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func respond(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		hangUp(w)
+		closeConn(w)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/stoatfake/server.go
+++ b/stoatfake/server.go
@@ -17,13 +17,13 @@
 // Server is a stand-in for an upstream of a call service: it runs a few calls at once and
 // refuses the rest without starting them.
 type Server struct {
-	srv     *http.Server
-	ln      net.Listener
-	slots   int64
-	service time.Duration
-	running atomic.Int64
-	ran     atomic.Int64
-	shed    atomic.Int64
+	srv         *http.Server
+	ln          net.Listener
+	slots       int64
+	serviceTime time.Duration
+	running     atomic.Int64
+	ran         atomic.Int64
+	rejected    atomic.Int64
 }
 
 // NewServer starts a server with slots that each take service for a call.
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ln: ln, slots: int64(slots), service: service}
+	s := &Server{ln: ln, slots: int64(slots), serviceTime: service}
 	s.srv = &http.Server{Handler: s, ReadHeaderTimeout: time.Minute}
 	group.Go(func() error {
 		_ = s.srv.Serve(ln)
@@ -45,7 +45,7 @@
 func (s *Server) Addr() netip.AddrPort { return s.ln.Addr().(*net.TCPAddr).AddrPort() }
 
 // Ran returns how many calls ran, and how many were refused.
-func (s *Server) Ran() (ran, shed int64) { return s.ran.Load(), s.shed.Load() }
+func (s *Server) Ran() (ran, rejected int64) { return s.ran.Load(), s.rejected.Load() }
 
 // Close ends the server at once.
 func (s *Server) Close() { _ = s.srv.Close() }
@@ -54,7 +54,7 @@
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	defer s.running.Add(-1)
 	if s.running.Add(1) > s.slots {
-		s.shed.Add(1)
+		s.rejected.Add(1)
 		w.Header().Set(stoatcall.HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -64,7 +64,7 @@
 	if err != nil {
 		return
 	}
-	time.Sleep(s.service)
+	time.Sleep(s.serviceTime)
 	w.Header().Set("Received", strconv.FormatInt(n, 10))
 	_, _ = io.WriteString(w, "accepted "+r.URL.Path+"\n")
 }
--- a/stoatfake/upstream.go
+++ b/stoatfake/upstream.go
@@ -17,13 +17,13 @@
 // and a small TCP endpoint answers the caller directly. A segment for a connection that
 // it does not know gets a reset, which is what a broken flow is.
 type Upstream struct {
-	conn    *net.UDPConn
-	callers netip.AddrPort
-	mu      sync.Mutex
-	flows   map[stoatpacket.Tuple]uint32 // the next sequence number of each
-	opened  time.Time                    // when it last accepted a flow
-	unknown atomic.Int64
-	silent  atomic.Bool
+	conn       *net.UDPConn
+	callers    netip.AddrPort
+	mu         sync.Mutex
+	flows      map[stoatpacket.Tuple]uint32 // the next sequence number of each
+	lastOpened time.Time                    // when it last accepted a flow
+	unknown    atomic.Int64
+	silent     atomic.Bool
 }
 
 // NewUpstream opens the upstream's socket; answers go to callers.
@@ -52,7 +52,7 @@
 func (u *Upstream) LastOpened() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.opened
+	return u.lastOpened
 }
 
 // SetSilent makes the upstream answer nothing.
@@ -72,7 +72,7 @@
 		if parser.Parse(buf[:n], &p) != stoatpacket.DropNone || p.ICMP || u.silent.Load() {
 			continue
 		}
-		if answer, ok := u.segment(&p); ok {
+		if answer, ok := u.handleSegment(&p); ok {
 			if data, err := stoattunnel.BuildSegment(answer); err == nil {
 				_, _ = u.conn.WriteToUDPAddrPort(data, u.callers)
 			}
@@ -80,8 +80,8 @@
 	}
 }
 
-// segment answers one segment.
-func (u *Upstream) segment(p *stoatpacket.Packet) (stoattunnel.Segment, bool) {
+// handleSegment answers one handleSegment.
+func (u *Upstream) handleSegment(p *stoatpacket.Packet) (stoattunnel.Segment, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	answer := stoattunnel.Segment{Src: p.Tuple.Dst, Dst: p.Tuple.Src, ACK: true, Ack: p.Seq + uint32(p.Size)}
@@ -91,7 +91,7 @@
 		delete(u.flows, p.Tuple)
 		return answer, false
 	case p.Opens:
-		u.opened = time.Now()
+		u.lastOpened = time.Now()
 		u.flows[p.Tuple] = p.Seq + 1
 		answer.SYN, answer.Ack = true, p.Seq+1
 	case !known:
