--- a/stoatdemo/contract.go
+++ b/stoatdemo/contract.go
@@ -31,12 +31,12 @@
 }
 
 const (
-	servicePort  = 443
-	flowServers  = 14
-	callServers  = 4
-	serverSlots  = 3
-	connections  = 2000
-	serverWeight = 100
+	servicePort          = 443
+	flowServers          = 14
+	callServers          = 4
+	slotsPerServer       = 3
+	connectionsPerServer = 2000
+	serverWeight         = 100
 )
 
 // contract returns the customer's contract over the given servers.
@@ -59,6 +59,6 @@
 func upstream(svc stoatpaddle.ServiceID, n int, addr netip.AddrPort) stoatpaddle.Upstream {
 	return stoatpaddle.Upstream{
 		ID: stoatpaddle.UpstreamID(string(svc) + "-" + string(rune('a'+n))), DataCentre: centres[n%len(centres)],
-		Addr: addr, Weight: serverWeight, Slots: serverSlots, Connections: connections,
+		Addr: addr, Weight: serverWeight, Slots: slotsPerServer, Connections: connectionsPerServer,
 	}
 }
--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -18,8 +18,8 @@
 	DefaultSeed    = 1
 )
 
-// phaseTime is how long traffic flows after each change.
-const phaseTime = 1500 * time.Millisecond
+// phaseDuration is how long traffic flows after each change.
+const phaseDuration = 1500 * time.Millisecond
 
 // inForceWithin is the promise about an accepted contract.
 const inForceWithin = 4 * time.Second
@@ -44,26 +44,26 @@
 
 // phase is one step of the demo.
 type phase struct {
-	name    string
-	allowed float64 // part of the flows that may break
-	act     func(w *world) (string, error)
+	name           string
+	maxBrokenShare float64 // part of the flows that may break
+	change         func(w *environment) (string, error)
 }
 
 var phases = []phase{
-	{name: "steady", act: func(*world) (string, error) { return "", nil }},
-	{name: "two operators amend at once", act: (*world).amend},
-	{name: "an upstream is drained", act: (*world).drain},
-	{name: "an upstream is added", act: (*world).grow},
-	{name: "a data centre is evacuated", act: (*world).evacuate},
-	{name: "an entry is replaced", act: (*world).replace},
-	{name: "an entry dies", allowed: 0.0005, act: (*world).kill},
-	{name: "platform down", act: (*world).platformDown},
-	{name: "platform up", act: (*world).platformUp},
+	{name: "steady", change: func(*environment) (string, error) { return "", nil }},
+	{name: "two operators amend at once", change: (*environment).amendConcurrently},
+	{name: "an upstream is drained", change: (*environment).drainUpstream},
+	{name: "an upstream is added", change: (*environment).growService},
+	{name: "a data centre is evacuated", change: (*environment).evacuateCentre},
+	{name: "an entry is replaced", change: (*environment).replaceEntry},
+	{name: "an entry dies", maxBrokenShare: 0.0005, change: (*environment).killEntry},
+	{name: "platform down", change: (*environment).platformDown},
+	{name: "platform up", change: (*environment).platformUp},
 }
 
 // Run runs the demo and returns *BrokenError if a promise was broken.
 func Run(ctx context.Context, cfg Config) error {
-	w, err := newWorld(ctx, cfg)
+	w, err := newEnvironment(ctx, cfg)
 	defer w.close()
 	if err != nil {
 		return err
@@ -72,34 +72,34 @@
 		return err
 	}
 	t := &table{out: cfg.Out}
-	t.head()
-	var broken []string
+	t.printHeader()
+	var violations []string
 	for _, p := range phases {
 		before := w.measure()
-		note, err := p.act(w)
+		note, err := p.change(w)
 		if err != nil {
 			return err
 		}
 		w.settle(time.Now())
-		w.wait(phaseTime)
+		w.sleep(phaseDuration)
 		after := w.measure()
-		t.row(p.name, before, after, note)
-		broken = append(broken, judge(p, before, after)...)
+		t.printRow(p.name, before, after, note)
+		violations = append(violations, violationsOf(p, before, after)...)
 	}
-	broken = append(broken, w.broken...)
-	if w.drained != nil && !w.drained() {
-		broken = append(broken, "a new flow reached the leaving upstream later than "+leavingWithin.String())
+	violations = append(violations, w.violations...)
+	if w.drainKept != nil && !w.drainKept() {
+		violations = append(violations, "a new flow reached the leaving upstream later than "+maxDrainDelay.String())
 	}
-	if len(broken) > 0 {
-		return &BrokenError{Promises: broken}
+	if len(violations) > 0 {
+		return &BrokenError{Promises: violations}
 	}
-	t.end(w.platform.Calls(), len(w.sets))
+	t.printSummary(w.platform.Calls(), len(w.settings))
 	return nil
 }
 
-func (w *world) wait(d time.Duration) {
+func (env *environment) sleep(d time.Duration) {
 	select {
-	case <-w.ctx.Done():
+	case <-env.ctx.Done():
 	case <-time.After(d):
 	}
 }
@@ -111,53 +111,53 @@
 // settle waits until no flow waits for what it sent before a change was complete. A flow that the
 // change broke is noticed with its next answer: on a busy machine in the next phase, to which it does not
 // belong. Flows that stay without an answer are left to the phases that follow.
-func (w *world) settle(changed time.Time) {
-	_, _ = w.until("answers", settleWithin, func() bool { return w.callers.Unanswered(changed) == 0 })
+func (env *environment) settle(changed time.Time) {
+	_, _ = env.waitUntil("answers", settleWithin, func() bool { return env.callers.Unanswered(changed) == 0 })
 }
 
 const startTimeout = 10 * time.Second
 
-// until polls a condition.
-func (w *world) until(what string, within time.Duration, ok func() bool) (time.Duration, error) {
+// waitUntil polls a condition.
+func (env *environment) waitUntil(what string, within time.Duration, ok func() bool) (time.Duration, error) {
 	begin := time.Now()
 	for !ok() {
-		if time.Since(begin) > within || w.ctx.Err() != nil {
+		if time.Since(begin) > within || env.ctx.Err() != nil {
 			return 0, &TimeoutError{What: what}
 		}
-		w.wait(20 * time.Millisecond)
+		env.sleep(20 * time.Millisecond)
 	}
 	return time.Since(begin), nil
 }
 
 // start writes the contracts and waits until all flows are open.
-func (w *world) start() error {
-	_, err := w.until("entries ready", startTimeout, func() bool { return w.inForce("", 0) })
+func (env *environment) start() error {
+	_, err := env.waitUntil("entries ready", startTimeout, func() bool { return env.inForce("", 0) })
 	if err != nil {
 		return err
 	}
 	for i, c := range customers {
-		version, err := w.apply(i, w.contracts[c.id], 0)
+		version, err := env.apply(i, env.contracts[c.id], 0)
 		if err != nil {
 			return err
 		}
-		if _, err := w.until("contract in force", inForceWithin, func() bool { return w.inForce(c.id, version) }); err != nil {
+		if _, err := env.waitUntil("contract in force", inForceWithin, func() bool { return env.inForce(c.id, version) }); err != nil {
 			return err
 		}
 	}
-	w.forward()
-	w.callers.Start(w.group)
-	w.startClients()
-	_, err = w.until("flows open", startTimeout, func() bool {
-		return w.callers.Counts().Open >= w.cfg.Flows*99/100
+	env.updateFabric()
+	env.callers.Start(env.group)
+	env.startClients()
+	_, err = env.waitUntil("flows open", startTimeout, func() bool {
+		return env.callers.Counts().Open >= env.cfg.Flows*99/100
 	})
 	return err
 }
 
 // inForce tells whether every entry serves and holds the customer's contract at least at the version.
-func (w *world) inForce(id stoatpaddle.CustomerID, version stoatpaddle.Version) bool {
-	w.mu.Lock()
-	entries := append(w.entries[:0:0], w.entries...)
-	w.mu.Unlock()
+func (env *environment) inForce(id stoatpaddle.CustomerID, version stoatpaddle.Version) bool {
+	env.mu.Lock()
+	entries := append(env.entries[:0:0], env.entries...)
+	env.mu.Unlock()
 	for _, e := range entries {
 		st, err := e.Status()
 		if err != nil || !st.Ready {
@@ -174,8 +174,8 @@
 	return true
 }
 
-func (w *world) version(id stoatpaddle.CustomerID) (stoatpaddle.Version, error) {
-	list, err := w.admin(0).Contracts(w.ctx)
+func (env *environment) currentVersion(id stoatpaddle.CustomerID) (stoatpaddle.Version, error) {
+	list, err := env.admin(0).Contracts(env.ctx)
 	if err != nil {
 		return 0, err
 	}
@@ -187,13 +187,13 @@
 	return 0, &TimeoutError{What: "contract " + string(id)}
 }
 
-// amend has two operators amend one contract from the same version through two entries.
-func (w *world) amend() (string, error) {
-	base, err := w.version(customers[0].id)
+// amendConcurrently has two operators amendConcurrently one contract from the same version through two entries.
+func (env *environment) amendConcurrently() (string, error) {
+	base, err := env.currentVersion(customers[0].id)
 	if err != nil {
 		return "", err
 	}
-	one, two := w.contracts[customers[0].id], w.contracts[customers[0].id]
+	one, two := env.contracts[customers[0].id], env.contracts[customers[0].id]
 	one.Limits.Flows++
 	two.Limits.Flows += 2
 	type result struct {
@@ -202,8 +202,8 @@
 	}
 	results := make(chan result, 2)
 	for i, c := range []stoatpaddle.Contract{one, two} {
-		w.group.Go(func() error {
-			v, err := w.apply(i*4, c, base)
+		env.group.Go(func() error {
+			v, err := env.apply(i*4, c, base)
 			results <- result{v, err}
 			return nil
 		})
@@ -219,79 +219,79 @@
 	if !errors.As(lost.err, &refused) {
 		return "", &TimeoutError{What: "refusal of the second amendment"}
 	}
-	took, err := w.until("amendment in force", inForceWithin, func() bool { return w.inForce(customers[0].id, won.version) })
+	took, err := env.waitUntil("amendment in force", inForceWithin, func() bool { return env.inForce(customers[0].id, won.version) })
 	return fmt.Sprintf("one accepted, one %d; in force everywhere after %d ms", refused.Status, took.Milliseconds()), err
 }
 
-// drain marks an upstream as leaving and checks that it gets no new flow after 3 s.
-func (w *world) drain() (string, error) {
+// drainUpstream marks an upstream as leaving and checks that it gets no new flow after 3 s.
+func (env *environment) drainUpstream() (string, error) {
 	id := stoatpaddle.UpstreamID(string(customers[0].flow) + "-a")
-	if _, err := w.admin(1).Mark(w.ctx, stoatpaddle.InstanceID(id), stoatpaddle.StateLeaving); err != nil {
+	if _, err := env.admin(1).Mark(env.ctx, stoatpaddle.InstanceID(id), stoatpaddle.StateLeaving); err != nil {
 		return "", err
 	}
 	marked := time.Now()
-	u := w.upstreams[id]
-	w.wait(time.Second)
+	u := env.upstreams[id]
+	env.sleep(time.Second)
 	last := u.LastOpened()
-	w.wait(2 * time.Second)
-	w.drained = func() bool { return u.LastOpened().Sub(marked) < leavingWithin }
+	env.sleep(2 * time.Second)
+	env.drainKept = func() bool { return u.LastOpened().Sub(marked) < maxDrainDelay }
 	return fmt.Sprintf("last new flow there after %d ms; %d flows still live on it", max(0, last.Sub(marked).Milliseconds()), u.Open()), nil
 }
 
-// grow adds an upstream to the contract of the other customer.
-func (w *world) grow() (string, error) {
+// growService adds an upstream to the contract of the other customer.
+func (env *environment) growService() (string, error) {
 	cust := customers[1]
-	base, err := w.version(cust.id)
+	base, err := env.currentVersion(cust.id)
 	if err != nil {
 		return "", err
 	}
-	u, err := w.addUpstream(cust.flow, flowServers)
+	u, err := env.addUpstream(cust.flow, flowServers)
 	if err != nil {
 		return "", err
 	}
-	c := w.contracts[cust.id]
+	c := env.contracts[cust.id]
 	c.Services[0].Upstreams = append(c.Services[0].Upstreams, u)
-	w.contracts[cust.id] = c
-	version, err := w.apply(2, c, base)
+	env.contracts[cust.id] = c
+	version, err := env.apply(2, c, base)
 	if err != nil {
 		return "", err
 	}
-	took, err := w.until("new upstream in force", inForceWithin, func() bool { return w.inForce(cust.id, version) })
+	took, err := env.waitUntil("new upstream in force", inForceWithin, func() bool { return env.inForce(cust.id, version) })
 	return fmt.Sprintf("in force everywhere after %d ms", took.Milliseconds()), err
 }
 
-// evacuate has a data centre evacuated, checks that its upstreams get no new flow after 3 s, and takes it back.
-func (w *world) evacuate() (string, error) {
+// evacuateCentre has a data centre evacuated, checks that its upstreams get no new flow after 3 s, and takes it back.
+func (env *environment) evacuateCentre() (string, error) {
 	dc := centres[len(centres)-1]
-	if _, err := w.admin(3).Evacuate(w.ctx, dc); err != nil {
+	if _, err := env.admin(3).Evacuate(env.ctx, dc); err != nil {
 		return "", err
 	}
 	began := time.Now()
-	took, err := w.until("evacuation in force", inForceWithin, func() bool { return w.evacuated(dc) })
+	took, err := env.waitUntil("evacuation in force", inForceWithin, func() bool { return env.evacuated(dc) })
 	if err != nil {
 		return "", err
 	}
-	w.wait(time.Second)
+	env.sleep(time.Second)
 	var last time.Duration
-	for _, c := range w.contracts {
+	for _, c := range env.contracts {
 		for _, u := range c.Services[0].Upstreams {
 			if u.DataCentre == dc {
-				last = max(last, w.upstreams[u.ID].LastOpened().Sub(began))
+				last = max(last, env.upstreams[u.ID].LastOpened().Sub(began))
 			}
 		}
 	}
-	if last >= leavingWithin {
-		w.broken = append(w.broken, "a new flow reached an evacuated data centre after "+last.String())
+	if last >= maxDrainDelay {
+		env.violations = append(env.violations, "a new flow reached an evacuated data centre after "+last.String())
 	}
-	_, err = w.admin(0).TakeBack(w.ctx, dc)
+	_, err = env.admin(0).TakeBack(env.ctx, dc)
 	return fmt.Sprintf("in force everywhere after %d ms, last new flow there after %d ms", took.Milliseconds(), last.Milliseconds()), err
 }
 
 // evacuated tells whether all entries know of the evacuation.
-func (w *world) evacuated(dc stoatpaddle.DataCentreID) bool {
-	w.mu.Lock()
-	entries := append(w.entries[:0:0], w.entries...)
-	w.mu.Unlock()
+func (env *environment) evacuated(dc stoatpaddle.DataCentreID) bool {
+	env.mu.Lock()
+	entries := append(env.entries[:0:0], env.entries...)
+	env.mu.Unlock()
 	for _, e := range entries {
 		st, err := e.Status()
 		if err != nil || !slices.Contains(st.Evacuated, dc) {
@@ -301,56 +301,56 @@
 	return true
 }
 
-// replace starts a new entry and stops an old one gracefully.
-func (w *world) replace() (string, error) {
-	if err := w.addEntry(); err != nil {
+// replaceEntry starts a new entry and stops an old one gracefully.
+func (env *environment) replaceEntry() (string, error) {
+	if err := env.addEntry(); err != nil {
 		return "", err
 	}
-	if _, err := w.until("new entry ready", startTimeout, func() bool { return w.inForce("", 0) }); err != nil {
+	if _, err := env.waitUntil("new entry ready", startTimeout, func() bool { return env.inForce("", 0) }); err != nil {
 		return "", err
 	}
-	w.forward()
-	w.mu.Lock()
-	old := w.entries[1]
-	w.mu.Unlock()
+	env.updateFabric()
+	env.mu.Lock()
+	old := env.entries[1]
+	env.mu.Unlock()
 	begin := time.Now()
 	old.Stop()
-	w.wait(fabricLag)
-	e := w.forget(1)
-	w.forward()
+	env.sleep(fabricLag)
+	e := env.removeEntry(1)
+	env.updateFabric()
 	e.Wait()
 	return fmt.Sprintf("planned stop took %d ms", time.Since(begin).Milliseconds()), nil
 }
 
-// kill ends an entry without a word.
-func (w *world) kill() (string, error) {
-	e := w.forget(2)
+// killEntry ends an entry without a word.
+func (env *environment) killEntry() (string, error) {
+	e := env.removeEntry(2)
 	e.Kill()
 	e.Wait()
-	w.wait(time.Second)
-	w.forward()
+	env.sleep(time.Second)
+	env.updateFabric()
 	return "the fabric notices after 1 s", nil
 }
 
-func (w *world) platformDown() (string, error) {
-	w.platform.Set(trouble{Down: true})
+func (env *environment) platformDown() (string, error) {
+	env.platform.Set(faults{Down: true})
 	return "", nil
 }
 
-func (w *world) platformUp() (string, error) {
-	w.platform.Set(trouble{})
+func (env *environment) platformUp() (string, error) {
+	env.platform.Set(faults{})
 	return "", nil
 }
 
 // measure reads all counters.
-func (w *world) measure() reading {
-	r := reading{at: time.Now(), flows: w.callers.Counts(), calls: w.calls(), control: w.controlBytes(), entries: len(w.entries)}
+func (env *environment) measure() reading {
+	r := reading{at: time.Now(), flows: env.callers.Counts(), calls: env.calls(), control: env.controlBytes(), entries: len(env.entries)}
 	skip := stoatpaddle.UpstreamID("")
-	if w.drained != nil {
+	if env.drainKept != nil {
 		skip = stoatpaddle.UpstreamID(string(customers[0].flow) + "-a")
 	}
 	for _, c := range customers {
-		r.worst = max(r.worst, w.imbalance(w.contracts[c.id], skip))
+		r.maxImbalance = max(r.maxImbalance, env.imbalance(env.contracts[c.id], skip))
 	}
 	return r
 }
--- a/stoatdemo/run_client.go
+++ b/stoatdemo/run_client.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	clientsEach = 3 // of each customer
-	callPause   = 30 * time.Millisecond
-	callTimeout = 10 * time.Second
-	callBody    = "receipt "
+	clientsPerCustomer = 3 // of each customer
+	callPause          = 30 * time.Millisecond
+	callTimeout        = 10 * time.Second
+	callBodyPart       = "receipt "
 )
 
 // startClients starts the callers of the call services.
-func (w *world) startClients() {
+func (env *environment) startClients() {
 	for i, cust := range customers {
-		for n := range clientsEach {
-			c := &client{w: w, host: cust.host, rnd: rand.New(rand.NewPCG(w.cfg.Seed, uint64(10+i*clientsEach+n))), done: make(chan struct{})}
-			w.clients = append(w.clients, c)
-			w.group.Go(c.run)
+		for n := range clientsPerCustomer {
+			c := &client{w: env, host: cust.host, rnd: rand.New(rand.NewPCG(env.cfg.Seed, uint64(10+i*clientsPerCustomer+n))), done: make(chan struct{})}
+			env.clients = append(env.clients, c)
+			env.group.Go(c.run)
 		}
 	}
 }
@@ -44,9 +44,9 @@
 // call sends one call to a random entry and counts how it ended.
 func (c *client) call(hc *http.Client) {
 	c.w.mu.Lock()
-	addr := c.w.sets[c.rnd.IntN(len(c.w.sets))].Call
+	addr := c.w.settings[c.rnd.IntN(len(c.w.settings))].Call
 	c.w.mu.Unlock()
-	body := strings.Repeat(callBody, 1+c.rnd.IntN(500))
+	body := strings.Repeat(callBodyPart, 1+c.rnd.IntN(500))
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr.String()+"/claim", strings.NewReader(body))
 	if err != nil {
 		return
@@ -79,9 +79,9 @@
 }
 
 // calls sums up all clients.
-func (w *world) calls() callCounts {
+func (env *environment) calls() callCounts {
 	var sum callCounts
-	for _, c := range w.clients {
+	for _, c := range env.clients {
 		c.mu.Lock()
 		sum.answered += c.counts.answered
 		sum.refused += c.counts.refused
--- a/stoatdemo/run_world.go
+++ b/stoatdemo/run_world.go
@@ -30,42 +30,42 @@
 	Log     io.Writer // the entries' events
 }
 
-// world is everything that runs in the demo.
-type world struct {
-	cfg       Config
-	ctx       context.Context
-	cancel    context.CancelFunc
-	group     *errgroup.Group
-	platform  *stoatfake.Platform
-	server    *http.Server
-	addr      netip.AddrPort
-	fabric    *stoatfake.Fabric
-	callers   *stoatfake.Callers
-	upstreams map[stoatpaddle.UpstreamID]*stoatfake.Upstream
-	servers   []*stoatfake.Server
-	contracts map[stoatpaddle.CustomerID]stoatpaddle.Contract
-	clients   []*client
-	drained   func() bool // whether the leaving upstream kept its promise
-	broken    []string    // promises that a phase found broken
+// environment is everything that runs in the demo.
+type environment struct {
+	cfg        Config
+	ctx        context.Context
+	cancel     context.CancelFunc
+	group      *errgroup.Group
+	platform   *stoatfake.Platform
+	server     *http.Server
+	addr       netip.AddrPort
+	fabric     *stoatfake.Fabric
+	callers    *stoatfake.Callers
+	upstreams  map[stoatpaddle.UpstreamID]*stoatfake.Upstream
+	servers    []*stoatfake.Server
+	contracts  map[stoatpaddle.CustomerID]stoatpaddle.Contract
+	clients    []*client
+	drainKept  func() bool // whether the leaving upstream kept its promise
+	violations []string    // promises that a phase found broken
 
-	mu      sync.Mutex
-	entries []*stoatentry.Entry
-	sets    []stoatsetting.Settings
-	born    int
-	retired int64 // control bytes of entries that ended
+	mu           sync.Mutex
+	entries      []*stoatentry.Entry
+	settings     []stoatsetting.Settings
+	started      int
+	retiredBytes int64 // control bytes of entries that ended
 }
 
 const (
-	segmentEvery = time.Second
-	churn        = 0.02
-	callTime     = 10 * time.Millisecond
-	stopDeadline = 20 * time.Second
+	segmentInterval = time.Second
+	churnRate       = 0.02
+	callTime        = 10 * time.Millisecond
+	stopDeadline    = 20 * time.Second
 )
 
-func newWorld(ctx context.Context, cfg Config) (*world, error) {
+func newEnvironment(ctx context.Context, cfg Config) (*environment, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	w := &world{
+	w := &environment{
 		cfg: cfg, ctx: ctx, cancel: cancel, group: group, platform: stoatfake.NewPlatform(),
 		upstreams: map[stoatpaddle.UpstreamID]*stoatfake.Upstream{},
 		contracts: map[stoatpaddle.CustomerID]stoatpaddle.Contract{},
@@ -89,74 +89,74 @@
 	return w, nil
 }
 
-func (w *world) openPlatform() error {
+func (env *environment) openPlatform() error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	w.addr = ln.Addr().(*net.TCPAddr).AddrPort()
-	w.server = &http.Server{Handler: w.platform, ReadHeaderTimeout: time.Minute}
-	w.group.Go(func() error {
-		_ = w.server.Serve(ln)
+	env.addr = ln.Addr().(*net.TCPAddr).AddrPort()
+	env.server = &http.Server{Handler: env.platform, ReadHeaderTimeout: time.Minute}
+	env.group.Go(func() error {
+		_ = env.server.Serve(ln)
 		return nil
 	})
 	return nil
 }
 
-func (w *world) openTraffic() error {
+func (env *environment) openTraffic() error {
 	var err error
-	if w.fabric, err = stoatfake.NewFabric(w.cfg.Seed); err != nil {
+	if env.fabric, err = stoatfake.NewFabric(env.cfg.Seed); err != nil {
 		return err
 	}
 	var services []netip.AddrPort
 	for _, c := range customers {
 		services = append(services, netip.AddrPortFrom(c.addr, servicePort))
 	}
-	w.callers, err = stoatfake.NewCallers(w.group, w.fabric, stoatfake.CallersConfig{
-		Services: services, Flows: w.cfg.Flows, Every: segmentEvery, Churn: churn, Seed: w.cfg.Seed,
+	env.callers, err = stoatfake.NewCallers(env.group, env.fabric, stoatfake.CallersConfig{
+		Services: services, Flows: env.cfg.Flows, Every: segmentInterval, Churn: churnRate, Seed: env.cfg.Seed,
 	})
 	return err
 }
 
-func (w *world) openServers(c customer) error {
+func (env *environment) openServers(c customer) error {
 	var flows, calls []stoatpaddle.Upstream
 	for n := range flowServers {
-		u, err := w.addUpstream(c.flow, n)
+		u, err := env.addUpstream(c.flow, n)
 		if err != nil {
 			return err
 		}
 		flows = append(flows, u)
 	}
 	for n := range callServers {
-		s, err := stoatfake.NewServer(w.group, serverSlots, callTime)
+		s, err := stoatfake.NewServer(env.group, slotsPerServer, callTime)
 		if err != nil {
 			return err
 		}
-		w.servers = append(w.servers, s)
+		env.servers = append(env.servers, s)
 		calls = append(calls, upstream(c.call, n, s.Addr()))
 	}
-	w.contracts[c.id] = c.contract(flows, calls)
+	env.contracts[c.id] = c.contract(flows, calls)
 	return nil
 }
 
-func (w *world) addUpstream(svc stoatpaddle.ServiceID, n int) (stoatpaddle.Upstream, error) {
-	u, err := stoatfake.NewUpstream(w.group, w.callers.Addr())
+func (env *environment) addUpstream(svc stoatpaddle.ServiceID, n int) (stoatpaddle.Upstream, error) {
+	u, err := stoatfake.NewUpstream(env.group, env.callers.Addr())
 	if err != nil {
 		return stoatpaddle.Upstream{}, err
 	}
 	d := upstream(svc, n, u.Addr())
-	w.upstreams[d.ID] = u
+	env.upstreams[d.ID] = u
 	return d, nil
 }
 
 // addEntry starts one more entry on free addresses.
-func (w *world) addEntry() error {
-	n := w.born
-	w.born++
+func (env *environment) addEntry() error {
+	n := env.started
+	env.started++
 	dc := centres[n%len(centres)]
 	set := stoatsetting.Settings{
 		Instance:   stoatpaddle.InstanceID(string(dc) + "-" + strconv.Itoa(n/len(centres)+1)),
-		DataCentre: dc, Cluster: "demo", Platform: w.addr, Egress: w.callers.Addr(),
+		DataCentre: dc, Cluster: "demo", Platform: env.addr, Egress: env.callers.Addr(),
 		Level: "info", Stop: stopDeadline, Settle: time.Minute,
 	}
 	for _, a := range []*netip.AddrPort{&set.Tunnel, &set.Relay, &set.Peer, &set.Admin, &set.Call} {
@@ -166,95 +166,95 @@
 		}
 		*a = addr
 	}
-	e, err := stoatentry.Start(w.ctx, stoatentry.Config{Settings: set, Log: w.cfg.Log})
+	e, err := stoatentry.Start(env.ctx, stoatentry.Config{Settings: set, Log: env.cfg.Log})
 	if err != nil {
 		return err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.entries = append(w.entries, e)
-	w.sets = append(w.sets, set)
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.entries = append(env.entries, e)
+	env.settings = append(env.settings, set)
 	return nil
 }
 
-// forward tells the fabric which entries there are.
-func (w *world) forward() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// updateFabric tells the fabric which entries there are.
+func (env *environment) updateFabric() {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	var list []netip.AddrPort
-	for _, s := range w.sets {
+	for _, s := range env.settings {
 		list = append(list, s.Tunnel)
 	}
-	w.fabric.Set(list)
+	env.fabric.Set(list)
 }
 
-// forget takes entry i out of the world's lists.
-func (w *world) forget(i int) *stoatentry.Entry {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	e := w.entries[i]
-	w.entries = append(w.entries[:i:i], w.entries[i+1:]...)
-	w.sets = append(w.sets[:i:i], w.sets[i+1:]...)
-	w.retired += e.ControlBytes()
+// removeEntry takes entry i out of the world's lists.
+func (env *environment) removeEntry(i int) *stoatentry.Entry {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	e := env.entries[i]
+	env.entries = append(env.entries[:i:i], env.entries[i+1:]...)
+	env.settings = append(env.settings[:i:i], env.settings[i+1:]...)
+	env.retiredBytes += e.ControlBytes()
 	return e
 }
 
 // admin returns a client of entry i's administration API.
-func (w *world) admin(i int) *stoatadmin.Client {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return stoatadmin.NewClient(w.sets[i].Admin.String())
+func (env *environment) admin(i int) *stoatadmin.Client {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return stoatadmin.NewClient(env.settings[i].Admin.String())
 }
 
-func (w *world) apply(i int, c stoatpaddle.Contract, base stoatpaddle.Version) (stoatpaddle.Version, error) {
-	a, err := w.admin(i).Apply(w.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.Change{Base: base})
+func (env *environment) apply(i int, c stoatpaddle.Contract, base stoatpaddle.Version) (stoatpaddle.Version, error) {
+	a, err := env.admin(i).Apply(env.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.Change{Base: base})
 	return stoatpaddle.Version(a.Version), err
 }
 
 // controlBytes returns the bytes of control frames that all entries sent.
-func (w *world) controlBytes() int64 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	total := w.retired
-	for _, e := range w.entries {
+func (env *environment) controlBytes() int64 {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	total := env.retiredBytes
+	for _, e := range env.entries {
 		total += e.ControlBytes()
 	}
 	return total
 }
 
-func (w *world) close() {
-	for _, c := range w.clients {
+func (env *environment) close() {
+	for _, c := range env.clients {
 		c.stop()
 	}
-	w.mu.Lock()
-	entries := append([]*stoatentry.Entry(nil), w.entries...)
-	w.mu.Unlock()
+	env.mu.Lock()
+	entries := append([]*stoatentry.Entry(nil), env.entries...)
+	env.mu.Unlock()
 	for _, e := range entries {
 		e.Kill()
 		e.Wait()
 	}
-	w.cancel()
-	if w.callers != nil {
-		w.callers.Close()
+	env.cancel()
+	if env.callers != nil {
+		env.callers.Close()
 	}
-	for _, u := range w.upstreams {
+	for _, u := range env.upstreams {
 		u.Close()
 	}
-	for _, s := range w.servers {
+	for _, s := range env.servers {
 		s.Close()
 	}
-	if w.fabric != nil {
-		w.fabric.Close()
+	if env.fabric != nil {
+		env.fabric.Close()
 	}
-	if w.server != nil {
-		_ = w.server.Close()
+	if env.server != nil {
+		_ = env.server.Close()
 	}
-	_ = w.group.Wait()
+	_ = env.group.Wait()
 }
 
 // client sends calls to random entries, one after the other.
 type client struct {
-	w      *world
+	w      *environment
 	host   string
 	rnd    *rand.Rand
 	done   chan struct{}
