--- a/stoatgolden/golden.go
+++ b/stoatgolden/golden.go
@@ -14,8 +14,8 @@
 const updateEnv = "STOATPADDLE_UPDATE"
 
 const (
-	eventMark  = "@"
-	resultMark = "  > "
+	eventPrefix  = "@"
+	resultPrefix = "  > "
 )
 
 // Run replays every session under testdata and compares.
@@ -48,14 +48,14 @@
 // the results of an earlier run, which event writes anew.
 func Each(t *testing.T, text string, write func(line string), event func(at time.Duration, words []string)) {
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
-		if strings.HasPrefix(line, resultMark) {
+		if strings.HasPrefix(line, resultPrefix) {
 			continue
 		}
 		write(line)
-		if !strings.HasPrefix(line, eventMark) {
+		if !strings.HasPrefix(line, eventPrefix) {
 			continue
 		}
-		at, words, _ := strings.Cut(line[len(eventMark):], " ")
+		at, words, _ := strings.Cut(line[len(eventPrefix):], " ")
 		now, err := time.ParseDuration(at)
 		if err != nil {
 			t.Fatal(line, err)
