--- a/stoatfake/addr.go
+++ b/stoatfake/addr.go
@@ -6,16 +6,16 @@
 	"sync"
 )
 
-// maxAddrTries bounds the ports that FreeAddr looks at.
+// maxAddrTries bounds the ports that FreeAddr tries.
 const maxAddrTries = 50
 
-// issued are the addresses that this process got: one that is free stays so until it is used, and the
-// kernel may name it again before that. A contract then has two upstreams at one address and is refused.
+// issued holds the addresses that FreeAddr has returned in this process. An address stays free until it is used, so
+// that the kernel may offer it again before that. A contract with two upstreams at one address would be refused.
 var issued sync.Map
 
-// FreeAddr returns a loopback address whose port is free for both TCP and UDP, another one each time.
+// FreeAddr returns a loopback address whose port is free for both TCP and UDP, and a different one on each call.
 func FreeAddr() (netip.AddrPort, error) {
-	last := error(&net.AddrError{Err: "no address is free that was not handed out", Addr: "127.0.0.1"})
+	last := error(&net.AddrError{Err: "no free address that was not returned before", Addr: "127.0.0.1"})
 	for range maxAddrTries {
 		addr, err := probeAddr()
 		if err != nil {
@@ -29,6 +29,7 @@
 	return netip.AddrPort{}, last
 }
 
+// probeAddr returns an address that the kernel offers for TCP, if its port is free for UDP too.
 func probeAddr() (netip.AddrPort, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/stoatfake/addr_test.go
+++ b/stoatfake/addr_test.go
@@ -8,9 +8,9 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-// The demo asks for two hundred addresses before it uses the first one, and several processes beside it
-// take and release ports. No address may come twice, or two upstreams of a contract would share one and
-// the operators' contract would be refused.
+// The demo requests two hundred addresses before it uses the first one, while other processes take and release
+// ports. If FreeAddr returned an address twice, two upstreams of a contract would share it and the contract would be
+// refused.
 func TestFreeAddrsDiffer(t *testing.T) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -25,7 +25,7 @@
 				if err != nil {
 					t.Error(err)
 				} else if seen[addr] {
-					t.Errorf("%s comes twice", addr)
+					t.Errorf("%s was returned twice", addr)
 				}
 				seen[addr] = true
 				mu.Unlock()
--- a/stoatfake/caller.go
+++ b/stoatfake/caller.go
@@ -16,35 +16,36 @@
 
 // CallersConfig configures Callers.
 type CallersConfig struct {
-	Services []netip.AddrPort // flows are spread over them
+	Services []netip.AddrPort // flows are distributed over them
 	Flows    int              // kept open
 	Every    time.Duration    // between segments of a flow
-	Churn    float64          // flows closed and opened anew, a second, of all
+	Churn    float64          // share of the flows that is closed and replaced per second
 	Seed     uint64
 }
 
-// Counts tells what callers saw.
+// Counts is what the callers observed.
 type Counts struct {
 	Open    int
 	Opened  int
-	Broken  int // reset after it was open
+	Broken  int // reset while open
 	Refused int // reset while opening
 	Closed  int
 }
 
+// callerFlow is one TCP connection of a caller.
 type callerFlow struct {
 	tuple       stoatpacket.Tuple
 	seq         uint32
 	open        bool
 	closing     bool
-	awaitingAck bool // for an acknowledgment
-	// firstSent is when what it waits for was first sent.
+	awaitingAck bool
+	// firstSent is when the segment that awaits its acknowledgement was first sent, and lastSent when it was last sent.
 	firstSent time.Time
 	lastSent  time.Time
 	payload   []byte
 }
 
-// Callers is a stand-in for callers that hold flows open; a flow that is reset is opened anew.
+// Callers is a stand-in for callers that keep flows open. A flow that is reset is replaced by a new one.
 type Callers struct {
 	cfg     CallersConfig
 	conn    *net.UDPConn
@@ -52,19 +53,19 @@
 	mu      sync.Mutex
 	rnd     *rand.Rand
 	flows   map[stoatpacket.Tuple]*callerFlow
-	slots   []*callerFlow
-	created uint32
+	slots   []*callerFlow // one flow each
+	created uint32        // flows so far
 	counts  Counts
 	done    chan struct{}
 }
 
-// tickInterval is how often the callers look at a part of their flows.
+// tickInterval is how often the callers process a part of their flows.
 const (
 	tickInterval    = 10 * time.Millisecond
-	retransmitDelay = time.Second // a segment without an answer is sent again
+	retransmitDelay = time.Second // after which a segment without an answer is sent again
 )
 
-// NewCallers opens the callers' socket, where answers arrive.
+// NewCallers opens the callers' socket, at which answers arrive.
 func NewCallers(group *errgroup.Group, fabric *Fabric, cfg CallersConfig) (*Callers, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -79,19 +80,19 @@
 	return c, nil
 }
 
-// Addr is where answers and resets to callers are sent.
+// Addr returns the address to which answers and resets to callers are sent.
 func (c *Callers) Addr() netip.AddrPort { return c.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Start begins to open flows.
+// Start starts to open flows.
 func (c *Callers) Start(group *errgroup.Group) { group.Go(c.run) }
 
-// Close ends the callers.
+// Close stops the callers.
 func (c *Callers) Close() {
 	close(c.done)
 	_ = c.conn.Close()
 }
 
-// Counts returns what the callers saw so far.
+// Counts returns what the callers observed so far.
 func (c *Callers) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -104,8 +105,8 @@
 	return out
 }
 
-// Unanswered returns how many open flows wait for what they first sent before that time: whether they
-// are broken shows with the answer, a second and more later if a packet was lost.
+// Unanswered returns how many open flows await an answer to a segment that they first sent before that time. Only
+// the answer shows whether a flow is broken, and it takes a second or more if a packet was lost.
 func (c *Callers) Unanswered(before time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,7 +119,7 @@
 	return n
 }
 
-// newFlow returns a flow from a fresh address; it is called under the lock.
+// newFlow returns a flow from a new address. c.mu must be held.
 func (c *Callers) newFlow() *callerFlow {
 	c.created++
 	n := c.created
@@ -132,7 +133,7 @@
 	return f
 }
 
-// run looks at every flow once in Every, a part at each tick.
+// run processes each flow once per interval between segments, a part of the flows at each tick.
 func (c *Callers) run() error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -156,7 +157,7 @@
 	}
 }
 
-// nextPacket returns the packet that flow i sends now.
+// nextPacket returns the packet that the flow in slot i sends now, or nil.
 func (c *Callers) nextPacket(i int) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -202,7 +203,7 @@
 	}
 }
 
-// handle takes one packet in and returns the acknowledgment that completes an opening.
+// handle processes one packet and returns the acknowledgement that completes an opening, or nil.
 func (c *Callers) handle(p *stoatpacket.Packet) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,6 +232,7 @@
 	return nil
 }
 
+// handleReset counts a flow that was reset, and replaces it.
 func (c *Callers) handleReset(f *callerFlow) {
 	switch {
 	case f.closing:
@@ -243,7 +245,7 @@
 	c.replace(f)
 }
 
-// replace opens a fresh flow in place of f.
+// replace opens a new flow in place of f.
 func (c *Callers) replace(f *callerFlow) {
 	delete(c.flows, f.tuple)
 	fresh := c.newFlow()
--- a/stoatfake/doc.go
+++ b/stoatfake/doc.go
@@ -1,3 +1,3 @@
-// Package stoatfake holds small stand-ins for what surrounds the system: the platform,
-// the fabric, upstreams and callers. Tests and the demo use them.
+// Package stoatfake provides stand-ins for what surrounds the system: the platform, the fabric, upstreams and
+// callers. Tests, the demo and the soak use them.
 package stoatfake
--- a/stoatfake/fabric.go
+++ b/stoatfake/fabric.go
@@ -7,8 +7,7 @@
 	"sync"
 )
 
-// Fabric is a stand-in for the provider's fabric: it hands each packet, encapsulated, to
-// an entry chosen at random.
+// Fabric is a stand-in for the provider's fabric: it sends each packet, encapsulated, to a random entry.
 type Fabric struct {
 	conn    *net.UDPConn
 	mu      sync.Mutex
@@ -25,14 +24,14 @@
 	return &Fabric{conn: conn, rnd: rand.New(rand.NewPCG(seed, 6))}, nil
 }
 
-// Set replaces the entries that packets are handed to.
+// Set replaces the entries that receive packets.
 func (f *Fabric) Set(entries []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries = append([]netip.AddrPort(nil), entries...)
 }
 
-// Send hands one packet to a random entry.
+// Send sends one packet to a random entry.
 func (f *Fabric) Send(packet []byte) {
 	f.mu.Lock()
 	if len(f.entries) == 0 {
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -17,18 +17,18 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatplatform"
 )
 
-// Trouble is what a platform stand-in is told to do wrong.
+// Trouble configures what a Platform does wrong.
 type Trouble struct {
 	Down        bool          // answers nothing
 	Slow        time.Duration // before each answer
-	LoseWrites  int           // so many writes take effect and get no answer
-	Lagging     bool          // replicas show what stood when this was set
-	SilentWatch bool          // watches never tell anything
-	Writes      int           // a second; more are refused; 0: no limit
-	Reads       int           // a second; more are refused; a waiting watch is one
+	LoseWrites  int           // so many writes take effect without an answer
+	Lagging     bool          // replicas show the state of when this was set
+	SilentWatch bool          // watches are never answered
+	Writes      int           // per second; more are refused; 0: no limit
+	Reads       int           // per second; more are refused; a waiting watch counts as one; 0: no limit
 }
 
-// pageSize is how many objects a page of a list holds.
+// pageSize is how many objects one page of a list holds.
 const pageSize = 500
 
 type key struct{ kind, name string }
@@ -39,19 +39,19 @@
 	ev  platform.Event
 }
 
-// Platform is a stand-in for the users' object store, written from their published
-// protocol; it is an http.Handler.
+// Platform is a stand-in for the object store of the platform, written from its published protocol. It is an
+// http.Handler.
 type Platform struct {
 	mu              sync.Mutex
 	faults          Trouble
 	objects         map[key]platform.Object
 	history         []change
 	revision        uint64
-	compacted       uint64 // the history after this revision is kept
-	replicaRevision uint64 // the revision that replicas show, while they lag
-	era             uint64 // how often a copy was restored
-	changed         chan struct{}
-	second          int64
+	compacted       uint64        // the history after this revision is kept
+	replicaRevision uint64        // the revision that replicas show while they are stale
+	era             uint64        // how often a snapshot was restored
+	changed         chan struct{} // closed and replaced with each change
+	second          int64         // the second to which writes and reads refer
 	writes          int
 	reads           int
 	calls           int64
@@ -62,33 +62,33 @@
 	return &Platform{objects: map[key]platform.Object{}, changed: make(chan struct{})}
 }
 
-// Copy is what a platform held at one moment.
+// Copy is the content of a platform at one moment.
 type Copy struct {
-	objects  map[key]platform.Object
-	history  []change
-	revision uint64
-	from     uint64
+	objects   map[key]platform.Object
+	history   []change
+	revision  uint64
+	compacted uint64
 }
 
-// Save copies what the platform holds.
+// Save returns what the platform holds.
 func (p *Platform) Save() Copy {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Copy{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, from: p.compacted}
+	return Copy{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, compacted: p.compacted}
 }
 
-// Restore makes a copy what the platform holds. What was written since the copy was made is lost, and
-// its revisions are given out again.
+// Restore replaces what the platform holds by a snapshot. What was written since the snapshot is lost, its revisions
+// are assigned again, and a new era begins.
 func (p *Platform) Restore(c Copy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.objects, p.history, p.revision, p.compacted = maps.Clone(c.objects), slices.Clone(c.history), c.revision, c.from
+	p.objects, p.history, p.revision, p.compacted = maps.Clone(c.objects), slices.Clone(c.history), c.revision, c.compacted
 	p.replicaRevision = min(p.replicaRevision, p.revision)
 	p.era++
 	p.wakeWatches()
 }
 
-// Set replaces the trouble.
+// Set replaces the faults.
 func (p *Platform) Set(t Trouble) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -96,7 +96,7 @@
 	p.wakeWatches()
 }
 
-// Forget drops the history: watches from before now are answered with 410.
+// Forget drops the history: watches from earlier revisions are answered with status 410.
 func (p *Platform) Forget() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,19 +104,20 @@
 	p.wakeWatches()
 }
 
+// wakeWatches makes the waiting watches look again.
 func (p *Platform) wakeWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// Calls returns the number of calls since the start.
+// Calls returns the number of requests so far.
 func (p *Platform) Calls() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
 }
 
-// Write writes an object as an operator or an upstream would, whatever stands there.
+// Write writes an object unconditionally, as an operator or an upstream would, and returns its revision.
 func (p *Platform) Write(kind, name string, spec any) uint64 {
 	data, err := json.Marshal(spec)
 	if err != nil {
@@ -169,6 +170,7 @@
 	return out
 }
 
+// put stores an object. If its spec is unchanged, its revision stays too. p.mu must be held.
 func (p *Platform) put(k key, spec json.RawMessage) platform.Object {
 	o, ok := p.objects[k]
 	if ok && string(o.Spec) == string(spec) {
@@ -184,6 +186,7 @@
 	return o
 }
 
+// record adds a change to the history. p.mu must be held.
 func (p *Platform) record(k key, ev platform.Event) {
 	p.history = append(p.history, change{key: k, ev: ev})
 	p.wakeWatches()
@@ -220,6 +223,7 @@
 	}
 }
 
+// admit counts a request, and returns the faults and whether the request is within the limits.
 func (p *Platform) admit(write, replica bool) (Trouble, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +262,7 @@
 	respond(w, http.StatusOK, o)
 }
 
-// list answers one page. A lagging replica is not modelled for lists: nothing asks one.
+// list answers with one page. Stale replicas are not modelled for lists, since no client lists from a replica.
 func (p *Platform) list(w http.ResponseWriter, r *http.Request, kind string) {
 	after := r.URL.Query().Get("after")
 	a := platform.Answer{Items: []platform.Object{}}
@@ -306,7 +310,7 @@
 	respond(w, http.StatusOK, o)
 }
 
-// refusal returns the status of a write whose condition does not hold, or 0.
+// refusal returns the status for a write whose condition does not hold, or 0.
 func refusal(method string, sent, current platform.Object, exists bool) int {
 	switch {
 	case method == http.MethodPost && exists:
@@ -321,7 +325,7 @@
 	return 0
 }
 
-// eventsAfter returns the changes of a kind after a revision, as far as the asker may see.
+// eventsAfter returns the changes of a kind after one revision and up to another.
 func (p *Platform) eventsAfter(kind string, from, seen uint64) []platform.Event {
 	events := []platform.Event{}
 	for _, c := range p.history {
--- a/stoatfake/server.go
+++ b/stoatfake/server.go
@@ -14,8 +14,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatcall"
 )
 
-// Server is a stand-in for an upstream of a call service: it runs a few calls at once and
-// refuses the rest without starting them.
+// Server is a stand-in for an upstream of a call service. It runs a few calls at once and rejects the others without
+// running them.
 type Server struct {
 	srv         *http.Server
 	ln          net.Listener
@@ -26,13 +26,13 @@
 	rejected    atomic.Int64
 }
 
-// NewServer starts a server with slots that each take service for a call.
-func NewServer(group *errgroup.Group, slots int, service time.Duration) (*Server, error) {
+// NewServer starts a server that runs as many calls at once as it has slots, each for the service time.
+func NewServer(group *errgroup.Group, slots int, serviceTime time.Duration) (*Server, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{ln: ln, slots: int64(slots), serviceTime: service}
+	s := &Server{ln: ln, slots: int64(slots), serviceTime: serviceTime}
 	s.srv = &http.Server{Handler: s, ReadHeaderTimeout: time.Minute}
 	group.Go(func() error {
 		_ = s.srv.Serve(ln)
@@ -41,13 +41,13 @@
 	return s, nil
 }
 
-// Addr is where the server listens.
+// Addr returns the address at which the server listens.
 func (s *Server) Addr() netip.AddrPort { return s.ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// Ran returns how many calls ran, and how many were refused.
+// Ran returns how many calls were run and how many were rejected.
 func (s *Server) Ran() (ran, rejected int64) { return s.ran.Load(), s.rejected.Load() }
 
-// Close ends the server at once.
+// Close stops the server at once.
 func (s *Server) Close() { _ = s.srv.Close() }
 
 // ServeHTTP implements http.Handler.
--- a/stoatfake/upstream.go
+++ b/stoatfake/upstream.go
@@ -13,20 +13,20 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattunnel"
 )
 
-// Upstream is a stand-in for a server of a flow service: the network stack decapsulates,
-// and a small TCP endpoint answers the caller directly. A segment for a connection that
-// it does not know gets a reset, which is what a broken flow is.
+// Upstream is a stand-in for an upstream of a flow service: its network stack decapsulates packets, and a small TCP
+// endpoint answers the caller directly. It resets a connection that it does not know, so that a flow breaks whose
+// packets reach the wrong upstream.
 type Upstream struct {
 	conn       *net.UDPConn
 	callers    netip.AddrPort
 	mu         sync.Mutex
 	flows      map[stoatpacket.Tuple]uint32 // the next sequence number of each
-	lastOpened time.Time                    // when it last accepted a flow
-	unknown    atomic.Int64
+	lastOpened time.Time                    // when a flow was last accepted
+	unknown    atomic.Int64                 // segments of unknown connections
 	silent     atomic.Bool
 }
 
-// NewUpstream opens the upstream's socket; answers go to callers.
+// NewUpstream opens the upstream's socket. Answers are sent to the callers' address.
 func NewUpstream(group *errgroup.Group, callers netip.AddrPort) (*Upstream, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -38,7 +38,7 @@
 	return u, nil
 }
 
-// Addr is where entries send packets to.
+// Addr returns the address to which entries send packets.
 func (u *Upstream) Addr() netip.AddrPort { return u.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Open returns the number of open flows.
@@ -55,7 +55,7 @@
 	return u.lastOpened
 }
 
-// SetSilent makes the upstream answer nothing.
+// SetSilent sets whether the upstream answers nothing.
 func (u *Upstream) SetSilent(on bool) { u.silent.Store(on) }
 
 // Close releases the socket.
@@ -80,7 +80,7 @@
 	}
 }
 
-// handleSegment answers one handleSegment.
+// handleSegment processes one segment and returns the answer, if there is one.
 func (u *Upstream) handleSegment(p *stoatpacket.Packet) (stoattunnel.Segment, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
