--- a/stoatdemo/contract.go
+++ b/stoatdemo/contract.go
@@ -9,7 +9,7 @@
 // centres are the data centres of the demo.
 var centres = []stoatpaddle.DataCentreID{"ruwi", "seeb", "qurum"}
 
-// customer is one customer of the demo and its services' addresses.
+// customer is one customer of the demo, with its services and their addresses.
 type customer struct {
 	id   stoatpaddle.CustomerID
 	lean stoatpaddle.Lean
@@ -39,7 +39,7 @@
 	serverWeight         = 100
 )
 
-// contract returns the customer's contract over the given servers.
+// contract returns the customer's contract with the given upstreams.
 func (c customer) contract(flows, calls []stoatpaddle.Upstream) stoatpaddle.Contract {
 	return stoatpaddle.Contract{
 		Customer: c.id,
@@ -55,7 +55,7 @@
 	}
 }
 
-// upstream describes server n of a service.
+// upstream describes upstream n of a service.
 func upstream(svc stoatpaddle.ServiceID, n int, addr netip.AddrPort) stoatpaddle.Upstream {
 	return stoatpaddle.Upstream{
 		ID: stoatpaddle.UpstreamID(string(svc) + "-" + string(rune('a'+n))), DataCentre: centres[n%len(centres)],
--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -21,32 +21,32 @@
 // phaseDuration is how long traffic flows after each change.
 const phaseDuration = 1500 * time.Millisecond
 
-// inForceWithin is the promise about an accepted contract.
+// inForceWithin bounds the time until an accepted contract is in force at every entry.
 const inForceWithin = 4 * time.Second
 
-// BrokenError reports promises that the demo saw broken.
+// BrokenError reports guarantees that the demo found violated.
 type BrokenError struct{ Promises []string }
 
-// Error lists the promises.
+// Error lists the violations.
 func (e *BrokenError) Error() string {
-	text := "promises broken:"
+	text := "guarantees violated:"
 	for _, p := range e.Promises {
 		text += "\n  " + p
 	}
 	return text
 }
 
-// TimeoutError reports something that did not come about in time.
+// TimeoutError reports something that did not happen in time.
 type TimeoutError struct{ What string }
 
-// Error names it.
+// Error names what did not happen.
 func (e *TimeoutError) Error() string { return "timeout: " + e.What }
 
 // phase is one step of the demo.
 type phase struct {
 	name           string
-	maxBrokenShare float64 // part of the flows that may break
-	change         func(w *environment) (string, error)
+	maxBrokenShare float64 // share of the flows that may break
+	change         func(env *environment) (string, error)
 }
 
 var phases = []phase{
@@ -61,42 +61,43 @@
 	{name: "platform up", change: (*environment).platformUp},
 }
 
-// Run runs the demo and returns *BrokenError if a promise was broken.
+// Run runs the demo. It returns *GuaranteeError if a guarantee was violated.
 func Run(ctx context.Context, cfg Config) error {
-	w, err := newEnvironment(ctx, cfg)
-	defer w.close()
+	env, err := newEnvironment(ctx, cfg)
+	defer env.close()
 	if err != nil {
 		return err
 	}
-	if err := w.start(); err != nil {
+	if err := env.start(); err != nil {
 		return err
 	}
 	t := &table{out: cfg.Out}
 	t.printHeader()
 	var violations []string
 	for _, p := range phases {
-		before := w.measure()
-		note, err := p.change(w)
+		before := env.measure()
+		note, err := p.change(env)
 		if err != nil {
 			return err
 		}
-		w.settle(time.Now())
-		w.sleep(phaseDuration)
-		after := w.measure()
+		env.settle(time.Now())
+		env.sleep(phaseDuration)
+		after := env.measure()
 		t.printRow(p.name, before, after, note)
 		violations = append(violations, violationsOf(p, before, after)...)
 	}
-	violations = append(violations, w.violations...)
-	if w.drainKept != nil && !w.drainKept() {
+	violations = append(violations, env.violations...)
+	if env.drainKept != nil && !env.drainKept() {
 		violations = append(violations, "a new flow reached the leaving upstream later than "+maxDrainDelay.String())
 	}
 	if len(violations) > 0 {
 		return &BrokenError{Promises: violations}
 	}
-	t.printSummary(w.platform.Calls(), len(w.settings))
+	t.printSummary(env.platform.Calls(), len(env.settings))
 	return nil
 }
 
+// sleep waits for a duration or until the demo is cancelled.
 func (env *environment) sleep(d time.Duration) {
 	select {
 	case <-env.ctx.Done():
@@ -104,20 +105,21 @@
 	}
 }
 
-// settleWithin bounds how long flows may wait for an answer after a change: a caller repeats after a
-// second, and again if the machine is busy.
+// settleWithin bounds how long flows may await an answer after a change: a caller repeats a segment after a second,
+// and again if the machine is busy.
 const settleWithin = 6 * time.Second
 
-// settle waits until no flow waits for what it sent before a change was complete. A flow that the
-// change broke is noticed with its next answer: on a busy machine in the next phase, to which it does not
-// belong. Flows that stay without an answer are left to the phases that follow.
+// settle waits until no flow awaits an answer to a segment that it sent before a change was complete. Only its next
+// answer shows that the change broke a flow. On a busy machine that answer comes in the next phase, which must not be
+// blamed for the flow. Flows that stay without an answer are left to the following phases.
 func (env *environment) settle(changed time.Time) {
 	_, _ = env.waitUntil("answers", settleWithin, func() bool { return env.callers.Unanswered(changed) == 0 })
 }
 
+// startTimeout bounds the start of an entry, and the opening of all flows.
 const startTimeout = 10 * time.Second
 
-// waitUntil polls a condition.
+// waitUntil polls a condition and returns how long it took to hold.
 func (env *environment) waitUntil(what string, within time.Duration, ok func() bool) (time.Duration, error) {
 	begin := time.Now()
 	for !ok() {
@@ -129,7 +131,7 @@
 	return time.Since(begin), nil
 }
 
-// start writes the contracts and waits until all flows are open.
+// start applies the contracts, starts the traffic and waits until the flows are open.
 func (env *environment) start() error {
 	_, err := env.waitUntil("entries ready", startTimeout, func() bool { return env.inForce("", 0) })
 	if err != nil {
@@ -153,7 +155,8 @@
 	return err
 }
 
-// inForce tells whether every entry serves and holds the customer's contract at least at the version.
+// inForce reports whether every entry is ready and has the customer's contract, at least at the given version. An
+// empty id stands for no contract.
 func (env *environment) inForce(id stoatpaddle.CustomerID, version stoatpaddle.Version) bool {
 	env.mu.Lock()
 	entries := append(env.entries[:0:0], env.entries...)
@@ -174,6 +177,7 @@
 	return true
 }
 
+// currentVersion returns the version of a customer's contract.
 func (env *environment) currentVersion(id stoatpaddle.CustomerID) (stoatpaddle.Version, error) {
 	list, err := env.admin(0).Contracts(env.ctx)
 	if err != nil {
@@ -187,7 +191,8 @@
 	return 0, &TimeoutError{What: "contract " + string(id)}
 }
 
-// amendConcurrently has two operators amendConcurrently one contract from the same version through two entries.
+// amendConcurrently lets two operators amend the same version of a contract, through two entries. Only one of them
+// may succeed.
 func (env *environment) amendConcurrently() (string, error) {
 	base, err := env.currentVersion(customers[0].id)
 	if err != nil {
@@ -223,7 +228,7 @@
 	return fmt.Sprintf("one accepted, one %d; in force everywhere after %d ms", refused.Status, took.Milliseconds()), err
 }
 
-// drainUpstream marks an upstream as leaving and checks that it gets no new flow after 3 s.
+// drainUpstream marks an upstream as leaving, and checks that it gets no new flow after 3 s.
 func (env *environment) drainUpstream() (string, error) {
 	id := stoatpaddle.UpstreamID(string(customers[0].flow) + "-a")
 	if _, err := env.admin(1).Mark(env.ctx, stoatpaddle.InstanceID(id), stoatpaddle.StateLeaving); err != nil {
@@ -260,7 +265,8 @@
 	return fmt.Sprintf("in force everywhere after %d ms", took.Milliseconds()), err
 }
 
-// evacuateCentre has a data centre evacuated, checks that its upstreams get no new flow after 3 s, and takes it back.
+// evacuateCentre evacuates a data centre, checks that its upstreams get no new flow after 3 s, and ends the
+// evacuation.
 func (env *environment) evacuateCentre() (string, error) {
 	dc := centres[len(centres)-1]
 	if _, err := env.admin(3).Evacuate(env.ctx, dc); err != nil {
@@ -287,7 +293,7 @@
 	return fmt.Sprintf("in force everywhere after %d ms, last new flow there after %d ms", took.Milliseconds(), last.Milliseconds()), err
 }
 
-// evacuated tells whether all entries know of the evacuation.
+// evacuated reports whether all entries know of the evacuation.
 func (env *environment) evacuated(dc stoatpaddle.DataCentreID) bool {
 	env.mu.Lock()
 	entries := append(env.entries[:0:0], env.entries...)
@@ -301,7 +307,7 @@
 	return true
 }
 
-// replaceEntry starts a new entry and stops an old one gracefully.
+// replaceEntry starts a new entry and stops an old one as planned.
 func (env *environment) replaceEntry() (string, error) {
 	if err := env.addEntry(); err != nil {
 		return "", err
@@ -322,7 +328,7 @@
 	return fmt.Sprintf("planned stop took %d ms", time.Since(begin).Milliseconds()), nil
 }
 
-// killEntry ends an entry without a word.
+// killEntry ends an entry without notice.
 func (env *environment) killEntry() (string, error) {
 	e := env.removeEntry(2)
 	e.Kill()
@@ -332,11 +338,13 @@
 	return "the fabric notices after 1 s", nil
 }
 
+// platformDown makes the platform answer nothing.
 func (env *environment) platformDown() (string, error) {
 	env.platform.Set(faults{Down: true})
 	return "", nil
 }
 
+// platformUp ends the outage of the platform.
 func (env *environment) platformUp() (string, error) {
 	env.platform.Set(faults{})
 	return "", nil
--- a/stoatdemo/run_client.go
+++ b/stoatdemo/run_client.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	clientsPerCustomer = 3 // of each customer
-	callPause          = 30 * time.Millisecond
+	clientsPerCustomer = 3
+	callPause          = 30 * time.Millisecond // before each call of a client
 	callTimeout        = 10 * time.Second
-	callBodyPart       = "receipt "
+	callBodyPart       = "receipt " // repeated 1 to 500 times
 )
 
-// startClients starts the callers of the call services.
+// startClients starts the clients of the call services.
 func (env *environment) startClients() {
 	for i, cust := range customers {
 		for n := range clientsPerCustomer {
-			c := &client{w: env, host: cust.host, rnd: rand.New(rand.NewPCG(env.cfg.Seed, uint64(10+i*clientsPerCustomer+n))), done: make(chan struct{})}
+			c := &client{env: env, host: cust.host, rnd: rand.New(rand.NewPCG(env.cfg.Seed, uint64(10+i*clientsPerCustomer+n))), done: make(chan struct{})}
 			env.clients = append(env.clients, c)
 			env.group.Go(c.run)
 		}
@@ -43,9 +43,9 @@
 
 // call sends one call to a random entry and counts how it ended.
 func (c *client) call(hc *http.Client) {
-	c.w.mu.Lock()
-	addr := c.w.settings[c.rnd.IntN(len(c.w.settings))].Call
-	c.w.mu.Unlock()
+	c.env.mu.Lock()
+	addr := c.env.settings[c.rnd.IntN(len(c.env.settings))].Call
+	c.env.mu.Unlock()
 	body := strings.Repeat(callBodyPart, 1+c.rnd.IntN(500))
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr.String()+"/claim", strings.NewReader(body))
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// calls sums up all clients.
+// calls returns the counts of all clients together.
 func (env *environment) calls() callCounts {
 	var sum callCounts
 	for _, c := range env.clients {
--- a/stoatdemo/run_world.go
+++ b/stoatdemo/run_world.go
@@ -21,13 +21,13 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// Config configures a demo.
+// Config configures the demo.
 type Config struct {
-	Flows   int // held open, over both customers
+	Flows   int // kept open, for both customers together
 	Entries int
 	Seed    uint64
-	Out     io.Writer // the table and the progress line
-	Log     io.Writer // the entries' events
+	Out     io.Writer // receives the table and the summary
+	Log     io.Writer // receives the entries' log lines
 }
 
 // environment is everything that runs in the demo.
@@ -38,55 +38,56 @@
 	group      *errgroup.Group
 	platform   *stoatfake.Platform
 	server     *http.Server
-	addr       netip.AddrPort
+	addr       netip.AddrPort // of the platform
 	fabric     *stoatfake.Fabric
 	callers    *stoatfake.Callers
 	upstreams  map[stoatpaddle.UpstreamID]*stoatfake.Upstream
 	servers    []*stoatfake.Server
 	contracts  map[stoatpaddle.CustomerID]stoatpaddle.Contract
 	clients    []*client
-	drainKept  func() bool // whether the leaving upstream kept its promise
-	violations []string    // promises that a phase found broken
+	drainKept  func() bool // whether the leaving upstream got its last new flow in time
+	violations []string    // guarantees that a phase found violated
 
 	mu           sync.Mutex
 	entries      []*stoatentry.Entry
 	settings     []stoatsetting.Settings
-	started      int
-	retiredBytes int64 // control bytes of entries that ended
+	started      int   // entries so far
+	retiredBytes int64 // control bytes of entries that have ended
 }
 
 const (
 	segmentInterval = time.Second
-	churnRate       = 0.02
-	callTime        = 10 * time.Millisecond
+	churnRate       = 0.02                  // share of the flows that is replaced per second
+	callTime        = 10 * time.Millisecond // how long a call takes at its upstream
 	stopDeadline    = 20 * time.Second
 )
 
+// newEnvironment starts everything but the traffic. The result has to be closed after an error too.
 func newEnvironment(ctx context.Context, cfg Config) (*environment, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
-	w := &environment{
+	env := &environment{
 		cfg: cfg, ctx: ctx, cancel: cancel, group: group, platform: stoatfake.NewPlatform(),
 		upstreams: map[stoatpaddle.UpstreamID]*stoatfake.Upstream{},
 		contracts: map[stoatpaddle.CustomerID]stoatpaddle.Contract{},
 	}
-	if err := w.openPlatform(); err != nil {
-		return w, err
+	if err := env.openPlatform(); err != nil {
+		return env, err
 	}
-	if err := w.openTraffic(); err != nil {
-		return w, err
+	if err := env.openTraffic(); err != nil {
+		return env, err
 	}
 	for _, c := range customers {
-		if err := w.openServers(c); err != nil {
-			return w, err
+		if err := env.openServers(c); err != nil {
+			return env, err
 		}
 	}
 	for range cfg.Entries {
-		if err := w.addEntry(); err != nil {
-			return w, err
+		if err := env.addEntry(); err != nil {
+			return env, err
 		}
 	}
-	return w, nil
+	return env, nil
 }
 
 func (env *environment) openPlatform() error {
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// updateFabric tells the fabric which entries there are.
+// updateFabric tells the fabric the present entries.
 func (env *environment) updateFabric() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -188,7 +189,7 @@
 	env.fabric.Set(list)
 }
 
-// removeEntry takes entry i out of the world's lists.
+// removeEntry removes entry i from the lists and returns it. It does not stop the entry.
 func (env *environment) removeEntry(i int) *stoatentry.Entry {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -199,19 +200,20 @@
 	return e
 }
 
-// admin returns a client of entry i's administration API.
+// admin returns a client for the administration API of entry i.
 func (env *environment) admin(i int) *stoatadmin.Client {
 	env.mu.Lock()
 	defer env.mu.Unlock()
 	return stoatadmin.NewClient(env.settings[i].Admin.String())
 }
 
+// apply applies a contract through entry i, based on the given version.
 func (env *environment) apply(i int, c stoatpaddle.Contract, base stoatpaddle.Version) (stoatpaddle.Version, error) {
 	a, err := env.admin(i).Apply(env.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.Change{Base: base})
 	return stoatpaddle.Version(a.Version), err
 }
 
-// controlBytes returns the bytes of control frames that all entries sent.
+// controlBytes returns the bytes of control frames that all entries have sent.
 func (env *environment) controlBytes() int64 {
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -254,7 +256,7 @@
 
 // client sends calls to random entries, one after the other.
 type client struct {
-	w      *environment
+	env    *environment
 	host   string
 	rnd    *rand.Rand
 	done   chan struct{}
@@ -263,7 +265,7 @@
 	counts callCounts
 }
 
-// callCounts tells how calls ended.
+// callCounts counts how calls ended.
 type callCounts struct {
 	answered, refused, unknown, cut, unreached int
 }
--- a/stoatdemo/table.go
+++ b/stoatdemo/table.go
@@ -12,23 +12,23 @@
 type faults = stoatfake.Trouble
 
 const (
-	// maxDrainDelay is the promise about an upstream that leaves.
+	// maxDrainDelay bounds the time until a leaving upstream gets no new flow any more.
 	maxDrainDelay = 3 * time.Second
-	// fabricLag is how long the fabric goes on sending to an entry that leaves.
+	// fabricLag is how long the fabric still sends to an entry that leaves.
 	fabricLag = time.Second
 )
 
-// reading is what was counted up to one moment.
+// reading is the state of all counters at one moment.
 type reading struct {
 	at           time.Time
 	flows        stoatfake.Counts
 	calls        callCounts
 	control      int64
 	entries      int
-	maxImbalance float64 // max/mean load, the worse of the two services
+	maxImbalance float64 // highest load over the mean load, the greater of the two services
 }
 
-// imbalance returns the greatest load over the mean of a service's upstreams, leaving ones apart.
+// imbalance returns the ratio of the highest to the mean load of a service's upstreams, without the one to skip.
 func (env *environment) imbalance(c stoatpaddle.Contract, skip stoatpaddle.UpstreamID) float64 {
 	most, sum, n := 0, 0, 0
 	for _, u := range c.Services[0].Upstreams {
@@ -46,7 +46,7 @@
 	return float64(most) * float64(n) / float64(sum)
 }
 
-// table prints a row a phase.
+// table prints one row for each phase.
 type table struct{ out io.Writer }
 
 func (t *table) printHeader() {
@@ -64,10 +64,10 @@
 
 func (t *table) printSummary(calls int64, entries int) {
 	_, _ = fmt.Fprintf(t.out, "the platform was called %d times by %d entries and the operators\n", calls, entries)
-	_, _ = fmt.Fprintln(t.out, "every promise that the demo checks was kept")
+	_, _ = fmt.Fprintln(t.out, "every guarantee that the demo checks was kept")
 }
 
-// violationsOf returns the promises that a phase broke.
+// violationsOf returns the guarantees that a phase violated.
 func violationsOf(p phase, before, after reading) []string {
 	var out []string
 	allowed := int(p.maxBrokenShare * float64(after.flows.Open))
