--- a/stoatgolden/golden.go
+++ b/stoatgolden/golden.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// updateEnv has Run write what came of each event anew, instead of comparing it.
+// updateEnv is the environment variable with which Run rewrites the expected results instead of comparing them.
 const updateEnv = "STOATPADDLE_UPDATE"
 
 const (
@@ -18,11 +18,11 @@
 	resultPrefix = "  > "
 )
 
-// Run replays every session under testdata and compares.
+// Run replays every session in testdata and compares the results.
 func Run(t *testing.T, replay func(t *testing.T, text string) string) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no sessions", err)
+		t.Fatal("no golden sessions in testdata", err)
 	}
 	for _, file := range files {
 		t.Run(filepath.Base(file), func(t *testing.T) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Each calls event for each line "@TIME words" of a session, and copies every line but
-// the results of an earlier run, which event writes anew.
+// Each calls event for each line "@TIME words" of a session. It copies every line except the results of an earlier
+// run, which event writes anew.
 func Each(t *testing.T, text string, write func(line string), event func(at time.Duration, words []string)) {
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		if strings.HasPrefix(line, resultPrefix) {
