--- a/stoatmeasure/change.go
+++ b/stoatmeasure/change.go
@@ -8,8 +8,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// learn has every living entry but one learn of a change, each at its own moment.
-func (f *fleet) learn(except *entry, base, spread time.Duration, change func(e *entry)) {
+// propagate has every living entry but one propagate of a change, each at its own moment.
+func (f *fleet) propagate(except *entry, base, spread time.Duration, change func(e *entry)) {
 	for _, e := range f.entries {
 		if e == except {
 			continue
@@ -17,14 +17,14 @@
 		f.q.after(base+time.Duration(f.rnd.Int64N(int64(spread))), func() {
 			if e.alive {
 				change(e)
-				f.rebuild(e)
+				f.rebuildView(e)
 			}
 		})
 	}
 }
 
-// know sets what an entry knows of an instance.
-func know(e *entry, i stoatpaddle.Instance) {
+// setInstance sets what an entry knows of an instance.
+func setInstance(e *entry, i stoatpaddle.Instance) {
 	list := append([]stoatpaddle.Instance(nil), e.input.Instances...)
 	for n := range list {
 		if list[n].ID == i.ID {
@@ -36,7 +36,7 @@
 	e.input.Instances = append(list, i)
 }
 
-func forget(e *entry, id stoatpaddle.InstanceID) {
+func removeInstance(e *entry, id stoatpaddle.InstanceID) {
 	var list []stoatpaddle.Instance
 	for _, i := range e.input.Instances {
 		if i.ID != id {
@@ -46,7 +46,7 @@
 	e.input.Instances = list
 }
 
-func with(m map[stoatpaddle.InstanceID]bool, id stoatpaddle.InstanceID) map[stoatpaddle.InstanceID]bool {
+func withInstance(m map[stoatpaddle.InstanceID]bool, id stoatpaddle.InstanceID) map[stoatpaddle.InstanceID]bool {
 	out := map[stoatpaddle.InstanceID]bool{id: true}
 	for k, v := range m {
 		out[k] = v
@@ -54,91 +54,91 @@
 	return out
 }
 
-// entryLeaves begins a planned stop.
-func (f *fleet) entryLeaves(e *entry) {
-	e.leaving, e.since = true, f.q.now
-	e.inst.State = stoatpaddle.StateLeaving
-	f.instance[e.inst.ID] = e.inst
-	know(e, e.inst)
-	f.rebuild(e)
-	f.learn(e, 0, learnWithin, func(o *entry) { know(o, e.inst) })
+// beginEntryStop begins a planned stop.
+func (f *fleet) beginEntryStop(e *entry) {
+	e.leaving, e.leavingSince = true, f.q.now
+	e.instance.State = stoatpaddle.StateLeaving
+	f.instances[e.instance.ID] = e.instance
+	setInstance(e, e.instance)
+	f.rebuildView(e)
+	f.propagate(e, 0, maxPropagationDelay, func(o *entry) { setInstance(o, e.instance) })
 }
 
-// gone is the end of a planned stop: the entry's object is removed.
-func (f *fleet) gone(e *entry) {
-	delete(f.instance, e.inst.ID)
-	f.learn(e, 0, learnWithin, func(o *entry) { forget(o, e.inst.ID) })
+// finishEntryStop is the end of a planned stop: the entry's object is removed.
+func (f *fleet) finishEntryStop(e *entry) {
+	delete(f.instances, e.instance.ID)
+	f.propagate(e, 0, maxPropagationDelay, func(o *entry) { removeInstance(o, e.instance.ID) })
 }
 
-// entryJoins starts one more entry.
-func (f *fleet) entryJoins() *entry {
+// addEntry starts one more entry.
+func (f *fleet) addEntry() *entry {
 	e := f.declareEntry()
 	e.alive = true
 	f.boot(e)
-	f.learn(e, 0, learnWithin, func(o *entry) {
-		know(o, e.inst)
-		if !f.reach(o, e) {
-			f.notice(o, e, true)
+	f.propagate(e, 0, maxPropagationDelay, func(o *entry) {
+		setInstance(o, e.instance)
+		if !f.connected(o, e) {
+			f.scheduleDetection(o, e, true)
 		}
 	})
 	for _, o := range f.entries {
-		if o != e && o.alive && !f.reach(e, o) {
-			f.notice(e, o, true)
+		if o != e && o.alive && !f.connected(e, o) {
+			f.scheduleDetection(e, o, true)
 		}
 	}
 	return e
 }
 
-// entryDies ends an entry without a word; the others notice by its silence.
-func (f *fleet) entryDies(e *entry) {
+// killEntry ends an entry without a word; the others notice by its silence.
+func (f *fleet) killEntry(e *entry) {
 	e.alive = false
-	f.learn(e, deadAfter, deadJitter, func(o *entry) { o.input.Dead = with(o.input.Dead, e.inst.ID) })
+	f.propagate(e, detectionDelay, detectionJitter, func(o *entry) { o.input.Dead = withInstance(o.input.Dead, e.instance.ID) })
 }
 
-// upstreamLeaves marks an upstream as leaving.
-func (f *fleet) upstreamLeaves(n int) {
+// markUpstreamLeaving marks an upstream as leaving.
+func (f *fleet) markUpstreamLeaving(n int) {
 	id := stoatpaddle.InstanceID(f.contract.Services[0].Upstreams[n].ID)
-	f.instance[id] = stoatpaddle.Instance{ID: id, Role: stoatpaddle.RoleUpstream, Incarnation: stoatpaddle.Incarnation(f.q.now)}
-	f.learn(nil, 0, learnWithin, func(o *entry) { o.input.Leaving = with(o.input.Leaving, id) })
+	f.instances[id] = stoatpaddle.Instance{ID: id, Role: stoatpaddle.RoleUpstream, Incarnation: stoatpaddle.Incarnation(f.q.now)}
+	f.propagate(nil, 0, maxPropagationDelay, func(o *entry) { o.input.Leaving = withInstance(o.input.Leaving, id) })
 }
 
 func (f *fleet) leftAt(id stoatpaddle.UpstreamID) time.Duration {
-	return time.Duration(f.instance[stoatpaddle.InstanceID(id)].Incarnation)
+	return time.Duration(f.instances[stoatpaddle.InstanceID(id)].Incarnation)
 }
 
-// amend has every entry learn of the present contract.
-func (f *fleet) amend() {
+// propagateContract has every entry learn of the present contract.
+func (f *fleet) propagateContract() {
 	c := f.contract
 	c.Services = append([]stoatpaddle.Service(nil), c.Services...)
-	f.learn(nil, 0, learnWithin, func(o *entry) { o.input.Contracts = []stoatpaddle.Contract{c} })
+	f.propagate(nil, 0, maxPropagationDelay, func(o *entry) { o.input.Contracts = []stoatpaddle.Contract{c} })
 }
 
-func (f *fleet) upstreamJoins() {
-	f.addUpstream()
-	f.amend()
+func (f *fleet) addUpstream() {
+	f.declareUpstream()
+	f.propagateContract()
 }
 
-// reweigh changes the weights of some upstreams.
-func (f *fleet) reweigh(weights ...stoatpaddle.Weight) {
+// setWeights changes the weights of some upstreams.
+func (f *fleet) setWeights(weights ...stoatpaddle.Weight) {
 	s := &f.contract.Services[0]
 	ups := append([]stoatpaddle.Upstream(nil), s.Upstreams...)
 	for i, w := range weights {
 		ups[i].Weight = w
 	}
 	s.Upstreams = ups
-	f.amend()
+	f.propagateContract()
 }
 
 // partition cuts data centre 0 off; each side notices the other's silence.
 func (f *fleet) partition() {
-	f.cut = true
+	f.partitioned = true
 	for _, id := range slices.Sorted(maps.Keys(f.live)) {
-		f.place(f.live[id])
+		f.assignSide(f.live[id])
 	}
 	for _, o := range f.entries {
 		for _, e := range f.entries {
-			if e.alive && o.alive && !f.reach(e, o) {
-				f.notice(e, o, true)
+			if e.alive && o.alive && !f.connected(e, o) {
+				f.scheduleDetection(e, o, true)
 			}
 		}
 	}
@@ -146,40 +146,40 @@
 
 // heal joins the network again.
 func (f *fleet) heal() {
-	f.cut = false
-	f.healed = f.q.now
+	f.partitioned = false
+	f.healedAt = f.q.now
 	for _, o := range f.entries {
 		for _, e := range f.entries {
-			if e != o && o.alive && e.alive && f.sideOf(e.inst.DataCentre) != f.sideOf(o.inst.DataCentre) {
-				f.notice(e, o, false)
-				e.engine.Resync(o.inst.ID)
+			if e != o && o.alive && e.alive && f.sideOf(e.instance.DataCentre) != f.sideOf(o.instance.DataCentre) {
+				f.scheduleDetection(e, o, false)
+				e.engine.Resync(o.instance.ID)
 			}
 		}
 	}
 }
 
-// notice has e find out that o is silent, or heard again.
-func (f *fleet) notice(e, o *entry, dead bool) {
+// scheduleDetection has e find out that o is silent, or heard again.
+func (f *fleet) scheduleDetection(e, o *entry, dead bool) {
 	base := time.Duration(0)
 	if dead {
-		base = deadAfter
+		base = detectionDelay
 	}
-	f.q.after(base+time.Duration(f.rnd.Int64N(int64(deadJitter))), func() {
-		if !e.alive || f.cut != dead {
+	f.q.after(base+time.Duration(f.rnd.Int64N(int64(detectionJitter))), func() {
+		if !e.alive || f.partitioned != dead {
 			return
 		}
-		m := with(e.input.Dead, o.inst.ID)
+		m := withInstance(e.input.Dead, o.instance.ID)
 		if !dead {
-			delete(m, o.inst.ID)
+			delete(m, o.instance.ID)
 		}
 		e.input.Dead = m
-		e.input.Partitioned = cutCentres(e)
-		f.rebuild(e)
+		e.input.Partitioned = partitionedCentres(e)
+		f.rebuildView(e)
 	})
 }
 
-// cutCentres returns the data centres none of whose entries answers.
-func cutCentres(e *entry) map[stoatpaddle.DataCentreID]bool {
+// partitionedCentres returns the data centres none of whose entries answers.
+func partitionedCentres(e *entry) map[stoatpaddle.DataCentreID]bool {
 	alive := map[stoatpaddle.DataCentreID]bool{}
 	out := map[stoatpaddle.DataCentreID]bool{}
 	for _, i := range e.input.Instances {
--- a/stoatmeasure/experiment.go
+++ b/stoatmeasure/experiment.go
@@ -43,38 +43,38 @@
 	return []Experiment{
 		{Name: "1 steady", Run: func(*fleet) {}, Last: 15 * time.Second},
 		{Name: "2 all change at once", Run: allChange, Last: 20 * time.Second},
-		{Name: "3a one entry dies", Run: func(f *fleet) { f.entryDies(f.entries[4]) }, Last: 15 * time.Second},
-		{Name: "3b two entries die", Run: func(f *fleet) { f.entryDies(f.entries[4]); f.entryDies(f.entries[1]) }, Last: 15 * time.Second},
+		{Name: "3a one entry dies", Run: func(f *fleet) { f.killEntry(f.entries[4]) }, Last: 15 * time.Second},
+		{Name: "3b two entries die", Run: func(f *fleet) { f.killEntry(f.entries[4]); f.killEntry(f.entries[1]) }, Last: 15 * time.Second},
 		{Name: "3c one dies within 2", Run: func(f *fleet) {
 			allChange(f)
-			f.q.after(time.Second, func() { f.entryDies(f.entries[4]) })
+			f.q.after(time.Second, func() { f.killEntry(f.entries[4]) })
 		}, Last: 20 * time.Second},
-		{Name: "4 rolling replacement", Run: rolling, Last: 65 * time.Second},
+		{Name: "4 rolling replacement", Run: replaceAllEntries, Last: 65 * time.Second},
 		{Name: "5 partition within 2", Run: func(f *fleet) {
 			f.partition()
 			f.q.after(3*time.Second, func() { allChange(f) })
 			f.q.after(12*time.Second, f.heal)
 		}, Last: 30 * time.Second},
-		{Name: "7 weights amended", Run: func(f *fleet) { f.reweigh(50, 200, 100, 150) }, Last: 20 * time.Second},
+		{Name: "7 weights amended", Run: func(f *fleet) { f.setWeights(50, 200, 100, 150) }, Last: 20 * time.Second},
 	}
 }
 
 // allChange is experiment 2: an entry and an upstream leave, others join, all at once.
 func allChange(f *fleet) {
-	f.entryLeaves(f.entries[2])
-	f.entryJoins()
-	f.upstreamLeaves(1)
-	f.upstreamJoins()
+	f.beginEntryStop(f.entries[2])
+	f.addEntry()
+	f.markUpstreamLeaving(1)
+	f.addUpstream()
 }
 
-const replaceEvery = 6 * time.Second
+const replaceInterval = 6 * time.Second
 
-// rolling replaces every entry, one after the other.
-func rolling(f *fleet) {
+// replaceAllEntries replaces every entry, one after the other.
+func replaceAllEntries(f *fleet) {
 	for i, e := range slices.Clone(f.entries) {
-		f.q.after(time.Duration(i)*replaceEvery, func() {
-			f.entryJoins()
-			f.entryLeaves(e)
+		f.q.after(time.Duration(i)*replaceInterval, func() {
+			f.addEntry()
+			f.beginEntryStop(e)
 		})
 	}
 }
@@ -90,15 +90,15 @@
 		life := warmUp + time.Duration(f.rnd.ExpFloat64()*float64(cfg.Flows)/cfg.Opens*float64(time.Second))
 		f.q.after(at, func() { f.openFlow(life) })
 	}
-	f.q.run(warmUp)
-	f.arrive()
+	f.q.runUntil(warmUp)
+	f.scheduleArrivals()
 	settle := min(30*time.Second, 10*time.Second+time.Duration(2*float64(cfg.Flows)/cfg.Opens*float64(time.Second)))
-	f.q.run(warmUp + settle)
-	f.result = Result{Name: x.Name, Seed: cfg.Seed, Flows: f.openNow}
+	f.q.runUntil(warmUp + settle)
+	f.result = Result{Name: x.Name, Seed: cfg.Seed, Flows: f.openFlows}
 	f.counting = true
 	opened, tracked := f.stats()
 	x.Run(f)
-	f.q.run(warmUp + settle + x.Last)
+	f.q.runUntil(warmUp + settle + x.Last)
 	return f.finishResult(opened, tracked, x.Last)
 }
 
@@ -116,9 +116,9 @@
 	if o > opened {
 		r.Tracked = float64(t-tracked) / float64(o-opened)
 	}
-	for _, w := range f.worst {
+	for _, w := range f.imbalances {
 		r.Worst = max(r.Worst, w)
-		r.Mean += w / float64(len(f.worst))
+		r.Mean += w / float64(len(f.imbalances))
 	}
 	r.PerEntry = float64(r.Bytes)/last.Seconds()/float64(f.cfg.Entries) + heartbeatBytes(f.cfg.Entries)
 	return r
--- a/stoatmeasure/fleet.go
+++ b/stoatmeasure/fleet.go
@@ -29,18 +29,18 @@
 }
 
 const (
-	centreCount = 3
-	linkDelay   = 500 * time.Microsecond // one way between data centres, as in Muscat
-	localDelay  = 100 * time.Microsecond
-	clientDelay = 3 * time.Millisecond
-	dataEvery   = 2 * time.Second
-	advance     = 100 * time.Millisecond
-	synAgain    = time.Second
-	learnWithin = 2 * time.Second
-	deadAfter   = 2 * time.Second
-	deadJitter  = 500 * time.Millisecond
-	fabricLag   = 2 * time.Second
-	sampleEvery = 250 * time.Millisecond
+	centreCount         = 3
+	linkDelay           = 500 * time.Microsecond // one way between data centres, as in Muscat
+	localDelay          = 100 * time.Microsecond
+	clientDelay         = 3 * time.Millisecond
+	dataInterval        = 2 * time.Second
+	advanceInterval     = 100 * time.Millisecond
+	synTimeout          = time.Second
+	maxPropagationDelay = 2 * time.Second
+	detectionDelay      = 2 * time.Second
+	detectionJitter     = 500 * time.Millisecond
+	fabricLag           = 2 * time.Second
+	sampleInterval      = 250 * time.Millisecond
 )
 
 var (
@@ -51,55 +51,55 @@
 
 // entry is one entry instance and what it has learned.
 type entry struct {
-	inst    stoatpaddle.Instance
-	engine  *stoatflow.Engine
-	view    *stoatview.View
-	input   stoatview.Input
-	alive   bool
-	leaving bool
-	since   time.Duration // when it began to leave
-	naive   map[int]stoatpaddle.UpstreamKey
+	instance     stoatpaddle.Instance
+	engine       *stoatflow.Engine
+	view         *stoatview.View
+	input        stoatview.Input
+	alive        bool
+	leaving      bool
+	leavingSince time.Duration // when it began to leave
+	naiveFlows   map[int]stoatpaddle.UpstreamKey
 }
 
 // conn is one flow as its caller and upstream see it.
 type conn struct {
-	id       int
-	tuple    stoatpacket.Tuple
-	upstream stoatpaddle.UpstreamKey // that accepted it; 0 before
-	naive    stoatpaddle.UpstreamKey
-	seq      uint32
-	end      time.Duration
-	side     int  // which side of a cut the caller is on
-	roams    bool // once the cut is over its packets go to both sides at once, though entries have not noticed
-	done     bool
-	broken   bool
-	naiveBad bool
+	id            int
+	tuple         stoatpacket.Tuple
+	upstream      stoatpaddle.UpstreamKey // that accepted it; 0 before
+	naiveUpstream stoatpaddle.UpstreamKey
+	seq           uint32
+	end           time.Duration
+	side          int  // which side of a cut the caller is on
+	roams         bool // once the cut is over its packets go to both sides at once, though entries have not noticed
+	done          bool
+	broken        bool
+	naiveBroken   bool
 }
 
 // fleet is the system in memory.
 type fleet struct {
-	q        queue
-	cfg      Config
-	rnd      *rand.Rand
-	entries  []*entry
-	byRelay  map[netip.AddrPort]*entry
-	contract stoatpaddle.Contract
-	instance map[stoatpaddle.InstanceID]stoatpaddle.Instance
-	conns    int
-	open     map[stoatpaddle.UpstreamKey]int
-	openNow  int
-	live     map[int]*conn
-	cut      bool          // data centre 0 is cut off from the others
-	healed   time.Duration // when the cut ended; 0 before
-	counting bool
-	result   Result
-	worst    []float64
+	q              queue
+	cfg            Config
+	rnd            *rand.Rand
+	entries        []*entry
+	byRelay        map[netip.AddrPort]*entry
+	contract       stoatpaddle.Contract
+	instances      map[stoatpaddle.InstanceID]stoatpaddle.Instance
+	lastConnID     int
+	openByUpstream map[stoatpaddle.UpstreamKey]int
+	openFlows      int
+	live           map[int]*conn
+	partitioned    bool          // data centre 0 is cut off from the others
+	healedAt       time.Duration // when the cut ended; 0 before
+	counting       bool
+	result         Result
+	imbalances     []float64
 }
 
 func newFleet(cfg Config) *fleet {
 	f := &fleet{
 		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 8)), byRelay: map[netip.AddrPort]*entry{},
-		instance: map[stoatpaddle.InstanceID]stoatpaddle.Instance{}, open: map[stoatpaddle.UpstreamKey]int{},
+		instances: map[stoatpaddle.InstanceID]stoatpaddle.Instance{}, openByUpstream: map[stoatpaddle.UpstreamKey]int{},
 		live: map[int]*conn{},
 	}
 	f.contract = stoatpaddle.Contract{
@@ -109,7 +109,7 @@
 		}},
 	}
 	for range cfg.Upstreams {
-		f.addUpstream()
+		f.declareUpstream()
 	}
 	for range cfg.Entries {
 		f.declareEntry().alive = true
@@ -117,7 +117,7 @@
 	for _, e := range f.entries {
 		f.boot(e)
 	}
-	f.every(sampleEvery, f.sample)
+	f.every(sampleInterval, f.sample)
 	return f
 }
 
@@ -125,7 +125,7 @@
 	return stoatpaddle.DataCentreID("dc" + strconv.Itoa(n%centreCount))
 }
 
-func (f *fleet) addUpstream() stoatpaddle.InstanceID {
+func (f *fleet) declareUpstream() stoatpaddle.InstanceID {
 	s := &f.contract.Services[0]
 	n := len(s.Upstreams)
 	u := stoatpaddle.Upstream{
@@ -140,43 +140,43 @@
 func (f *fleet) declareEntry() *entry {
 	n := len(f.entries)
 	relay := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(n >> 8), byte(n)}), 6081)
-	e := &entry{naive: map[int]stoatpaddle.UpstreamKey{}, inst: stoatpaddle.Instance{
+	e := &entry{naiveFlows: map[int]stoatpaddle.UpstreamKey{}, instance: stoatpaddle.Instance{
 		ID: stoatpaddle.InstanceID("e" + strconv.Itoa(n)), Role: stoatpaddle.RoleEntry, DataCentre: centre(n),
 		State: stoatpaddle.StateLive, Relay: relay,
 	}}
 	f.entries = append(f.entries, e)
 	f.byRelay[relay] = e
-	f.instance[e.inst.ID] = e.inst
+	f.instances[e.instance.ID] = e.instance
 	return e
 }
 
 // boot starts an entry that knows everything declared so far.
 func (f *fleet) boot(e *entry) {
 	e.engine = stoatflow.New(stoatflow.Config{
-		Self: e.inst.ID, Start: epoch, Gain: f.cfg.Gain, ControlBudget: f.cfg.Budget, Seed: f.rnd.Uint64(),
+		Self: e.instance.ID, Start: epoch, Gain: f.cfg.Gain, ControlBudget: f.cfg.Budget, Seed: f.rnd.Uint64(),
 	})
 	e.input = stoatview.Input{
-		Self: e.inst.ID, Seed: stoatpacket.Seed{K0: f.cfg.Seed, K1: 1}, Contracts: []stoatpaddle.Contract{f.contract},
+		Self: e.instance.ID, Seed: stoatpacket.Seed{K0: f.cfg.Seed, K1: 1}, Contracts: []stoatpaddle.Contract{f.contract},
 		Dead: map[stoatpaddle.InstanceID]bool{}, Partitioned: map[stoatpaddle.DataCentreID]bool{}, Leaving: map[stoatpaddle.InstanceID]bool{},
 	}
 	for _, o := range f.entries {
-		e.input.Instances = append(e.input.Instances, f.instance[o.inst.ID])
+		e.input.Instances = append(e.input.Instances, f.instances[o.instance.ID])
 		if !o.alive {
-			e.input.Dead[o.inst.ID] = true
+			e.input.Dead[o.instance.ID] = true
 		}
 	}
-	for id, i := range f.instance {
+	for id, i := range f.instances {
 		if i.Role == stoatpaddle.RoleUpstream {
 			e.input.Leaving[id] = true
 		}
 	}
-	f.rebuild(e)
-	f.q.after(time.Duration(f.rnd.Int64N(int64(advance))), func() { f.advance(e) })
+	f.rebuildView(e)
+	f.q.after(time.Duration(f.rnd.Int64N(int64(advanceInterval))), func() { f.advance(e) })
 }
 
 func (f *fleet) now() time.Time { return epoch.Add(f.q.now) }
 
-func (f *fleet) rebuild(e *entry) {
+func (f *fleet) rebuildView(e *entry) {
 	v := stoatview.Next(e.view, f.now(), e.input)
 	e.engine.Prepare(f.now(), v)
 	e.view = v
@@ -195,36 +195,36 @@
 		return
 	}
 	connected := func(id stoatpaddle.InstanceID) bool {
-		o := f.find(id)
-		return o != nil && o.alive && f.reach(e, o)
+		o := f.findEntry(id)
+		return o != nil && o.alive && f.connected(e, o)
 	}
 	for _, b := range e.engine.Advance(f.now(), e.view, connected) {
-		f.deliver(e, f.find(b.To), b)
+		f.deliver(e, f.findEntry(b.To), b)
 	}
-	if e.leaving && f.q.now-e.since > fabricLag+time.Second && e.engine.Drained(e.view) {
+	if e.leaving && f.q.now-e.leavingSince > fabricLag+time.Second && e.engine.Drained(e.view) {
 		e.alive = false
-		f.gone(e)
+		f.finishEntryStop(e)
 		return
 	}
-	f.q.after(advance, func() { f.advance(e) })
+	f.q.after(advanceInterval, func() { f.advance(e) })
 }
 
-func (f *fleet) find(id stoatpaddle.InstanceID) *entry {
+func (f *fleet) findEntry(id stoatpaddle.InstanceID) *entry {
 	for _, e := range f.entries {
-		if e.inst.ID == id {
+		if e.instance.ID == id {
 			return e
 		}
 	}
 	return nil
 }
 
-// reach tells whether the network joins two entries.
-func (f *fleet) reach(a, b *entry) bool {
-	return !f.cut || (a.inst.DataCentre == centre(0)) == (b.inst.DataCentre == centre(0))
+// connected tells whether the network joins two entries.
+func (f *fleet) connected(a, b *entry) bool {
+	return !f.partitioned || (a.instance.DataCentre == centre(0)) == (b.instance.DataCentre == centre(0))
 }
 
 func (f *fleet) delay(a, b *entry) time.Duration {
-	if a.inst.DataCentre == b.inst.DataCentre {
+	if a.instance.DataCentre == b.instance.DataCentre {
 		return localDelay
 	}
 	return linkDelay
@@ -241,16 +241,16 @@
 	loads := b.Loads
 	b.Loads = nil
 	f.q.after(f.delay(from, to), func() {
-		if to.alive && f.reach(from, to) {
-			to.engine.Receive(f.now(), to.view, from.inst.ID, b)
+		if to.alive && f.connected(from, to) {
+			to.engine.Receive(f.now(), to.view, from.instance.ID, b)
 		}
 	})
 	if len(loads) == 0 || f.rnd.Float64() < f.cfg.LoadLoss {
 		return
 	}
 	f.q.after(f.delay(from, to)+f.cfg.LoadAge, func() {
-		if to.alive && f.reach(from, to) {
-			to.engine.Receive(f.now(), to.view, from.inst.ID, stoatflow.Batch{Loads: loads})
+		if to.alive && f.connected(from, to) {
+			to.engine.Receive(f.now(), to.view, from.instance.ID, stoatflow.Batch{Loads: loads})
 		}
 	})
 }
@@ -262,15 +262,15 @@
 	}
 	most, sum, weights := 0.0, 0, 0
 	for _, u := range f.contract.Services[0].Upstreams {
-		if _, leaving := f.instance[stoatpaddle.InstanceID(u.ID)]; leaving || u.Weight == 0 {
+		if _, leaving := f.instances[stoatpaddle.InstanceID(u.ID)]; leaving || u.Weight == 0 {
 			continue
 		}
-		n := f.open[stoatview.UpstreamKeyOf(service, u.ID)]
+		n := f.openByUpstream[stoatview.UpstreamKeyOf(service, u.ID)]
 		most = max(most, float64(n)/float64(u.Weight))
 		sum += n
 		weights += int(u.Weight)
 	}
 	if sum > 0 {
-		f.worst = append(f.worst, most*float64(weights)/float64(sum))
+		f.imbalances = append(f.imbalances, most*float64(weights)/float64(sum))
 	}
 }
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -17,12 +17,12 @@
 // upstreams with slots and a queue that turn away what does not fit. Callers open a flow a request and
 // come back twice. Virtual time; no network but its delay.
 const (
-	overloadSlots     = 3
-	overloadQueue     = 12
-	overloadWork      = 45 * time.Millisecond
-	overloadTrip      = 6 * time.Millisecond // from a caller to its upstream and back
-	overloadObjective = 200 * time.Millisecond
-	overloadTries     = 3
+	overloadSlots       = 3
+	overloadQueue       = 12
+	overloadServiceTime = 45 * time.Millisecond
+	overloadRTT         = 6 * time.Millisecond // from a caller to its upstream and back
+	overloadObjective   = 200 * time.Millisecond
+	overloadMaxTries    = 3
 	// overloadAnswer and overloadRefusal are the bytes that callers acknowledge of an answer, and of
 	// what an upstream says that turns a request away.
 	overloadAnswer, overloadRefusal = 500, 100
@@ -31,8 +31,8 @@
 // Of three quarters of the requests a late one costs a caller little; a quarter is more urgent and worth
 // twice as much.
 const (
-	urgentPart  = 0.25
-	urgentWorth = 2.0
+	urgentShare  = 0.25
+	urgentWeight = 2.0
 )
 
 var (
@@ -62,7 +62,7 @@
 
 // capacity is how many requests a second the upstreams can do.
 func (c OverloadConfig) capacity() float64 {
-	return float64(c.Upstreams) * float64(c.slots()) / overloadWork.Seconds()
+	return float64(c.Upstreams) * float64(c.slots()) / overloadServiceTime.Seconds()
 }
 
 func (c OverloadConfig) slots() int {
@@ -100,7 +100,7 @@
 
 // Worth is what was answered in time.
 func (o *Overload) Worth() float64 {
-	return float64(o.Usual.InTime) + urgentWorth*float64(o.Urgent.InTime)
+	return float64(o.Usual.InTime) + urgentWeight*float64(o.Urgent.InTime)
 }
 
 // bound is the worth that the upstreams can yield of what was asked in each stage. What is asked in one
@@ -108,9 +108,9 @@
 func (c OverloadConfig) bound(stages [][2]Outcomes) float64 {
 	sum := 0.0
 	for i, s := range c.Stages {
-		can := c.capacity() * (s.For + overloadObjective).Seconds()
-		urgent := min(can, float64(stages[i][1].Asked))
-		sum += urgentWorth*urgent + min(can-urgent, float64(stages[i][0].Asked))
+		capacity := c.capacity() * (s.For + overloadObjective).Seconds()
+		urgent := min(capacity, float64(stages[i][1].Asked))
+		sum += urgentWeight*urgent + min(capacity-urgent, float64(stages[i][0].Asked))
 	}
 	return sum
 }
@@ -121,11 +121,11 @@
 	rnd     *rand.Rand
 	q       queue
 	entries []*stoatecho.Engine
-	book    *stoatroute.Builder
+	routes  *stoatroute.Builder
 	servers map[stoatpaddle.UpstreamID]*overloadServer
 	port    int
 	idle    map[netip.AddrPort][]*longFlow // open flows without a request
-	out     Overload
+	result  Overload
 }
 
 type overloadServer struct {
@@ -136,11 +136,11 @@
 
 func newOverloadModel(cfg OverloadConfig) *overloadModel {
 	m := &overloadModel{
-		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), book: stoatroute.NewBuilder(stoatroute.Config{}),
+		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), routes: stoatroute.NewBuilder(stoatroute.Config{}),
 		servers: map[stoatpaddle.UpstreamID]*overloadServer{}, idle: map[netip.AddrPort][]*longFlow{},
 	}
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
-	m.book.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
+	m.routes.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
 		{Listen: usualListen, Backends: to, Idempotent: true, Objective: cfg.Objective, Priority: 2},
 		{Listen: urgentListen, Backends: to, Objective: cfg.Objective, Priority: 1},
 	}}, 1)
@@ -148,11 +148,11 @@
 	for i := range cfg.Upstreams {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		m.servers[id], names[id] = &overloadServer{hangs: float64(i) < cfg.Hanging*float64(cfg.Upstreams)}, true
-		m.book.Register(overloadEpoch, stoatpaddle.Registration{
+		m.routes.Register(overloadEpoch, stoatpaddle.Registration{
 			ID: id, Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "here", Slots: cfg.slots(), Created: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 	}
-	m.book.ApplyList(overloadEpoch, names, false)
+	m.routes.ApplyList(overloadEpoch, names, false)
 	for i := range cfg.Entries {
 		m.entries = append(m.entries, stoatecho.New(stoatecho.Config{
 			DataCentre: "here", Start: overloadEpoch.Add(-time.Minute), Seed: cfg.Seed + uint64(i),
@@ -164,47 +164,47 @@
 // RunOverload plays a load, and returns what became of its requests.
 func RunOverload(ctx context.Context, cfg OverloadConfig) (Overload, error) {
 	m := newOverloadModel(cfg)
-	m.out.Stages = make([][2]Outcomes, len(cfg.Stages))
-	at := time.Duration(0)
+	m.result.Stages = make([][2]Outcomes, len(cfg.Stages))
+	from := time.Duration(0)
 	for i, s := range cfg.Stages {
-		m.offer(i, at, s)
-		at += s.For
+		m.offerLoad(i, from, s)
+		from += s.For
 	}
-	for len(m.q.list) > 0 {
+	for len(m.q.pending) > 0 {
 		if err := ctx.Err(); err != nil {
 			return Overload{}, err
 		}
-		m.q.run(m.q.list[0].at)
+		m.q.runUntil(m.q.pending[0].at)
 	}
-	for _, s := range m.out.Stages {
-		m.out.Usual.add(s[0])
-		m.out.Urgent.add(s[1])
+	for _, s := range m.result.Stages {
+		m.result.Usual.add(s[0])
+		m.result.Urgent.add(s[1])
 	}
-	m.out.Bound = cfg.bound(m.out.Stages)
-	return m.out, nil
+	m.result.Bound = cfg.bound(m.result.Stages)
+	return m.result, nil
 }
 
 func (m *overloadModel) now() time.Time { return overloadEpoch.Add(m.q.now) }
 
-// offer has callers ask in a stage that begins at that time.
-func (m *overloadModel) offer(stage int, from time.Duration, s Stage) {
+// offerLoad has callers ask in a stage that begins at that time.
+func (m *overloadModel) offerLoad(stage int, from time.Duration, s Stage) {
 	rate := s.Load * m.cfg.capacity()
 	if rate <= 0 {
 		return
 	}
 	for at := from; at < from+s.For; at += time.Duration(m.rnd.ExpFloat64() / rate * float64(time.Second)) {
-		urgent := m.rnd.Float64() < urgentPart
+		urgent := m.rnd.Float64() < urgentShare
 		m.q.after(at, func() {
-			out, listen := &m.out.Stages[stage][0], usualListen
+			out, listen := &m.result.Stages[stage][0], usualListen
 			if urgent {
-				out, listen = &m.out.Stages[stage][1], urgentListen
+				out, listen = &m.result.Stages[stage][1], urgentListen
 			}
 			out.Asked++
 			if m.cfg.Long {
-				m.ask(listen, out, m.q.now)
+				m.sendRequest(listen, out, m.q.now)
 				return
 			}
-			m.try(listen, out, m.q.now, 1)
+			m.openFlow(listen, out, m.q.now, 1)
 		})
 	}
 }
@@ -217,32 +217,32 @@
 	return e, stoatpacket.Tuple{Src: src, Dst: to, Protocol: stoatpaddle.ProtocolTCP}
 }
 
-// try opens a flow for a request that was first tried at that time.
-func (m *overloadModel) try(to netip.AddrPort, out *Outcomes, first time.Duration, n int) {
+// openFlow opens a flow for a request that was first tried at that time.
+func (m *overloadModel) openFlow(to netip.AddrPort, out *Outcomes, first time.Duration, n int) {
 	e, tuple := m.newFlow(to)
-	a := e.Handle(m.now(), m.book.Table(), &stoatpacket.Packet{Tuple: tuple, Opens: true})
-	again := func() {
-		if n == overloadTries {
+	a := e.Handle(m.now(), m.routes.Table(), &stoatpacket.Packet{Tuple: tuple, Opens: true})
+	retry := func() {
+		if n == overloadMaxTries {
 			out.Refused++
 			return
 		}
-		m.q.after(overloadTrip, func() { m.try(to, out, first, n+1) })
+		m.q.after(overloadRTT, func() { m.openFlow(to, out, first, n+1) })
 	}
 	if a.Verdict != stoatecho.Forward {
-		again()
+		retry()
 		return
 	}
 	send := func(seq, ack uint32, size int, ends bool) {
-		e.Handle(m.now(), m.book.Table(), &stoatpacket.Packet{Tuple: tuple, Cookie: a.Upstream.Key, Seq: seq, Ack: ack, Size: size, Ends: ends})
+		e.Handle(m.now(), m.routes.Table(), &stoatpacket.Packet{Tuple: tuple, Cookie: a.Upstream.Key, Seq: seq, Ack: ack, Size: size, Ends: ends})
 	}
-	m.q.after(overloadTrip, func() {
+	m.q.after(overloadRTT, func() {
 		send(1, 1, 0, false)
 		send(1, 1, 100, false)
 		m.serve(m.servers[a.Upstream.ID], func(ran bool) {
 			switch {
 			case !ran:
 				send(101, overloadRefusal, 0, true)
-				again()
+				retry()
 				return
 			case m.q.now-first <= overloadObjective:
 				out.InTime++
@@ -254,8 +254,8 @@
 	})
 }
 
-// ended frees a slot for the next request of the queue.
-func (s *overloadServer) ended() {
+// releaseSlot frees a slot for the next request of the queue.
+func (s *overloadServer) releaseSlot() {
 	s.running--
 	if len(s.queue) > 0 {
 		next := s.queue[0]
@@ -271,11 +271,11 @@
 		s.running++
 		if s.hangs && m.rnd.Float64() < hangShare {
 			// Nobody hears of it again; its slot is free when its caller gives up.
-			m.q.after(longDeadline, func() { s.ended() })
+			m.q.after(longDeadline, func() { s.releaseSlot() })
 			return
 		}
-		m.q.after(time.Duration(float64(overloadWork)*(0.5+m.rnd.Float64())), func() {
-			s.ended()
+		m.q.after(time.Duration(float64(overloadServiceTime)*(0.5+m.rnd.Float64())), func() {
+			s.releaseSlot()
 			done(true)
 		})
 	}
@@ -285,6 +285,6 @@
 	case len(s.queue) < m.cfg.queue():
 		s.queue = append(s.queue, begin)
 	default:
-		m.q.after(overloadTrip, func() { done(false) })
+		m.q.after(overloadRTT, func() { done(false) })
 	}
 }
--- a/stoatmeasure/overload_test.go
+++ b/stoatmeasure/overload_test.go
@@ -8,8 +8,8 @@
 
 var smallFleet, largeFleet = OverloadConfig{Entries: 3, Upstreams: 4}, OverloadConfig{Entries: 30, Upstreams: 40}
 
-// play plays stages with the first seeds, summed up. Without an objective nothing is refused for being late.
-func play(t *testing.T, fleet OverloadConfig, objective time.Duration, seeds uint64, stages ...Stage) Overload {
+// runStages plays stages with the first seeds, summed up. Without an objective nothing is refused for being late.
+func runStages(t *testing.T, fleet OverloadConfig, objective time.Duration, seeds uint64, stages ...Stage) Overload {
 	t.Helper()
 	sum := Overload{Stages: make([][2]Outcomes, len(stages))}
 	for seed := range seeds {
@@ -36,8 +36,8 @@
 // answers are late by the queue. With it, upstreams work as much, nine in ten of their answers
 // are in time, and the more urgent requests come first.
 func TestOverload(t *testing.T) {
-	plain := play(t, smallFleet, 0, 10, Stage{2, 4 * time.Second})
-	limited := play(t, smallFleet, overloadObjective, 10, Stage{2, 4 * time.Second})
+	plain := runStages(t, smallFleet, 0, 10, Stage{2, 4 * time.Second})
+	limited := runStages(t, smallFleet, overloadObjective, 10, Stage{2, 4 * time.Second})
 	inTime, before := limited.Usual.InTime+limited.Urgent.InTime, plain.Usual.InTime+plain.Urgent.InTime
 	if float64(inTime) < 1.7*float64(before) {
 		t.Errorf("%d in time, %d without a limit", inTime, before)
@@ -58,8 +58,8 @@
 // second, and half of all answers are refusals. Four fifths of what the upstreams can do is answered
 // in time all the same, and the more urgent requests come first. TODO(admission): nine tenths, with
 // what the entries of a data centre know together.
-func TestOverloadSeenByMany(t *testing.T) {
-	o := play(t, largeFleet, overloadObjective, 1, Stage{2, 4 * time.Second})
+func TestOverloadWithManyEntries(t *testing.T) {
+	o := runStages(t, largeFleet, overloadObjective, 1, Stage{2, 4 * time.Second})
 	most := 4 * largeFleet.capacity()
 	if inTime := float64(o.Usual.InTime + o.Urgent.InTime); inTime < 0.8*most {
 		t.Errorf("%.0f in time, the upstreams can do %.0f", inTime, most)
@@ -72,25 +72,25 @@
 // A burst ends. Callers that were refused come back within milliseconds, twice, and must not
 // keep the overload up: a second later nobody is refused any more, and answers are in time.
 func TestOverloadEnds(t *testing.T) {
-	o := play(t, smallFleet, overloadObjective, 3, Stage{4, 2 * time.Second}, Stage{0, time.Second}, Stage{0.6, 5 * time.Second})
-	for _, calm := range o.Stages[2] {
-		if calm.Refused > 0 || calm.share(calm.InTime) < 0.99 {
-			t.Errorf("%+v", calm)
+	o := runStages(t, smallFleet, overloadObjective, 3, Stage{4, 2 * time.Second}, Stage{0, time.Second}, Stage{0.6, 5 * time.Second})
+	for _, after := range o.Stages[2] {
+		if after.Refused > 0 || after.share(after.InTime) < 0.99 {
+			t.Errorf("%+v", after)
 		}
 	}
 }
 
 // All entries have just started and callers come in a herd. Nothing is known of any upstream,
 // and that is no reason to refuse.
-func TestNothingKnownIsNoOverload(t *testing.T) {
+func TestUnknownUpstreamsAreNoOverload(t *testing.T) {
 	cfg := smallFleet
 	cfg.Objective, cfg.Seed = overloadObjective, 1
 	m := newOverloadModel(cfg)
 	var out Outcomes
 	for range smallFleet.Upstreams * overloadSlots {
-		m.q.after(0, func() { m.try(urgentListen, &out, m.q.now, overloadTries) })
+		m.q.after(0, func() { m.openFlow(urgentListen, &out, m.q.now, overloadMaxTries) })
 	}
-	m.q.run(time.Minute)
+	m.q.runUntil(time.Minute)
 	if out.InTime != smallFleet.Upstreams*overloadSlots {
 		t.Errorf("%+v", out)
 	}
@@ -98,7 +98,7 @@
 
 // The usual load, 0.6 of what the upstreams can do: nobody is refused.
 func TestUsualLoadIsNotRefused(t *testing.T) {
-	o := play(t, smallFleet, overloadObjective, 3, Stage{0.6, 20 * time.Second})
+	o := runStages(t, smallFleet, overloadObjective, 3, Stage{0.6, 20 * time.Second})
 	for _, r := range []Outcomes{o.Usual, o.Urgent} {
 		if r.Refused > 0 || r.share(r.InTime) < 0.99 {
 			t.Errorf("%+v", r)
@@ -108,8 +108,8 @@
 
 // The work alone takes as long as the objective allows. That is how it is: nothing is
 // refused for it.
-func TestLongWorkIsNotRefused(t *testing.T) {
-	if o := play(t, smallFleet, overloadWork, 3, Stage{0.15, 10 * time.Second}); o.Usual.Refused+o.Urgent.Refused > 0 {
+func TestSlowRequestsAreNotRefused(t *testing.T) {
+	if o := runStages(t, smallFleet, overloadServiceTime, 3, Stage{0.15, 10 * time.Second}); o.Usual.Refused+o.Urgent.Refused > 0 {
 		t.Errorf("%+v", o)
 	}
 }
@@ -118,13 +118,13 @@
 func TestBound(t *testing.T) {
 	for _, p := range loadPatterns {
 		for _, objective := range []time.Duration{0, overloadObjective} {
-			if o := play(t, smallFleet, objective, 2, p.stages...); o.Worth() > o.Bound {
+			if o := runStages(t, smallFleet, objective, 2, p.stages...); o.Worth() > o.Bound {
 				t.Errorf("%s: worth %.0f, bound %.0f", p.name, o.Worth(), o.Bound)
 			}
 		}
 	}
-	o := play(t, smallFleet, overloadObjective, 1, Stage{0.5, 4 * time.Second})
-	if all := float64(o.Usual.Asked) + urgentWorth*float64(o.Urgent.Asked); o.Bound != all {
+	o := runStages(t, smallFleet, overloadObjective, 1, Stage{0.5, 4 * time.Second})
+	if all := float64(o.Usual.Asked) + urgentWeight*float64(o.Urgent.Asked); o.Bound != all {
 		t.Errorf("bound %.0f of %.0f", o.Bound, all)
 	}
 }
--- a/stoatmeasure/queue.go
+++ b/stoatmeasure/queue.go
@@ -7,15 +7,15 @@
 
 // queue runs functions in the order of their times; equal times run in the order they were added.
 type queue struct {
-	now   time.Duration
-	added uint64
-	list  events
+	now     time.Duration
+	lastSeq uint64
+	pending events
 }
 
 type event struct {
-	at time.Duration
-	n  uint64
-	do func()
+	at  time.Duration
+	seq uint64
+	do  func()
 }
 
 type events []event
@@ -26,7 +26,7 @@
 	if q[i].at != q[j].at {
 		return q[i].at < q[j].at
 	}
-	return q[i].n < q[j].n
+	return q[i].seq < q[j].seq
 }
 
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
@@ -46,14 +46,14 @@
 }
 
 func (q *queue) after(d time.Duration, do func()) {
-	q.added++
-	heap.Push(&q.list, event{at: q.now + d, n: q.added, do: do})
+	q.lastSeq++
+	heap.Push(&q.pending, event{at: q.now + d, seq: q.lastSeq, do: do})
 }
 
-// run runs what is due until the time.
-func (q *queue) run(until time.Duration) {
-	for len(q.list) > 0 && q.list[0].at <= until {
-		e, _ := heap.Pop(&q.list).(event)
+// runUntil runs what is due until the time.
+func (q *queue) runUntil(until time.Duration) {
+	for len(q.pending) > 0 && q.pending[0].at <= until {
+		e, _ := heap.Pop(&q.pending).(event)
 		q.now = e.at
 		e.do()
 	}
--- a/stoatmeasure/report.go
+++ b/stoatmeasure/report.go
@@ -19,8 +19,8 @@
 	Parallel int    // experiments at once
 }
 
-// curveAges are the ages of load reports for which the curve is measured.
-var curveAges = []time.Duration{150 * time.Millisecond, time.Second, 5 * time.Second}
+// curveDelays are the ages of load reports for which the curve is measured.
+var curveDelays = []time.Duration{150 * time.Millisecond, time.Second, 5 * time.Second}
 
 // curveGains are the gains for which the curve is measured.
 var curveGains = []float64{1, 3, 6, 12, 24}
@@ -108,7 +108,7 @@
 			return row{cfg, r}
 		})
 	}
-	for _, age := range curveAges {
+	for _, age := range curveDelays {
 		for _, gain := range curveGains {
 			cfg := p.Config
 			cfg.Gain, cfg.LoadAge = gain, age
@@ -132,13 +132,13 @@
 	for _, r := range rows {
 		x := r.result
 		_, _ = fmt.Fprintf(w, "%-30s %9d %7d %8d %7d %8.4f%% %6d %6d %7.2f%% %9.4f %9.4f %8.0f %7.2f\n",
-			x.Name, r.cfg.Upstreams, x.Flows, x.Opened, x.Broken, x.share(), x.Roamed, x.NaiveBroken, 100*x.Tracked,
+			x.Name, r.cfg.Upstreams, x.Flows, x.Opened, x.Broken, x.brokenPercent(), x.Roamed, x.NaiveBroken, 100*x.Tracked,
 			x.Worst, x.Mean, x.PerEntry, x.LateOpens.Seconds())
 	}
 }
 
-// share returns the broken flows in percent of those open at first.
-func (r Result) share() float64 { return 100 * float64(r.Broken) / float64(max(1, r.Flows)) }
+// brokenPercent returns the broken flows in percent of those open at first.
+func (r Result) brokenPercent() float64 { return 100 * float64(r.Broken) / float64(max(1, r.Flows)) }
 
 func writeJSON(w io.Writer, rows []row) error {
 	out := []wireResult{}
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -44,20 +44,20 @@
 )
 
 const (
-	silenceFrom  = 3 * time.Second // when the trouble begins, in the calm before entries learn usual times
-	silenceLast  = 2 * time.Second // how long it lasts: until registrations would lapse
-	silenceAfter = 2 * time.Second // how long requests count after it
-	silenceTrip  = time.Millisecond
-	silenceWork  = 40 * time.Millisecond // of a request, mean
-	silenceSlots = 2
-	silenceQueue = 8
-	silenceGoal  = 300 * time.Millisecond // the objective
-	silenceLimit = 2500 * time.Millisecond
-	silenceLoss  = 1.0 / 30
-	longShare    = 0.73 // of the requests come on long flows, the others on a flow each
-	longPause    = time.Second
-	backAfter    = time.Second           // how long an upstream that is back may still be taken for silent
-	probeEvery   = 20 * time.Millisecond // how often it is looked who avoids whom
+	faultStart         = 3 * time.Second // when the trouble begins, in the calm before entries learn usual times
+	faultDuration      = 2 * time.Second // how long it lasts: until registrations would lapse
+	countedAfterFault  = 2 * time.Second // how long requests count after it
+	silenceOneWayDelay = time.Millisecond
+	silenceServiceTime = 40 * time.Millisecond // of a request, mean
+	silenceSlots       = 2
+	silenceQueue       = 8
+	silenceObjective   = 300 * time.Millisecond // the objective
+	silenceTimeout     = 2500 * time.Millisecond
+	silenceLossRate    = 1.0 / 30
+	longFlowShare      = 0.73 // of the requests come on long flows, the others on a flow each
+	longFlowPause      = time.Second
+	recoveryGrace      = time.Second           // how long an upstream that is back may still be taken for silent
+	probeInterval      = 20 * time.Millisecond // how often it is looked who avoids whom
 )
 
 // Silence is what one way gave under one trouble.
@@ -80,19 +80,19 @@
 
 // silenceModel is one data centre in virtual time.
 type silenceModel struct {
-	cfg     SilenceConfig
-	way     Way
-	trouble Trouble
-	q       queue
-	rnd     *rand.Rand
-	book    *stoatroute.Builder
-	ups     []*silentUpstream
-	entries []*silentEntry
-	flows   map[stoatpacket.Tuple]*silentFlow
-	port    int
-	bytes   int
-	known   map[int]time.Duration // by upstream
-	out     Silence
+	cfg       SilenceConfig
+	sharing   Way
+	fault     Trouble
+	q         queue
+	rnd       *rand.Rand
+	routes    *stoatroute.Builder
+	upstreams []*silenceUpstream
+	entries   []*silenceEntry
+	flows     map[stoatpacket.Tuple]*silenceFlow
+	port      int
+	bytes     int
+	detected  map[int]time.Duration // by upstream
+	result    Silence
 }
 
 // silenceEpoch is the model's time zero.
@@ -102,67 +102,67 @@
 
 // counted tells whether a request that was first tried then counts.
 func counted(first time.Duration) bool {
-	return first >= silenceFrom && first < silenceFrom+silenceLast+silenceAfter
+	return first >= faultStart && first < faultStart+faultDuration+countedAfterFault
 }
 
-// troubled tells whether the trouble goes on.
-func (m *silenceModel) troubled() bool {
-	return m.q.now >= silenceFrom && m.q.now < silenceFrom+silenceLast
+// faultActive tells whether the trouble goes on.
+func (m *silenceModel) faultActive() bool {
+	return m.q.now >= faultStart && m.q.now < faultStart+faultDuration
 }
 
 var silenceListen = [2]netip.AddrPort{netip.MustParseAddrPort("198.18.0.1:8443"), netip.MustParseAddrPort("198.18.0.1:8080")}
 
 // RunSilence runs one way under one trouble.
-func RunSilence(ctx context.Context, cfg SilenceConfig, way Way, trouble Trouble) (Silence, error) {
+func RunSilence(ctx context.Context, cfg SilenceConfig, sharing Way, fault Trouble) (Silence, error) {
 	m := &silenceModel{
-		cfg: cfg, way: way, trouble: trouble, rnd: rand.New(rand.NewPCG(cfg.Seed, 11)),
-		book:  stoatroute.NewBuilder(stoatroute.Config{}),
-		flows: map[stoatpacket.Tuple]*silentFlow{}, known: map[int]time.Duration{},
-		out: Silence{Way: way, Trouble: trouble},
+		cfg: cfg, sharing: sharing, fault: fault, rnd: rand.New(rand.NewPCG(cfg.Seed, 11)),
+		routes: stoatroute.NewBuilder(stoatroute.Config{}),
+		flows:  map[stoatpacket.Tuple]*silenceFlow{}, detected: map[int]time.Duration{},
+		result: Silence{Way: sharing, Trouble: fault},
 	}
-	m.declare()
+	m.declareRoutes()
 	for i := range cfg.Entries {
-		m.entries = append(m.entries, newSilentEntry(m, i))
+		m.entries = append(m.entries, newSilenceEntry(m, i))
 	}
-	m.offer()
-	m.q.after(silenceFrom, m.probe)
-	for at := silenceLast / 10; at <= silenceFrom+silenceLast+silenceAfter+silenceLimit; at += silenceLast / 10 {
+	m.offerLoad()
+	m.q.after(faultStart, m.probe)
+	for at := faultDuration / 10; at <= faultStart+faultDuration+countedAfterFault+silenceTimeout; at += faultDuration / 10 {
 		if err := ctx.Err(); err != nil {
 			return Silence{}, err
 		}
-		m.q.run(at)
+		m.q.runUntil(at)
 	}
 	return m.finish(), nil
 }
 
-// declare registers the upstreams, and two routes to their one service.
-func (m *silenceModel) declare() {
+// declareRoutes registers the upstreams, and two routes to their one service.
+func (m *silenceModel) declareRoutes() {
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
-	m.book.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
-		{Listen: silenceListen[0], Backends: to, Idempotent: true, Objective: silenceGoal, Priority: 2},
-		{Listen: silenceListen[1], Backends: to, Objective: silenceGoal, Priority: 1},
+	m.routes.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
+		{Listen: silenceListen[0], Backends: to, Idempotent: true, Objective: silenceObjective, Priority: 2},
+		{Listen: silenceListen[1], Backends: to, Objective: silenceObjective, Priority: 1},
 	}}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
 	failing := int(m.cfg.Share * float64(m.cfg.Upstreams))
 	for i := range m.cfg.Upstreams {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		names[id] = true
-		m.book.Register(m.now(), stoatpaddle.Registration{
+		m.routes.Register(m.now(), stoatpaddle.Registration{
 			ID: id, Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "here", Slots: silenceSlots, Created: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
-		m.ups = append(m.ups, &silentUpstream{m: m, fails: i < failing, held: map[stoatpacket.Tuple]uint32{}})
+		m.upstreams = append(m.upstreams, &silenceUpstream{m: m, fails: i < failing, lastRequest: map[stoatpacket.Tuple]uint32{}})
 	}
-	m.book.ApplyList(m.now(), names, false)
+	m.routes.ApplyList(m.now(), names, false)
 }
 
 // fails tells whether an upstream answers nobody now.
 func (m *silenceModel) fails(i int) bool {
-	return m.ups[i].fails && m.troubled() && (m.trouble == Silenced || m.trouble == Refusing)
+	return m.upstreams[i].fails && m.faultActive() && (m.fault == Silenced || m.fault == Refusing)
 }
 
 // probe notes when nine of ten entries avoid each failing upstream.
 func (m *silenceModel) probe() {
-	if !m.troubled() {
+	if !m.faultActive() {
 		return
 	}
 	avoid := map[stoatpaddle.UpstreamKey]int{}
@@ -173,40 +173,40 @@
 			}
 		}
 	}
-	for i := range m.ups {
-		if _, seen := m.known[i]; !seen && m.fails(i) && avoid[stoatroute.KeyOf(stoatpaddle.Target(i+1))]*10 >= 9*len(m.entries) {
-			m.known[i] = m.q.now - silenceFrom
+	for i := range m.upstreams {
+		if _, seen := m.detected[i]; !seen && m.fails(i) && avoid[stoatroute.KeyOf(stoatpaddle.Target(i+1))]*10 >= 9*len(m.entries) {
+			m.detected[i] = m.q.now - faultStart
 		}
 	}
-	m.q.after(probeEvery, m.probe)
+	m.q.after(probeInterval, m.probe)
 }
 
 func (m *silenceModel) finish() Silence {
 	failing := 0
-	for i, u := range m.ups {
-		if !u.fails || m.trouble != Silenced && m.trouble != Refusing {
+	for i, u := range m.upstreams {
+		if !u.fails || m.fault != Silenced && m.fault != Refusing {
 			continue
 		}
 		failing++
-		if d, ok := m.known[i]; ok {
-			m.out.Known += d
+		if d, ok := m.detected[i]; ok {
+			m.result.Known += d
 		} else {
-			m.out.Known += silenceLast
+			m.result.Known += faultDuration
 		}
 	}
 	if failing > 0 {
-		m.out.Known /= time.Duration(failing)
+		m.result.Known /= time.Duration(failing)
 	}
-	m.out.Bytes = float64(m.bytes) / m.q.now.Seconds() / float64(len(m.entries))
-	return m.out
+	m.result.Bytes = float64(m.bytes) / m.q.now.Seconds() / float64(len(m.entries))
+	return m.result
 }
 
-// ejected counts an ejection at one entry.
-func (m *silenceModel) ejected(u *stoatroute.Upstream) {
+// countEjection counts an ejection at one entry.
+func (m *silenceModel) countEjection(u *stoatroute.Upstream) {
 	i := int(u.Target) - 1
-	failing := m.ups[i].fails && (m.trouble == Silenced || m.trouble == Refusing)
+	failing := m.upstreams[i].fails && (m.fault == Silenced || m.fault == Refusing)
 	// Whoever is back has to be heard of first.
-	if !failing || m.q.now < silenceFrom || m.q.now > silenceFrom+silenceLast+backAfter {
-		m.out.Wrongly++
+	if !failing || m.q.now < faultStart || m.q.now > faultStart+faultDuration+recoveryGrace {
+		m.result.Wrongly++
 	}
 }
--- a/stoatmeasure/silence_report.go
+++ b/stoatmeasure/silence_report.go
@@ -38,9 +38,9 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, parallel))
 	for _, fleet := range silenceFleets {
-		for _, trouble := range []Trouble{Silenced, Refusing, Lossy, CutEntry} {
-			for _, way := range []Way{Alone, Pooled, AtOnce} {
-				rows = append(rows, wireSilence{Trouble: string(trouble), Way: string(way), Entries: fleet.Entries, Upstreams: fleet.Upstreams})
+		for _, fault := range []Trouble{Silenced, Refusing, Lossy, CutEntry} {
+			for _, sharing := range []Way{Alone, Pooled, AtOnce} {
+				rows = append(rows, wireSilence{Trouble: string(fault), Way: string(sharing), Entries: fleet.Entries, Upstreams: fleet.Upstreams})
 			}
 		}
 	}
--- a/stoatmeasure/silence_world.go
+++ b/stoatmeasure/silence_world.go
@@ -9,67 +9,67 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// silentUpstream runs requests in slots and a queue, unless it fails.
-type silentUpstream struct {
-	m       *silenceModel
-	fails   bool // it is one of those that fail in the trouble
-	running int
-	queue   []func()
-	held    map[stoatpacket.Tuple]uint32 // flows, with the sequence number of the latest request taken
+// silenceUpstream runs requests in slots and a queue, unless it fails.
+type silenceUpstream struct {
+	m           *silenceModel
+	fails       bool // it is one of those that fail in the trouble
+	running     int
+	queue       []func()
+	lastRequest map[stoatpacket.Tuple]uint32 // flows, with the sequence number of the latest request taken
 }
 
-// silentFlow is one try of a caller: a flow from a port of its own.
-type silentFlow struct {
-	tuple  stoatpacket.Tuple
-	entry  *silentEntry
-	long   bool
-	open   bool
-	ended  bool
-	seq    uint32
-	ack    uint32
-	waits  bool // for the answer to seq
-	bound  bool // its present request began on a flow that was open
-	tries  int
-	first  time.Duration // when its present request was first tried
-	cookie stoatpaddle.UpstreamKey
-	serial int // of the present request, so that timers of earlier ones do nothing
+// silenceFlow is one try of a caller: a flow from a port of its own.
+type silenceFlow struct {
+	tuple      stoatpacket.Tuple
+	entry      *silenceEntry
+	long       bool
+	open       bool
+	ended      bool
+	seq        uint32
+	ack        uint32
+	awaiting   bool // for the answer to seq
+	onOpenFlow bool // its present request began on a flow that was open
+	tries      int
+	firstTried time.Duration // when its present request was first tried
+	cookie     stoatpaddle.UpstreamKey
+	requestNo  int // of the present request, so that timers of earlier ones do nothing
 }
 
-// offer lets callers come: those with a long flow, and those with a flow a request.
-func (m *silenceModel) offer() {
+// offerLoad lets callers come: those with a long flow, and those with a flow a request.
+func (m *silenceModel) offerLoad() {
 	rate := m.cfg.Rate * float64(m.cfg.Upstreams)
-	for range int(longShare * rate * longPause.Seconds()) {
-		m.q.after(time.Duration(m.rnd.Float64()*float64(longPause)), func() { m.try(true, m.q.now, 1, false) })
+	for range int(longFlowShare * rate * longFlowPause.Seconds()) {
+		m.q.after(time.Duration(m.rnd.Float64()*float64(longFlowPause)), func() { m.openFlow(true, m.q.now, 1, false) })
 	}
-	end := silenceFrom + silenceLast + silenceAfter
-	for at := time.Duration(0); at < end; at += time.Duration(m.rnd.ExpFloat64() / ((1 - longShare) * rate) * float64(time.Second)) {
-		m.q.after(at, func() { m.try(false, m.q.now, 1, false) })
+	end := faultStart + faultDuration + countedAfterFault
+	for at := time.Duration(0); at < end; at += time.Duration(m.rnd.ExpFloat64() / ((1 - longFlowShare) * rate) * float64(time.Second)) {
+		m.q.after(at, func() { m.openFlow(false, m.q.now, 1, false) })
 	}
 }
 
 const (
-	silentTries = 3
-	retryAfter  = 7 * time.Millisecond
-	giveUp      = 1400 * time.Millisecond // of an opening
+	silenceMaxTries = 3
+	retryDelay      = 7 * time.Millisecond
+	openingTimeout  = 1400 * time.Millisecond // of an opening
 )
 
-// copyAfter is when a caller repeats its opening; repeatFirst and repeatMost bound the pause until
+// openingRetransmits is when a caller repeats its opening; repeatFirst and repeatMost bound the pause until
 // it repeats a request.
-var copyAfter = [2]time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
+var openingRetransmits = [2]time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
 
 const (
-	repeatFirst = 200 * time.Millisecond
-	repeatMost  = 1600 * time.Millisecond
+	minRetransmitDelay = 200 * time.Millisecond
+	maxRetransmitDelay = 1600 * time.Millisecond
 )
 
-// try opens a flow for a request that was first tried at that time; bound says that this was on a flow
+// openFlow opens a flow for a request that was first tried at that time; bound says that this was on a flow
 // that was open.
-func (m *silenceModel) try(long bool, first time.Duration, n int, bound bool) {
+func (m *silenceModel) openFlow(long bool, first time.Duration, n int, onOpenFlow bool) {
 	if n == 1 && counted(first) {
-		m.out.Asked++
+		m.result.Asked++
 	}
 	m.port++
-	f := &silentFlow{long: long, bound: bound, first: first, tries: n, entry: m.entries[m.rnd.IntN(len(m.entries))]}
+	f := &silenceFlow{long: long, onOpenFlow: onOpenFlow, firstTried: first, tries: n, entry: m.entries[m.rnd.IntN(len(m.entries))]}
 	listen := silenceListen[1]
 	if long {
 		listen = silenceListen[0]
@@ -82,7 +82,7 @@
 	for copies := range 3 {
 		wait := time.Duration(0)
 		if copies > 0 {
-			wait = copyAfter[copies-1]
+			wait = openingRetransmits[copies-1]
 		}
 		m.q.after(wait, func() {
 			if !f.open && !f.ended {
@@ -90,95 +90,95 @@
 			}
 		})
 	}
-	m.q.after(giveUp, func() {
+	m.q.after(openingTimeout, func() {
 		if !f.open {
-			m.again(f)
+			m.retry(f)
 		}
 	})
 }
 
-// again ends a flow whose request was not answered; its caller tries once more where it may.
-func (m *silenceModel) again(f *silentFlow) {
+// retry ends a flow whose request was not answered; its caller tries once more where it may.
+func (m *silenceModel) retry(f *silenceFlow) {
 	if f.ended {
 		return
 	}
 	f.ended = true
 	delete(m.flows, f.tuple)
-	if f.open && !f.waits && f.long {
+	if f.open && !f.awaiting && f.long {
 		// Nothing was under way: the caller comes back with its next request.
-		m.q.after(longPause, func() { m.try(true, m.q.now, 1, false) })
+		m.q.after(longFlowPause, func() { m.openFlow(true, m.q.now, 1, false) })
 		return
 	}
-	spent := m.q.now - f.first
-	if f.tries >= silentTries || spent > silenceLimit || f.open && !f.long {
-		m.failed(f)
+	spent := m.q.now - f.firstTried
+	if f.tries >= silenceMaxTries || spent > silenceTimeout || f.open && !f.long {
+		m.countFailure(f)
 		return
 	}
-	m.q.after(retryAfter, func() { m.try(f.long, f.first, f.tries+1, f.bound) })
+	m.q.after(retryDelay, func() { m.openFlow(f.long, f.firstTried, f.tries+1, f.onOpenFlow) })
 }
 
-func (m *silenceModel) failed(f *silentFlow) {
-	if counted(f.first) {
-		m.out.Failed++
+func (m *silenceModel) countFailure(f *silenceFlow) {
+	if counted(f.firstTried) {
+		m.result.Failed++
 	}
 	if f.long {
-		m.q.after(longPause, func() { m.try(true, m.q.now, 1, false) })
+		m.q.after(longFlowPause, func() { m.openFlow(true, m.q.now, 1, false) })
 	}
 }
 
 // send takes a packet to the flow's entry, and on to the upstream that the entry names.
-func (m *silenceModel) send(f *silentFlow, p stoatpacket.Packet) {
+func (m *silenceModel) send(f *silenceFlow, p stoatpacket.Packet) {
 	p.Tuple, p.Cookie = f.tuple, f.cookie
-	if m.lost() {
+	if m.packetLost() {
 		return
 	}
-	m.q.after(silenceTrip, func() {
+	m.q.after(silenceOneWayDelay, func() {
 		a := f.entry.handle(&p)
 		switch {
 		case a.Verdict == stoatecho.Reset:
-			m.q.after(silenceTrip, func() { m.again(f) })
-		case a.Verdict != stoatecho.Forward || m.lost() || m.trouble == CutEntry && f.entry.index == 0 && m.troubled():
+			m.q.after(silenceOneWayDelay, func() { m.retry(f) })
+		case a.Verdict != stoatecho.Forward || m.packetLost() || m.fault == CutEntry && f.entry.index == 0 && m.faultActive():
 		default:
 			up := int(a.Upstream.Target) - 1
-			m.q.after(silenceTrip, func() { m.arrive(f, up, a.Upstream.Key, &p) })
+			m.q.after(silenceOneWayDelay, func() { m.receive(f, up, a.Upstream.Key, &p) })
 		}
 	})
 }
 
-func (m *silenceModel) lost() bool {
-	return m.trouble == Lossy && m.troubled() && m.rnd.Float64() < silenceLoss
+func (m *silenceModel) packetLost() bool {
+	return m.fault == Lossy && m.faultActive() && m.rnd.Float64() < silenceLossRate
 }
 
-// arrive is what an upstream does with a packet.
-func (m *silenceModel) arrive(f *silentFlow, up int, key stoatpaddle.UpstreamKey, p *stoatpacket.Packet) {
-	u := m.ups[up]
+// receive is what an upstream does with a packet.
+func (m *silenceModel) receive(f *silenceFlow, up int, key stoatpaddle.UpstreamKey, p *stoatpacket.Packet) {
+	u := m.upstreams[up]
 	if m.fails(up) {
-		clear(u.held)
-		if m.trouble == Refusing {
-			m.q.after(silenceTrip, func() { m.again(f) })
+		clear(u.lastRequest)
+		if m.fault == Refusing {
+			m.q.after(silenceOneWayDelay, func() { m.retry(f) })
 		}
 		return
 	}
 	if p.Opens {
-		u.held[f.tuple] = 0
-		m.q.after(silenceTrip, func() { m.opened(f, key) })
+		u.lastRequest[f.tuple] = 0
+		m.q.after(silenceOneWayDelay, func() { m.handleOpened(f, key) })
 		return
 	}
-	last, holds := u.held[f.tuple]
+	last, known := u.lastRequest[f.tuple]
 	switch {
-	case !holds:
-		m.q.after(silenceTrip, func() { m.again(f) })
+	case !known:
+		m.q.after(silenceOneWayDelay, func() { m.retry(f) })
 	case p.Ends:
-		delete(u.held, f.tuple)
+		delete(u.lastRequest, f.tuple)
 	case p.Size > 0 && p.Seq > last:
-		u.held[f.tuple] = p.Seq
-		u.run(func() { m.q.after(silenceTrip, func() { m.answered(f, p.Seq) }) })
+		u.lastRequest[f.tuple] = p.Seq
+		u.run(func() { m.q.after(silenceOneWayDelay, func() { m.handleAnswer(f, p.Seq) }) })
 	}
 }
 
 // run runs a request now or from the queue; one that does not fit is dropped, and its caller's
 // repeat finds room.
-func (u *silentUpstream) run(done func()) {
+func (u *silenceUpstream) run(done func()) {
 	if u.running >= silenceSlots {
 		if len(u.queue) < silenceQueue {
 			u.queue = append(u.queue, func() { u.run(done) })
@@ -186,7 +186,7 @@
 		return
 	}
 	u.running++
-	u.m.q.after(time.Duration(float64(silenceWork)*(0.5+u.m.rnd.Float64())), func() {
+	u.m.q.after(time.Duration(float64(silenceServiceTime)*(0.5+u.m.rnd.Float64())), func() {
 		u.running--
 		if len(u.queue) > 0 {
 			next := u.queue[0]
@@ -197,51 +197,51 @@
 	})
 }
 
-// opened is the caller's side of a handshake; the request follows at once.
-func (m *silenceModel) opened(f *silentFlow, key stoatpaddle.UpstreamKey) {
+// handleOpened is the caller's side of a handshake; the request follows at once.
+func (m *silenceModel) handleOpened(f *silenceFlow, key stoatpaddle.UpstreamKey) {
 	if f.open || f.ended {
 		return
 	}
 	f.open, f.cookie, f.ack = true, key, 1
 	m.send(f, stoatpacket.Packet{Ack: f.ack})
-	m.ask(f)
+	m.sendRequest(f)
 }
 
-// ask sends the flow's next request, and repeats it until it is answered or too late.
-func (m *silenceModel) ask(f *silentFlow) {
+// sendRequest sends the flow's next request, and repeats it until it is answered or too late.
+func (m *silenceModel) sendRequest(f *silenceFlow) {
 	f.seq += 100
-	f.serial++
-	f.waits = true
-	m.repeat(f, f.serial, 0, repeatFirst)
+	f.requestNo++
+	f.awaiting = true
+	m.retransmit(f, f.requestNo, 0, minRetransmitDelay)
 }
 
-func (m *silenceModel) repeat(f *silentFlow, serial int, wait, next time.Duration) {
+func (m *silenceModel) retransmit(f *silenceFlow, serial int, wait, next time.Duration) {
 	m.q.after(wait, func() {
-		if f.ended || !f.waits || f.serial != serial {
+		if f.ended || !f.awaiting || f.requestNo != serial {
 			return
 		}
-		if m.q.now-f.first > silenceLimit {
+		if m.q.now-f.firstTried > silenceTimeout {
 			f.ended = true
 			delete(m.flows, f.tuple)
-			m.failed(f)
+			m.countFailure(f)
 			return
 		}
 		m.send(f, stoatpacket.Packet{Seq: f.seq, Ack: f.ack, Size: 100})
-		m.repeat(f, serial, next, min(2*next, repeatMost))
+		m.retransmit(f, serial, next, min(2*next, maxRetransmitDelay))
 	})
 }
 
-// answered is the caller's side of an answer.
-func (m *silenceModel) answered(f *silentFlow, seq uint32) {
-	if f.ended || !f.waits || seq != f.seq {
+// handleAnswer is the caller's side of an answer.
+func (m *silenceModel) handleAnswer(f *silenceFlow, seq uint32) {
+	if f.ended || !f.awaiting || seq != f.seq {
 		return
 	}
-	f.waits = false
+	f.awaiting = false
 	f.ack += 1000
-	if counted(f.first) && m.q.now-f.first > silenceGoal {
-		m.out.Late++
-		if f.bound {
-			m.out.Bound++
+	if counted(f.firstTried) && m.q.now-f.firstTried > silenceObjective {
+		m.result.Late++
+		if f.onOpenFlow {
+			m.result.Bound++
 		}
 	}
 	m.send(f, stoatpacket.Packet{Seq: f.seq + 100, Ack: f.ack, Ends: !f.long})
@@ -250,14 +250,14 @@
 		delete(m.flows, f.tuple)
 		return
 	}
-	m.q.after(time.Duration(m.rnd.ExpFloat64()*float64(longPause)), func() {
+	m.q.after(time.Duration(m.rnd.ExpFloat64()*float64(longFlowPause)), func() {
 		if f.ended {
 			return
 		}
-		f.first, f.tries, f.bound = m.q.now, 1, true
-		if counted(f.first) {
-			m.out.Asked++
+		f.firstTried, f.tries, f.onOpenFlow = m.q.now, 1, true
+		if counted(f.firstTried) {
+			m.result.Asked++
 		}
-		m.ask(f)
+		m.sendRequest(f)
 	})
 }
--- a/stoatmeasure/spread.go
+++ b/stoatmeasure/spread.go
@@ -32,7 +32,7 @@
 
 const (
 	spreadQueue = 12                   // requests that an upstream keeps waiting
-	spreadTrip  = 6 * time.Millisecond // from a caller to its upstream and back
+	spreadRTT   = 6 * time.Millisecond // from a caller to its upstream and back
 	subsetSize  = 8                    // upstreams of an entry that uses few
 )
 
@@ -48,28 +48,28 @@
 
 // spreadModel is a data centre.
 type spreadModel struct {
-	cfg     SpreadConfig
-	q       queue
-	rnd     *rand.Rand
-	running []int
-	waiting [][]func()
-	served  []int
-	own     [][]int // requests in progress, by entry and upstream
-	shared  []int   // the same over all entries, as it was a while ago
-	took    []time.Duration
-	turned  int
+	cfg           SpreadConfig
+	q             queue
+	rnd           *rand.Rand
+	running       []int
+	waiting       [][]func()
+	served        []int
+	pending       [][]int // requests in progress, by entry and upstream
+	sharedPending []int   // the same over all entries, as it was a while ago
+	answerTimes   []time.Duration
+	rejected      int
 }
 
-// way is one way of choosing an upstream: choose returns it, done tells that its request ended.
-type way struct {
+// policy is one policy of choosing an upstream: choose returns it, done tells that its request ended.
+type policy struct {
 	name   string
 	age    time.Duration // of shared counts
 	choose func(m *spreadModel, entry int) int
 	engine bool
 }
 
-// ways returns the product's way and those that it was weighed against.
-func ways() []way {
+// policies returns the product's way and those that it was weighed against.
+func policies() []policy {
 	least := func(count func(i int) int, m *spreadModel, among []int) int {
 		at := m.rnd.IntN(len(among))
 		best := among[at]
@@ -88,20 +88,20 @@
 		return list
 	}
 	shared := func(m *spreadModel, e int) int {
-		return least(func(i int) int { return m.shared[i] + m.own[e][i] }, m, all(m))
+		return least(func(i int) int { return m.sharedPending[i] + m.pending[e][i] }, m, all(m))
 	}
-	return []way{
+	return []policy{
 		{name: "product: own requests and times", engine: true},
 		{name: "random", choose: func(m *spreadModel, _ int) int { return m.rnd.IntN(m.cfg.Upstreams) }},
 		{name: "own requests, least", choose: func(m *spreadModel, e int) int {
-			return least(func(i int) int { return m.own[e][i] }, m, all(m))
+			return least(func(i int) int { return m.pending[e][i] }, m, all(m))
 		}},
 		{name: "own requests, better of two", choose: func(m *spreadModel, e int) int {
 			two := []int{m.rnd.IntN(m.cfg.Upstreams), m.rnd.IntN(m.cfg.Upstreams)}
-			return least(func(i int) int { return m.own[e][i] }, m, two)
+			return least(func(i int) int { return m.pending[e][i] }, m, two)
 		}},
 		{name: "own requests, 8 by rendezvous", choose: func(m *spreadModel, e int) int {
-			return least(func(i int) int { return m.own[e][i] }, m, subset(m, e))
+			return least(func(i int) int { return m.pending[e][i] }, m, subset(m, e))
 		}},
 		{name: "all requests, at once", age: time.Millisecond, choose: shared},
 		{name: "all requests, 0.1 s ago", age: 100 * time.Millisecond, choose: shared},
@@ -123,27 +123,27 @@
 // RunSpread returns what each way of choosing gives.
 func RunSpread(ctx context.Context, cfg SpreadConfig) ([]Spread, error) {
 	var out []Spread
-	for _, w := range ways() {
+	for _, w := range policies() {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		out = append(out, runWay(cfg, w))
+		out = append(out, runPolicy(cfg, w))
 	}
 	return out, nil
 }
 
-func runWay(cfg SpreadConfig, w way) Spread {
+func runPolicy(cfg SpreadConfig, p policy) Spread {
 	m := &spreadModel{
 		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 1)), running: make([]int, cfg.Upstreams),
-		waiting: make([][]func(), cfg.Upstreams), served: make([]int, cfg.Upstreams), shared: make([]int, cfg.Upstreams),
+		waiting: make([][]func(), cfg.Upstreams), served: make([]int, cfg.Upstreams), sharedPending: make([]int, cfg.Upstreams),
 	}
 	for range cfg.Entries {
-		m.own = append(m.own, make([]int, cfg.Upstreams))
+		m.pending = append(m.pending, make([]int, cfg.Upstreams))
 	}
-	if w.age > 0 {
-		m.share(w.age)
+	if p.age > 0 {
+		m.shareCounts(p.age)
 	}
-	offer := m.offerTo(w)
+	offer := m.handler(p)
 	rate := cfg.Load * float64(cfg.Upstreams*cfg.Slots) / cfg.Work.Seconds()
 	asked := 0
 	var arrive func()
@@ -156,55 +156,55 @@
 		m.q.after(time.Duration(m.rnd.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	arrive()
-	m.q.run(cfg.Last + 10*time.Second)
-	slices.Sort(m.took)
+	m.q.runUntil(cfg.Last + 10*time.Second)
+	slices.Sort(m.answerTimes)
 	sum := 0
 	for _, n := range m.served {
 		sum += n
 	}
 	return Spread{
-		Way: w.name, Load: cfg.Load, Asked: asked, Turned: m.turned, P50: m.took[len(m.took)/2], P99: m.took[len(m.took)*99/100],
+		Way: p.name, Load: cfg.Load, Asked: asked, Turned: m.rejected, P50: m.answerTimes[len(m.answerTimes)/2], P99: m.answerTimes[len(m.answerTimes)*99/100],
 		Busiest: float64(slices.Max(m.served)) * float64(cfg.Upstreams) / float64(max(1, sum)),
 	}
 }
 
-// share copies the counts of all entries each so often.
-func (m *spreadModel) share(age time.Duration) {
-	clear(m.shared)
-	for _, own := range m.own {
+// shareCounts copies the counts of all entries each so often.
+func (m *spreadModel) shareCounts(age time.Duration) {
+	clear(m.sharedPending)
+	for _, own := range m.pending {
 		for i, n := range own {
-			m.shared[i] += n
+			m.sharedPending[i] += n
 		}
 	}
 	if m.q.now < m.cfg.Last {
-		m.q.after(age, func() { m.share(age) })
+		m.q.after(age, func() { m.shareCounts(age) })
 	}
 }
 
-// offerTo returns what happens to a request at an entry.
-func (m *spreadModel) offerTo(w way) func(entry int) {
+// handler returns what happens to a request at an entry.
+func (m *spreadModel) handler(w policy) func(entry int) {
 	if w.engine {
-		return m.engines()
+		return m.engineHandler()
 	}
 	return func(e int) {
 		i := w.choose(m, e)
-		m.own[e][i]++
+		m.pending[e][i]++
 		began := m.q.now
-		m.q.after(spreadTrip, func() {
+		m.q.after(spreadRTT, func() {
 			m.serve(i, func(ran bool) {
-				m.own[e][i]--
-				m.ended(began, ran)
+				m.pending[e][i]--
+				m.countAnswer(began, ran)
 			})
 		})
 	}
 }
 
-func (m *spreadModel) ended(began time.Duration, ran bool) {
+func (m *spreadModel) countAnswer(began time.Duration, ran bool) {
 	if !ran {
-		m.turned++
+		m.rejected++
 		return
 	}
-	m.took = append(m.took, m.q.now-began)
+	m.answerTimes = append(m.answerTimes, m.q.now-began)
 }
 
 // serve runs a request at an upstream, now or from its queue, or turns it away.
@@ -235,18 +235,18 @@
 
 var spreadListen = netip.MustParseAddrPort("198.18.0.1:443")
 
-// engines returns what happens to a request at an entry that decides as the product does.
-func (m *spreadModel) engines() func(entry int) {
+// engineHandler returns what happens to a request at an entry that decides as the product does.
+func (m *spreadModel) engineHandler() func(entry int) {
 	start := time.Unix(1000, 0)
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
 		{Listen: spreadListen, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}},
 	}}, 1)
-	names, at := map[stoatpaddle.UpstreamID]bool{}, map[stoatpaddle.UpstreamKey]int{}
+	names, indexes := map[stoatpaddle.UpstreamID]bool{}, map[stoatpaddle.UpstreamKey]int{}
 	for i := range m.cfg.Upstreams {
 		r := stoatpaddle.Registration{ID: stoatpaddle.UpstreamID(fmt.Sprint("i-", i)), Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "a", Slots: m.cfg.Slots}
 		b.Register(start, r, stoatpaddle.Version(i+2))
-		names[r.ID], at[stoatroute.KeyOf(r.Target)] = true, i
+		names[r.ID], indexes[stoatroute.KeyOf(r.Target)] = true, i
 	}
 	b.ApplyList(start, names, false)
 	table := b.Table()
@@ -263,18 +263,18 @@
 		a := engines[e].Handle(now(), table, &stoatpacket.Packet{Tuple: tuple, Opens: true})
 		began := m.q.now
 		if a.Upstream == nil {
-			m.turned++
+			m.rejected++
 			return
 		}
 		send := func(seq, ack uint32, size int, ends bool) {
 			engines[e].Handle(now(), table, &stoatpacket.Packet{Tuple: tuple, Cookie: a.Upstream.Key, Seq: seq, Ack: ack, Size: size, Ends: ends})
 		}
-		m.q.after(spreadTrip, func() {
+		m.q.after(spreadRTT, func() {
 			send(1, 1, 0, false)
 			send(1, 1, 100, false)
-			m.serve(at[a.Upstream.Key], func(ran bool) {
+			m.serve(indexes[a.Upstream.Key], func(ran bool) {
 				send(101, 500, 0, true)
-				m.ended(began, ran)
+				m.countAnswer(began, ran)
 			})
 		})
 	}
--- a/stoatmeasure/spread_test.go
+++ b/stoatmeasure/spread_test.go
@@ -21,9 +21,9 @@
 		for _, s := range list {
 			got[s.Way] = s
 		}
-		product, chance, best := got["product: own requests and times"], got["random"], got["all requests, at once"]
-		if product.Asked < 1000 || product.P99 >= chance.P99 || product.P99 > 3*best.P99 {
-			t.Errorf("load %g: p99 %s, by chance %s, with all counts %s", load, product.P99, chance.P99, best.P99)
+		product, random, best := got["product: own requests and times"], got["random"], got["all requests, at once"]
+		if product.Asked < 1000 || product.P99 >= random.P99 || product.P99 > 3*best.P99 {
+			t.Errorf("load %g: p99 %s, by chance %s, with all counts %s", load, product.P99, random.P99, best.P99)
 		}
 	}
 }
--- a/stoatmeasure/traffic.go
+++ b/stoatmeasure/traffic.go
@@ -10,110 +10,112 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// arrive opens flows at random moments for as long as the experiment runs.
-func (f *fleet) arrive() {
+// scheduleArrivals opens flows at random moments for as long as the experiment runs.
+func (f *fleet) scheduleArrivals() {
 	f.q.after(time.Duration(f.rnd.ExpFloat64()/f.cfg.Opens*float64(time.Second)), func() {
 		life := time.Duration(f.rnd.ExpFloat64() * float64(f.cfg.Flows) / f.cfg.Opens * float64(time.Second))
 		f.openFlow(life)
-		f.arrive()
+		f.scheduleArrivals()
 	})
 }
 
 func (f *fleet) openFlow(life time.Duration) {
-	f.conns++
-	n := f.conns
+	f.lastConnID++
+	n := f.lastConnID
 	src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 22), byte(n >> 14), byte(n >> 6)}), uint16(1024+n&63))
 	c := &conn{
 		id: n, tuple: stoatpacket.Tuple{Src: src, Dst: vip, Protocol: stoatpaddle.ProtocolTCP},
 		seq: f.rnd.Uint32(), end: f.q.now + life,
 	}
-	if f.split() {
-		f.place(c)
+	if f.viewsMayDiffer() {
+		f.assignSide(c)
 	}
 	f.live[n] = c
-	f.syn(c)
+	f.sendSYN(c)
 }
 
-// syn sends the opening packet, again if it got lost.
-func (f *fleet) syn(c *conn) {
+// sendSYN sends the opening packet, again if it got lost.
+func (f *fleet) sendSYN(c *conn) {
 	if c.done || c.upstream != 0 {
-		f.data(c)
+		f.sendData(c)
 		return
 	}
 	f.send(c, stoatpacket.Packet{Opens: true})
 	f.q.after(2*clientDelay, func() {
 		if c.upstream != 0 {
-			f.data(c)
+			f.sendData(c)
 			return
 		}
-		f.q.after(synAgain, func() { f.syn(c) })
+		f.q.after(synTimeout, func() { f.sendSYN(c) })
 	})
 }
 
-// data sends a segment now and then until the flow ends.
-func (f *fleet) data(c *conn) {
+// sendData sends a segment now and then until the flow ends.
+func (f *fleet) sendData(c *conn) {
 	if c.done {
 		return
 	}
 	if f.q.now >= c.end {
-		f.finish(c)
+		f.endFlow(c)
 		return
 	}
 	c.seq += 100
 	f.send(c, stoatpacket.Packet{Size: 100})
-	next := time.Duration(float64(dataEvery) * (0.5 + f.rnd.Float64()))
-	f.q.after(min(next, max(c.end-f.q.now, time.Millisecond)), func() { f.data(c) })
+	next := time.Duration(float64(dataInterval) * (0.5 + f.rnd.Float64()))
+	f.q.after(min(next, max(c.end-f.q.now, time.Millisecond)), func() { f.sendData(c) })
 }
 
-func (f *fleet) finish(c *conn) {
+func (f *fleet) endFlow(c *conn) {
 	f.send(c, stoatpacket.Packet{Ends: true})
-	f.close(c)
+	f.removeFlow(c)
 }
 
-func (f *fleet) close(c *conn) {
+func (f *fleet) removeFlow(c *conn) {
 	if c.done {
 		return
 	}
 	c.done = true
 	delete(f.live, c.id)
 	if c.upstream != 0 {
-		f.open[c.upstream]--
-		f.openNow--
+		f.openByUpstream[c.upstream]--
+		f.openFlows--
 	}
 }
 
 // sides of a cut network.
 const (
-	sideApart = 1 // data centre 0
-	sideRest  = 2
+	sideIsolated = 1 // data centre 0
+	sideRest     = 2
 )
 
 func (f *fleet) sideOf(dc stoatpaddle.DataCentreID) int {
 	if dc == centre(0) {
-		return sideApart
+		return sideIsolated
 	}
 	return sideRest
 }
 
-// healTime is how long after a cut the entries' views may still differ.
-const healTime = 5 * time.Second
+// settleTime is how long after a cut the entries' views may still differ.
+const settleTime = 5 * time.Second
 
-// split tells whether the two sides may see the system differently.
-func (f *fleet) split() bool { return f.cut || f.healed > 0 && f.q.now < f.healed+healTime }
+// viewsMayDiffer tells whether the two sides may see the system differently.
+func (f *fleet) viewsMayDiffer() bool {
+	return f.partitioned || f.healedAt > 0 && f.q.now < f.healedAt+settleTime
+}
 
-// place puts a caller on one side of the cut. Half of the callers stay there until the
+// assignSide puts a caller on one side of the cut. Half of the callers stay there until the
 // views are one again; the others roam as soon as the network is whole.
-func (f *fleet) place(c *conn) {
+func (f *fleet) assignSide(c *conn) {
 	c.side = f.randomSide()
 	c.roams = f.rnd.IntN(2) == 0
 }
 
-// reaches tells whether the fabric may hand the flow's packets to the entry.
-func (f *fleet) reaches(c *conn, e *entry) bool {
-	if !f.split() || !f.cut && c.roams {
+// mayReceive tells whether the fabric may hand the flow's packets to the entry.
+func (f *fleet) mayReceive(c *conn, e *entry) bool {
+	if !f.viewsMayDiffer() || !f.partitioned && c.roams {
 		return true
 	}
-	return c.side == f.sideOf(e.inst.DataCentre)
+	return c.side == f.sideOf(e.instance.DataCentre)
 }
 
 func (f *fleet) randomSide() int {
@@ -125,10 +127,10 @@
 	p.Tuple, p.Seq = c.tuple, c.seq
 	var to []*entry
 	for _, e := range f.entries {
-		if !e.alive || e.leaving && f.q.now-e.since > fabricLag {
+		if !e.alive || e.leaving && f.q.now-e.leavingSince > fabricLag {
 			continue
 		}
-		if !f.reaches(c, e) {
+		if !f.mayReceive(c, e) {
 			continue
 		}
 		to = append(to, e)
@@ -139,7 +141,7 @@
 	e := to[f.rnd.IntN(len(to))]
 	f.q.after(clientDelay, func() {
 		if e.alive {
-			f.naive(e, c, &p)
+			f.handleNaive(e, c, &p)
 			f.handle(e, c, p, stoatflow.Header{}, netip.AddrPort{})
 		}
 	})
@@ -154,13 +156,13 @@
 	switch a.Verdict {
 	case stoatflow.Forward:
 		f.forward(e, c, &p, a.Upstream)
-		f.tell(e, a, e.view.Seed.Hash(c.tuple))
+		f.deliverNotice(e, a, e.view.Seed.Hash(c.tuple))
 	case stoatflow.Relay:
 		to := f.byRelay[a.To]
 		f.result.Relays++
 		f.q.after(f.delay(e, to), func() {
-			if to.alive && f.reach(e, to) {
-				f.handle(to, c, p, a.Header, e.inst.Relay)
+			if to.alive && f.connected(e, to) {
+				f.handle(to, c, p, a.Header, e.instance.Relay)
 			}
 		})
 	case stoatflow.Drop:
@@ -172,15 +174,15 @@
 	}
 }
 
-// tell carries a Known datagram.
-func (f *fleet) tell(e *entry, a stoatflow.Action, k stoatpaddle.FlowHash) {
+// deliverNotice carries a Known datagram.
+func (f *fleet) deliverNotice(e *entry, a stoatflow.Action, k stoatpaddle.FlowHash) {
 	if !a.NotifyAddr.IsValid() {
 		return
 	}
 	to := f.byRelay[a.NotifyAddr]
 	f.result.Notices++
 	f.q.after(f.delay(e, to), func() {
-		if to.alive && f.reach(e, to) {
+		if to.alive && f.connected(e, to) {
 			to.engine.ReceiveNotice(f.now(), to.view, stoatflow.Record{Key: k, Upstream: a.Upstream.Key})
 		}
 	})
@@ -188,7 +190,7 @@
 
 // forward is what the upstream sees.
 func (f *fleet) forward(e *entry, c *conn, p *stoatpacket.Packet, u *stoatview.Upstream) {
-	if f.cut && f.sideOf(u.DataCentre) != f.sideOf(e.inst.DataCentre) {
+	if f.partitioned && f.sideOf(u.DataCentre) != f.sideOf(e.instance.DataCentre) {
 		return
 	}
 	if c.done {
@@ -197,12 +199,12 @@
 	switch {
 	case c.upstream == 0 && p.Opens:
 		c.upstream = u.Key
-		f.open[u.Key]++
-		f.openNow++
+		f.openByUpstream[u.Key]++
+		f.openFlows++
 		if f.counting {
 			f.result.Opened++
 		}
-		if _, leaving := f.instance[stoatpaddle.InstanceID(u.ID)]; leaving {
+		if _, leaving := f.instances[stoatpaddle.InstanceID(u.ID)]; leaving {
 			f.result.LateOpens = max(f.result.LateOpens, f.q.now-f.leftAt(u.ID))
 		}
 	case c.upstream != u.Key && !c.broken:
@@ -210,9 +212,9 @@
 	}
 }
 
-// parted tells whether the flow's caller and upstream are on two sides of the cut.
-func (f *fleet) parted(c *conn) bool {
-	if !f.cut {
+// separated tells whether the flow's caller and upstream are on two sides of the cut.
+func (f *fleet) separated(c *conn) bool {
+	if !f.partitioned {
 		return false
 	}
 	return c.side != f.sideOf(f.centreOf(c.upstream))
@@ -231,43 +233,43 @@
 func (f *fleet) breakFlow(c *conn) {
 	c.broken = true
 	switch {
-	case f.parted(c):
+	case f.separated(c):
 		f.result.Parted++
 	case c.roams:
 		f.result.Roamed++
 	default:
 		f.result.Broken++
 	}
-	f.close(c)
+	f.removeFlow(c)
 }
 
-// naive is the baseline: each entry hashes over its own set and remembers what it saw.
-func (f *fleet) naive(e *entry, c *conn, p *stoatpacket.Packet) {
-	if c.naiveBad || c.done {
+// handleNaive is the baseline: each entry hashes over its own set and remembers what it saw.
+func (f *fleet) handleNaive(e *entry, c *conn, p *stoatpacket.Packet) {
+	if c.naiveBroken || c.done {
 		return
 	}
 	set := e.view.FlowService(vip, stoatpaddle.ProtocolTCP).Set
-	key, known := e.naive[c.id]
+	key, known := e.naiveFlows[c.id]
 	if !known {
 		u := set.Preferred(e.view.Seed.Hash(c.tuple))
 		if u == nil {
 			return
 		}
 		key = u.Key
-		e.naive[c.id] = key
+		e.naiveFlows[c.id] = key
 	}
 	switch {
-	case c.naive == 0 && p.Opens:
-		c.naive = key
-	case c.naive != 0 && c.naive != key:
-		c.naiveBad = true
-		if !f.parted(c) {
+	case c.naiveUpstream == 0 && p.Opens:
+		c.naiveUpstream = key
+	case c.naiveUpstream != 0 && c.naiveUpstream != key:
+		c.naiveBroken = true
+		if !f.separated(c) {
 			f.result.NaiveBroken++
 		}
 	}
 	if p.Ends {
 		for _, o := range f.entries {
-			delete(o.naive, c.id)
+			delete(o.naiveFlows, c.id)
 		}
 	}
 }
