--- a/stoatfake/addr.go
+++ b/stoatfake/addr.go
@@ -9,8 +9,9 @@
 // maxAddrTries bounds the ports that FreeAddr tries.
 const maxAddrTries = 50
 
-// issued holds the addresses that FreeAddr has returned in this process. An address stays free until it is used, so
-// that the kernel may offer it again before that. A contract with two upstreams at one address would be refused.
+// issued holds the addresses that FreeAddr has returned in this process. An address stays free until it is
+// used, so that the kernel may offer it again before that. A contract with two upstreams at one address would
+// be refused.
 var issued sync.Map
 
 // FreeAddr returns a loopback address whose port is free for both TCP and UDP, and a different one on each call.
--- a/stoatfake/addr_test.go
+++ b/stoatfake/addr_test.go
@@ -8,9 +8,9 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-// The demo requests two hundred addresses before it uses the first one, while other processes take and release
-// ports. If FreeAddr returned an address twice, two upstreams of a contract would share it and the contract would be
-// refused.
+// The demo requests two hundred addresses before it uses the first one, while other processes take and
+// release ports. If FreeAddr returned an address twice, two upstreams of a contract would share it and the
+// contract would be refused.
 func TestFreeAddrsDiffer(t *testing.T) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/stoatfake/caller.go
+++ b/stoatfake/caller.go
@@ -39,7 +39,8 @@
 	open        bool
 	closing     bool
 	awaitingAck bool
-	// firstSent is when the segment that awaits its acknowledgement was first sent, and lastSent when it was last sent.
+	// firstSent is when the segment that awaits its acknowledgement was first sent, and lastSent when it was
+	// last sent.
 	firstSent time.Time
 	lastSent  time.Time
 	payload   []byte
@@ -105,8 +106,8 @@
 	return out
 }
 
-// Unanswered returns how many open flows await an answer to a segment that they first sent before that time. Only
-// the answer shows whether a flow is broken, and it takes a second or more if a packet was lost.
+// Unanswered returns how many open flows await an answer to a segment that they first sent before that time.
+// Only the answer shows whether a flow is broken, and it takes a second or more if a packet was lost.
 func (c *Callers) Unanswered(before time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -77,8 +77,8 @@
 	return Copy{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, compacted: p.compacted}
 }
 
-// Restore replaces what the platform holds by a snapshot. What was written since the snapshot is lost, its revisions
-// are assigned again, and a new era begins.
+// Restore replaces what the platform holds by a snapshot. What was written since the snapshot is lost, its
+// revisions are assigned again, and a new era begins.
 func (p *Platform) Restore(c Copy) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/stoatfake/server.go
+++ b/stoatfake/server.go
@@ -14,8 +14,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatcall"
 )
 
-// Server is a stand-in for an upstream of a call service. It runs a few calls at once and rejects the others without
-// running them.
+// Server is a stand-in for an upstream of a call service. It runs a few calls at once and rejects the others
+// without running them.
 type Server struct {
 	srv         *http.Server
 	ln          net.Listener
--- a/stoatfake/upstream.go
+++ b/stoatfake/upstream.go
@@ -13,9 +13,9 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattunnel"
 )
 
-// Upstream is a stand-in for an upstream of a flow service: its network stack decapsulates packets, and a small TCP
-// endpoint answers the caller directly. It resets a connection that it does not know, so that a flow breaks whose
-// packets reach the wrong upstream.
+// Upstream is a stand-in for an upstream of a flow service: its network stack decapsulates packets, and a
+// small TCP endpoint answers the caller directly. A segment of an unknown connection is answered with a reset,
+// which is how a broken flow shows.
 type Upstream struct {
 	conn       *net.UDPConn
 	callers    netip.AddrPort
