--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -105,13 +105,14 @@
 	}
 }
 
-// settleWithin bounds how long flows may await an answer after a change: a caller repeats a segment after a second,
-// and again if the machine is busy.
+// settleWithin bounds how long flows may await an answer after a change: a caller repeats a segment after a
+// second, and again if the machine is busy.
 const settleWithin = 6 * time.Second
 
-// settle waits until no flow awaits an answer to a segment that it sent before a change was complete. Only its next
-// answer shows that the change broke a flow. On a busy machine that answer comes in the next phase, which must not be
-// blamed for the flow. Flows that stay without an answer are left to the following phases.
+// settle waits until no flow awaits an answer to a segment that it sent before a change was complete. Only the
+// next answer to a flow shows that the change broke it. On a busy machine that answer comes in the next phase, to
+// which the broken flow must not be attributed. Flows that stay without an answer are left to the following
+// phases.
 func (env *environment) settle(changed time.Time) {
 	_, _ = env.waitUntil("answers", settleWithin, func() bool { return env.callers.Unanswered(changed) == 0 })
 }
@@ -155,8 +156,8 @@
 	return err
 }
 
-// inForce reports whether every entry is ready and has the customer's contract, at least at the given version. An
-// empty id stands for no contract.
+// inForce reports whether every entry is ready and has the customer's contract, at least at the given
+// version. An empty id stands for no contract.
 func (env *environment) inForce(id stoatpaddle.CustomerID, version stoatpaddle.Version) bool {
 	env.mu.Lock()
 	entries := append(env.entries[:0:0], env.entries...)
@@ -191,8 +192,8 @@
 	return 0, &TimeoutError{What: "contract " + string(id)}
 }
 
-// amendConcurrently lets two operators amend the same version of a contract, through two entries. Only one of them
-// may succeed.
+// amendConcurrently lets two operators amend the same version of a contract, through two entries. Only one of
+// them may succeed.
 func (env *environment) amendConcurrently() (string, error) {
 	base, err := env.currentVersion(customers[0].id)
 	if err != nil {
