--- a/stoatmeasure/change.go
+++ b/stoatmeasure/change.go
@@ -8,7 +8,7 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// propagate has every living entry but one propagate of a change, each at its own moment.
+// propagate changes what each running entry but one knows, each after a random delay from base to base + spread.
 func (f *fleet) propagate(except *entry, base, spread time.Duration, change func(e *entry)) {
 	for _, e := range f.entries {
 		if e == except {
@@ -23,7 +23,7 @@
 	}
 }
 
-// setInstance sets what an entry knows of an instance.
+// setInstance adds an instance to those that an entry knows, or replaces it there.
 func setInstance(e *entry, i stoatpaddle.Instance) {
 	list := append([]stoatpaddle.Instance(nil), e.input.Instances...)
 	for n := range list {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// beginEntryStop begins a planned stop.
+// beginEntryStop begins a planned stop of an entry.
 func (f *fleet) beginEntryStop(e *entry) {
 	e.leaving, e.leavingSince = true, f.q.now
 	e.instance.State = stoatpaddle.StateLeaving
@@ -64,7 +64,7 @@
 	f.propagate(e, 0, maxPropagationDelay, func(o *entry) { setInstance(o, e.instance) })
 }
 
-// finishEntryStop is the end of a planned stop: the entry's object is removed.
+// finishEntryStop ends a planned stop: the entry's object is removed.
 func (f *fleet) finishEntryStop(e *entry) {
 	delete(f.instances, e.instance.ID)
 	f.propagate(e, 0, maxPropagationDelay, func(o *entry) { removeInstance(o, e.instance.ID) })
@@ -89,24 +89,25 @@
 	return e
 }
 
-// killEntry ends an entry without a word; the others notice by its silence.
+// killEntry ends an entry without notice; the others detect its silence.
 func (f *fleet) killEntry(e *entry) {
 	e.alive = false
 	f.propagate(e, detectionDelay, detectionJitter, func(o *entry) { o.input.Dead = withInstance(o.input.Dead, e.instance.ID) })
 }
 
-// markUpstreamLeaving marks an upstream as leaving.
+// markUpstreamLeaving marks an upstream as leaving. The time of the mark serves as its incarnation.
 func (f *fleet) markUpstreamLeaving(n int) {
 	id := stoatpaddle.InstanceID(f.contract.Services[0].Upstreams[n].ID)
 	f.instances[id] = stoatpaddle.Instance{ID: id, Role: stoatpaddle.RoleUpstream, Incarnation: stoatpaddle.Incarnation(f.q.now)}
 	f.propagate(nil, 0, maxPropagationDelay, func(o *entry) { o.input.Leaving = withInstance(o.input.Leaving, id) })
 }
 
+// leftAt returns when an upstream was marked as leaving.
 func (f *fleet) leftAt(id stoatpaddle.UpstreamID) time.Duration {
 	return time.Duration(f.instances[stoatpaddle.InstanceID(id)].Incarnation)
 }
 
-// propagateContract has every entry learn of the present contract.
+// propagateContract makes every entry learn the current contract.
 func (f *fleet) propagateContract() {
 	c := f.contract
 	c.Services = append([]stoatpaddle.Service(nil), c.Services...)
@@ -118,18 +119,18 @@
 	f.propagateContract()
 }
 
-// setWeights changes the weights of some upstreams.
+// setWeights changes the weights of the first upstreams.
 func (f *fleet) setWeights(weights ...stoatpaddle.Weight) {
 	s := &f.contract.Services[0]
-	ups := append([]stoatpaddle.Upstream(nil), s.Upstreams...)
+	upstreams := append([]stoatpaddle.Upstream(nil), s.Upstreams...)
 	for i, w := range weights {
-		ups[i].Weight = w
+		upstreams[i].Weight = w
 	}
-	s.Upstreams = ups
+	s.Upstreams = upstreams
 	f.propagateContract()
 }
 
-// partition cuts data centre 0 off; each side notices the other's silence.
+// partition disconnects data centre 0 from the others; entries on each side detect that the other is silent.
 func (f *fleet) partition() {
 	f.partitioned = true
 	for _, id := range slices.Sorted(maps.Keys(f.live)) {
@@ -144,7 +145,7 @@
 	}
 }
 
-// heal joins the network again.
+// heal reconnects data centre 0.
 func (f *fleet) heal() {
 	f.partitioned = false
 	f.healedAt = f.q.now
@@ -158,7 +159,8 @@
 	}
 }
 
-// scheduleDetection has e find out that o is silent, or heard again.
+// scheduleDetection makes e detect that o is silent (dead) or answers again, unless the partition has ended or
+// begun by then.
 func (f *fleet) scheduleDetection(e, o *entry, dead bool) {
 	base := time.Duration(0)
 	if dead {
@@ -178,7 +180,7 @@
 	})
 }
 
-// partitionedCentres returns the data centres none of whose entries answers.
+// partitionedCentres returns the data centres in which no entry answers.
 func partitionedCentres(e *entry) map[stoatpaddle.DataCentreID]bool {
 	alive := map[stoatpaddle.DataCentreID]bool{}
 	out := map[stoatpaddle.DataCentreID]bool{}
--- a/stoatmeasure/doc.go
+++ b/stoatmeasure/doc.go
@@ -1,7 +1,10 @@
-// Package stoatmeasure measures the flow engine: real engines and views, joined by an
-// in-memory queue with a delay on each link and a seed, next to a naive entry that sees
-// the same packets.
+// Package stoatmeasure simulates parts of the system in virtual time and measures how they behave.
 //
-// It is no cluster simulator: there are no sockets, no platform and no control reducers;
-// what each entry learns, and when, is part of the experiment.
+// The experiments on the flow engine run the real engines and views of many entries, connected by an
+// in-memory event queue with a delay for each link and a seed. Next to each entry, a naive one sees the same
+// packets and serves as the baseline. Further experiments model an echo fabric: how entries choose upstreams,
+// refuse flows in an overload and detect silent upstreams.
+//
+// The package is not a cluster simulator: there are no sockets, no platform and no replication of objects.
+// What each entry learns, and when, is part of the experiment.
 package stoatmeasure
--- a/stoatmeasure/experiment.go
+++ b/stoatmeasure/experiment.go
@@ -10,32 +10,32 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpeer"
 )
 
-// Result is what one experiment showed.
+// Result is the outcome of one experiment.
 type Result struct {
 	Name        string
 	Seed        uint64
 	Flows       int // open when counting began
 	Opened      int
 	Broken      int
-	Parted      int // broken because a cut lay between caller and upstream
-	Roamed      int // broken while their packets went to both sides before the entries had noticed the end of a cut
+	Parted      int // broken because a partition lay between the caller and the upstream
+	Roamed      int // broken because packets reached both sides before the entries had detected the end of a partition
 	NaiveBroken int
 	Relays      int
-	Dropped     int     // packets
-	Notices     int     // datagrams that told an owner where a flow goes
-	Tracked     float64 // share of the opened flows that went to another than their first choice
-	Worst       float64 // greatest load over the mean, at any sample
-	Mean        float64 // the same, averaged over the samples
-	Bytes       int     // of flow control frames, over all entries
-	PerEntry    float64 // control bytes a second and entry, heartbeats included
-	LateOpens   time.Duration
+	Dropped     int           // packets
+	Notices     int           // datagrams that told an owner the upstream of a flow
+	Tracked     float64       // share of the opened flows that were placed on another upstream than their first choice
+	Worst       float64       // greatest ratio of the highest to the mean load, over all samples
+	Mean        float64       // mean of that ratio over all samples
+	Bytes       int           // of control frames about flows, over all entries
+	PerEntry    float64       // control bytes per second and entry, including heartbeats
+	LateOpens   time.Duration // longest time from the mark of a leaving upstream to a flow that opened there
 }
 
 // Experiment is one row of the table.
 type Experiment struct {
 	Name string
-	Run  func(f *fleet) // the changes, after the warm-up
-	Last time.Duration  // how long to count
+	Run  func(f *fleet) // makes the changes, after the warm-up
+	Last time.Duration  // how long results are counted
 }
 
 // Experiments returns the experiments in the order of their rows.
@@ -59,7 +59,7 @@
 	}
 }
 
-// allChange is experiment 2: an entry and an upstream leave, others join, all at once.
+// allChange is experiment 2: an entry and an upstream leave while another entry and another upstream join.
 func allChange(f *fleet) {
 	f.beginEntryStop(f.entries[2])
 	f.addEntry()
@@ -79,7 +79,7 @@
 	}
 }
 
-// warmUp is how long the flows open before anything is counted.
+// warmUp is the time for the first flows to open, before anything is counted.
 const warmUp = 5 * time.Second
 
 // Run runs one experiment.
@@ -102,6 +102,7 @@
 	return f.finishResult(opened, tracked, x.Last)
 }
 
+// stats returns how many flows all entries together have opened and tracked.
 func (f *fleet) stats() (opened, tracked int64) {
 	for _, e := range f.entries {
 		opened += e.engine.Stats().Opened.Load()
@@ -110,6 +111,7 @@
 	return opened, tracked
 }
 
+// finishResult completes the result from the counts at the start of counting and those of now.
 func (f *fleet) finishResult(opened, tracked int64, last time.Duration) Result {
 	r := f.result
 	o, t := f.stats()
@@ -124,7 +126,7 @@
 	return r
 }
 
-// heartbeatBytes is what an entry's heartbeats to all others cost a second.
+// heartbeatBytes returns the bytes per second of one entry's heartbeats to all others.
 func heartbeatBytes(entries int) float64 {
 	beat := &stoatmessage.Heartbeat{
 		Digest: stoatmessage.Digest{Newest: 1 << 20, Checksum: 1 << 31}, State: stoatpaddle.StateLive,
--- a/stoatmeasure/fleet.go
+++ b/stoatmeasure/fleet.go
@@ -19,27 +19,27 @@
 	Entries   int
 	Upstreams int
 	Flows     int     // open in the steady state
-	Opens     float64 // flows opened a second, over all entries
+	Opens     float64 // flows opened per second, over all entries
 	Lean      stoatpaddle.Lean
 	Gain      float64       // 0: the engine's default
 	Budget    int           // 0: the engine's default
 	LoadAge   time.Duration // added to the delay of load reports
-	LoadLoss  float64       // part of the load reports that are lost
+	LoadLoss  float64       // share of the load reports that are lost
 	Seed      uint64
 }
 
 const (
 	centreCount         = 3
 	linkDelay           = 500 * time.Microsecond // one way between data centres, as in Muscat
-	localDelay          = 100 * time.Microsecond
-	clientDelay         = 3 * time.Millisecond
-	dataInterval        = 2 * time.Second
-	advanceInterval     = 100 * time.Millisecond
-	synTimeout          = time.Second
-	maxPropagationDelay = 2 * time.Second
-	detectionDelay      = 2 * time.Second
-	detectionJitter     = 500 * time.Millisecond
-	fabricLag           = 2 * time.Second
+	localDelay          = 100 * time.Microsecond // one way within a data centre
+	clientDelay         = 3 * time.Millisecond   // one way between a caller and an entry
+	dataInterval        = 2 * time.Second        // mean time between segments of a flow
+	advanceInterval     = 100 * time.Millisecond // between runs of an entry's periodic work
+	synTimeout          = time.Second            // before an opening without an answer is repeated
+	maxPropagationDelay = 2 * time.Second        // until every entry has learned of a change
+	detectionDelay      = 2 * time.Second        // until silence is detected, at least
+	detectionJitter     = 500 * time.Millisecond // added to detectionDelay at most
+	fabricLag           = 2 * time.Second        // how long the fabric still sends to an entry that leaves
 	sampleInterval      = 250 * time.Millisecond
 )
 
@@ -49,7 +49,7 @@
 	vip     = netip.MustParseAddrPort("203.0.113.10:443")
 )
 
-// entry is one entry instance and what it has learned.
+// entry is one entry instance and what it knows.
 type entry struct {
 	instance     stoatpaddle.Instance
 	engine       *stoatflow.Engine
@@ -57,26 +57,26 @@
 	input        stoatview.Input
 	alive        bool
 	leaving      bool
-	leavingSince time.Duration // when it began to leave
-	naiveFlows   map[int]stoatpaddle.UpstreamKey
+	leavingSince time.Duration
+	naiveFlows   map[int]stoatpaddle.UpstreamKey // upstreams that the naive entry remembers, by connection id
 }
 
-// conn is one flow as its caller and upstream see it.
+// conn is one flow as its caller and its upstream see it.
 type conn struct {
 	id            int
 	tuple         stoatpacket.Tuple
-	upstream      stoatpaddle.UpstreamKey // that accepted it; 0 before
-	naiveUpstream stoatpaddle.UpstreamKey
+	upstream      stoatpaddle.UpstreamKey // 0 until an upstream has accepted the flow
+	naiveUpstream stoatpaddle.UpstreamKey // chosen by the naive entry that got the opening; 0 before
 	seq           uint32
 	end           time.Duration
-	side          int  // which side of a cut the caller is on
-	roams         bool // once the cut is over its packets go to both sides at once, though entries have not noticed
+	side          int  // the side of a partition on which the caller is
+	roams         bool // packets reach both sides as soon as a partition ends, although entries have not detected the end yet
 	done          bool
 	broken        bool
 	naiveBroken   bool
 }
 
-// fleet is the system in memory.
+// fleet is the simulated system.
 type fleet struct {
 	q              queue
 	cfg            Config
@@ -84,16 +84,16 @@
 	entries        []*entry
 	byRelay        map[netip.AddrPort]*entry
 	contract       stoatpaddle.Contract
-	instances      map[stoatpaddle.InstanceID]stoatpaddle.Instance
+	instances      map[stoatpaddle.InstanceID]stoatpaddle.Instance // entries, and the upstreams that leave
 	lastConnID     int
 	openByUpstream map[stoatpaddle.UpstreamKey]int
 	openFlows      int
 	live           map[int]*conn
-	partitioned    bool          // data centre 0 is cut off from the others
-	healedAt       time.Duration // when the cut ended; 0 before
+	partitioned    bool          // data centre 0 is disconnected from the others
+	healedAt       time.Duration // when the partition ended; 0 before
 	counting       bool
 	result         Result
-	imbalances     []float64
+	imbalances     []float64 // one per sample
 }
 
 func newFleet(cfg Config) *fleet {
@@ -125,6 +125,7 @@
 	return stoatpaddle.DataCentreID("dc" + strconv.Itoa(n%centreCount))
 }
 
+// declareUpstream adds an upstream to the contract.
 func (f *fleet) declareUpstream() stoatpaddle.InstanceID {
 	s := &f.contract.Services[0]
 	n := len(s.Upstreams)
@@ -136,7 +137,7 @@
 	return stoatpaddle.InstanceID(u.ID)
 }
 
-// declareEntry adds an entry that has not started.
+// declareEntry adds an entry without starting it.
 func (f *fleet) declareEntry() *entry {
 	n := len(f.entries)
 	relay := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(n >> 8), byte(n)}), 6081)
@@ -176,12 +177,14 @@
 
 func (f *fleet) now() time.Time { return epoch.Add(f.q.now) }
 
+// rebuildView derives an entry's view from its present input.
 func (f *fleet) rebuildView(e *entry) {
 	v := stoatview.Next(e.view, f.now(), e.input)
 	e.engine.Prepare(f.now(), v)
 	e.view = v
 }
 
+// every calls a function at each interval, for as long as the experiment runs.
 func (f *fleet) every(d time.Duration, do func()) {
 	f.q.after(d, func() {
 		do()
@@ -189,7 +192,7 @@
 	})
 }
 
-// advance does one entry's periodic work for as long as it lives.
+// advance runs an entry's periodic work again and again until the entry has ended.
 func (f *fleet) advance(e *entry) {
 	if !e.alive {
 		return
@@ -218,7 +221,7 @@
 	return nil
 }
 
-// connected tells whether the network joins two entries.
+// connected reports whether the network connects two entries.
 func (f *fleet) connected(a, b *entry) bool {
 	return !f.partitioned || (a.instance.DataCentre == centre(0)) == (b.instance.DataCentre == centre(0))
 }
@@ -230,7 +233,8 @@
 	return linkDelay
 }
 
-// deliver carries a batch, counting the bytes of its real frame.
+// deliver transmits a batch and counts the bytes of its encoded frame. Load reports can be lost or delayed
+// further.
 func (f *fleet) deliver(from, to *entry, b stoatflow.Batch) {
 	if f.counting {
 		frame, err := stoatpeer.Encode(&stoatmessage.Flows{Batch: b})
@@ -255,7 +259,7 @@
 	})
 }
 
-// sample notes the imbalance over the upstreams that take new flows.
+// sample records the imbalance among the upstreams that take new flows.
 func (f *fleet) sample() {
 	if !f.counting {
 		return
--- a/stoatmeasure/long_flows.go
+++ b/stoatmeasure/long_flows.go
@@ -9,18 +9,19 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 )
 
-// Requests on long flows: a caller uses an open flow that is idle, or opens one, and each further try opens one.
+// With long flows, a caller sends a request on an open flow that is idle, or opens a flow if there is none. Each
+// retry opens another flow.
 const (
 	longSlots, longQueue = 2, 8
-	// longAnswerBytes is what a caller acknowledges first of an answer, and longAckDelay how long it keeps the
-	// acknowledgement of a single packet back.
+	// longAnswerBytes is the part of an answer that a caller acknowledges first, and longAckDelay how long it
+	// delays the acknowledgement of a single packet.
 	longAnswerBytes = 1200
 	longAckDelay    = 40 * time.Millisecond
-	// hangShare is the part of its requests that a hanging upstream never answers; longDeadline is how long
-	// callers wait for them.
+	// hangShare is the share of its requests that a hanging upstream never answers; longDeadline is how long
+	// callers wait for an answer.
 	hangShare    = 0.6
 	longDeadline = 4 * time.Second
-	// reopenDelay is how long a caller takes from a refusal to the next try.
+	// reopenDelay is the time from a refusal or rejection to the next try.
 	reopenDelay = overloadRTT
 )
 
@@ -33,7 +34,8 @@
 	seq, ack uint32
 }
 
-// sendRequest sends a request that was first asked at that time on an open flow that is idle, or on a new one.
+// sendRequest sends a request that was first tried at the given time, on an open flow that is idle or on a new
+// one.
 func (m *overloadModel) sendRequest(to netip.AddrPort, out *Outcomes, first time.Duration) {
 	idle := m.idle[to]
 	if len(idle) == 0 {
@@ -61,6 +63,7 @@
 	})
 }
 
+// retryOnNewFlow opens another flow after the n-th try of a request, unless that was the last one.
 func (m *overloadModel) retryOnNewFlow(to netip.AddrPort, out *Outcomes, first time.Duration, n int) {
 	if n == overloadMaxTries {
 		out.Refused++
@@ -69,20 +72,20 @@
 	m.q.after(reopenDelay, func() { m.openLongFlow(to, out, first, n+1) })
 }
 
-// sendPacket has a packet of the flow pass its entry.
+// sendPacket passes a packet of the flow to its entry.
 func (m *overloadModel) sendPacket(f *longFlow, size int) {
 	f.entry.Handle(m.now(), m.routes.Table(), &stoatpacket.Packet{Tuple: f.tuple, Cookie: f.cookie, Seq: f.seq, Ack: f.ack, Size: size})
 	f.seq += uint32(size)
 }
 
-// sendRequestOn sends a request on the flow, which is idle again once it is answered.
+// sendRequestOn sends a request on the flow, which becomes idle when it is answered.
 func (m *overloadModel) sendRequestOn(f *longFlow, out *Outcomes, first time.Duration, n int) {
 	m.sendPacket(f, 100)
 	m.serve(f.server, func(ran bool) {
 		bytes := uint32(longAnswerBytes)
 		switch {
 		case !ran:
-			bytes = overloadRefusal
+			bytes = overloadRejection
 			m.retryOnNewFlow(f.tuple.Dst, out, first, n)
 		case m.q.now-first <= m.cfg.Objective:
 			out.InTime++
--- a/stoatmeasure/measure_test.go
+++ b/stoatmeasure/measure_test.go
@@ -7,9 +7,9 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// The bounds that each experiment keeps at a twentieth of its size, seeded, so that the
-// verdict is the same every time. Callers' flows must survive every planned change; one
-// entry's death may cost what it tracked and had not copied yet.
+// Callers' flows must survive every planned change, and the death of an entry may cost only what that entry
+// tracked and had not copied yet. Each experiment runs at a twentieth of its size, with a seed, so that the
+// outcome is the same every time.
 func TestBounds(t *testing.T) {
 	bounds := map[string]float64{
 		"1 steady": 0, "2 all change at once": 0, "3a one entry dies": 0.001, "3b two entries die": 0.01,
@@ -36,7 +36,7 @@
 	}
 }
 
-// The experiments can fail: the naive entry beside ours breaks flows when the set changes.
+// The experiments must be able to fail: the naive entry breaks flows when the set of upstreams changes.
 func TestNaiveBreaks(t *testing.T) {
 	r := Run(Experiments()[1], Config{Entries: 9, Upstreams: 14, Flows: 1000, Opens: 50, Lean: stoatpaddle.LeanFlows, Seed: 1})
 	if r.NaiveBroken < r.Flows/50 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Two runs with one seed agree to the last number, so that a broken flow can be sought.
+// Two runs with the same seed must agree exactly, so that a broken flow can be reproduced.
 func TestDeterministic(t *testing.T) {
 	cfg := Config{Entries: 9, Upstreams: 14, Flows: 1000, Opens: 100, Lean: stoatpaddle.LeanBalance, Seed: 5}
 	if a, b := Run(Experiments()[1], cfg), Run(Experiments()[1], cfg); a != b {
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -13,9 +13,9 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// The model of an overload: real engines that each see a part of the flows of one data centre, and
-// upstreams with slots and a queue that turn away what does not fit. Callers open a flow a request and
-// come back twice. Virtual time; no network but its delay.
+// The overload model runs real engines, each of which sees a part of the flows of one data centre, and upstreams
+// with slots and a queue, which reject requests that do not fit. Callers open a flow for each request and retry
+// twice. Of the network only the delay is modelled.
 const (
 	overloadSlots       = 3
 	overloadQueue       = 12
@@ -23,13 +23,13 @@
 	overloadRTT         = 6 * time.Millisecond // from a caller to its upstream and back
 	overloadObjective   = 200 * time.Millisecond
 	overloadMaxTries    = 3
-	// overloadAnswer and overloadRefusal are the bytes that callers acknowledge of an answer, and of
-	// what an upstream says that turns a request away.
-	overloadAnswer, overloadRefusal = 500, 100
+	// overloadAnswer and overloadRejection are the bytes that callers acknowledge of an answer and of the
+	// rejection that a full upstream sends.
+	overloadAnswer, overloadRejection = 500, 100
 )
 
-// Of three quarters of the requests a late one costs a caller little; a quarter is more urgent and worth
-// twice as much.
+// A quarter of the requests are urgent, and an answer in time to one of them counts twice. For the other
+// requests a late answer costs the caller little.
 const (
 	urgentShare  = 0.25
 	urgentWeight = 2.0
@@ -41,7 +41,7 @@
 	urgentListen  = netip.MustParseAddrPort("198.18.0.1:8080")
 )
 
-// Stage is a part of a load: so many times what the upstreams can do, for a while.
+// Stage is a period of constant load, as a multiple of the capacity of the upstreams.
 type Stage struct {
 	Load float64
 	For  time.Duration
@@ -51,16 +51,16 @@
 type OverloadConfig struct {
 	Entries, Upstreams int
 	Stages             []Stage
-	// Objective is how soon an answer has to come, as entries know it; 0: they refuse nobody for being late.
+	// Objective is the latency objective of the routes; 0: entries refuse no flow for being late.
 	Objective time.Duration
 	Seed      uint64
-	// Long has callers keep flows for many requests, before upstreams of two slots and a queue of eight.
+	// Long makes callers keep flows for many requests, to upstreams with two slots and a queue of eight.
 	Long bool
-	// Hanging is the part of the upstreams that never answer six of ten requests.
+	// Hanging is the share of the upstreams that never answer six of ten requests.
 	Hanging float64
 }
 
-// capacity is how many requests a second the upstreams can do.
+// capacity returns how many requests per second the upstreams can serve.
 func (c OverloadConfig) capacity() float64 {
 	return float64(c.Upstreams) * float64(c.slots()) / overloadServiceTime.Seconds()
 }
@@ -79,7 +79,7 @@
 	return overloadQueue
 }
 
-// Outcomes count the requests of one route.
+// Outcomes counts the requests of one route.
 type Outcomes struct{ Asked, InTime, Late, Refused int }
 
 func (o *Outcomes) add(x Outcomes) {
@@ -89,22 +89,22 @@
 	o.Refused += x.Refused
 }
 
-// Overload is what a load came to.
+// Overload is the outcome of a run.
 type Overload struct {
 	Usual, Urgent Outcomes
-	// Bound is the worth that the slots can yield in time, with the urgent ones first.
+	// Bound is the goodput that the slots can yield if urgent requests are served first.
 	Bound float64
-	// Stages has the same by the stage in which a request was first tried: usual and urgent.
+	// Stages holds the outcomes of usual and urgent requests, by the stage in which a request was first tried.
 	Stages [][2]Outcomes
 }
 
-// Worth is what was answered in time.
+// Worth returns the number of answers in time, with those to urgent requests weighted by urgentWeight.
 func (o *Overload) Worth() float64 {
 	return float64(o.Usual.InTime) + urgentWeight*float64(o.Urgent.InTime)
 }
 
-// bound is the worth that the upstreams can yield of what was asked in each stage. What is asked in one
-// may be answered within the objective after it, which is added once for each.
+// bound returns the goodput that the upstreams can yield for the requests of each stage. A request may still be
+// answered within the objective after the end of its stage, so that this time is added to each stage.
 func (c OverloadConfig) bound(stages [][2]Outcomes) float64 {
 	sum := 0.0
 	for i, s := range c.Stages {
@@ -124,10 +124,11 @@
 	routes  *stoatroute.Builder
 	servers map[stoatpaddle.UpstreamID]*overloadServer
 	port    int
-	idle    map[netip.AddrPort][]*longFlow // open flows without a request
+	idle    map[netip.AddrPort][]*longFlow // open flows without a pending request
 	result  Overload
 }
 
+// overloadServer is an upstream. One that hangs leaves a share of its requests without an answer.
 type overloadServer struct {
 	hangs   bool
 	running int
@@ -161,7 +162,7 @@
 	return m
 }
 
-// RunOverload plays a load, and returns what became of its requests.
+// RunOverload simulates a load and returns the outcomes of its requests.
 func RunOverload(ctx context.Context, cfg OverloadConfig) (Overload, error) {
 	m := newOverloadModel(cfg)
 	m.result.Stages = make([][2]Outcomes, len(cfg.Stages))
@@ -186,7 +187,7 @@
 
 func (m *overloadModel) now() time.Time { return overloadEpoch.Add(m.q.now) }
 
-// offerLoad has callers ask in a stage that begins at that time.
+// offerLoad schedules the requests of a stage that begins at the given time.
 func (m *overloadModel) offerLoad(stage int, from time.Duration, s Stage) {
 	rate := s.Load * m.cfg.capacity()
 	if rate <= 0 {
@@ -209,7 +210,7 @@
 	}
 }
 
-// newFlow returns the entry that a new flow's packets pass, and its five-tuple.
+// newFlow returns the five-tuple of a new flow and the entry that its packets pass.
 func (m *overloadModel) newFlow(to netip.AddrPort) (*stoatecho.Engine, stoatpacket.Tuple) {
 	m.port++
 	e := m.entries[m.rnd.IntN(len(m.entries))]
@@ -217,7 +218,7 @@
 	return e, stoatpacket.Tuple{Src: src, Dst: to, Protocol: stoatpaddle.ProtocolTCP}
 }
 
-// openFlow opens a flow for a request that was first tried at that time.
+// openFlow opens a flow for the n-th try of a request that was first tried at the given time.
 func (m *overloadModel) openFlow(to netip.AddrPort, out *Outcomes, first time.Duration, n int) {
 	e, tuple := m.newFlow(to)
 	a := e.Handle(m.now(), m.routes.Table(), &stoatpacket.Packet{Tuple: tuple, Opens: true})
@@ -241,7 +242,7 @@
 		m.serve(m.servers[a.Upstream.ID], func(ran bool) {
 			switch {
 			case !ran:
-				send(101, overloadRefusal, 0, true)
+				send(101, overloadRejection, 0, true)
 				retry()
 				return
 			case m.q.now-first <= overloadObjective:
@@ -254,7 +255,7 @@
 	})
 }
 
-// releaseSlot frees a slot for the next request of the queue.
+// releaseSlot frees a slot and starts the next request of the queue.
 func (s *overloadServer) releaseSlot() {
 	s.running--
 	if len(s.queue) > 0 {
@@ -264,13 +265,13 @@
 	}
 }
 
-// serve runs one request, now or from the queue, or turns it away.
+// serve runs a request, now or from the queue, or rejects it.
 func (m *overloadModel) serve(s *overloadServer, done func(ran bool)) {
 	var begin func()
 	begin = func() {
 		s.running++
 		if s.hangs && m.rnd.Float64() < hangShare {
-			// Nobody hears of it again; its slot is free when its caller gives up.
+			// The request gets no answer; its slot is free when the caller gives up.
 			m.q.after(longDeadline, func() { s.releaseSlot() })
 			return
 		}
--- a/stoatmeasure/overload_report.go
+++ b/stoatmeasure/overload_report.go
@@ -9,10 +9,10 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// overloadFleets are the sizes that ReportOverload measures.
+// overloadFleets are the sizes with which ReportOverload measures.
 var overloadFleets = []OverloadConfig{{Entries: 3, Upstreams: 4}, {Entries: 9, Upstreams: 14}, {Entries: 30, Upstreams: 40}, {Entries: 90, Upstreams: 120}}
 
-// loadPattern is a load with a name.
+// loadPattern is a named load.
 type loadPattern struct {
 	name   string
 	stages []Stage
@@ -28,7 +28,7 @@
 	{"steps", []Stage{{0.6, time.Second}, {1.3, 2 * time.Second}, {4, 2 * time.Second}, {0.6, time.Second}, {2, 2 * time.Second}, {0.6, 2 * time.Second}}},
 }
 
-// overloadRow is a row of the report, as it stands in JSON too.
+// overloadRow is a row of the table and of the JSON output.
 type overloadRow struct {
 	Load      string   `json:"load"`
 	Admission bool     `json:"admission"`
@@ -41,8 +41,8 @@
 	Urgent    Outcomes `json:"urgent"`
 }
 
-// ReportOverload plays each load at each size, with entries that refuse new flows and with entries that
-// admit everybody, and writes a table or JSON.
+// ReportOverload simulates each load at each size, with entries that refuse new flows and with entries that
+// admit all, and writes a table or JSON.
 func ReportOverload(ctx context.Context, seed uint64, parallel int, asJSON bool, w io.Writer) error {
 	var rows []overloadRow
 	var runs []OverloadConfig
--- a/stoatmeasure/overload_test.go
+++ b/stoatmeasure/overload_test.go
@@ -8,7 +8,8 @@
 
 var smallFleet, largeFleet = OverloadConfig{Entries: 3, Upstreams: 4}, OverloadConfig{Entries: 30, Upstreams: 40}
 
-// runStages plays stages with the first seeds, summed up. Without an objective nothing is refused for being late.
+// runStages runs the stages with the first seeds and adds the outcomes up. Without an objective no flow is
+// refused for being late.
 func runStages(t *testing.T, fleet OverloadConfig, objective time.Duration, seeds uint64, stages ...Stage) Overload {
 	t.Helper()
 	sum := Overload{Stages: make([][2]Outcomes, len(stages))}
@@ -32,9 +33,9 @@
 
 func (o Outcomes) share(n int) float64 { return float64(n) / float64(o.Asked) }
 
-// Twice what the upstreams can do, for four seconds: without a limit, more than half of the
-// answers are late by the queue. With it, upstreams work as much, nine in ten of their answers
-// are in time, and the more urgent requests come first.
+// Under twice the capacity of the upstreams for four seconds and without a limit, more than half of the
+// answers are late because of the queues. With a limit the upstreams must do as much work, nine in ten of
+// their answers must be in time, and urgent requests must be served first.
 func TestOverload(t *testing.T) {
 	plain := runStages(t, smallFleet, 0, 10, Stage{2, 4 * time.Second})
 	limited := runStages(t, smallFleet, overloadObjective, 10, Stage{2, 4 * time.Second})
@@ -54,23 +55,23 @@
 	}
 }
 
-// The same before forty upstreams that thirty entries share. An entry sees one answer of each in half a
-// second, and half of all answers are refusals. Four fifths of what the upstreams can do is answered
-// in time all the same, and the more urgent requests come first. TODO(admission): nine tenths, with
-// what the entries of a data centre know together.
+// The same overload with thirty entries and forty upstreams. An entry sees one answer of each upstream in
+// half a second, and half of all answers are rejections. Nevertheless four fifths of the capacity must be
+// answered in time, with urgent requests served first.
+// TODO(admission): require nine tenths once the entries of a data centre share what they know.
 func TestOverloadWithManyEntries(t *testing.T) {
 	o := runStages(t, largeFleet, overloadObjective, 1, Stage{2, 4 * time.Second})
 	most := 4 * largeFleet.capacity()
 	if inTime := float64(o.Usual.InTime + o.Urgent.InTime); inTime < 0.8*most {
-		t.Errorf("%.0f in time, the upstreams can do %.0f", inTime, most)
+		t.Errorf("%.0f in time, the capacity is %.0f", inTime, most)
 	}
 	if o.Urgent.share(o.Urgent.Refused) > 0.2*o.Usual.share(o.Usual.Refused) {
 		t.Errorf("refused: urgent %+v, usual %+v", o.Urgent, o.Usual)
 	}
 }
 
-// A burst ends. Callers that were refused come back within milliseconds, twice, and must not
-// keep the overload up: a second later nobody is refused any more, and answers are in time.
+// After a burst, callers that were refused retry within milliseconds, twice, and must not prolong the
+// overload. A second later no flow is refused any more, and answers are in time.
 func TestOverloadEnds(t *testing.T) {
 	o := runStages(t, smallFleet, overloadObjective, 3, Stage{4, 2 * time.Second}, Stage{0, time.Second}, Stage{0.6, 5 * time.Second})
 	for _, after := range o.Stages[2] {
@@ -80,8 +81,8 @@
 	}
 }
 
-// All entries have just started and callers come in a herd. Nothing is known of any upstream,
-// and that is no reason to refuse.
+// All entries have just started, and many callers arrive at the same time. Entries know nothing of any
+// upstream yet, which is no reason to refuse a flow.
 func TestUnknownUpstreamsAreNoOverload(t *testing.T) {
 	cfg := smallFleet
 	cfg.Objective, cfg.Seed = overloadObjective, 1
@@ -96,7 +97,7 @@
 	}
 }
 
-// The usual load, 0.6 of what the upstreams can do: nobody is refused.
+// At the usual load, 0.6 of the capacity of the upstreams, no flow may be refused.
 func TestUsualLoadIsNotRefused(t *testing.T) {
 	o := runStages(t, smallFleet, overloadObjective, 3, Stage{0.6, 20 * time.Second})
 	for _, r := range []Outcomes{o.Usual, o.Urgent} {
@@ -106,20 +107,20 @@
 	}
 }
 
-// The work alone takes as long as the objective allows. That is how it is: nothing is
-// refused for it.
+// The requests alone, without any queue, take as long as the objective allows. No flow may be refused for that.
 func TestSlowRequestsAreNotRefused(t *testing.T) {
 	if o := runStages(t, smallFleet, overloadServiceTime, 3, Stage{0.15, 10 * time.Second}); o.Usual.Refused+o.Urgent.Refused > 0 {
 		t.Errorf("%+v", o)
 	}
 }
 
-// No policy yields more than the bound, and where upstreams can do all that is asked the bound is all.
+// No policy may yield more than the bound. If the upstreams can serve all requests, the bound must be the
+// goodput of all of them.
 func TestBound(t *testing.T) {
 	for _, p := range loadPatterns {
 		for _, objective := range []time.Duration{0, overloadObjective} {
 			if o := runStages(t, smallFleet, objective, 2, p.stages...); o.Worth() > o.Bound {
-				t.Errorf("%s: worth %.0f, bound %.0f", p.name, o.Worth(), o.Bound)
+				t.Errorf("%s: goodput %.0f, bound %.0f", p.name, o.Worth(), o.Bound)
 			}
 		}
 	}
--- a/stoatmeasure/queue.go
+++ b/stoatmeasure/queue.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// queue runs functions in the order of their times; equal times run in the order they were added.
+// queue is a discrete-event queue in virtual time. It calls functions in the order of their times, and those
+// of the same time in the order in which they were added.
 type queue struct {
 	now     time.Duration
 	lastSeq uint64
@@ -45,12 +46,13 @@
 	return last
 }
 
+// after schedules a call at the given delay from now.
 func (q *queue) after(d time.Duration, do func()) {
 	q.lastSeq++
 	heap.Push(&q.pending, event{at: q.now + d, seq: q.lastSeq, do: do})
 }
 
-// runUntil runs what is due until the time.
+// runUntil makes all calls that are due up to a time, and sets the clock to it.
 func (q *queue) runUntil(until time.Duration) {
 	for len(q.pending) > 0 && q.pending[0].at <= until {
 		e, _ := heap.Pop(&q.pending).(event)
--- a/stoatmeasure/report.go
+++ b/stoatmeasure/report.go
@@ -12,20 +12,20 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// Plan is what RunAll measures.
+// Plan selects and configures the experiments on the flow engine.
 type Plan struct {
 	Config
-	Only     string // the first characters of the experiments' names; empty for all
-	Parallel int    // experiments at once
+	Only     string // of the names of the experiments to run; empty for all
+	Parallel int    // experiments run at once
 }
 
-// curveDelays are the ages of load reports for which the curve is measured.
+// curveDelays are the additional delays of load reports with which ReportCurve measures.
 var curveDelays = []time.Duration{150 * time.Millisecond, time.Second, 5 * time.Second}
 
-// curveGains are the gains for which the curve is measured.
+// curveGains are the gains with which ReportCurve measures.
 var curveGains = []float64{1, 3, 6, 12, 24}
 
-// wireResult is a row in JSON.
+// wireResult is a row of the JSON output.
 type wireResult struct {
 	Name      string  `json:"name"`
 	Upstreams int     `json:"upstreams"`
@@ -44,13 +44,13 @@
 	Late      float64 `json:"late"`
 }
 
-// row is a result and the configuration that gave it.
+// row is a result with its configuration.
 type row struct {
 	cfg    Config
 	result Result
 }
 
-// runRows runs the experiments, a few at once, and keeps their order.
+// runRows runs a few experiments at a time, and returns their rows in the order of the jobs.
 func runRows(ctx context.Context, parallel int, jobs []func() row) ([]row, error) {
 	rows := make([]row, len(jobs))
 	group, ctx := errgroup.WithContext(ctx)
@@ -66,7 +66,7 @@
 	return rows, group.Wait()
 }
 
-// report runs the experiments and writes their rows.
+// report runs experiments and writes a table or JSON.
 func report(ctx context.Context, parallel int, jobs []func() row, asJSON bool, w io.Writer) error {
 	rows, err := runRows(ctx, parallel, jobs)
 	if err != nil {
@@ -79,12 +79,12 @@
 	return nil
 }
 
-// selected tells whether the plan asks for the experiment.
+// selected reports whether the experiment is to run.
 func (p Plan) selected(name string) bool {
 	return len(name) >= len(p.Only) && name[:len(p.Only)] == p.Only
 }
 
-// RunAll runs the experiments and writes a table, or JSON.
+// RunAll runs the experiments and writes a table or JSON.
 func RunAll(ctx context.Context, p Plan, asJSON bool, w io.Writer) error {
 	var jobs []func() row
 	for _, x := range Experiments() {
@@ -96,8 +96,8 @@
 	return report(ctx, p.Parallel, jobs, asJSON, w)
 }
 
-// RunCurve measures imbalance against the tracked share: gains and ages of load reports,
-// for both leanings.
+// RunCurve measures how the imbalance and the share of tracked flows depend on each other, for several gains and
+// delays of load reports, with lost load reports, and with each value of Config.Lean. It writes a table or JSON.
 func RunCurve(ctx context.Context, p Plan, asJSON bool, w io.Writer) error {
 	var jobs []func() row
 	steady := Experiments()[0]
@@ -137,7 +137,7 @@
 	}
 }
 
-// brokenPercent returns the broken flows in percent of those open at first.
+// brokenPercent returns the broken flows as a percentage of those that were open when counting began.
 func (r Result) brokenPercent() float64 { return 100 * float64(r.Broken) / float64(max(1, r.Flows)) }
 
 func writeJSON(w io.Writer, rows []row) error {
@@ -153,7 +153,7 @@
 	return encodeJSON(w, out)
 }
 
-// encodeJSON writes what a report shows as indented JSON.
+// encodeJSON writes a value as indented JSON.
 func encodeJSON(w io.Writer, v any) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -12,70 +12,71 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// SilenceConfig configures the experiment on how soon a data centre notices upstreams that answer
-// nobody, on a fabric that brings cookies back.
+// SilenceConfig configures the experiment on how soon the entries of a data centre detect upstreams that answer
+// nobody, on an echo fabric.
 type SilenceConfig struct {
 	Entries   int
 	Upstreams int
-	Rate      float64 // requests a second and upstream
+	Rate      float64 // requests per second and upstream
 	Share     float64 // of the upstreams that fail
 	Seed      uint64
 }
 
-// Way is what the entries of the data centre tell each other.
+// Way is how the entries of the data centre share what they observe.
 type Way string
 
-// The ways that are compared.
+// The kinds of sharing that are compared.
 const (
 	Alone  Way = "each for itself"
 	Pooled Way = "product: along the relay tree"
 	AtOnce Way = "known at once" // the bound: the same decisions without any delay
 )
 
-// Trouble is what happens in the experiment.
+// Trouble is what goes wrong in the experiment.
 type Trouble string
 
-// The troubles.
+// The faults.
 const (
 	Silenced Trouble = "silent"    // a share of the upstreams answers nothing
-	Refusing Trouble = "refuse"    // the same, and their machines refuse towards callers
-	Lossy    Trouble = "lossy"     // every thirtieth packet is lost, and no upstream fails
-	CutEntry Trouble = "entry cut" // nothing that one entry sends reaches an upstream
+	Refusing Trouble = "refuse"    // the same, and their machines reset the callers' flows
+	Lossy    Trouble = "lossy"     // one packet in thirty is lost, and no upstream fails
+	CutEntry Trouble = "entry cut" // no packet that one entry sends reaches an upstream
 )
 
 const (
-	faultStart         = 3 * time.Second // when the trouble begins, in the calm before entries learn usual times
-	faultDuration      = 2 * time.Second // how long it lasts: until registrations would lapse
-	countedAfterFault  = 2 * time.Second // how long requests count after it
+	faultStart         = 3 * time.Second // until then, entries learn the usual answer times
+	faultDuration      = 2 * time.Second // until registrations would expire
+	countedAfterFault  = 2 * time.Second // how long requests still count after the fault
 	silenceOneWayDelay = time.Millisecond
 	silenceServiceTime = 40 * time.Millisecond // of a request, mean
 	silenceSlots       = 2
 	silenceQueue       = 8
-	silenceObjective   = 300 * time.Millisecond // the objective
-	silenceTimeout     = 2500 * time.Millisecond
+	silenceObjective   = 300 * time.Millisecond  // the latency objective of the routes
+	silenceTimeout     = 2500 * time.Millisecond // after which a caller gives a request up
 	silenceLossRate    = 1.0 / 30
-	longFlowShare      = 0.73 // of the requests come on long flows, the others on a flow each
+	longFlowShare      = 0.73 // of the requests come on long flows, each of the others on its own flow
 	longFlowPause      = time.Second
-	recoveryGrace      = time.Second           // how long an upstream that is back may still be taken for silent
-	probeInterval      = 20 * time.Millisecond // how often it is looked who avoids whom
+	recoveryGrace      = time.Second           // how long an upstream that has recovered may still be taken for silent
+	probeInterval      = 20 * time.Millisecond // between checks of which entries avoid which upstreams
 )
 
-// Silence is what one way gave under one trouble.
+// Silence is the outcome of one kind of sharing under one fault.
 type Silence struct {
 	Way     Way
 	Trouble Trouble
 	Asked   int
 	Late    int
-	// Bound counts those of Late on flows that were open before: an open flow stays at its upstream,
-	// whatever entries know.
+	// Bound counts those of Late on flows that were already open: an open flow stays at its upstream whatever
+	// the entries know.
 	Bound  int
 	Failed int
-	// Wrongly counts ejections of upstreams that were well, one for each entry that ejects.
+	// Wrongly counts ejections of healthy upstreams, once for each entry that ejects.
 	Wrongly int
-	// Known is how long after the trouble began nine of ten entries avoided a failing upstream, as
-	// a mean over these; one that was never avoided so counts with all of the time.
+	// Known is the time from the start of the fault until nine of ten entries avoided a failing upstream,
+	// averaged over these upstreams. One that fewer entries avoided counts with the whole duration of the
+	// fault.
 	Known time.Duration
-	Bytes float64 // of reports and sums, sent a second and entry
+	Bytes float64 // of reports and sums, sent per second and entry
 }
 
 // silenceModel is one data centre in virtual time.
@@ -91,28 +92,28 @@
 	flows     map[stoatpacket.Tuple]*silenceFlow
 	port      int
 	bytes     int
-	detected  map[int]time.Duration // by upstream
+	detected  map[int]time.Duration // from the start of the fault until nine of ten entries avoided the upstream, by its index
 	result    Silence
 }
 
-// silenceEpoch is the model's time zero.
+// silenceEpoch is the start of the virtual time.
 var silenceEpoch = time.Unix(1000, 0)
 
 func (m *silenceModel) now() time.Time { return silenceEpoch.Add(m.q.now) }
 
-// counted tells whether a request that was first tried then counts.
+// counted reports whether a request that was first tried at that time counts.
 func counted(first time.Duration) bool {
 	return first >= faultStart && first < faultStart+faultDuration+countedAfterFault
 }
 
-// faultActive tells whether the trouble goes on.
+// faultActive reports whether the fault is active now.
 func (m *silenceModel) faultActive() bool {
 	return m.q.now >= faultStart && m.q.now < faultStart+faultDuration
 }
 
 var silenceListen = [2]netip.AddrPort{netip.MustParseAddrPort("198.18.0.1:8443"), netip.MustParseAddrPort("198.18.0.1:8080")}
 
-// RunSilence runs one way under one trouble.
+// RunSilence simulates one kind of sharing under one fault.
 func RunSilence(ctx context.Context, cfg SilenceConfig, sharing Way, fault Trouble) (Silence, error) {
 	m := &silenceModel{
 		cfg: cfg, sharing: sharing, fault: fault, rnd: rand.New(rand.NewPCG(cfg.Seed, 11)),
@@ -135,7 +136,7 @@
 	return m.finish(), nil
 }
 
-// declareRoutes registers the upstreams, and two routes to their one service.
+// declareRoutes registers the upstreams, and two routes to their service.
 func (m *silenceModel) declareRoutes() {
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
 	m.routes.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
@@ -155,12 +156,12 @@
 	m.routes.ApplyList(m.now(), names, false)
 }
 
-// fails tells whether an upstream answers nobody now.
+// fails reports whether an upstream answers nobody now.
 func (m *silenceModel) fails(i int) bool {
 	return m.upstreams[i].fails && m.faultActive() && (m.fault == Silenced || m.fault == Refusing)
 }
 
-// probe notes when nine of ten entries avoid each failing upstream.
+// probe records when nine of ten entries avoid each failing upstream.
 func (m *silenceModel) probe() {
 	if !m.faultActive() {
 		return
@@ -181,6 +182,7 @@
 	m.q.after(probeInterval, m.probe)
 }
 
+// finish computes the means and returns the outcome.
 func (m *silenceModel) finish() Silence {
 	failing := 0
 	for i, u := range m.upstreams {
@@ -201,11 +203,11 @@
 	return m.result
 }
 
-// countEjection counts an ejection at one entry.
+// countEjection counts an ejection at one entry as wrong unless the upstream fails.
 func (m *silenceModel) countEjection(u *stoatroute.Upstream) {
 	i := int(u.Target) - 1
 	failing := m.upstreams[i].fails && (m.fault == Silenced || m.fault == Refusing)
-	// Whoever is back has to be heard of first.
+	// Entries learn of a recovery only when they hear from the upstream again.
 	if !failing || m.q.now < faultStart || m.q.now > faultStart+faultDuration+recoveryGrace {
 		m.result.Wrongly++
 	}
--- a/stoatmeasure/silence_report.go
+++ b/stoatmeasure/silence_report.go
@@ -8,17 +8,17 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// silenceFleets are the sizes that ReportSilence measures when none is given.
+// silenceFleets are the sizes with which ReportSilence measures.
 var silenceFleets = []SilenceConfig{
 	{Entries: 3, Upstreams: 6}, {Entries: 9, Upstreams: 14}, {Entries: 30, Upstreams: 40}, {Entries: 90, Upstreams: 120}, {Entries: 300, Upstreams: 400},
 }
 
 const (
-	silenceRate  = 6.5 // requests a second and upstream: a quiet hour of a large fleet
-	silenceShare = 0.3
+	silenceRate  = 6.5 // requests per second and upstream: a quiet hour of a large fleet
+	silenceShare = 0.3 // of the upstreams that fail
 )
 
-// wireSilence is a row in JSON.
+// wireSilence is a row of the JSON output.
 type wireSilence struct {
 	Trouble   string  `json:"trouble"`
 	Way       string  `json:"way"`
@@ -32,7 +32,7 @@
 	Bytes     float64 `json:"bytes"`
 }
 
-// ReportSilence measures each way under each trouble at each size, and writes a table or JSON.
+// ReportSilence measures each kind of sharing under each fault at each size, and writes a table or JSON.
 func ReportSilence(ctx context.Context, seed uint64, parallel int, asJSON bool, w io.Writer) error {
 	var rows []wireSilence
 	group, ctx := errgroup.WithContext(ctx)
@@ -61,6 +61,7 @@
 	return nil
 }
 
+// measure runs the experiment of a row and fills the row in.
 func (r *wireSilence) measure(ctx context.Context, seed uint64) error {
 	cfg := SilenceConfig{Entries: r.Entries, Upstreams: r.Upstreams, Rate: silenceRate, Share: silenceShare, Seed: seed}
 	s, err := RunSilence(ctx, cfg, Way(r.Way), Trouble(r.Trouble))
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -13,14 +13,14 @@
 
 const (
 	treeWidth       = 4                       // children of an entry in the relay tree
-	treeHopDelay    = 3 * time.Millisecond    // from one entry to the next, with the time to read and write
-	refreshInterval = 2 * time.Second         // a parent sends something at least so often
-	messageOverhead = 160                     // bytes of a message beside what it says of upstreams
-	judgeInterval   = stoatecho.CheckInterval // as an entry does
-	maxStartDelay   = 250 * time.Millisecond  // entries begin their turns at random within
+	treeHopDelay    = 3 * time.Millisecond    // from one entry to the next, including the time to read and write
+	refreshInterval = 2 * time.Second         // after which a parent sends an update at the latest
+	messageOverhead = 160                     // bytes of a message besides the reports
+	judgeInterval   = stoatecho.CheckInterval // the interval of a real entry
+	maxStartDelay   = 250 * time.Millisecond  // each entry runs its first round at a random time within this
 )
 
-// silenceEntry is an entry: its engine, and its place in the relay tree.
+// silenceEntry is an entry: its engine and its place in the relay tree.
 type silenceEntry struct {
 	m           *silenceModel
 	index       int
@@ -28,12 +28,12 @@
 	aggregator  stoatoutlier.Aggregator
 	parent      *silenceEntry
 	children    []*silenceEntry
-	reporting   bool                        // one is under way to the parent
-	childDeltas []stoatoutlier.DeltaTracker // to the children
-	roundDue    bool
+	reporting   bool                        // a report to the parent is in transit
+	childDeltas []stoatoutlier.DeltaTracker // one per child
+	roundDue    bool                        // a round is scheduled
 	pacer       stoatoutlier.Pacer
-	nextRound   time.Duration // when it may take its next turn
-	lastUpdate  time.Time     // when its parent last sent it something
+	nextRound   time.Duration // when the next round may run
+	lastUpdate  time.Time     // when the parent last sent an update
 }
 
 func newSilenceEntry(m *silenceModel, index int) *silenceEntry {
@@ -49,12 +49,13 @@
 	return e
 }
 
-// addr names the entry to others.
+// addr returns the address that identifies the entry to others.
 func (e *silenceEntry) addr() netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(e.index >> 8), byte(e.index)}), 8166)
 }
 
-// handle decides about a packet, and carries out what concerns other flows.
+// handle decides about a packet. It counts an ejection that results, and schedules a round if the entry's
+// reports have changed.
 func (e *silenceEntry) handle(p *stoatpacket.Packet) stoatecho.Action {
 	a := e.engine.Handle(e.m.now(), e.m.routes.Table(), p)
 	if a.Ejected != nil {
@@ -66,13 +67,13 @@
 	return a
 }
 
-// tick takes a turn now and then, as an entry does without news.
+// tick schedules a round in each interval, as a real entry does even if nothing has changed.
 func (e *silenceEntry) tick() {
 	e.scheduleRound()
 	e.m.q.after(judgeInterval, e.tick)
 }
 
-// scheduleRound has the entry take a turn soon.
+// scheduleRound schedules a round as soon as one may run. Entries that share nothing run none.
 func (e *silenceEntry) scheduleRound() {
 	if e.roundDue || e.m.sharing == Alone {
 		return
@@ -85,7 +86,7 @@
 	e.m.q.after(wait, e.runRound)
 }
 
-// hopDelay is how long a message takes to the next entry.
+// hopDelay returns how long a message takes to the next entry.
 func (e *silenceEntry) hopDelay() time.Duration {
 	if e.m.sharing == AtOnce {
 		return 0
@@ -93,7 +94,8 @@
 	return treeHopDelay
 }
 
-// runRound adds up, judges and passes on, as an entry's share goroutine does.
+// runRound aggregates the reports, ejects upstreams and sends updates, as the share goroutine of a real entry
+// does.
 func (e *silenceEntry) runRound() {
 	now := e.m.now()
 	e.roundDue, e.nextRound = false, e.m.q.now+e.pacer.RecordRound(now)
@@ -113,7 +115,7 @@
 	e.updateChildren(sum)
 }
 
-// reportToParent sends what the entry and those below it saw to its parent.
+// reportToParent sends what this entry and those below it observed to the parent.
 func (e *silenceEntry) reportToParent(u stoatoutlier.Update) {
 	e.reporting = true
 	wire := e.encode(u.Reports)
@@ -146,10 +148,10 @@
 	}
 }
 
-// encode encodes reports as entries send them, and counts their bytes.
+// encode returns reports in their wire form, and counts their bytes.
 func (e *silenceEntry) encode(list []stoatoutlier.Report) []stoatoutlier.WireReport {
 	wire := stoatoutlier.Encode(e.m.now(), list)
-	// It fails on no report: the fields are numbers.
+	// Marshal cannot fail here: all fields are numbers.
 	body, _ := msgpack.Marshal(wire)
 	e.m.bytes += len(body) + messageOverhead
 	return wire
--- a/stoatmeasure/silence_world.go
+++ b/stoatmeasure/silence_world.go
@@ -12,13 +12,13 @@
 // silenceUpstream runs requests in slots and a queue, unless it fails.
 type silenceUpstream struct {
 	m           *silenceModel
-	fails       bool // it is one of those that fail in the trouble
+	fails       bool // it is one of those that fail during the fault
 	running     int
 	queue       []func()
-	lastRequest map[stoatpacket.Tuple]uint32 // flows, with the sequence number of the latest request taken
+	lastRequest map[stoatpacket.Tuple]uint32 // sequence number of the latest request, by flow
 }
 
-// silenceFlow is one try of a caller: a flow from a port of its own.
+// silenceFlow is one attempt of a caller: a flow from its own port.
 type silenceFlow struct {
 	tuple      stoatpacket.Tuple
 	entry      *silenceEntry
@@ -27,15 +27,15 @@
 	ended      bool
 	seq        uint32
 	ack        uint32
-	awaiting   bool // for the answer to seq
-	onOpenFlow bool // its present request began on a flow that was open
+	awaiting   bool // the answer to seq is pending
+	onOpenFlow bool // the current request began on a flow that was already open
 	tries      int
-	firstTried time.Duration // when its present request was first tried
+	firstTried time.Duration // when the current request was first tried
 	cookie     stoatpaddle.UpstreamKey
-	requestNo  int // of the present request, so that timers of earlier ones do nothing
+	requestNo  int // number of the current request, so that timers of earlier ones do nothing
 }
 
-// offerLoad lets callers come: those with a long flow, and those with a flow a request.
+// offerLoad starts the callers: those that keep a long flow, and those that open a flow for each request.
 func (m *silenceModel) offerLoad() {
 	rate := m.cfg.Rate * float64(m.cfg.Upstreams)
 	for range int(longFlowShare * rate * longFlowPause.Seconds()) {
@@ -50,20 +50,21 @@
 const (
 	silenceMaxTries = 3
 	retryDelay      = 7 * time.Millisecond
-	openingTimeout  = 1400 * time.Millisecond // of an opening
+	openingTimeout  = 1400 * time.Millisecond // after which a caller gives an opening up
 )
 
-// openingRetransmits is when a caller repeats its opening; repeatFirst and repeatMost bound the pause until
-// it repeats a request.
+// openingRetransmits are the times at which a caller repeats its opening.
 var openingRetransmits = [2]time.Duration{200 * time.Millisecond, 600 * time.Millisecond}
 
 const (
+	// A caller repeats a request after minRetransmitDelay, and then with doubling delays up to
+	// maxRetransmitDelay.
 	minRetransmitDelay = 200 * time.Millisecond
 	maxRetransmitDelay = 1600 * time.Millisecond
 )
 
-// openFlow opens a flow for a request that was first tried at that time; bound says that this was on a flow
-// that was open.
+// openFlow opens a flow for the n-th try of a request that was first tried at the given time. onOpenFlow tells
+// that the first try was on a flow that was already open.
 func (m *silenceModel) openFlow(long bool, first time.Duration, n int, onOpenFlow bool) {
 	if n == 1 && counted(first) {
 		m.result.Asked++
@@ -97,7 +98,7 @@
 	})
 }
 
-// retry ends a flow whose request was not answered; its caller tries once more where it may.
+// retry ends a flow whose request was not answered; the caller tries again if it may.
 func (m *silenceModel) retry(f *silenceFlow) {
 	if f.ended {
 		return
@@ -105,7 +106,7 @@
 	f.ended = true
 	delete(m.flows, f.tuple)
 	if f.open && !f.awaiting && f.long {
-		// Nothing was under way: the caller comes back with its next request.
+		// No request was pending: the caller opens a flow again for its next one.
 		m.q.after(longFlowPause, func() { m.openFlow(true, m.q.now, 1, false) })
 		return
 	}
@@ -117,6 +118,7 @@
 	m.q.after(retryDelay, func() { m.openFlow(f.long, f.firstTried, f.tries+1, f.onOpenFlow) })
 }
 
+// countFailure counts a failed request. A caller with a long flow sends its next request later.
 func (m *silenceModel) countFailure(f *silenceFlow) {
 	if counted(f.firstTried) {
 		m.result.Failed++
@@ -126,7 +128,7 @@
 	}
 }
 
-// send takes a packet to the flow's entry, and on to the upstream that the entry names.
+// send sends a packet to the flow's entry, which forwards it to an upstream.
 func (m *silenceModel) send(f *silenceFlow, p stoatpacket.Packet) {
 	p.Tuple, p.Cookie = f.tuple, f.cookie
 	if m.packetLost() {
@@ -149,7 +151,7 @@
 	return m.fault == Lossy && m.faultActive() && m.rnd.Float64() < silenceLossRate
 }
 
-// receive is what an upstream does with a packet.
+// receive handles a packet at an upstream.
 func (m *silenceModel) receive(f *silenceFlow, up int, key stoatpaddle.UpstreamKey, p *stoatpacket.Packet) {
 	u := m.upstreams[up]
 	if m.fails(up) {
@@ -176,8 +178,8 @@
 	}
 }
 
-// run runs a request now or from the queue; one that does not fit is dropped, and its caller's
-// repeat finds room.
+// run runs a request now or from the queue. A request that does not fit is dropped, and finds room when its
+// caller repeats it.
 func (u *silenceUpstream) run(done func()) {
 	if u.running >= silenceSlots {
 		if len(u.queue) < silenceQueue {
@@ -197,7 +199,7 @@
 	})
 }
 
-// handleOpened is the caller's side of a handshake; the request follows at once.
+// handleOpened completes a handshake at the caller, which sends its request at once.
 func (m *silenceModel) handleOpened(f *silenceFlow, key stoatpaddle.UpstreamKey) {
 	if f.open || f.ended {
 		return
@@ -207,7 +209,7 @@
 	m.sendRequest(f)
 }
 
-// sendRequest sends the flow's next request, and repeats it until it is answered or too late.
+// sendRequest sends the flow's next request, and repeats it until it is answered or the caller gives up.
 func (m *silenceModel) sendRequest(f *silenceFlow) {
 	f.seq += 100
 	f.requestNo++
@@ -215,9 +217,11 @@
 	m.retransmit(f, f.requestNo, 0, minRetransmitDelay)
 }
 
-func (m *silenceModel) retransmit(f *silenceFlow, serial int, wait, next time.Duration) {
+// retransmit sends a request after a delay, and repeats it with doubling delays until it is answered or the
+// caller gives up.
+func (m *silenceModel) retransmit(f *silenceFlow, requestNo int, wait, next time.Duration) {
 	m.q.after(wait, func() {
-		if f.ended || !f.awaiting || f.requestNo != serial {
+		if f.ended || !f.awaiting || f.requestNo != requestNo {
 			return
 		}
 		if m.q.now-f.firstTried > silenceTimeout {
@@ -227,11 +231,11 @@
 			return
 		}
 		m.send(f, stoatpacket.Packet{Seq: f.seq, Ack: f.ack, Size: 100})
-		m.retransmit(f, serial, next, min(2*next, maxRetransmitDelay))
+		m.retransmit(f, requestNo, next, min(2*next, maxRetransmitDelay))
 	})
 }
 
-// handleAnswer is the caller's side of an answer.
+// handleAnswer handles an answer at the caller.
 func (m *silenceModel) handleAnswer(f *silenceFlow, seq uint32) {
 	if f.ended || !f.awaiting || seq != f.seq {
 		return
--- a/stoatmeasure/spread.go
+++ b/stoatmeasure/spread.go
@@ -18,35 +18,35 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// SpreadConfig configures the experiment on how entries choose upstreams on a fabric that
-// brings cookies back: one data centre, a request a flow.
+// SpreadConfig configures the experiment on how entries choose upstreams on an echo fabric: one data centre,
+// and a flow for each request.
 type SpreadConfig struct {
 	Entries   int
 	Upstreams int
 	Slots     int           // requests that an upstream runs at once
-	Load      float64       // the part of all slots that is asked for
-	Work      time.Duration // of a request, mean; uniform from a half to one and a half of it
+	Load      float64       // requested share of all slots
+	Work      time.Duration // of a request, mean; uniform between half and one and a half times the mean
 	Last      time.Duration
 	Seed      uint64
 }
 
 const (
-	spreadQueue = 12                   // requests that an upstream keeps waiting
+	spreadQueue = 12                   // requests that an upstream queues
 	spreadRTT   = 6 * time.Millisecond // from a caller to its upstream and back
-	subsetSize  = 8                    // upstreams of an entry that uses few
+	subsetSize  = 8                    // upstreams of an entry that uses only some of them
 )
 
-// Spread is what one way of choosing gave.
+// Spread is the outcome of one policy.
 type Spread struct {
 	Way      string
 	Load     float64
 	Asked    int
-	Turned   int // away by a full upstream
+	Turned   int // by a full upstream
 	P50, P99 time.Duration
-	Busiest  float64 // most requests at an upstream over the mean
+	Busiest  float64 // ratio of the requests at the busiest upstream to the mean
 }
 
-// spreadModel is a data centre.
+// spreadModel is one data centre.
 type spreadModel struct {
 	cfg           SpreadConfig
 	q             queue
@@ -55,20 +55,21 @@
 	waiting       [][]func()
 	served        []int
 	pending       [][]int // requests in progress, by entry and upstream
-	sharedPending []int   // the same over all entries, as it was a while ago
+	sharedPending []int   // the same over all entries, as of the last copy
 	answerTimes   []time.Duration
 	rejected      int
 }
 
-// policy is one policy of choosing an upstream: choose returns it, done tells that its request ended.
+// policy is a way of choosing an upstream: choose returns its index, or, if engine is set, the engine of the
+// entry decides.
 type policy struct {
 	name   string
-	age    time.Duration // of shared counts
+	age    time.Duration // of the shared counts
 	choose func(m *spreadModel, entry int) int
 	engine bool
 }
 
-// policies returns the product's way and those that it was weighed against.
+// policies returns the product's policy and those that it is compared with.
 func policies() []policy {
 	least := func(count func(i int) int, m *spreadModel, among []int) int {
 		at := m.rnd.IntN(len(among))
@@ -109,7 +110,7 @@
 	}
 }
 
-// subset returns the upstreams that rendezvous hashing gives an entry.
+// subset returns the upstreams that rendezvous hashing assigns to an entry.
 func subset(m *spreadModel, entry int) []int {
 	list := make([]int, m.cfg.Upstreams)
 	for i := range list {
@@ -120,14 +121,14 @@
 	return list[:min(subsetSize, len(list))]
 }
 
-// RunSpread returns what each way of choosing gives.
+// RunSpread returns the outcome of each policy.
 func RunSpread(ctx context.Context, cfg SpreadConfig) ([]Spread, error) {
 	var out []Spread
-	for _, w := range policies() {
+	for _, p := range policies() {
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
-		out = append(out, runPolicy(cfg, w))
+		out = append(out, runPolicy(cfg, p))
 	}
 	return out, nil
 }
@@ -168,7 +169,7 @@
 	}
 }
 
-// shareCounts copies the counts of all entries each so often.
+// shareCounts copies the counts of all entries at each interval.
 func (m *spreadModel) shareCounts(age time.Duration) {
 	clear(m.sharedPending)
 	for _, own := range m.pending {
@@ -181,13 +182,13 @@
 	}
 }
 
-// handler returns what happens to a request at an entry.
-func (m *spreadModel) handler(w policy) func(entry int) {
-	if w.engine {
+// handler returns the function that handles a request at an entry.
+func (m *spreadModel) handler(p policy) func(entry int) {
+	if p.engine {
 		return m.engineHandler()
 	}
 	return func(e int) {
-		i := w.choose(m, e)
+		i := p.choose(m, e)
 		m.pending[e][i]++
 		began := m.q.now
 		m.q.after(spreadRTT, func() {
@@ -199,6 +200,7 @@
 	}
 }
 
+// countAnswer records the answer time of a request, or that it was rejected.
 func (m *spreadModel) countAnswer(began time.Duration, ran bool) {
 	if !ran {
 		m.rejected++
@@ -207,7 +209,7 @@
 	m.answerTimes = append(m.answerTimes, m.q.now-began)
 }
 
-// serve runs a request at an upstream, now or from its queue, or turns it away.
+// serve runs a request at an upstream, now or from its queue, or rejects it.
 func (m *spreadModel) serve(i int, done func(ran bool)) {
 	var begin func()
 	begin = func() {
@@ -235,7 +237,7 @@
 
 var spreadListen = netip.MustParseAddrPort("198.18.0.1:443")
 
-// engineHandler returns what happens to a request at an entry that decides as the product does.
+// engineHandler returns the function that handles a request at an entry whose engine chooses the upstream.
 func (m *spreadModel) engineHandler() func(entry int) {
 	start := time.Unix(1000, 0)
 	b := stoatroute.NewBuilder(stoatroute.Config{})
@@ -280,10 +282,10 @@
 	}
 }
 
-// spreadLoads are the loads that ReportSpread measures: a calm day, a busy one, a burst.
+// spreadLoads are the loads with which ReportSpread measures: a calm day, a busy one, a burst.
 var spreadLoads = []float64{0.35, 0.7, 0.9}
 
-// wireSpread is a row in JSON.
+// wireSpread is a row of the JSON output.
 type wireSpread struct {
 	Way     string  `json:"way"`
 	Load    float64 `json:"load"`
@@ -294,7 +296,7 @@
 	Busiest float64 `json:"busiest"`
 }
 
-// ReportSpread measures each way of choosing under each load, and writes a table or JSON.
+// ReportSpread measures each policy under each load, and writes a table or JSON.
 func ReportSpread(ctx context.Context, cfg SpreadConfig, asJSON bool, w io.Writer) error {
 	var rows []wireSpread
 	for _, load := range spreadLoads {
--- a/stoatmeasure/spread_test.go
+++ b/stoatmeasure/spread_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Twenty-two entries before forty upstreams with two slots each: each entry sees one request
-// in twenty-two. The product's choice by what it sees alone must stay near to what counts of
-// all entries would give, and far ahead of chance, at a calm load and at a busy one.
+// Each of twenty-two entries sees one request in twenty-two at forty upstreams with two slots each. The
+// product chooses by what the entry alone sees. Its answer times must stay close to those with the counts of
+// all entries, and far better than those of a random choice, at a calm load and at a busy one.
 func TestSpread(t *testing.T) {
 	for _, load := range []float64{0.35, 0.7} {
 		list, err := RunSpread(context.Background(), SpreadConfig{
@@ -23,7 +23,7 @@
 		}
 		product, random, best := got["product: own requests and times"], got["random"], got["all requests, at once"]
 		if product.Asked < 1000 || product.P99 >= random.P99 || product.P99 > 3*best.P99 {
-			t.Errorf("load %g: p99 %s, by chance %s, with all counts %s", load, product.P99, random.P99, best.P99)
+			t.Errorf("load %g: p99 %s, at random %s, with all counts %s", load, product.P99, random.P99, best.P99)
 		}
 	}
 }
--- a/stoatmeasure/traffic.go
+++ b/stoatmeasure/traffic.go
@@ -10,7 +10,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// scheduleArrivals opens flows at random moments for as long as the experiment runs.
+// scheduleArrivals opens flows at random times for as long as the experiment runs.
 func (f *fleet) scheduleArrivals() {
 	f.q.after(time.Duration(f.rnd.ExpFloat64()/f.cfg.Opens*float64(time.Second)), func() {
 		life := time.Duration(f.rnd.ExpFloat64() * float64(f.cfg.Flows) / f.cfg.Opens * float64(time.Second))
@@ -19,6 +19,7 @@
 	})
 }
 
+// openFlow opens a flow that its caller ends after a time.
 func (f *fleet) openFlow(life time.Duration) {
 	f.lastConnID++
 	n := f.lastConnID
@@ -34,7 +35,7 @@
 	f.sendSYN(c)
 }
 
-// sendSYN sends the opening packet, again if it got lost.
+// sendSYN sends the opening packet, and repeats it until an upstream accepts the flow.
 func (f *fleet) sendSYN(c *conn) {
 	if c.done || c.upstream != 0 {
 		f.sendData(c)
@@ -50,7 +51,7 @@
 	})
 }
 
-// sendData sends a segment now and then until the flow ends.
+// sendData sends segments at random intervals until the flow ends.
 func (f *fleet) sendData(c *conn) {
 	if c.done {
 		return
@@ -65,11 +66,13 @@
 	f.q.after(min(next, max(c.end-f.q.now, time.Millisecond)), func() { f.sendData(c) })
 }
 
+// endFlow ends a flow from its caller's side.
 func (f *fleet) endFlow(c *conn) {
 	f.send(c, stoatpacket.Packet{Ends: true})
 	f.removeFlow(c)
 }
 
+// removeFlow takes a flow out of the counts of open ones.
 func (f *fleet) removeFlow(c *conn) {
 	if c.done {
 		return
@@ -82,10 +85,10 @@
 	}
 }
 
-// sides of a cut network.
+// The sides of a partition.
 const (
 	sideIsolated = 1 // data centre 0
-	sideRest     = 2
+	sideRest     = 2 // all other data centres
 )
 
 func (f *fleet) sideOf(dc stoatpaddle.DataCentreID) int {
@@ -95,22 +98,22 @@
 	return sideRest
 }
 
-// settleTime is how long after a cut the entries' views may still differ.
+// settleTime is how long after a partition the views of the entries may still differ.
 const settleTime = 5 * time.Second
 
-// viewsMayDiffer tells whether the two sides may see the system differently.
+// viewsMayDiffer reports whether the views on the two sides of a partition may differ.
 func (f *fleet) viewsMayDiffer() bool {
 	return f.partitioned || f.healedAt > 0 && f.q.now < f.healedAt+settleTime
 }
 
-// assignSide puts a caller on one side of the cut. Half of the callers stay there until the
-// views are one again; the others roam as soon as the network is whole.
+// assignSide assigns a caller to one side of the partition. Half of the callers stay there until the views agree
+// again; the others roam as soon as the network is connected.
 func (f *fleet) assignSide(c *conn) {
 	c.side = f.randomSide()
 	c.roams = f.rnd.IntN(2) == 0
 }
 
-// mayReceive tells whether the fabric may hand the flow's packets to the entry.
+// mayReceive reports whether the fabric may pass the flow's packets to the entry.
 func (f *fleet) mayReceive(c *conn, e *entry) bool {
 	if !f.viewsMayDiffer() || !f.partitioned && c.roams {
 		return true
@@ -122,7 +125,7 @@
 	return f.sideOf(centre(f.rnd.IntN(centreCount)))
 }
 
-// send hands a packet to a random entry that the fabric knows.
+// send passes a packet to a random entry that the fabric knows and that the caller reaches.
 func (f *fleet) send(c *conn, p stoatpacket.Packet) {
 	p.Tuple, p.Seq = c.tuple, c.seq
 	var to []*entry
@@ -147,7 +150,7 @@
 	})
 }
 
-// handle has an entry decide and carries the decision out.
+// handle lets an entry decide about a packet, and executes the decision.
 func (f *fleet) handle(e *entry, c *conn, p stoatpacket.Packet, h stoatflow.Header, from netip.AddrPort) {
 	svc := e.view.FlowService(vip, stoatpaddle.ProtocolTCP)
 	a := e.engine.Handle(f.now(), e.view, &stoatflow.Inbound{
@@ -174,7 +177,7 @@
 	}
 }
 
-// deliverNotice carries a Known datagram.
+// deliverNotice transmits the datagram that tells a flow's owner the upstream, if the action asks for one.
 func (f *fleet) deliverNotice(e *entry, a stoatflow.Action, k stoatpaddle.FlowHash) {
 	if !a.NotifyAddr.IsValid() {
 		return
@@ -188,7 +191,7 @@
 	})
 }
 
-// forward is what the upstream sees.
+// forward handles a packet at the upstream to which an entry sent it.
 func (f *fleet) forward(e *entry, c *conn, p *stoatpacket.Packet, u *stoatview.Upstream) {
 	if f.partitioned && f.sideOf(u.DataCentre) != f.sideOf(e.instance.DataCentre) {
 		return
@@ -212,7 +215,7 @@
 	}
 }
 
-// separated tells whether the flow's caller and upstream are on two sides of the cut.
+// separated reports whether the flow's caller and upstream are on different sides of the partition.
 func (f *fleet) separated(c *conn) bool {
 	if !f.partitioned {
 		return false
@@ -229,7 +232,7 @@
 	return ""
 }
 
-// breakFlow ends a flow whose packet came to the wrong place; the upstream there resets it.
+// breakFlow ends a flow that an entry reset, or whose packet reached another upstream, which resets it.
 func (f *fleet) breakFlow(c *conn) {
 	c.broken = true
 	switch {
@@ -243,7 +246,8 @@
 	f.removeFlow(c)
 }
 
-// handleNaive is the baseline: each entry hashes over its own set and remembers what it saw.
+// handleNaive is the baseline: each naive entry hashes over the upstreams that it knows and remembers the
+// flows that it has seen.
 func (f *fleet) handleNaive(e *entry, c *conn, p *stoatpacket.Packet) {
 	if c.naiveBroken || c.done {
 		return
