--- a/contract.go
+++ b/contract.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Kind tells how a service's traffic is carried.
-type Kind string
+// ServiceKind tells how a service's traffic is carried.
+type ServiceKind string
 
 // The kinds of service.
 const (
-	KindFlow Kind = "flow" // opaque TCP or UDP, forwarded packet by packet
-	KindCall Kind = "call" // HTTP, terminated at an entry
+	KindFlow ServiceKind = "flow" // opaque TCP or UDP, forwarded packet by packet
+	KindCall ServiceKind = "call" // HTTP, terminated at an entry
 )
 
-// Lean tells which of the two measures a customer weighs more.
-type Lean string
+// Preference tells which of the two measures a customer weighs more.
+type Preference string
 
 // The values of Lean.
 const (
-	LeanFlows   Lean = "flows"   // fewest tracked flows, so fewest broken when entries die
-	LeanBalance Lean = "balance" // evenest load
+	PreferFewTracked Preference = "flows"   // fewest tracked flows, so fewest broken when entries die
+	PreferBalance    Preference = "balance" // evenest load
 )
 
 // Protocol is an IP protocol number (IANA).
@@ -51,26 +51,26 @@
 	Addr        netip.AddrPort
 	Weight      Weight
 	Slots       int // calls it runs at once
-	Connections int // flows it holds open at once
-	Opens       int // flows opened at it a second, over all entries; 0: no limit
+	MaxFlows    int // flows it holds open at once
+	MaxOpenRate int // flows opened at it a second, over all entries; 0: no limit
 }
 
 // Service is one service of a customer.
 type Service struct {
-	ID        ServiceID
-	Kind      Kind
-	Addr      netip.Addr // flow services: the address that callers use
-	Protocol  Protocol   // flow services
-	Ports     []uint16   // flow services, ascending
-	Host      string     // call services: the authority that callers name
-	Upstreams []Upstream // ascending by ID
-	Retired   []Retired  // taken out by an amendment, while flows may still be open on them
-	Centres   []CentreWeight
+	ID            ServiceID
+	Kind          ServiceKind
+	Addr          netip.Addr        // flow services: the address that callers use
+	Protocol      Protocol          // flow services
+	Ports         []uint16          // flow services, ascending
+	Host          string            // call services: the authority that callers name
+	Upstreams     []Upstream        // ascending by ID
+	Retired       []RetiredUpstream // taken out by an amendment, while flows may still be open on them
+	CentreWeights []CentreWeight
 }
 
-// Retired is an upstream that an amendment took out of a contract. Without it, entries that
+// RetiredUpstream is an upstream that an amendment took out of a contract. Without it, entries that
 // start later would not know where its open flows go.
-type Retired struct {
+type RetiredUpstream struct {
 	Upstream Upstream
 	Until    time.Time
 }
@@ -83,45 +83,45 @@
 
 // Limits bound what one customer may use over all entries.
 type Limits struct {
-	Flows int // open at once
-	Opens int // flows opened a second
-	Calls int // run at once
-	Rate  int // calls a second
+	Flows    int // open at once
+	OpenRate int // flows opened a second
+	Calls    int // run at once
+	CallRate int // calls a second
 }
 
 // Contract is everything that operators declare for one customer.
 type Contract struct {
-	Customer CustomerID
-	Lean     Lean
-	Limits   Limits
-	Services []Service // ascending by ID
+	Customer   CustomerID
+	Preference Preference
+	Limits     Limits
+	Services   []Service // ascending by ID
 }
 
-// Role tells what an instance does.
-type Role string
+// InstanceRole tells what an instance does.
+type InstanceRole string
 
 // The roles of an instance.
 const (
-	RoleEntry    Role = "entry"
-	RoleUpstream Role = "upstream"
+	RoleEntry    InstanceRole = "entry"
+	RoleUpstream InstanceRole = "upstream"
 )
 
-// State is what operators or the instance itself declared about its life.
-type State string
+// InstanceState is what operators or the instance itself declared about its life.
+type InstanceState string
 
 // The states of an instance.
 const (
-	StateJoining State = "joining"
-	StateLive    State = "live"
-	StateLeaving State = "leaving"
+	StateJoining InstanceState = "joining"
+	StateLive    InstanceState = "live"
+	StateLeaving InstanceState = "leaving"
 )
 
 // Instance is the platform's object for one entry or one marked upstream.
 type Instance struct {
 	ID          InstanceID
-	Role        Role
+	Role        InstanceRole
 	DataCentre  DataCentreID
-	State       State
+	State       InstanceState
 	Incarnation Incarnation
 	Relay       netip.AddrPort // entries: where relayed packets are taken
 	Peer        netip.AddrPort // entries: where peers connect
--- a/errors.go
+++ b/errors.go
@@ -7,14 +7,14 @@
 )
 
 // NotFoundError reports an object that does not exist.
-type NotFoundError struct{ Ref Ref }
+type NotFoundError struct{ Ref ObjectRef }
 
 // Error names the object.
 func (e *NotFoundError) Error() string { return "no such object: " + e.Ref.String() }
 
 // ConflictError reports a conditional write that lost; Current is what stands.
 type ConflictError struct {
-	Ref     Ref
+	Ref     ObjectRef
 	Current Object
 }
 
@@ -37,12 +37,12 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// RateError reports a call that the platform refused by rate; it took no effect.
-type RateError struct{ After time.Duration }
+// RateLimitError reports a call that the platform refused by rate; it took no effect.
+type RateLimitError struct{ RetryAfter time.Duration }
 
 // Error tells when to come back.
-func (e *RateError) Error() string {
-	return fmt.Sprintf("platform refuses by rate: retry after %s", e.After)
+func (e *RateLimitError) Error() string {
+	return fmt.Sprintf("platform refuses by rate: retry after %s", e.RetryAfter)
 }
 
 // DecodeError reports a value that is not what its kind requires.
--- a/ids.go
+++ b/ids.go
@@ -31,8 +31,8 @@
 // one begins. 0: not said.
 type Era uint64
 
-// Token identifies one write attempt, so that its writer recognises it after a lost answer.
-type Token string
+// WriteToken identifies one write attempt, so that its writer recognises it after a lost answer.
+type WriteToken string
 
 // Incarnation counts the lives of one instance id; a higher one supersedes a lower one.
 type Incarnation uint64
--- a/platform.go
+++ b/platform.go
@@ -15,25 +15,25 @@
 	ObjectCluster  ObjectKind = "cluster"
 	// ObjectEvacuation is named after a data centre whose upstreams are to get no new work while it stands.
 	ObjectEvacuation ObjectKind = "evacuation"
-	// ObjectRoutes holds which services routes had before, on an echo fabric.
-	ObjectRoutes ObjectKind = "routes"
+	// ObjectFormerServices holds which services routes had before, on an echo fabric.
+	ObjectFormerServices ObjectKind = "routes"
 )
 
-// Ref names one object.
-type Ref struct {
+// ObjectRef names one object.
+type ObjectRef struct {
 	Kind ObjectKind
 	Name string
 }
 
 // String returns kind/name.
-func (r Ref) String() string { return string(r.Kind) + "/" + r.Name }
+func (r ObjectRef) String() string { return string(r.Kind) + "/" + r.Name }
 
 // Object is one versioned value on the platform.
 type Object struct {
-	Ref     Ref
+	Ref     ObjectRef
 	Version Version
-	Token   Token // of the write that made this version
-	Gone    bool  // deleted at Version
+	Token   WriteToken // of the write that made this version
+	Deleted bool       // deleted at Version
 	Value   []byte
 }
 
@@ -49,7 +49,7 @@
 // *RateError when it refused the call by rate.
 type Platform interface {
 	// Get returns the object, or *NotFoundError.
-	Get(ctx context.Context, ref Ref) (Object, error)
+	Get(ctx context.Context, ref ObjectRef) (Object, error)
 	// List returns the objects of all kinds that the system keeps.
 	List(ctx context.Context) (Listing, error)
 	// Put writes o if its current version is o.Version (0: must not exist), or returns *ConflictError.
--- a/position.go
+++ b/position.go
@@ -12,8 +12,8 @@
 // Before tells whether the position is earlier than the other one.
 func (p Position) Before(o Position) bool { return p.compare(o) < 0 }
 
-// Later returns the later one of two positions.
-func (p Position) Later(o Position) Position {
+// Max returns the later one of two positions.
+func (p Position) Max(o Position) Position {
 	if p.Before(o) {
 		return o
 	}
--- a/route.go
+++ b/route.go
@@ -13,21 +13,21 @@
 
 // Route says where new flows to one address go.
 type Route struct {
-	Listen     netip.AddrPort // what callers write into their packets
-	Backends   []Backend
-	Earlier    []ServiceID   // where it sent flows before, as far as another entry told; they go on
-	Idempotent bool          // its requests may run twice
-	Priority   int           // 0 is the most urgent
-	Objective  time.Duration // an answer later than this is late; 0: none is declared
-	Regions    []RegionID    // its flows go only to upstreams in these; empty: anywhere
+	Listen         netip.AddrPort // what callers write into their packets
+	Backends       []Backend
+	FormerServices []ServiceID   // where it sent flows before, as far as another entry told; they go on
+	Idempotent     bool          // its requests may run twice
+	Priority       int           // 0 is the most urgent
+	TargetLatency  time.Duration // an answer later than this is late; 0: none is declared
+	Regions        []RegionID    // its flows go only to upstreams in these; empty: anywhere
 }
 
 // Declaration is the configuration that operators wrote, whole.
 type Declaration struct {
-	Version Version // the operators' own number; grows in steps of any size
-	Routes  []Route
-	Caps    map[ServiceID]int // flows that one upstream of the service may hold
-	Idle    time.Duration     // a flow idle for longer may be forgotten
+	Version     Version // the operators' own number; grows in steps of any size
+	Routes      []Route
+	MaxFlows    map[ServiceID]int // flows that one upstream of the service may hold
+	IdleTimeout time.Duration     // a flow idle for longer may be forgotten
 	// ColdRates are the requests a second that one upstream of the service bears while it is cold;
 	// services without a limit are left out.
 	ColdRates map[ServiceID]float64
@@ -58,24 +58,24 @@
 	return e.Revision > o.Revision || e.Revision == o.Revision && e.Withdrawn && !o.Withdrawn
 }
 
-// Target is the number by which a datagram names one life of an upstream, so that whoever
+// TargetID is the number by which a datagram names one life of an upstream, so that whoever
 // has its address later ignores it.
-type Target uint64
+type TargetID uint64
 
 // Registration is what an upstream says about itself.
 type Registration struct {
-	ID         UpstreamID
-	Target     Target
-	Service    ServiceID
-	DataCentre DataCentreID
-	Addr       netip.AddrPort
-	Slots      int
-	Leaving    bool
-	Cold       time.Duration // how much longer it is slow after its start
+	ID            UpstreamID
+	Target        TargetID
+	Service       ServiceID
+	DataCentre    DataCentreID
+	Addr          netip.AddrPort
+	Slots         int
+	Leaving       bool
+	ColdRemaining time.Duration // how much longer it is slow after its start
 	// Incarnation is when it started, Unix ms by its own clock: a server that starts again under
 	// its id holds nothing of before. 0: it does not say.
 	Incarnation Incarnation
-	// Created is the platform's revision at which its registration was created. One that lapsed
+	// CreateRevision is the platform's revision at which its registration was created. One that lapsed
 	// in an outage is created anew by the same incarnation.
-	Created Version
+	CreateRevision Version
 }
--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -69,20 +69,20 @@
 	ctx := context.Background()
 	_, c := twoEntries(t)
 	one := sawt(t)
-	first, err := c[0].Apply(ctx, "sawt", text(one), stoatadmin.Change{})
+	first, err := c[0].Apply(ctx, "sawt", text(one), stoatadmin.ChangeOptions{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	base := stoatpaddle.Version(first.Version)
 	one.Limits.Flows = 111
-	if _, err := c[0].Apply(ctx, "sawt", text(one), stoatadmin.Change{Base: base}); err != nil {
+	if _, err := c[0].Apply(ctx, "sawt", text(one), stoatadmin.ChangeOptions{Base: base}); err != nil {
 		t.Fatal(err)
 	}
 	two := sawt(t)
 	two.Limits.Flows = 222
-	_, err = c[1].Apply(ctx, "sawt", text(two), stoatadmin.Change{Base: base})
+	_, err = c[1].Apply(ctx, "sawt", text(two), stoatadmin.ChangeOptions{Base: base})
 	r := refusal(t, err)
-	if r.Status != 409 || r.Answer.Version != 2 || strings.Join(r.Answer.Differs, " ") != "- [limits] flows = 111 + [limits] flows = 222" {
+	if r.Status != 409 || r.Response.Version != 2 || strings.Join(r.Response.Differences, " ") != "- [limits] flows = 111 + [limits] flows = 222" {
 		t.Errorf("%+v", r)
 	}
 	if got, err := c[1].Contract(ctx, "sawt"); err != nil || !strings.Contains(got, "flows = 111") || !strings.Contains(got, "version = 2") {
@@ -97,18 +97,18 @@
 	ctx := context.Background()
 	p, c := twoEntries(t)
 	p.Set(stoatfake.Trouble{LoseWrites: 1})
-	a, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{})
+	a, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.ChangeOptions{})
 	if err != nil || a.Version != 1 {
 		t.Fatal(a, err)
 	}
 	p.Set(stoatfake.Trouble{LoseWrites: 9})
 	amended := sawt(t)
 	amended.Limits.Flows = 5
-	change := stoatadmin.Change{Base: 1, Token: "mine"}
+	change := stoatadmin.ChangeOptions{Base: 1, Token: "mine"}
 	if _, err = c[0].Apply(ctx, "sawt", text(amended), change); err != nil {
 		// Every answer was lost; the write itself took effect.
 		r := refusal(t, err)
-		if r.Answer.Outcome != stoatadmin.Unknown || r.Answer.Token != "mine" {
+		if r.Response.Outcome != stoatadmin.OutcomeUnknown || r.Response.Token != "mine" {
 			t.Fatalf("%+v", r)
 		}
 	}
@@ -118,8 +118,8 @@
 		t.Fatal(a, err)
 	}
 	p.Set(stoatfake.Trouble{Down: true})
-	_, err = c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{Base: 2})
-	if r := refusal(t, err); r.Answer.Number != stoatadmin.FaultPlatform.Number.String() {
+	_, err = c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.ChangeOptions{Base: 2})
+	if r := refusal(t, err); r.Response.Number != stoatadmin.ProblemPlatformUnavailable.Number.String() {
 		t.Errorf("%+v", r)
 	}
 }
@@ -130,13 +130,13 @@
 func TestUpstreamTakenOutIsRetired(t *testing.T) {
 	ctx := context.Background()
 	p, c := twoEntries(t)
-	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{}); err != nil {
+	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.ChangeOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	less := sawt(t)
 	gone := less.Services[0].Upstreams[1]
 	less.Services[0].Upstreams = less.Services[0].Upstreams[:1]
-	if _, err := c[0].Apply(ctx, "sawt", text(less), stoatadmin.Change{Base: 1}); err != nil {
+	if _, err := c[0].Apply(ctx, "sawt", text(less), stoatadmin.ChangeOptions{Base: 1}); err != nil {
 		t.Fatal(err)
 	}
 	stored, err := stoatcontract.Decode(p.Objects()[0].Value)
@@ -146,11 +146,11 @@
 	if got, err := c[1].Contract(ctx, "sawt"); err != nil || strings.Contains(got, string(gone.ID)) {
 		t.Error(got, err)
 	}
-	later := stoatcontract.Retire(time.Unix(1000, 0).Add(9*time.Hour), stored, less)
+	later := stoatcontract.AddRetired(time.Unix(1000, 0).Add(9*time.Hour), stored, less)
 	if len(later.Services[0].Retired) != 0 {
 		t.Error("retired for good")
 	}
-	if back := stoatcontract.Retire(time.Unix(1000, 0), stored, sawt(t)); len(back.Services[0].Retired) != 0 {
+	if back := stoatcontract.AddRetired(time.Unix(1000, 0), stored, sawt(t)); len(back.Services[0].Retired) != 0 {
 		t.Error("declared again and still retired")
 	}
 }
@@ -158,7 +158,7 @@
 func TestRefusedChanges(t *testing.T) {
 	ctx := context.Background()
 	_, c := twoEntries(t)
-	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{}); err != nil {
+	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.ChangeOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	thief := sawt(t)
@@ -167,24 +167,24 @@
 		number string
 		err    error
 	}{
-		"claims what another has": {"SP2001", second(c[0].Apply(ctx, "barrilete", text(thief), stoatadmin.Change{}))},
-		"names another customer":  {"SP2001", second(c[0].Apply(ctx, "other", text(sawt(t)), stoatadmin.Change{}))},
-		"broken":                  {"SP2001", second(c[0].Apply(ctx, "sawt", []byte("[contract]\nx=1"), stoatadmin.Change{Base: 1}))},
-		"created twice":           {"SP2002", second(c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{}))},
-		"removed unseen":          {"SP2006", second(c[0].Remove(ctx, "sawt", stoatadmin.Change{}))},
-		"removed at old version":  {"SP2002", second(c[0].Remove(ctx, "sawt", stoatadmin.Change{Base: 7}))},
-		"removed, none there":     {"SP2005", second(c[0].Remove(ctx, "none", stoatadmin.Change{Base: 7}))},
-		"unknown instance":        {"SP2005", second(c[0].Mark(ctx, "nobody", stoatpaddle.StateLeaving))},
-		"unknown state":           {"SP2007", second(c[0].Mark(ctx, "giving-a", "dancing"))},
+		"claims what another has": {"SP2001", second(c[0].Apply(ctx, "barrilete", text(thief), stoatadmin.ChangeOptions{}))},
+		"names another customer":  {"SP2001", second(c[0].Apply(ctx, "other", text(sawt(t)), stoatadmin.ChangeOptions{}))},
+		"broken":                  {"SP2001", second(c[0].Apply(ctx, "sawt", []byte("[contract]\nx=1"), stoatadmin.ChangeOptions{Base: 1}))},
+		"created twice":           {"SP2002", second(c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.ChangeOptions{}))},
+		"removed unseen":          {"SP2006", second(c[0].Remove(ctx, "sawt", stoatadmin.ChangeOptions{}))},
+		"removed at old version":  {"SP2002", second(c[0].Remove(ctx, "sawt", stoatadmin.ChangeOptions{Base: 7}))},
+		"removed, none there":     {"SP2005", second(c[0].Remove(ctx, "none", stoatadmin.ChangeOptions{Base: 7}))},
+		"unknown instance":        {"SP2005", second(c[0].SetInstanceState(ctx, "nobody", stoatpaddle.StateLeaving))},
+		"unknown state":           {"SP2007", second(c[0].SetInstanceState(ctx, "giving-a", "dancing"))},
 	} {
-		if r := refusal(t, try.err); r.Answer.Number != try.number {
+		if r := refusal(t, try.err); r.Response.Number != try.number {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
-	if a, err := c[0].Mark(ctx, "giving-a", stoatpaddle.StateLeaving); err != nil || a.Version != 2 {
+	if a, err := c[0].SetInstanceState(ctx, "giving-a", stoatpaddle.StateLeaving); err != nil || a.Version != 2 {
 		t.Error(a, err)
 	}
-	if _, err := c[1].Remove(ctx, "sawt", stoatadmin.Change{Base: 1}); err != nil {
+	if _, err := c[1].Remove(ctx, "sawt", stoatadmin.ChangeOptions{Base: 1}); err != nil {
 		t.Error(err)
 	}
 }
@@ -196,13 +196,13 @@
 func TestEvacuation(t *testing.T) {
 	ctx := context.Background()
 	p, c := twoEntries(t)
-	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.Change{}); err != nil {
+	if _, err := c[0].Apply(ctx, "sawt", text(sawt(t)), stoatadmin.ChangeOptions{}); err != nil {
 		t.Fatal(err)
 	}
-	if err := second(c[0].Evacuate(ctx, "ruvi")); refusal(t, err).Answer.Number != "SP2005" {
+	if err := second(c[0].Evacuate(ctx, "ruvi")); refusal(t, err).Response.Number != "SP2005" {
 		t.Error(err)
 	}
-	if err := second(c[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2005" {
+	if err := second(c[0].EndEvacuation(ctx, "ruwi")); refusal(t, err).Response.Number != "SP2005" {
 		t.Error(err)
 	}
 	first, err := c[0].Evacuate(ctx, "ruwi")
@@ -212,14 +212,14 @@
 	if again, err := c[1].Evacuate(ctx, "ruwi"); err != nil || again.Version != first.Version {
 		t.Error(again, err)
 	}
-	if _, err := c[1].TakeBack(ctx, "ruwi"); err != nil {
+	if _, err := c[1].EndEvacuation(ctx, "ruwi"); err != nil {
 		t.Error(err)
 	}
 	if again, err := c[0].Evacuate(ctx, "ruwi"); err != nil || again.Version <= first.Version {
 		t.Error("evacuated a second time:", again, err)
 	}
 	p.Set(stoatfake.Trouble{Down: true})
-	if err := second(c[0].TakeBack(ctx, "ruwi")); refusal(t, err).Answer.Number != "SP2004" {
+	if err := second(c[0].EndEvacuation(ctx, "ruwi")); refusal(t, err).Response.Number != "SP2004" {
 		t.Error(err)
 	}
 }
--- a/stoatadmin/catalogue.go
+++ b/stoatadmin/catalogue.go
@@ -4,37 +4,37 @@
 
 // The numbered answers of the administration API.
 var (
-	FaultInvalid = stoatevent.Register(stoatevent.Entry{
+	ProblemInvalidContract = stoatevent.Register(stoatevent.Definition{
 		Number: 2001, Severity: stoatevent.Info, Since: "0.1",
 		Title: "contract has faults",
 		Text:  "Nothing was changed. Each fault names its section and key and what was expected there.",
 	})
-	FaultConflict = stoatevent.Register(stoatevent.Entry{
+	ProblemConflict = stoatevent.Register(stoatevent.Definition{
 		Number: 2002, Severity: stoatevent.Info, Since: "0.1",
 		Title: "changed meanwhile",
 		Text:  "Another operator's change was accepted first, so this one took no effect. The answer gives the version that stands and how it differs from the one sent. Get the contract again, amend that, and apply it.",
 	})
-	FaultUnknown = stoatevent.Register(stoatevent.Entry{
+	ProblemOutcomeUnknown = stoatevent.Register(stoatevent.Definition{
 		Number: 2003, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "outcome of the change unknown",
 		Text:  "The platform gave no answer, so the change may or may not have taken effect. Send the same change again with the token from the answer: it is applied once at most.",
 	})
-	FaultPlatform = stoatevent.Register(stoatevent.Entry{
+	ProblemPlatformUnavailable = stoatevent.Register(stoatevent.Definition{
 		Number: 2004, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "platform does not answer",
 		Text:  "The change was not sent, because what it depends on could not be read. Nothing was changed. Try again later; what is in force stays in force.",
 	})
-	FaultMissing = stoatevent.Register(stoatevent.Entry{
+	ProblemNotFound = stoatevent.Register(stoatevent.Definition{
 		Number: 2005, Severity: stoatevent.Info, Since: "0.1",
 		Title: "no such object",
 		Text:  "No contract, instance or data centre has that name, or the data centre is not evacuated.",
 	})
-	FaultCondition = stoatevent.Register(stoatevent.Entry{
+	ProblemMissingCondition = stoatevent.Register(stoatevent.Definition{
 		Number: 2006, Severity: stoatevent.Info, Since: "0.1",
 		Title: "condition missing",
 		Text:  "A change needs If-Match with the version it amends, or If-None-Match: * to create. The command line takes it from the contract's version key.",
 	})
-	FaultState = stoatevent.Register(stoatevent.Entry{
+	ProblemInvalidState = stoatevent.Register(stoatevent.Definition{
 		Number: 2007, Severity: stoatevent.Info, Since: "0.1",
 		Title: "no such state",
 		Text:  "An instance is marked as joining or leaving.",
--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -29,35 +29,35 @@
 
 // RefusedError reports an answer other than accepted.
 type RefusedError struct {
-	Status int
-	Answer Answer
+	Status   int
+	Response Response
 }
 
 // Error gives the number, the title and the faults, a line each.
 func (e *RefusedError) Error() string {
-	text := fmt.Sprintf("%s: %s %s", e.Answer.Outcome, e.Answer.Number, e.Answer.Title)
-	if e.Answer.Version > 0 {
-		text += fmt.Sprintf(" (version %d stands)", e.Answer.Version)
+	text := fmt.Sprintf("%s: %s %s", e.Response.Outcome, e.Response.Number, e.Response.Title)
+	if e.Response.Version > 0 {
+		text += fmt.Sprintf(" (version %d stands)", e.Response.Version)
 	}
-	if e.Answer.Outcome == Unknown {
-		text += "; ask again with --token " + e.Answer.Token
+	if e.Response.Outcome == OutcomeUnknown {
+		text += "; ask again with --token " + e.Response.Token
 	}
-	for _, f := range e.Answer.Faults {
+	for _, f := range e.Response.Faults {
 		text += "\n" + (&stoatpaddle.Fault{File: f.File, Section: f.Section, Key: f.Key, Got: f.Got, Want: f.Want}).Error()
 	}
-	for _, line := range e.Answer.Differs {
+	for _, line := range e.Response.Differences {
 		text += "\n" + line
 	}
 	return text
 }
 
-// Change is a conditional change.
-type Change struct {
+// ChangeOptions is a conditional change.
+type ChangeOptions struct {
 	Base  stoatpaddle.Version // 0 creates
 	Token string              // empty for a new change
 }
 
-func (c *Client) do(ctx context.Context, method, path string, body []byte, ch *Change) (int, []byte, error) {
+func (c *Client) do(ctx context.Context, method, path string, body []byte, ch *ChangeOptions) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, &stoatpaddle.UnavailableError{Op: path, Cause: err}
@@ -85,17 +85,17 @@
 }
 
 // change sends a change; an answer other than accepted is *RefusedError.
-func (c *Client) change(ctx context.Context, method, path string, body []byte, ch *Change) (Answer, error) {
+func (c *Client) change(ctx context.Context, method, path string, body []byte, ch *ChangeOptions) (Response, error) {
 	status, data, err := c.do(ctx, method, path, body, ch)
 	if err != nil {
-		return Answer{}, err
+		return Response{}, err
 	}
-	var a Answer
+	var a Response
 	if err := json.Unmarshal(data, &a); err != nil {
-		return Answer{}, &stoatpaddle.DecodeError{What: "answer", Cause: err}
+		return Response{}, &stoatpaddle.DecodeError{What: "answer", Cause: err}
 	}
-	if a.Outcome != Accepted {
-		return a, &RefusedError{Status: status, Answer: a}
+	if a.Outcome != OutcomeAccepted {
+		return a, &RefusedError{Status: status, Response: a}
 	}
 	return a, nil
 }
@@ -116,20 +116,20 @@
 }
 
 func refused(status int, data []byte) error {
-	var a Answer
+	var a Response
 	if err := json.Unmarshal(data, &a); err != nil {
 		return &stoatpaddle.DecodeError{What: "answer", Cause: err}
 	}
-	return &RefusedError{Status: status, Answer: a}
+	return &RefusedError{Status: status, Response: a}
 }
 
 // Apply creates or amends a contract from its INI text.
-func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, ch Change) (Answer, error) {
+func (c *Client) Apply(ctx context.Context, customer stoatpaddle.CustomerID, text []byte, ch ChangeOptions) (Response, error) {
 	return c.change(ctx, http.MethodPut, "/v1/contracts/"+string(customer), text, &ch)
 }
 
 // Remove removes a contract.
-func (c *Client) Remove(ctx context.Context, customer stoatpaddle.CustomerID, ch Change) (Answer, error) {
+func (c *Client) Remove(ctx context.Context, customer stoatpaddle.CustomerID, ch ChangeOptions) (Response, error) {
 	return c.change(ctx, http.MethodDelete, "/v1/contracts/"+string(customer), nil, &ch)
 }
 
@@ -146,8 +146,8 @@
 }
 
 // Contracts lists the contracts in force on the entry.
-func (c *Client) Contracts(ctx context.Context) ([]stoatstatus.Summary, error) {
-	var out []stoatstatus.Summary
+func (c *Client) Contracts(ctx context.Context) ([]stoatstatus.ContractVersion, error) {
+	var out []stoatstatus.ContractVersion
 	err := c.read(ctx, "/v1/contracts", &out)
 	return out, err
 }
@@ -173,21 +173,21 @@
 	return out, err
 }
 
-// Mark marks an instance.
-func (c *Client) Mark(ctx context.Context, id stoatpaddle.InstanceID, state stoatpaddle.State) (Answer, error) {
-	body, err := json.Marshal(Mark{State: string(state)})
+// SetInstanceState marks an instance.
+func (c *Client) SetInstanceState(ctx context.Context, id stoatpaddle.InstanceID, state stoatpaddle.InstanceState) (Response, error) {
+	body, err := json.Marshal(StateChange{State: string(state)})
 	if err != nil {
-		return Answer{}, &stoatpaddle.DecodeError{What: "mark", Cause: err}
+		return Response{}, &stoatpaddle.DecodeError{What: "mark", Cause: err}
 	}
 	return c.change(ctx, http.MethodPut, "/v1/instances/"+string(id), body, nil)
 }
 
 // Evacuate has the upstreams of a data centre get no new work.
-func (c *Client) Evacuate(ctx context.Context, dc stoatpaddle.DataCentreID) (Answer, error) {
+func (c *Client) Evacuate(ctx context.Context, dc stoatpaddle.DataCentreID) (Response, error) {
 	return c.change(ctx, http.MethodPut, "/v1/evacuations/"+string(dc), nil, nil)
 }
 
-// TakeBack ends the evacuation of a data centre.
-func (c *Client) TakeBack(ctx context.Context, dc stoatpaddle.DataCentreID) (Answer, error) {
+// EndEvacuation ends the evacuation of a data centre.
+func (c *Client) EndEvacuation(ctx context.Context, dc stoatpaddle.DataCentreID) (Response, error) {
 	return c.change(ctx, http.MethodDelete, "/v1/evacuations/"+string(dc), nil, nil)
 }
--- a/stoatadmin/evacuation.go
+++ b/stoatadmin/evacuation.go
@@ -10,7 +10,7 @@
 // evacuate has the upstreams of a data centre get no new work. Asked twice it is one evacuation.
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request) {
 	if !s.knowsCentre(stoatpaddle.DataCentreID(r.PathValue("name"))) {
-		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
+		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
 		return
 	}
 	s.changeEvacuation(w, r, false)
@@ -20,7 +20,7 @@
 func (s *Server) takeBack(w http.ResponseWriter, r *http.Request) { s.changeEvacuation(w, r, true) }
 
 func (s *Server) changeEvacuation(w http.ResponseWriter, r *http.Request, gone bool) {
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectEvacuation, Name: r.PathValue("name")}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectEvacuation, Name: r.PathValue("name")}
 	current, err := s.cfg.Platform.Get(r.Context(), ref)
 	var missing *stoatpaddle.NotFoundError
 	absent := errors.As(err, &missing)
@@ -29,13 +29,13 @@
 		readFailed(w, err)
 		return
 	case absent && gone:
-		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
+		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
 		return
 	case !absent && !gone:
-		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version)})
+		reply(w, http.StatusOK, Response{Outcome: OutcomeAccepted, Version: uint64(current.Version)})
 		return
 	}
-	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Gone: gone, Value: []byte("{}")}, current)
+	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Deleted: gone, Value: []byte("{}")}, current)
 }
 
 // knowsCentre tells whether an entry or an upstream is in the data centre: a name that is mistyped would be
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -72,19 +72,19 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-func refuse(w http.ResponseWriter, status int, e *stoatevent.Entry, a Answer) {
-	a.Outcome, a.Number, a.Title = Refused, e.Number.String(), e.Title
+func refuse(w http.ResponseWriter, status int, e *stoatevent.Definition, a Response) {
+	a.Outcome, a.Number, a.Title = OutcomeRefused, e.Number.String(), e.Title
 	reply(w, status, a)
 }
 
-func contractRef(r *http.Request) stoatpaddle.Ref {
-	return stoatpaddle.Ref{Kind: stoatpaddle.ObjectContract, Name: r.PathValue("name")}
+func contractRef(r *http.Request) stoatpaddle.ObjectRef {
+	return stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectContract, Name: r.PathValue("name")}
 }
 
 func (s *Server) getStatus(w http.ResponseWriter, _ *http.Request) {
 	st, err := s.cfg.Status()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, FaultPlatform, Answer{})
+		refuse(w, http.StatusServiceUnavailable, ProblemPlatformUnavailable, Response{})
 		return
 	}
 	reply(w, http.StatusOK, toStatus(st))
@@ -94,7 +94,7 @@
 func (s *Server) listContracts(w http.ResponseWriter, _ *http.Request) {
 	st, err := s.cfg.Status()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, FaultPlatform, Answer{})
+		refuse(w, http.StatusServiceUnavailable, ProblemPlatformUnavailable, Response{})
 		return
 	}
 	reply(w, http.StatusOK, toStatus(st).Contracts)
@@ -103,7 +103,7 @@
 func (s *Server) listInstances(w http.ResponseWriter, _ *http.Request) {
 	st, err := s.cfg.Status()
 	if err != nil {
-		refuse(w, http.StatusServiceUnavailable, FaultPlatform, Answer{})
+		refuse(w, http.StatusServiceUnavailable, ProblemPlatformUnavailable, Response{})
 		return
 	}
 	reply(w, http.StatusOK, toStatus(st).Instances)
@@ -113,11 +113,11 @@
 func readFailed(w http.ResponseWriter, err error) {
 	var missing *stoatpaddle.NotFoundError
 	if errors.As(err, &missing) {
-		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
+		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
 		return
 	}
 	w.Header().Set("Retry-After", "1")
-	refuse(w, http.StatusServiceUnavailable, FaultPlatform, Answer{})
+	refuse(w, http.StatusServiceUnavailable, ProblemPlatformUnavailable, Response{})
 }
 
 func (s *Server) getContract(w http.ResponseWriter, r *http.Request) {
@@ -128,7 +128,7 @@
 	}
 	c, err := stoatcontract.Decode(o.Value)
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, FaultInvalid, Answer{Version: uint64(o.Version)})
+		refuse(w, http.StatusInternalServerError, ProblemInvalidContract, Response{Version: uint64(o.Version)})
 		return
 	}
 	w.Header().Set("ETag", strconv.Quote(o.Version.String()))
@@ -148,12 +148,12 @@
 func (s *Server) putContract(w http.ResponseWriter, r *http.Request) {
 	base, ok := condition(r)
 	if !ok {
-		refuse(w, http.StatusPreconditionRequired, FaultCondition, Answer{})
+		refuse(w, http.StatusPreconditionRequired, ProblemMissingCondition, Response{})
 		return
 	}
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxContract))
 	if err != nil {
-		refuse(w, http.StatusRequestEntityTooLarge, FaultInvalid, Answer{})
+		refuse(w, http.StatusRequestEntityTooLarge, ProblemInvalidContract, Response{})
 		return
 	}
 	name := r.PathValue("name")
@@ -163,7 +163,7 @@
 		faults = []*stoatpaddle.Fault{{File: name, Section: "contract", Key: "customer", Got: string(draft.Contract.Customer), Want: name}}
 	}
 	if len(faults) > 0 {
-		refuse(w, http.StatusUnprocessableEntity, FaultInvalid, Answer{Faults: toFaults(faults)})
+		refuse(w, http.StatusUnprocessableEntity, ProblemInvalidContract, Response{Faults: toFaults(faults)})
 		return
 	}
 	s.accept(w, r, draft.Contract, base)
@@ -183,20 +183,20 @@
 			current = o
 			continue
 		}
-		if other, err := stoatcontract.Decode(o.Value); o.Ref.Kind == stoatpaddle.ObjectContract && !o.Gone && err == nil {
+		if other, err := stoatcontract.Decode(o.Value); o.Ref.Kind == stoatpaddle.ObjectContract && !o.Deleted && err == nil {
 			others = append(others, other)
 		}
 	}
 	if faults := stoatcontract.Conflicts(string(c.Customer), c, others); len(faults) > 0 {
-		refuse(w, http.StatusUnprocessableEntity, FaultInvalid, Answer{Faults: toFaults(faults)})
+		refuse(w, http.StatusUnprocessableEntity, ProblemInvalidContract, Response{Faults: toFaults(faults)})
 		return
 	}
-	if standing, err := stoatcontract.Decode(current.Value); err == nil && !current.Gone {
-		c = stoatcontract.Retire(s.cfg.Clock(), standing, c)
+	if standing, err := stoatcontract.Decode(current.Value); err == nil && !current.Deleted {
+		c = stoatcontract.AddRetired(s.cfg.Clock(), standing, c)
 	}
 	value, err := stoatcontract.Encode(c)
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, FaultInvalid, Answer{})
+		refuse(w, http.StatusInternalServerError, ProblemInvalidContract, Response{})
 		return
 	}
 	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Value: value}, current)
@@ -205,7 +205,7 @@
 func (s *Server) deleteContract(w http.ResponseWriter, r *http.Request) {
 	base, ok := condition(r)
 	if !ok || base == 0 {
-		refuse(w, http.StatusPreconditionRequired, FaultCondition, Answer{})
+		refuse(w, http.StatusPreconditionRequired, ProblemMissingCondition, Response{})
 		return
 	}
 	current, err := s.cfg.Platform.Get(r.Context(), contractRef(r))
@@ -213,37 +213,37 @@
 		readFailed(w, err)
 		return
 	}
-	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Gone: true}, current)
+	s.write(w, r, stoatpaddle.Object{Ref: contractRef(r), Version: base, Deleted: true}, current)
 }
 
 // write does the conditional write and answers what became of it.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, o, current stoatpaddle.Object) {
-	own := stoatpaddle.Token(r.Header.Get(HeaderToken))
+	own := stoatpaddle.WriteToken(r.Header.Get(HeaderToken))
 	if own == "" {
-		own = stoatpaddle.Token(uuid.NewString())
-	} else if stoatplatform.Wrote(current, own) {
-		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(current.Version), Token: string(own)})
+		own = stoatpaddle.WriteToken(uuid.NewString())
+	} else if stoatplatform.WrittenBy(current, own) {
+		reply(w, http.StatusOK, Response{Outcome: OutcomeAccepted, Version: uint64(current.Version), Token: string(own)})
 		return
 	}
-	o.Token = stoatplatform.Trail(own, current.Token)
+	o.Token = stoatplatform.ChainToken(own, current.Token)
 	done, err := s.put(r.Context(), o, own)
 	var conflict *stoatpaddle.ConflictError
 	switch {
 	case err == nil:
 		w.Header().Set("ETag", strconv.Quote(done.Version.String()))
-		reply(w, http.StatusOK, Answer{Outcome: Accepted, Version: uint64(done.Version), Token: string(own)})
+		reply(w, http.StatusOK, Response{Outcome: OutcomeAccepted, Version: uint64(done.Version), Token: string(own)})
 	case errors.As(err, &conflict):
-		refuse(w, http.StatusConflict, FaultConflict, Answer{
-			Version: uint64(conflict.Current.Version), Differs: differs(o, conflict.Current),
+		refuse(w, http.StatusConflict, ProblemConflict, Response{
+			Version: uint64(conflict.Current.Version), Differences: differs(o, conflict.Current),
 		})
 	default:
-		reply(w, http.StatusGatewayTimeout, Answer{
-			Outcome: Unknown, Number: FaultUnknown.Number.String(), Title: FaultUnknown.Title, Token: string(own),
+		reply(w, http.StatusGatewayTimeout, Response{
+			Outcome: OutcomeUnknown, Number: ProblemOutcomeUnknown.Number.String(), Title: ProblemOutcomeUnknown.Title, Token: string(own),
 		})
 	}
 }
 
-func (s *Server) put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.Token) (stoatpaddle.Object, error) {
+func (s *Server) put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	s.mu.Lock()
 	rnd := rand.New(rand.NewPCG(s.cfg.Rand.Uint64(), 5))
 	s.mu.Unlock()
@@ -257,22 +257,22 @@
 	if errA != nil || errB != nil {
 		return nil
 	}
-	return stoatcontract.Differences(a, b)
+	return stoatcontract.Diff(a, b)
 }
 
 // markInstance marks an instance as joining or leaving.
 func (s *Server) markInstance(w http.ResponseWriter, r *http.Request) {
-	var m Mark
+	var m StateChange
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxContract)).Decode(&m); err != nil {
-		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
+		refuse(w, http.StatusUnprocessableEntity, ProblemInvalidState, Response{})
 		return
 	}
-	state := stoatpaddle.State(m.State)
+	state := stoatpaddle.InstanceState(m.State)
 	if state != stoatpaddle.StateLeaving && state != stoatpaddle.StateJoining {
-		refuse(w, http.StatusUnprocessableEntity, FaultState, Answer{})
+		refuse(w, http.StatusUnprocessableEntity, ProblemInvalidState, Response{})
 		return
 	}
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: r.PathValue("name")}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: r.PathValue("name")}
 	current, err := s.cfg.Platform.Get(r.Context(), ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -281,20 +281,20 @@
 	}
 	i, known := s.instance(ref, current)
 	if !known {
-		refuse(w, http.StatusNotFound, FaultMissing, Answer{})
+		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
 		return
 	}
 	i.State = state
 	value, err := stoatcontract.EncodeInstance(i)
 	if err != nil {
-		refuse(w, http.StatusInternalServerError, FaultState, Answer{})
+		refuse(w, http.StatusInternalServerError, ProblemInvalidState, Response{})
 		return
 	}
 	s.write(w, r, stoatpaddle.Object{Ref: ref, Version: current.Version, Value: value}, current)
 }
 
 // instance returns the instance behind a mark: the object that stands, or an upstream of a contract.
-func (s *Server) instance(ref stoatpaddle.Ref, current stoatpaddle.Object) (stoatpaddle.Instance, bool) {
+func (s *Server) instance(ref stoatpaddle.ObjectRef, current stoatpaddle.Object) (stoatpaddle.Instance, bool) {
 	if i, err := stoatcontract.DecodeInstance(current.Value); current.Version > 0 && err == nil {
 		return i, true
 	}
--- a/stoatadmin/wire.go
+++ b/stoatadmin/wire.go
@@ -14,20 +14,20 @@
 
 // The outcomes of a change.
 const (
-	Accepted Outcome = "accepted" // the platform has it
-	Refused  Outcome = "refused"  // it took no effect
-	Unknown  Outcome = "unknown"  // ask again with the token
+	OutcomeAccepted Outcome = "accepted" // the platform has it
+	OutcomeRefused  Outcome = "refused"  // it took no effect
+	OutcomeUnknown  Outcome = "unknown"  // ask again with the token
 )
 
-// Answer is the API's answer to a change.
-type Answer struct {
-	Outcome Outcome     `json:"outcome"`
-	Number  string      `json:"number,omitempty"` // of the catalogue entry
-	Title   string      `json:"title,omitempty"`
-	Version uint64      `json:"version,omitempty"` // that stands
-	Token   string      `json:"token,omitempty"`
-	Differs []string    `json:"differs,omitempty"`
-	Faults  []wireFault `json:"faults,omitempty"`
+// Response is the API's answer to a change.
+type Response struct {
+	Outcome     Outcome     `json:"outcome"`
+	Number      string      `json:"number,omitempty"` // of the catalogue entry
+	Title       string      `json:"title,omitempty"`
+	Version     uint64      `json:"version,omitempty"` // that stands
+	Token       string      `json:"token,omitempty"`
+	Differences []string    `json:"differs,omitempty"`
+	Faults      []wireFault `json:"faults,omitempty"`
 }
 
 type wireFault struct {
@@ -38,8 +38,8 @@
 	Want    string `json:"want"`
 }
 
-// Mark is the body of a change of an instance's state.
-type Mark struct {
+// StateChange is the body of a change of an instance's state.
+type StateChange struct {
 	State string `json:"state"`
 }
 
@@ -53,11 +53,11 @@
 
 func toStatus(s stoatnode.Status) stoatstatus.Status {
 	out := stoatstatus.Status{
-		Instance: string(s.Self), Ready: s.Ready, Leaving: s.Leaving, Platform: s.Platform, Watching: s.Watching,
-		Contracts: []stoatstatus.Summary{}, Instances: []stoatstatus.Instance{},
+		Instance: string(s.Self), Ready: s.Ready, Leaving: s.Leaving, PlatformAvailable: s.PlatformAvailable, WatchesPlatform: s.WatchesPlatform,
+		Contracts: []stoatstatus.ContractVersion{}, Instances: []stoatstatus.Instance{},
 	}
 	for _, c := range s.Contracts {
-		out.Contracts = append(out.Contracts, stoatstatus.Summary{Customer: string(c.Customer), Version: uint64(c.Version)})
+		out.Contracts = append(out.Contracts, stoatstatus.ContractVersion{Customer: string(c.Customer), Version: uint64(c.Version)})
 	}
 	for _, dc := range s.Evacuated {
 		out.Evacuated = append(out.Evacuated, string(dc))
--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -46,7 +46,7 @@
 
 func entry(t *testing.T, calls int, ups ...netip.AddrPort) (*Handler, string) {
 	c := stoatpaddle.Contract{
-		Customer: "sawt", Limits: stoatpaddle.Limits{Flows: 1, Opens: 1, Calls: calls, Rate: 1000},
+		Customer: "sawt", Limits: stoatpaddle.Limits{Flows: 1, OpenRate: 1, Calls: calls, CallRate: 1000},
 		Services: []stoatpaddle.Service{{ID: "ledger", Kind: stoatpaddle.KindCall, Host: "ledger.example"}},
 	}
 	for i, addr := range ups {
@@ -97,7 +97,7 @@
 			if _, body, err := call(t, http.MethodGet, url, ""); err == nil {
 				t.Errorf("the caller took %q for the whole answer", body)
 			}
-			if h.Stats().Cut.Load() != 1 || h.Stats().Answered.Load() != 0 {
+			if h.Stats().Truncated.Load() != 1 || h.Stats().Answered.Load() != 0 {
 				t.Error("not counted as cut")
 			}
 		})
@@ -166,12 +166,12 @@
 	if _, body, _ := call(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1303") {
 		t.Error("limit:", body)
 	}
-	h.Stop()
+	h.Drain()
 	if _, body, _ := call(t, http.MethodGet, url, ""); !strings.Contains(body, "SP1306") {
 		t.Error("leaving:", body)
 	}
-	if h.Open() != 1 {
-		t.Error(h.Open(), "calls open")
+	if h.OpenCalls() != 1 {
+		t.Error(h.OpenCalls(), "calls open")
 	}
 	close(release)
 	if err := <-first; err != nil {
@@ -209,7 +209,7 @@
 		t.Error("an upload cut by its caller was answered")
 	}
 	<-done
-	for h.Open() > 0 {
+	for h.OpenCalls() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	h.mu.Lock()
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -63,11 +63,11 @@
 
 // Stats counts how calls ended.
 type Stats struct {
-	Answered atomic.Int64
-	Refused  atomic.Int64
-	Unknown  atomic.Int64
-	Cut      atomic.Int64
-	Attempts atomic.Int64
+	Answered       atomic.Int64
+	Refused        atomic.Int64
+	UnknownOutcome atomic.Int64
+	Truncated      atomic.Int64
+	Attempts       atomic.Int64
 }
 
 // New returns a Handler.
@@ -87,11 +87,11 @@
 	}
 }
 
-// Stop makes the handler refuse new calls; those in progress go on.
-func (h *Handler) Stop() { h.stopping.Store(true) }
+// Drain makes the handler refuse new calls; those in progress go on.
+func (h *Handler) Drain() { h.stopping.Store(true) }
 
-// Open returns the number of calls in progress.
-func (h *Handler) Open() int { return int(h.open.Load()) }
+// OpenCalls returns the number of calls in progress.
+func (h *Handler) OpenCalls() int { return int(h.open.Load()) }
 
 // Stats returns the handler's counters.
 func (h *Handler) Stats() *Stats { return &h.stats }
@@ -117,14 +117,14 @@
 		return
 	}
 	if !h.admit(v, svc) {
-		h.refuse(w, ProblemLimit, http.StatusTooManyRequests, svc.Ref.String())
+		h.refuse(w, ProblemOverLimit, http.StatusTooManyRequests, svc.Ref.String())
 		return
 	}
 	defer h.leave(svc)
 	h.call(w, r, svc)
 }
 
-func (h *Handler) refuse(w http.ResponseWriter, e *stoatevent.Entry, status int, detail string) {
+func (h *Handler) refuse(w http.ResponseWriter, e *stoatevent.Definition, status int, detail string) {
 	h.stats.Refused.Add(1)
 	refuse(w, e, status, comeBack, detail)
 }
@@ -144,7 +144,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	c := h.customers[svc.Ref.Customer]
-	rate := max(1, float64(svc.Limits.Rate)/float64(entries))
+	rate := max(1, float64(svc.Limits.CallRate)/float64(entries))
 	if c == nil {
 		c = &customer{tokens: rate, filled: now}
 		h.customers[svc.Ref.Customer] = c
@@ -183,8 +183,8 @@
 		}
 		h.drop(u)
 		if err != nil && !provablyNotRun(err) && !idempotent(r.Method) {
-			h.stats.Unknown.Add(1)
-			refuse(w, ProblemUnknown, http.StatusBadGateway, 0, "")
+			h.stats.UnknownOutcome.Add(1)
+			refuse(w, ProblemUnknownOutcome, http.StatusBadGateway, 0, "")
 			return
 		}
 		if r.Context().Err() != nil {
@@ -199,7 +199,7 @@
 			return
 		}
 	}
-	h.refuse(w, ProblemBusy, http.StatusServiceUnavailable, svc.Ref.String())
+	h.refuse(w, ProblemNoCapacity, http.StatusServiceUnavailable, svc.Ref.String())
 }
 
 // finish passes the answer on; the deferred drop also runs when a cut answer aborts.
@@ -210,11 +210,11 @@
 
 func (h *Handler) afterBody(w http.ResponseWriter, err error) {
 	if err == nil || provablyNotRun(err) {
-		h.refuse(w, ProblemBusy, http.StatusServiceUnavailable, "")
+		h.refuse(w, ProblemNoCapacity, http.StatusServiceUnavailable, "")
 		return
 	}
-	h.stats.Unknown.Add(1)
-	refuse(w, ProblemUnknown, http.StatusBadGateway, 0, "")
+	h.stats.UnknownOutcome.Add(1)
+	refuse(w, ProblemUnknownOutcome, http.StatusBadGateway, 0, "")
 }
 
 func notRun(res *http.Response) bool {
@@ -310,7 +310,7 @@
 	}
 	w.WriteHeader(res.StatusCode)
 	if err := h.stream(w, res.Body); err != nil {
-		h.stats.Cut.Add(1)
+		h.stats.Truncated.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	h.stats.Answered.Add(1)
--- a/stoatcommand/centre.go
+++ b/stoatcommand/centre.go
@@ -28,7 +28,7 @@
 type takeBackArgs struct{ centreNameArgs }
 
 func (a *takeBackArgs) run(c *env) error {
-	answer, err := a.client().TakeBack(c.ctx, stoatpaddle.DataCentreID(a.Centre))
+	answer, err := a.client().EndEvacuation(c.ctx, stoatpaddle.DataCentreID(a.Centre))
 	return a.report(c, answer, err)
 }
 
--- a/stoatcommand/check.go
+++ b/stoatcommand/check.go
@@ -66,7 +66,7 @@
 		}
 		return nil
 	}
-	e, err := stoatevent.Find(a.Number)
+	e, err := stoatevent.Lookup(a.Number)
 	if err != nil {
 		return err
 	}
--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -49,16 +49,16 @@
 	if err != nil {
 		return err
 	}
-	base := draft.Base
+	base := draft.BaseVersion
 	if a.Version > 0 {
 		base = stoatpaddle.Version(a.Version)
 	}
-	answer, err := a.client().Apply(c.ctx, draft.Contract.Customer, data, stoatadmin.Change{Base: base, Token: a.Token})
+	answer, err := a.client().Apply(c.ctx, draft.Contract.Customer, data, stoatadmin.ChangeOptions{Base: base, Token: a.Token})
 	return a.report(c, answer, err)
 }
 
 // report prints how a change ended.
-func (a entryArgs) report(c *env, answer stoatadmin.Answer, err error) error {
+func (a entryArgs) report(c *env, answer stoatadmin.Response, err error) error {
 	if a.JSON {
 		if perr := printJSON(c.out, answer); perr != nil {
 			return perr
@@ -117,7 +117,7 @@
 }
 
 func (a *rmArgs) run(c *env) error {
-	change := stoatadmin.Change{Base: stoatpaddle.Version(a.Version), Token: a.Token}
+	change := stoatadmin.ChangeOptions{Base: stoatpaddle.Version(a.Version), Token: a.Token}
 	answer, err := a.client().Remove(c.ctx, stoatpaddle.CustomerID(a.Customer), change)
 	return a.report(c, answer, err)
 }
@@ -133,8 +133,8 @@
 	Instance string `arg:"positional,required" help:"an entry or an upstream"`
 }
 
-func (a *markArgs) mark(c *env, state stoatpaddle.State) error {
-	answer, err := a.client().Mark(c.ctx, stoatpaddle.InstanceID(a.Instance), state)
+func (a *markArgs) mark(c *env, state stoatpaddle.InstanceState) error {
+	answer, err := a.client().SetInstanceState(c.ctx, stoatpaddle.InstanceID(a.Instance), state)
 	return a.report(c, answer, err)
 }
 
@@ -216,13 +216,13 @@
 
 func (f *fleet) print(w io.Writer) {
 	for _, st := range f.Entries {
-		_, _ = fmt.Fprintf(w, "%-16s ready=%t leaving=%t platform=%t watching=%t", st.Instance, st.Ready, st.Leaving, st.Platform, st.Watching)
+		_, _ = fmt.Fprintf(w, "%-16s ready=%t leaving=%t platform=%t watching=%t", st.Instance, st.Ready, st.Leaving, st.PlatformAvailable, st.WatchesPlatform)
 		for _, s := range st.Contracts {
 			_, _ = fmt.Fprintf(w, " %s@%d", s.Customer, s.Version)
 		}
 		if v := st.View; v != nil {
 			_, _ = fmt.Fprintf(w, " version=%d proven=%dms routes=%d serving=%d leaving=%d missing=%d gone=%d",
-				v.Version, v.Age, v.Routes, v.Serving, v.Leaving, v.Missing, v.Gone)
+				v.Version, v.AgeMS, v.Routes, v.Serving, v.Leaving, v.Missing, v.Gone)
 		}
 		_, _ = fmt.Fprintln(w)
 	}
--- a/stoatcommand/report.go
+++ b/stoatcommand/report.go
@@ -47,9 +47,9 @@
 	})
 	t := out.Total
 	out.Burns = []burn{
-		newBurn("flows not reset", t.Opened-t.Reset, t.Reset),
-		newBurn("calls with a whole answer or a true refusal", t.Answered+t.Refused, t.Unknown+t.Cut),
-		newBurn("calls answered", t.Answered, t.Refused+t.Unknown+t.Cut),
+		newBurn("flows not reset", t.FlowsOpened-t.FlowsReset, t.FlowsReset),
+		newBurn("calls with a whole answer or a true refusal", t.CallsAnswered+t.CallsRefused, t.CallsUnknown+t.CallsTruncated),
+		newBurn("calls answered", t.CallsAnswered, t.CallsRefused+t.CallsUnknown+t.CallsTruncated),
 	}
 	if a.JSON {
 		return printJSON(c.out, out)
--- a/stoatcommand/run_entry.go
+++ b/stoatcommand/run_entry.go
@@ -67,8 +67,8 @@
 )
 
 func (a *measureArgs) run(c *env) error {
-	lean := stoatpaddle.Lean(a.Lean)
-	if a.Entries < 5 || a.Upstreams < 4 || a.Flows < 1 || a.Opens <= 0 || lean != stoatpaddle.LeanFlows && lean != stoatpaddle.LeanBalance {
+	lean := stoatpaddle.Preference(a.Lean)
+	if a.Entries < 5 || a.Upstreams < 4 || a.Flows < 1 || a.Opens <= 0 || lean != stoatpaddle.PreferFewTracked && lean != stoatpaddle.PreferBalance {
 		return &UsageError{Problem: "measure needs at least 5 entries, 4 upstreams, 1 flow, a positive rate, and lean = flows or balance"}
 	}
 	if a.Spread {
--- a/stoatcontract/codec.go
+++ b/stoatcontract/codec.go
@@ -65,8 +65,8 @@
 // Encode returns the contract's JSON.
 func Encode(c stoatpaddle.Contract) ([]byte, error) {
 	w := wireContract{
-		Customer: string(c.Customer), Lean: string(c.Lean),
-		Limits: wireLimits{Flows: c.Limits.Flows, Opens: c.Limits.Opens, Calls: c.Limits.Calls, Rate: c.Limits.Rate},
+		Customer: string(c.Customer), Lean: string(c.Preference),
+		Limits: wireLimits{Flows: c.Limits.Flows, Opens: c.Limits.OpenRate, Calls: c.Limits.Calls, Rate: c.Limits.CallRate},
 	}
 	for i := range c.Services {
 		w.Services = append(w.Services, encodeService(&c.Services[i]))
@@ -87,7 +87,7 @@
 	for _, r := range s.Retired {
 		w.Retired = append(w.Retired, wireRetired{Until: r.Until.Unix(), Upstream: encodeUpstream(r.Upstream)})
 	}
-	for _, c := range s.Centres {
+	for _, c := range s.CentreWeights {
 		w.Shares = append(w.Shares, wireShare{Centre: string(c.DataCentre), Weight: uint32(c.Weight)})
 	}
 	return w
@@ -100,8 +100,8 @@
 		return stoatpaddle.Contract{}, &stoatpaddle.DecodeError{What: "contract", Cause: err}
 	}
 	c := stoatpaddle.Contract{
-		Customer: stoatpaddle.CustomerID(w.Customer), Lean: stoatpaddle.Lean(w.Lean),
-		Limits: stoatpaddle.Limits{Flows: w.Limits.Flows, Opens: w.Limits.Opens, Calls: w.Limits.Calls, Rate: w.Limits.Rate},
+		Customer: stoatpaddle.CustomerID(w.Customer), Preference: stoatpaddle.Preference(w.Lean),
+		Limits: stoatpaddle.Limits{Flows: w.Limits.Flows, OpenRate: w.Limits.Opens, Calls: w.Limits.Calls, CallRate: w.Limits.Rate},
 	}
 	for _, ws := range w.Services {
 		s, err := decodeService(ws)
@@ -118,7 +118,7 @@
 
 func decodeService(w wireService) (stoatpaddle.Service, error) {
 	s := stoatpaddle.Service{
-		ID: stoatpaddle.ServiceID(w.Name), Kind: stoatpaddle.Kind(w.Kind),
+		ID: stoatpaddle.ServiceID(w.Name), Kind: stoatpaddle.ServiceKind(w.Kind),
 		Protocol: stoatpaddle.Protocol(w.Proto), Ports: w.Ports, Host: w.Host,
 	}
 	if w.Address != "" {
@@ -140,10 +140,10 @@
 		if err != nil {
 			return s, err
 		}
-		s.Retired = append(s.Retired, stoatpaddle.Retired{Upstream: up, Until: time.Unix(r.Until, 0)})
+		s.Retired = append(s.Retired, stoatpaddle.RetiredUpstream{Upstream: up, Until: time.Unix(r.Until, 0)})
 	}
 	for _, c := range w.Shares {
-		s.Centres = append(s.Centres, stoatpaddle.CentreWeight{
+		s.CentreWeights = append(s.CentreWeights, stoatpaddle.CentreWeight{
 			DataCentre: stoatpaddle.DataCentreID(c.Centre), Weight: stoatpaddle.Weight(c.Weight),
 		})
 	}
@@ -153,7 +153,7 @@
 func encodeUpstream(u stoatpaddle.Upstream) wireUpstream {
 	return wireUpstream{
 		Name: string(u.ID), Centre: string(u.DataCentre), Address: u.Addr.String(),
-		Weight: uint32(u.Weight), Slots: u.Slots, Connections: u.Connections, Opens: u.Opens,
+		Weight: uint32(u.Weight), Slots: u.Slots, Connections: u.MaxFlows, Opens: u.MaxOpenRate,
 	}
 }
 
@@ -161,7 +161,7 @@
 	addr, err := netip.ParseAddrPort(w.Address)
 	return stoatpaddle.Upstream{
 		ID: stoatpaddle.UpstreamID(w.Name), DataCentre: stoatpaddle.DataCentreID(w.Centre), Addr: addr,
-		Weight: stoatpaddle.Weight(w.Weight), Slots: w.Slots, Connections: w.Connections, Opens: w.Opens,
+		Weight: stoatpaddle.Weight(w.Weight), Slots: w.Slots, MaxFlows: w.Connections, MaxOpenRate: w.Opens,
 	}, err
 }
 
@@ -184,8 +184,8 @@
 		return stoatpaddle.Instance{}, &stoatpaddle.DecodeError{What: "instance", Cause: err}
 	}
 	i := stoatpaddle.Instance{
-		ID: stoatpaddle.InstanceID(w.Name), Role: stoatpaddle.Role(w.Role), DataCentre: stoatpaddle.DataCentreID(w.Centre),
-		State: stoatpaddle.State(w.State), Incarnation: stoatpaddle.Incarnation(w.Life),
+		ID: stoatpaddle.InstanceID(w.Name), Role: stoatpaddle.InstanceRole(w.Role), DataCentre: stoatpaddle.DataCentreID(w.Centre),
+		State: stoatpaddle.InstanceState(w.State), Incarnation: stoatpaddle.Incarnation(w.Life),
 	}
 	if i.Role != stoatpaddle.RoleEntry {
 		return i, nil
--- a/stoatcontract/contract_test.go
+++ b/stoatcontract/contract_test.go
@@ -51,8 +51,8 @@
 	}
 	addrs := cmpopts.EquateComparable(netip.Addr{}, netip.AddrPort{})
 	again, err := Parse("again", []byte(Format(draft.Contract, 7)))
-	if err != nil || again.Base != 7 {
-		t.Fatal(again.Base, err)
+	if err != nil || again.BaseVersion != 7 {
+		t.Fatal(again.BaseVersion, err)
 	}
 	if d := cmp.Diff(draft.Contract, again.Contract, addrs); d != "" {
 		t.Error("INI:", d)
@@ -78,7 +78,7 @@
 	b := a.Contract
 	b.Limits.Flows++
 	want := []string{"- [limits] flows = 90000", "+ [limits] flows = 90001"}
-	if d := cmp.Diff(want, Differences(a.Contract, b)); d != "" {
+	if d := cmp.Diff(want, Diff(a.Contract, b)); d != "" {
 		t.Error(d)
 	}
 }
--- a/stoatcontract/format.go
+++ b/stoatcontract/format.go
@@ -10,12 +10,12 @@
 // Format returns the contract as INI, as Parse reads it; base is the version it stands at.
 func Format(c stoatpaddle.Contract, base stoatpaddle.Version) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "[contract]\ncustomer = %s\nlean = %s\n", c.Customer, c.Lean)
+	fmt.Fprintf(&b, "[contract]\ncustomer = %s\nlean = %s\n", c.Customer, c.Preference)
 	if base > 0 {
 		fmt.Fprintf(&b, "version = %s\n", base)
 	}
 	fmt.Fprintf(&b, "\n[limits]\nflows = %d\nopens = %d\ncalls = %d\nrate = %d\n",
-		c.Limits.Flows, c.Limits.Opens, c.Limits.Calls, c.Limits.Rate)
+		c.Limits.Flows, c.Limits.OpenRate, c.Limits.Calls, c.Limits.CallRate)
 	for i := range c.Services {
 		formatService(&b, &c.Services[i])
 	}
@@ -29,15 +29,15 @@
 	} else {
 		fmt.Fprintf(b, "address = %s\nproto = %s\nports = %s\n", s.Addr, s.Protocol, joinPorts(s.Ports))
 	}
-	if len(s.Centres) > 0 {
+	if len(s.CentreWeights) > 0 {
 		fmt.Fprintf(b, "\n[share %s]\n", s.ID)
-		for _, c := range s.Centres {
+		for _, c := range s.CentreWeights {
 			fmt.Fprintf(b, "%s = %d\n", c.DataCentre, c.Weight)
 		}
 	}
 	for _, u := range s.Upstreams {
 		fmt.Fprintf(b, "\n[upstream %s]\nservice = %s\ncentre = %s\naddress = %s\nweight = %d\nslots = %d\nconnections = %d\nopens = %d\n",
-			u.ID, s.ID, u.DataCentre, u.Addr, u.Weight, u.Slots, u.Connections, u.Opens)
+			u.ID, s.ID, u.DataCentre, u.Addr, u.Weight, u.Slots, u.MaxFlows, u.MaxOpenRate)
 	}
 }
 
@@ -49,9 +49,9 @@
 	return strings.Join(parts, ", ")
 }
 
-// Differences lists the lines, each with its section, that stand in one contract only:
+// Diff lists the lines, each with its section, that stand in one contract only:
 // "-" in a, "+" in b.
-func Differences(a, b stoatpaddle.Contract) []string {
+func Diff(a, b stoatpaddle.Contract) []string {
 	left, right := placed(Format(a, 0)), placed(Format(b, 0))
 	var out []string
 	for _, line := range left {
--- a/stoatcontract/parse.go
+++ b/stoatcontract/parse.go
@@ -23,8 +23,8 @@
 
 // Draft is a contract as an operator wrote it.
 type Draft struct {
-	Contract stoatpaddle.Contract
-	Base     stoatpaddle.Version // the version it amends; 0 if the file names none
+	Contract    stoatpaddle.Contract
+	BaseVersion stoatpaddle.Version // the version it amends; 0 if the file names none
 }
 
 // Parse reads one contract, or returns *stoatpaddle.FaultsError with all its faults.
@@ -32,9 +32,9 @@
 	r := stoatini.Parse(file, data)
 	head := r.Section("contract")
 	c := stoatpaddle.Contract{
-		Customer: stoatpaddle.CustomerID(head.Word("customer", "")),
-		Lean:     stoatpaddle.Lean(head.Choice("lean", string(stoatpaddle.LeanFlows), string(stoatpaddle.LeanBalance))),
-		Limits:   readLimits(r.Section("limits")),
+		Customer:   stoatpaddle.CustomerID(head.Word("customer", "")),
+		Preference: stoatpaddle.Preference(head.Choice("lean", string(stoatpaddle.PreferFewTracked), string(stoatpaddle.PreferBalance))),
+		Limits:     readLimits(r.Section("limits")),
 	}
 	base := head.Int("version", 0, 0, math.MaxInt)
 	for _, sec := range r.Named("service") {
@@ -47,22 +47,22 @@
 	if len(found) > 0 {
 		return Draft{}, &stoatpaddle.FaultsError{Faults: found}
 	}
-	return Draft{Contract: c, Base: stoatpaddle.Version(base)}, nil
+	return Draft{Contract: c, BaseVersion: stoatpaddle.Version(base)}, nil
 }
 
 func readLimits(sec *stoatini.Section) stoatpaddle.Limits {
 	return stoatpaddle.Limits{
-		Flows: sec.Int("flows", 100_000, 1, maxFlows),
-		Opens: sec.Int("opens", 10_000, 1, maxRate),
-		Calls: sec.Int("calls", 1_000, 1, maxRate),
-		Rate:  sec.Int("rate", 1_000, 1, maxRate),
+		Flows:    sec.Int("flows", 100_000, 1, maxFlows),
+		OpenRate: sec.Int("opens", 10_000, 1, maxRate),
+		Calls:    sec.Int("calls", 1_000, 1, maxRate),
+		CallRate: sec.Int("rate", 1_000, 1, maxRate),
 	}
 }
 
 func readService(sec *stoatini.Section) stoatpaddle.Service {
 	s := stoatpaddle.Service{
 		ID:   stoatpaddle.ServiceID(sec.Name),
-		Kind: stoatpaddle.Kind(sec.Choice("kind", string(stoatpaddle.KindFlow), string(stoatpaddle.KindCall))),
+		Kind: stoatpaddle.ServiceKind(sec.Choice("kind", string(stoatpaddle.KindFlow), string(stoatpaddle.KindCall))),
 	}
 	if s.Kind == stoatpaddle.KindCall {
 		s.Host = sec.Word("host", "")
@@ -83,12 +83,12 @@
 		keys := sec.Keys()
 		slices.Sort(keys)
 		if s == nil {
-			sec.Fault("", sec.Name, "the name of a [service ...] section")
+			sec.AddFault("", sec.Name, "the name of a [service ...] section")
 			continue
 		}
 		for _, key := range keys {
 			w := sec.Int(key, 0, 0, maxWeight)
-			s.Centres = append(s.Centres, stoatpaddle.CentreWeight{
+			s.CentreWeights = append(s.CentreWeights, stoatpaddle.CentreWeight{
 				DataCentre: stoatpaddle.DataCentreID(key), Weight: stoatpaddle.Weight(w),
 			})
 		}
@@ -104,12 +104,12 @@
 			Addr:        sec.AddrPort("address", ""),
 			Weight:      stoatpaddle.Weight(sec.Int("weight", defaultWeight, 0, maxWeight)),
 			Slots:       sec.Int("slots", defaultSlots, 1, maxSlots),
-			Connections: sec.Int("connections", defaultConnections, 1, maxFlows),
-			Opens:       sec.Int("opens", 0, 0, maxRate),
+			MaxFlows:    sec.Int("connections", defaultConnections, 1, maxFlows),
+			MaxOpenRate: sec.Int("opens", 0, 0, maxRate),
 		}
 		s := findService(c, stoatpaddle.ServiceID(name))
 		if s == nil {
-			sec.Fault("service", name, "the name of a [service ...] section")
+			sec.AddFault("service", name, "the name of a [service ...] section")
 			continue
 		}
 		s.Upstreams = append(s.Upstreams, u)
--- a/stoatcontract/retire.go
+++ b/stoatcontract/retire.go
@@ -10,9 +10,9 @@
 // as an entry remembers an idle flow.
 const retireFor = 8 * time.Hour
 
-// Retire adds to next the upstreams that an amendment takes out of the standing contract,
+// AddRetired adds to next the upstreams that an amendment takes out of the standing contract,
 // and those taken out before that may still have flows.
-func Retire(now time.Time, standing, next stoatpaddle.Contract) stoatpaddle.Contract {
+func AddRetired(now time.Time, standing, next stoatpaddle.Contract) stoatpaddle.Contract {
 	services := append([]stoatpaddle.Service(nil), next.Services...)
 	for i := range services {
 		old := findService(&standing, services[i].ID)
@@ -25,8 +25,8 @@
 	return next
 }
 
-func retired(now time.Time, old, next *stoatpaddle.Service) []stoatpaddle.Retired {
-	var out []stoatpaddle.Retired
+func retired(now time.Time, old, next *stoatpaddle.Service) []stoatpaddle.RetiredUpstream {
+	var out []stoatpaddle.RetiredUpstream
 	for _, r := range old.Retired {
 		if now.Before(r.Until) && !declares(next, r.Upstream.ID) {
 			out = append(out, r)
@@ -34,7 +34,7 @@
 	}
 	for _, u := range old.Upstreams {
 		if !declares(next, u.ID) {
-			out = append(out, stoatpaddle.Retired{Upstream: u, Until: now.Add(retireFor)})
+			out = append(out, stoatpaddle.RetiredUpstream{Upstream: u, Until: now.Add(retireFor)})
 		}
 	}
 	return out
--- a/stoatcontract/validate.go
+++ b/stoatcontract/validate.go
@@ -44,7 +44,7 @@
 	for _, n := range []struct {
 		key   string
 		value int
-	}{{"flows", l.Flows}, {"opens", l.Opens}, {"calls", l.Calls}, {"rate", l.Rate}} {
+	}{{"flows", l.Flows}, {"opens", l.OpenRate}, {"calls", l.Calls}, {"rate", l.CallRate}} {
 		if n.value <= 0 {
 			k.fault("limits", n.key, fmt.Sprint(n.value), "a positive number")
 		}
--- a/stoatdemo/contract.go
+++ b/stoatdemo/contract.go
@@ -12,7 +12,7 @@
 // customer is one customer of the demo, with its services and their addresses.
 type customer struct {
 	id   stoatpaddle.CustomerID
-	lean stoatpaddle.Lean
+	lean stoatpaddle.Preference
 	flow stoatpaddle.ServiceID
 	call stoatpaddle.ServiceID
 	addr netip.Addr
@@ -21,11 +21,11 @@
 
 var customers = []customer{
 	{
-		id: "sawt", lean: stoatpaddle.LeanBalance, flow: "giving-app", call: "ledger-intake",
+		id: "sawt", lean: stoatpaddle.PreferBalance, flow: "giving-app", call: "ledger-intake",
 		addr: netip.AddrFrom4([4]byte{203, 0, 113, 10}), host: "ledger.sawt.example",
 	},
 	{
-		id: "barrilete", lean: stoatpaddle.LeanFlows, flow: "ruta", call: "evidencia",
+		id: "barrilete", lean: stoatpaddle.PreferFewTracked, flow: "ruta", call: "evidencia",
 		addr: netip.AddrFrom4([4]byte{203, 0, 113, 20}), host: "evidencia.barrilete.example",
 	},
 }
@@ -42,9 +42,9 @@
 // contract returns the customer's contract with the given upstreams.
 func (c customer) contract(flows, calls []stoatpaddle.Upstream) stoatpaddle.Contract {
 	return stoatpaddle.Contract{
-		Customer: c.id,
-		Lean:     c.lean,
-		Limits:   stoatpaddle.Limits{Flows: 200_000, Opens: 50_000, Calls: 900, Rate: 9_000},
+		Customer:   c.id,
+		Preference: c.lean,
+		Limits:     stoatpaddle.Limits{Flows: 200_000, OpenRate: 50_000, Calls: 900, CallRate: 9_000},
 		Services: []stoatpaddle.Service{
 			{
 				ID: c.flow, Kind: stoatpaddle.KindFlow, Addr: c.addr, Protocol: stoatpaddle.ProtocolTCP,
@@ -59,6 +59,6 @@
 func upstream(svc stoatpaddle.ServiceID, n int, addr netip.AddrPort) stoatpaddle.Upstream {
 	return stoatpaddle.Upstream{
 		ID: stoatpaddle.UpstreamID(string(svc) + "-" + string(rune('a'+n))), DataCentre: centres[n%len(centres)],
-		Addr: addr, Weight: serverWeight, Slots: slotsPerServer, Connections: connectionsPerServer,
+		Addr: addr, Weight: serverWeight, Slots: slotsPerServer, MaxFlows: connectionsPerServer,
 	}
 }
--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -232,7 +232,7 @@
 // drainUpstream marks an upstream as leaving, and checks that it gets no new flow after 3 s.
 func (env *environment) drainUpstream() (string, error) {
 	id := stoatpaddle.UpstreamID(string(customers[0].flow) + "-a")
-	if _, err := env.admin(1).Mark(env.ctx, stoatpaddle.InstanceID(id), stoatpaddle.StateLeaving); err != nil {
+	if _, err := env.admin(1).SetInstanceState(env.ctx, stoatpaddle.InstanceID(id), stoatpaddle.StateLeaving); err != nil {
 		return "", err
 	}
 	marked := time.Now()
@@ -290,7 +290,7 @@
 	if last >= maxDrainDelay {
 		env.violations = append(env.violations, "a new flow reached an evacuated data centre after "+last.String())
 	}
-	_, err = env.admin(0).TakeBack(env.ctx, dc)
+	_, err = env.admin(0).EndEvacuation(env.ctx, dc)
 	return fmt.Sprintf("in force everywhere after %d ms, last new flow there after %d ms", took.Milliseconds(), last.Milliseconds()), err
 }
 
--- a/stoatdemo/run_client.go
+++ b/stoatdemo/run_client.go
@@ -44,7 +44,7 @@
 // call sends one call to a random entry and counts how it ended.
 func (c *client) call(hc *http.Client) {
 	c.env.mu.Lock()
-	addr := c.env.settings[c.rnd.IntN(len(c.env.settings))].Call
+	addr := c.env.settings[c.rnd.IntN(len(c.env.settings))].CallAddr
 	c.env.mu.Unlock()
 	body := strings.Repeat(callBodyPart, 1+c.rnd.IntN(500))
 	req, err := http.NewRequest(http.MethodPost, "http://"+addr.String()+"/claim", strings.NewReader(body))
--- a/stoatdemo/run_environment.go
+++ b/stoatdemo/run_environment.go
@@ -157,10 +157,10 @@
 	dc := centres[n%len(centres)]
 	set := stoatsetting.Settings{
 		Instance:   stoatpaddle.InstanceID(string(dc) + "-" + strconv.Itoa(n/len(centres)+1)),
-		DataCentre: dc, Cluster: "demo", Platform: env.addr, Egress: env.callers.Addr(),
-		Level: "info", Stop: stopDeadline, Settle: time.Minute,
+		DataCentre: dc, Cluster: "demo", PlatformAddr: env.addr, EgressAddr: env.callers.Addr(),
+		LogLevel: "info", StopDeadline: stopDeadline, SettleTime: time.Minute,
 	}
-	for _, a := range []*netip.AddrPort{&set.Tunnel, &set.Relay, &set.Peer, &set.Admin, &set.Call} {
+	for _, a := range []*netip.AddrPort{&set.TunnelAddr, &set.RelayAddr, &set.PeerAddr, &set.AdminAddr, &set.CallAddr} {
 		addr, err := stoatfake.FreeAddr()
 		if err != nil {
 			return err
@@ -184,7 +184,7 @@
 	defer env.mu.Unlock()
 	var list []netip.AddrPort
 	for _, s := range env.settings {
-		list = append(list, s.Tunnel)
+		list = append(list, s.TunnelAddr)
 	}
 	env.fabric.Set(list)
 }
@@ -196,7 +196,7 @@
 	e := env.entries[i]
 	env.entries = append(env.entries[:i:i], env.entries[i+1:]...)
 	env.settings = append(env.settings[:i:i], env.settings[i+1:]...)
-	env.retiredBytes += e.ControlBytes()
+	env.retiredBytes += e.ControlBytesSent()
 	return e
 }
 
@@ -204,12 +204,12 @@
 func (env *environment) admin(i int) *stoatadmin.Client {
 	env.mu.Lock()
 	defer env.mu.Unlock()
-	return stoatadmin.NewClient(env.settings[i].Admin.String())
+	return stoatadmin.NewClient(env.settings[i].AdminAddr.String())
 }
 
 // apply applies a contract through entry i, based on the given version.
 func (env *environment) apply(i int, c stoatpaddle.Contract, base stoatpaddle.Version) (stoatpaddle.Version, error) {
-	a, err := env.admin(i).Apply(env.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.Change{Base: base})
+	a, err := env.admin(i).Apply(env.ctx, c.Customer, []byte(stoatcontract.Format(c, 0)), stoatadmin.ChangeOptions{Base: base})
 	return stoatpaddle.Version(a.Version), err
 }
 
@@ -219,7 +219,7 @@
 	defer env.mu.Unlock()
 	total := env.retiredBytes
 	for _, e := range env.entries {
-		total += e.ControlBytes()
+		total += e.ControlBytesSent()
 	}
 	return total
 }
--- a/stoatecho/admit.go
+++ b/stoatecho/admit.go
@@ -81,7 +81,7 @@
 
 // admits reports whether the upstream may get one more flow of the route.
 func admits(now time.Time, h *health, r *stoatroute.Route) bool {
-	return r.Objective == 0 || expectedAnswer(now, h) <= admitBound(h, r)
+	return r.TargetLatency == 0 || expectedAnswer(now, h) <= admitBound(h, r)
 }
 
 // admitBound returns the greatest expected answer time with which one more flow of the route is admitted.
@@ -91,7 +91,7 @@
 		most, least = urgentShare, overloadUrgentShare
 	}
 	share := most - (most-least)*min(1, h.group.refusedShare/overloadRefusedShare)
-	return max(time.Duration(share*float64(r.Objective)), time.Duration(admitFloorFactor*float64(unqueuedAnswer(h))))
+	return max(time.Duration(share*float64(r.TargetLatency)), time.Duration(admitFloorFactor*float64(unqueuedAnswer(h))))
 }
 
 // unqueuedAnswer returns how long an answer takes without a queue. The upstream's own floor may be too high,
--- a/stoatecho/admit_test.go
+++ b/stoatecho/admit_test.go
@@ -15,8 +15,8 @@
 	w.rev++
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
 	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
-		{Listen: idempotentAddr, Backends: to, Idempotent: true, Objective: d, Priority: 2},
-		{Listen: nonIdempotentAddr, Backends: to, Objective: d, Priority: 1},
+		{Listen: idempotentAddr, Backends: to, Idempotent: true, TargetLatency: d, Priority: 2},
+		{Listen: nonIdempotentAddr, Backends: to, TargetLatency: d, Priority: 1},
 	}}, w.rev)
 }
 
@@ -27,7 +27,7 @@
 	w.book.MarkGone(w.now, "i-1", w.rev+2)
 	w.rev += 3
 	w.book.Register(w.now, stoatpaddle.Registration{
-		ID: "i-7", Target: 7, Service: "app", DataCentre: "here", Slots: 3, Created: w.rev, Cold: cold,
+		ID: "i-7", Target: 7, Service: "app", DataCentre: "here", Slots: 3, CreateRevision: w.rev, ColdRemaining: cold,
 	}, w.rev)
 }
 
--- a/stoatecho/bench_test.go
+++ b/stoatecho/bench_test.go
@@ -19,7 +19,7 @@
 	for i := range n {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		names[id] = true
-		b.Register(start, stoatpaddle.Registration{ID: id, Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "here", Slots: 3, Created: stoatpaddle.Version(i + 2)}, stoatpaddle.Version(i+2))
+		b.Register(start, stoatpaddle.Registration{ID: id, Target: stoatpaddle.TargetID(i + 1), Service: "app", DataCentre: "here", Slots: 3, CreateRevision: stoatpaddle.Version(i + 2)}, stoatpaddle.Version(i+2))
 	}
 	b.ApplyList(start, names, false)
 	return b.Table()
@@ -76,7 +76,7 @@
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		names[id] = true
 		return stoatpaddle.Registration{
-			ID: id, Target: stoatpaddle.Target(i + 1), Service: stoatpaddle.ServiceID(fmt.Sprint("s-", i%services)), DataCentre: "here", Slots: 3,
+			ID: id, Target: stoatpaddle.TargetID(i + 1), Service: stoatpaddle.ServiceID(fmt.Sprint("s-", i%services)), DataCentre: "here", Slots: 3,
 		}
 	}
 	listen := func(i int) netip.AddrPort {
--- a/stoatecho/ended_test.go
+++ b/stoatecho/ended_test.go
@@ -16,7 +16,7 @@
 }
 
 // flowsTo opens n flows to the upstream.
-func (w *world) flowsTo(target stoatpaddle.Target, n int) []*caller {
+func (w *world) flowsTo(target stoatpaddle.TargetID, n int) []*caller {
 	var out []*caller
 	for len(out) < n {
 		out = append(out, w.flowTo(target))
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -38,7 +38,7 @@
 	Drop    Verdict = iota
 	Forward         // send it to Upstream, with its cookie
 	Reset           // answer the caller with a reset
-	Wait            // hold the packet until there is a table
+	Hold            // hold the packet until there is a table
 )
 
 // Action is the decision about one packet.
@@ -147,8 +147,8 @@
 	}
 }
 
-// SetPlace sets this entry's place among the entries of its data centre.
-func (e *Engine) SetPlace(now time.Time, p stoatfilter.EntryRank) {
+// SetRank sets this entry's place among the entries of its data centre.
+func (e *Engine) SetRank(now time.Time, p stoatfilter.EntryRank) {
 	e.placing.Update(now, p)
 	e.filter.EntryRank = e.placing.At(now)
 }
@@ -233,7 +233,7 @@
 func (e *Engine) beforeTable(now time.Time, p *stoatpacket.Packet) Action {
 	switch {
 	case now.Sub(e.cfg.Start) <= startGrace:
-		return Action{Verdict: Wait, Reason: stoatpacket.DropUnconfigured}
+		return Action{Verdict: Hold, Reason: stoatpacket.DropUnconfigured}
 	case p.Opens:
 		return Action{Verdict: Reset, Reason: stoatpacket.DropUnconfigured}
 	}
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -56,10 +56,10 @@
 	}}, w.rev)
 }
 
-func (w *world) register(target stoatpaddle.Target, service stoatpaddle.ServiceID, centre stoatpaddle.DataCentreID) {
+func (w *world) register(target stoatpaddle.TargetID, service stoatpaddle.ServiceID, centre stoatpaddle.DataCentreID) {
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{
-		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: service, DataCentre: centre, Slots: 3, Created: w.rev,
+		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: service, DataCentre: centre, Slots: 3, CreateRevision: w.rev,
 	}, w.rev)
 }
 
@@ -279,7 +279,7 @@
 	w.e = stoatecho.New(stoatecho.Config{DataCentre: "here", Start: w.now, Seed: 1})
 	w.book = stoatroute.NewBuilder(stoatroute.Config{})
 	c := w.caller(idempotentAddr)
-	if a := c.syn(0); a.Verdict != stoatecho.Wait {
+	if a := c.syn(0); a.Verdict != stoatecho.Hold {
 		t.Errorf("%+v", a)
 	}
 	w.after(1100 * ms)
@@ -385,7 +385,7 @@
 	w := newWorld(t)
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{
-		ID: "i-5", Target: 5, Service: "app", DataCentre: "here", Slots: 3, Created: w.rev, Cold: 5 * time.Second,
+		ID: "i-5", Target: 5, Service: "app", DataCentre: "here", Slots: 3, CreateRevision: w.rev, ColdRemaining: 5 * time.Second,
 	}, w.rev)
 	var cold []*caller
 	for len(cold) < 2 {
@@ -547,7 +547,7 @@
 	w := newWorld(t)
 	w.rev++
 	w.book.ApplyDeclaration(stoatpaddle.Declaration{Version: w.rev, Routes: []stoatpaddle.Route{
-		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Objective: 200 * ms},
+		{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, TargetLatency: 200 * ms},
 	}}, w.rev)
 	c := w.caller(idempotentAddr)
 	c.open()
@@ -687,7 +687,7 @@
 	w := newWorld(t)
 	w.rev++
 	w.book.ApplyDeclaration(stoatpaddle.Declaration{
-		Version: w.rev, Caps: map[stoatpaddle.ServiceID]int{"app": 2},
+		Version: w.rev, MaxFlows: map[stoatpaddle.ServiceID]int{"app": 2},
 		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}},
 	}, w.rev)
 	for range 6 {
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -117,8 +117,8 @@
 	failingSince time.Time // since when it has been reported for failures
 }
 
-// SetSums replaces what the entries of this data centre together saw.
-func (e *Engine) SetSums(now time.Time, list []stoatoutlier.Report) {
+// SetDataCentreSums replaces what the entries of this data centre together saw.
+func (e *Engine) SetDataCentreSums(now time.Time, list []stoatoutlier.Report) {
 	if len(list) == 0 && len(e.dataCentreSums) == 0 {
 		return
 	}
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -16,7 +16,7 @@
 // newSixUpstreamWorld returns a world with six upstreams of service app in this data centre.
 func newSixUpstreamWorld(t *testing.T) *world {
 	w := newWorld(t)
-	for i := stoatpaddle.Target(4); i <= 7; i++ {
+	for i := stoatpaddle.TargetID(4); i <= 7; i++ {
 		w.register(i, "app", "here")
 	}
 	return w
@@ -24,14 +24,14 @@
 
 // ejectFailing reports the counts as the sum of the data centre for a second, and returns the upstreams that
 // are ejected.
-func (w *world) ejectFailing(counts map[stoatpaddle.Target]stoatoutlier.Counts) []stoatpaddle.UpstreamID {
+func (w *world) ejectFailing(counts map[stoatpaddle.TargetID]stoatoutlier.Counts) []stoatpaddle.UpstreamID {
 	var list []stoatoutlier.Report
 	for target, c := range counts {
 		list = append(list, stoatoutlier.Report{Key: stoatroute.KeyOf(target), Counts: c})
 	}
 	var ejected []stoatpaddle.UpstreamID
 	for range 4 {
-		w.e.SetSums(w.now, list)
+		w.e.SetDataCentreSums(w.now, list)
 		for _, m := range w.e.EjectFailing(w.now, w.book.Table()) {
 			ejected = append(ejected, m.Upstream.ID)
 		}
@@ -54,7 +54,7 @@
 // it still fails, is ejected for twice as long.
 func TestUpstreamThatFailsAPart(t *testing.T) {
 	w := newSixUpstreamWorld(t)
-	bad := map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 36, Failed: 24}, 2: {Answered: 60, Failed: 1}}
+	bad := map[stoatpaddle.TargetID]stoatoutlier.Counts{1: {Answered: 36, Failed: 24}, 2: {Answered: 60, Failed: 1}}
 	if got := w.ejectFailing(bad); len(got) != 1 || got[0] != "i-1" {
 		t.Fatal(got)
 	}
@@ -78,7 +78,7 @@
 // restarts of entries, after which a few requests at each upstream look unanswered since their flows moved; a
 // few failures.
 func TestNoEjectionWithoutUpstreamFault(t *testing.T) {
-	for name, counts := range map[string]map[stoatpaddle.Target]stoatoutlier.Counts{
+	for name, counts := range map[string]map[stoatpaddle.TargetID]stoatoutlier.Counts{
 		"overload":          {1: {Answered: 20, Failed: 30}, 2: {Answered: 20, Failed: 24}, 4: {Answered: 20, Failed: 26}, 5: {Answered: 20, Failed: 28}, 6: {Answered: 20, Failed: 22}, 7: {Answered: 20, Failed: 25}},
 		"entries restart":   {1: {Answered: 15, Failed: 5}, 2: {Answered: 15, Failed: 2}, 4: {Answered: 15, Failed: 1}, 5: {Answered: 15, Failed: 2}, 6: {Answered: 15, Failed: 3}, 7: {Answered: 15, Failed: 1}},
 		"a few":             {1: {Answered: 2, Failed: 4}},
@@ -95,13 +95,13 @@
 // four seconds after it should be warm is.
 func TestColdUpstreamsMayFailRequests(t *testing.T) {
 	w := newWorld(t)
-	for i := stoatpaddle.Target(4); i <= 7; i++ {
+	for i := stoatpaddle.TargetID(4); i <= 7; i++ {
 		w.rev++
 		w.book.Register(w.now, stoatpaddle.Registration{
-			ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i)), Target: i, Service: "app", DataCentre: "here", Slots: 3, Created: w.rev, Cold: 5 * time.Second,
+			ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i)), Target: i, Service: "app", DataCentre: "here", Slots: 3, CreateRevision: w.rev, ColdRemaining: 5 * time.Second,
 		}, w.rev)
 	}
-	slow := map[stoatpaddle.Target]stoatoutlier.Counts{4: {Answered: 16, Failed: 8}, 5: {Answered: 60}, 6: {Answered: 60}, 7: {Answered: 60}}
+	slow := map[stoatpaddle.TargetID]stoatoutlier.Counts{4: {Answered: 16, Failed: 8}, 5: {Answered: 60}, 6: {Answered: 60}, 7: {Answered: 60}}
 	w.after(4 * time.Second)
 	if got := w.ejectFailing(slow); len(got) != 0 {
 		t.Error(got)
@@ -115,7 +115,7 @@
 // Half of the upstreams fail requests. The others could not bear the load of all of them: only the worst two of
 // six are ejected.
 func TestFailureEjectionsAreBounded(t *testing.T) {
-	got := newSixUpstreamWorld(t).ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{
+	got := newSixUpstreamWorld(t).ejectFailing(map[stoatpaddle.TargetID]stoatoutlier.Counts{
 		1: {Answered: 40, Failed: 40}, 2: {Answered: 40, Failed: 50}, 4: {Answered: 40, Failed: 15}, 5: {Answered: 60, Failed: 0}, 6: {Answered: 60, Failed: 0}, 7: {Answered: 60, Failed: 0},
 	})
 	if diff := cmp.Diff([]stoatpaddle.UpstreamID{"i-2", "i-1"}, got); diff != "" {
@@ -130,7 +130,7 @@
 	w.flowTo(1)
 	w.flowTo(2)
 	bad, good := stoatoutlier.Counts{Answered: 40, Failed: 40}, stoatoutlier.Counts{Answered: 60}
-	if got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{1: bad, 2: bad, 4: good, 5: good, 6: good, 7: good}); len(got) != 2 {
+	if got := w.ejectFailing(map[stoatpaddle.TargetID]stoatoutlier.Counts{1: bad, 2: bad, 4: good, 5: good, 6: good, 7: good}); len(got) != 2 {
 		t.Fatal("ejected", got)
 	}
 	for _, id := range []stoatpaddle.UpstreamID{"i-1", "i-2"} {
@@ -138,7 +138,7 @@
 		w.book.MarkGone(w.now, id, w.rev)
 	}
 	w.e.Retain(w.now, w.book.Table())
-	got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{4: bad, 5: good, 6: good, 7: good})
+	got := w.ejectFailing(map[stoatpaddle.TargetID]stoatoutlier.Counts{4: bad, 5: good, 6: good, 7: good})
 	if diff := cmp.Diff([]stoatpaddle.UpstreamID{"i-4"}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -148,11 +148,11 @@
 // yet, so that it seems to fail most of its requests: it must not be ejected yet.
 func TestFirstCountsAreNotEnough(t *testing.T) {
 	w := newSixUpstreamWorld(t)
-	w.e.SetSums(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
+	w.e.SetDataCentreSums(w.now, []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 2, Failed: 6}}})
 	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 0 {
 		t.Error(got)
 	}
-	if got := w.ejectFailing(map[stoatpaddle.Target]stoatoutlier.Counts{1: {Answered: 60, Failed: 6}}); len(got) != 0 {
+	if got := w.ejectFailing(map[stoatpaddle.TargetID]stoatoutlier.Counts{1: {Answered: 60, Failed: 6}}); len(got) != 0 {
 		t.Error(got)
 	}
 }
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -122,7 +122,7 @@
 // free slots.
 func TestEvacuatedTrafficSpreads(t *testing.T) {
 	w := newWorld(t)
-	for target := stoatpaddle.Target(20); target < 24; target++ {
+	for target := stoatpaddle.TargetID(20); target < 24; target++ {
 		w.register(target, "app", "there")
 		w.register(target+10, "app", "yonder")
 	}
@@ -148,10 +148,10 @@
 		Version: w.rev, ColdRates: map[stoatpaddle.ServiceID]float64{"app": 3},
 		Routes: []stoatpaddle.Route{{Listen: idempotentAddr, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}, Idempotent: true}},
 	}, w.rev)
-	for target := stoatpaddle.Target(1); target <= 2; target++ {
+	for target := stoatpaddle.TargetID(1); target <= 2; target++ {
 		w.rev++
 		w.book.Register(w.now, stoatpaddle.Registration{
-			ID: stoatpaddle.UpstreamID([]string{"", "i-1", "i-2"}[target]), Target: target, Service: "app", DataCentre: "here", Slots: 3, Cold: 4 * time.Second,
+			ID: stoatpaddle.UpstreamID([]string{"", "i-1", "i-2"}[target]), Target: target, Service: "app", DataCentre: "here", Slots: 3, ColdRemaining: 4 * time.Second,
 		}, w.rev)
 	}
 	for range 10 {
--- a/stoatecho/group_test.go
+++ b/stoatecho/group_test.go
@@ -11,7 +11,7 @@
 
 // registerForty adds upstreams of service app in this data centre until there are forty.
 func (w *world) registerForty() {
-	for target := stoatpaddle.Target(100); target < 138; target++ {
+	for target := stoatpaddle.TargetID(100); target < 138; target++ {
 		w.register(target, "app", "here")
 	}
 }
--- a/stoatecho/restart_test.go
+++ b/stoatecho/restart_test.go
@@ -13,24 +13,24 @@
 )
 
 // restarted registers a restart of an upstream under its id.
-func (w *world) restarted(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
+func (w *world) restarted(target stoatpaddle.TargetID, born stoatpaddle.Incarnation) {
 	w.registerRestart(target, born, 0)
 }
 
 // restartedCold does the same for an upstream that is cold for five seconds.
-func (w *world) restartedCold(target stoatpaddle.Target, born stoatpaddle.Incarnation) {
+func (w *world) restartedCold(target stoatpaddle.TargetID, born stoatpaddle.Incarnation) {
 	w.registerRestart(target, born, 5*time.Second)
 }
 
-func (w *world) registerRestart(target stoatpaddle.Target, born stoatpaddle.Incarnation, cold time.Duration) {
+func (w *world) registerRestart(target stoatpaddle.TargetID, born stoatpaddle.Incarnation, cold time.Duration) {
 	w.rev++
 	w.book.Register(w.now, stoatpaddle.Registration{
-		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: "app", DataCentre: "here", Slots: 3, Incarnation: born, Cold: cold,
+		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", target)), Target: target, Service: "app", DataCentre: "here", Slots: 3, Incarnation: born, ColdRemaining: cold,
 	}, w.rev)
 	w.e.Retain(w.now, w.book.Table())
 }
 
-func (w *world) inProgress(target stoatpaddle.Target) stoatecho.UpstreamState {
+func (w *world) inProgress(target stoatpaddle.TargetID) stoatecho.UpstreamState {
 	for _, x := range w.e.UpstreamStates(w.now) {
 		if x.Upstream == stoatroute.KeyOf(target) {
 			return x
@@ -61,7 +61,7 @@
 	if x := w.inProgress(1); x.Ejected || x.PendingRequests != 0 || x.Flows != 0 || x.MeanAnswer != 0 {
 		t.Errorf("%+v", x)
 	}
-	got := map[stoatpaddle.Target]int{}
+	got := map[stoatpaddle.TargetID]int{}
 	for range 8 {
 		got[w.caller(idempotentAddr).open().Target]++
 	}
@@ -127,7 +127,7 @@
 	w := newWorld(t)
 	w.restarted(1, 5)
 	var c *caller
-	var to stoatpaddle.Target
+	var to stoatpaddle.TargetID
 	for to != 1 {
 		c = w.caller(idempotentAddr)
 		to = c.syn(0).Upstream.Target
@@ -153,15 +153,15 @@
 	w.restarted(1, 5)
 	w.caller(idempotentAddr).open()
 	bad := []stoatoutlier.Report{{Key: stoatroute.KeyOf(1), Counts: stoatoutlier.Counts{Answered: 4, Failed: 20}}}
-	w.e.SetSums(w.now, bad)
+	w.e.SetDataCentreSums(w.now, bad)
 	w.after(time.Second)
 	w.restarted(1, 6)
-	w.e.SetSums(w.now, bad)
+	w.e.SetDataCentreSums(w.now, bad)
 	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
 	w.after(6 * time.Second)
-	w.e.SetSums(w.now, bad)
+	w.e.SetDataCentreSums(w.now, bad)
 	if got := w.e.EjectFailing(w.now, w.book.Table()); len(got) != 1 {
 		t.Error("failures after the restart do not count either")
 	}
--- a/stoatecho/retain_test.go
+++ b/stoatecho/retain_test.go
@@ -43,7 +43,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
 			case 0, 1:
 				b.Register(now, stoatpaddle.Registration{
-					ID: id, Target: stoatpaddle.Target(i), Service: "app", DataCentre: "here", Slots: 3,
+					ID: id, Target: stoatpaddle.TargetID(i), Service: "app", DataCentre: "here", Slots: 3,
 					Incarnation: stoatpaddle.Incarnation(rapid.IntRange(1, 3).Draw(t, "life")),
 				}, revision)
 			case 2:
--- a/stoatecho/silent_test.go
+++ b/stoatecho/silent_test.go
@@ -77,14 +77,14 @@
 	}
 	var out [][]stoatecho.SilentUpstream
 	for _, w := range x.list {
-		w.e.SetSums(w.now, sum)
+		w.e.SetDataCentreSums(w.now, sum)
 		out = append(out, w.e.EjectSilent(w.now, w.book.Table(), 150*ms))
 	}
 	return out
 }
 
 // flowTo opens flows at one entry until one goes to the upstream, and returns that flow.
-func (w *world) flowTo(target stoatpaddle.Target) *caller {
+func (w *world) flowTo(target stoatpaddle.TargetID) *caller {
 	w.t.Helper()
 	for range 200 {
 		f := w.caller(idempotentAddr)
@@ -97,7 +97,7 @@
 }
 
 // openUnanswered sends openings until one goes to the upstream, which does not answer it.
-func (w *world) openUnanswered(target stoatpaddle.Target) *caller {
+func (w *world) openUnanswered(target stoatpaddle.TargetID) *caller {
 	w.t.Helper()
 	for range 200 {
 		f := w.caller(nonIdempotentAddr)
@@ -234,13 +234,13 @@
 	w := newSixUpstreamWorld(t)
 	w.after(time.Second)
 	var sum []stoatoutlier.Report
-	for _, target := range []stoatpaddle.Target{1, 2, 4, 5, 6, 7} {
+	for _, target := range []stoatpaddle.TargetID{1, 2, 4, 5, 6, 7} {
 		sum = append(sum, stoatoutlier.Report{Key: stoatroute.KeyOf(target), Silence: stoatoutlier.Silence{
 			WaitingEntries: 9, FirstWaitSince: w.now.Add(-900 * ms), SecondWaitSince: w.now.Add(-800 * ms),
 		}})
 	}
 	for range 5 {
-		w.e.SetSums(w.now, sum)
+		w.e.SetDataCentreSums(w.now, sum)
 		w.e.EjectSilent(w.now, w.book.Table(), 150*ms)
 	}
 	avoided := 0
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -87,7 +87,7 @@
 	f.requestStart = time.Time{}
 	e.stats.Answered++
 	a.AnswerTime, a.InProgress = took, h.pendingRequests
-	if r.Objective > 0 && took > r.Objective {
+	if r.TargetLatency > 0 && took > r.TargetLatency {
 		e.stats.Late++
 		a.Late = true
 	}
--- a/stoatecho/yield_test.go
+++ b/stoatecho/yield_test.go
@@ -115,7 +115,7 @@
 		n := 0
 		for range 100 {
 			f := w.caller(idempotentAddr)
-			if f.open().Target == stoatpaddle.Target(target) {
+			if f.open().Target == stoatpaddle.TargetID(target) {
 				n++
 			}
 			f.send(stoatpacket.Packet{Ack: 1, Ends: true})
--- a/stoatedge/answer_test.go
+++ b/stoatedge/answer_test.go
@@ -13,7 +13,7 @@
 // name that can; where there is none, the question would come back for ever, and counts as failed.
 func TestPageEdge(t *testing.T) {
 	named := func(name string) platform.Object { return platform.Object{Meta: platform.Meta{Name: name}} }
-	broken := platform.Object{Fault: &stoatpaddle.DecodeError{What: "an object"}}
+	broken := platform.Object{DecodeErr: &stoatpaddle.DecodeError{What: "an object"}}
 	for name, c := range map[string]struct {
 		after string
 		items []platform.Object
@@ -28,7 +28,7 @@
 		"again the same":  {"i-1", []platform.Object{named("i-1")}, true, "i-1", stoatfeed.Failed},
 		"alone, complete": {"", []platform.Object{broken}, false, "", stoatfeed.Answered},
 	} {
-		r, changes := readAnswer(ask{topic: upstreams, call: stoatfeed.Call{List: true, After: c.after}}, platform.Answer{Items: c.items, More: c.more}, nil)
+		r, changes := readAnswer(ask{topic: upstreams, call: stoatfeed.Call{List: true, After: c.after}}, platform.ReadResult{Items: c.items, More: c.more}, nil)
 		if r.Outcome != c.want || r.Last != c.last || (r.Outcome == stoatfeed.Answered) != (len(changes) == len(c.items)) {
 			t.Errorf("%s: %+v, %d changes", name, r, len(changes))
 		}
--- a/stoatedge/apply.go
+++ b/stoatedge/apply.go
@@ -16,7 +16,7 @@
 		c := &changes[i]
 		switch {
 		case c.fault != nil:
-			k.log(EventInvalid, stoatevent.F("object", c.name), stoatevent.F("revision", c.revision.String()), stoatevent.F("cause", c.fault.Error()))
+			k.log(EventInvalidObject, stoatevent.F("object", c.name), stoatevent.F("revision", c.revision.String()), stoatevent.F("cause", c.fault.Error()))
 			if t == evacuations && c.name != "" {
 				// The request is the name: what else is in it says nothing.
 				k.evacuate(stoatpaddle.Evacuation{DataCentre: stoatpaddle.DataCentreID(c.name), Revision: c.revision}, source)
@@ -26,7 +26,7 @@
 			}
 		case c.declaration != nil:
 			if k.book.ApplyDeclaration(*c.declaration, c.revision) {
-				k.log(EventDeclared, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
+				k.log(EventConfigApplied, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
 					stoatevent.F("routes", countOf(len(c.declaration.Routes))), stoatevent.F("source", source))
 				k.keepFormer(now)
 			} else {
@@ -73,7 +73,7 @@
 		return
 	}
 	k.refused = c.declaration.Version
-	k.log(EventNotTaken, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
+	k.log(EventConfigRejected, stoatevent.F("version", c.declaration.Version.String()), stoatevent.F("revision", c.revision.String()),
 		stoatevent.F("inforce", t.Declaration.Version.String()), stoatevent.F("known", t.Revision.String()), stoatevent.F("source", source))
 }
 
@@ -87,7 +87,7 @@
 func (k *keeper) logEvacuation(e stoatpaddle.Evacuation, source string) {
 	entry := EventEvacuated
 	if e.Withdrawn {
-		entry = EventTakenBack
+		entry = EventEvacuationWithdrawn
 	}
 	k.log(entry, stoatevent.F("centre", string(e.DataCentre)), stoatevent.F("revision", e.Revision.String()), stoatevent.F("source", source))
 }
@@ -100,7 +100,7 @@
 	case stoatroute.Changed:
 		k.newcomer(c.registration.ID, source)
 	case stoatroute.Restarted, stoatroute.Outdated, stoatroute.Contradicted:
-		k.log(EventLife, stoatevent.F("upstream", string(c.registration.ID)), stoatevent.F("outcome", outcome.String()),
+		k.log(EventIncarnation, stoatevent.F("upstream", string(c.registration.ID)), stoatevent.F("outcome", outcome.String()),
 			stoatevent.F("known", lifeText(&before.Registration)), stoatevent.F("read", lifeText(c.registration)), stoatevent.F("revision", c.revision.String()))
 		if outcome != stoatroute.Outdated {
 			k.standing(c.registration.ID, outcome.String())
@@ -166,14 +166,14 @@
 		names[c] = append(names[c], string(list[i].id))
 	}
 	for _, c := range kinds {
-		k.log(EventUpstreams, stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why),
+		k.log(EventStandingsChanged, stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why),
 			stoatevent.F("count", countOf(len(names[c]))), stoatevent.F("names", joinNames(names[c])))
 	}
 }
 
 func (k *keeper) logStanding(c *standingChange) {
 	u, _ := k.book.Lookup(c.id)
-	k.log(EventUpstream, stoatevent.F("upstream", string(c.id)), stoatevent.F("service", string(u.Service)),
+	k.log(EventStandingChanged, stoatevent.F("upstream", string(c.id)), stoatevent.F("service", string(u.Service)),
 		stoatevent.F("centre", string(u.DataCentre)), stoatevent.F("addr", u.Addr.String()),
 		stoatevent.F("standing", c.standing.String()), stoatevent.F("why", c.why))
 }
@@ -181,7 +181,7 @@
 // clash reports an upstream that cannot get flows because another has its cookie.
 func (k *keeper) clash(id stoatpaddle.UpstreamID) {
 	if other, ok := k.book.KeyConflict(id); ok {
-		k.log(EventClash, stoatevent.F("upstream", string(id)), stoatevent.F("holder", string(other)))
+		k.log(EventCookieClash, stoatevent.F("upstream", string(id)), stoatevent.F("holder", string(other)))
 	}
 }
 
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -72,20 +72,20 @@
 	group, ctx := errgroup.WithContext(ctx)
 	limitMemory(cfg.Settings.MemoryBytes())
 	now := clock()
-	seed := uint64(now.UnixNano()) ^ addrSeed(cfg.Settings.Tunnel)
+	seed := uint64(now.UnixNano()) ^ addrSeed(cfg.Settings.TunnelAddr)
 	e := &Edge{
 		set: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
 		log:      newEventLog(cfg.Log, cfg.Settings),
-		store:    platform.NewStore(cfg.Settings.Platform),
+		store:    platform.NewStore(cfg.Settings.PlatformAddr),
 		engine:   stoatecho.New(stoatecho.Config{DataCentre: cfg.Settings.DataCentre, Regions: cfg.Settings.Regions, Start: now, Seed: seed}),
-		callers:  cfg.Settings.Tunnel.Port(),
-		own:      cfg.Settings.Tunnel.Addr(),
+		callers:  cfg.Settings.TunnelAddr.Port(),
+		own:      cfg.Settings.TunnelAddr.Addr(),
 		events:   newMailbox(),
 		placing:  make(chan struct{}),
 		observed: make(chan struct{}, 1),
 		reports:  make(chan pendingReport, 1),
 		place: newPlace(stoattree.Config{
-			Self: cfg.Settings.Admin, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, CPUShare: cfg.Settings.Share, LinkMbps: cfg.Settings.Link,
+			Self: cfg.Settings.AdminAddr, Centre: cfg.Settings.DataCentre, Seeds: cfg.Settings.Seeds, CPUShare: cfg.Settings.CPUShare, LinkMbps: cfg.Settings.LinkMbps,
 			Rand: rand.New(rand.NewPCG(seed, 2)),
 		}),
 	}
@@ -97,11 +97,11 @@
 		return nil, err
 	}
 	k := newKeeper(keeperConfig{
-		Apply: e.set.Bound(), Evacuations: e.set.Evacuate > 0, Return: e.set.Return, Life: e.set.Life, Seeds: namedSeeds(e.set), Seed: seed,
+		Apply: e.set.MaxDelay(), Evacuations: e.set.MaxEvacuateDelay > 0, Return: e.set.GracePeriod, Life: e.set.FlowLifetime, Seeds: namedSeeds(e.set), Seed: seed,
 	})
 	e.group.Go(func() error { return e.control(k) })
-	e.log.emit(now, EventStart, stoatevent.F("tunnel", e.set.Tunnel.String()), stoatevent.F("centre", string(e.set.DataCentre)),
-		stoatevent.F("platform", e.set.Platform.String()), stoatevent.F("apply", e.set.Apply.String()), stoatevent.F("evacuate", e.set.Evacuate.String()))
+	e.log.emit(now, EventStart, stoatevent.F("tunnel", e.set.TunnelAddr.String()), stoatevent.F("centre", string(e.set.DataCentre)),
+		stoatevent.F("platform", e.set.PlatformAddr.String()), stoatevent.F("apply", e.set.MaxApplyDelay.String()), stoatevent.F("evacuate", e.set.MaxEvacuateDelay.String()))
 	e.serve()
 	e.post(started{})
 	e.waitForTable()
@@ -130,8 +130,8 @@
 
 // namedSeeds is what the settings say of seeds.
 func namedSeeds(set stoatsetting.Settings) naming {
-	other := func(seed netip.AddrPort) bool { return seed != set.Admin }
-	return naming{others: slices.ContainsFunc(set.Seeds, other), self: slices.Contains(set.Seeds, set.Admin)}
+	other := func(seed netip.AddrPort) bool { return seed != set.AdminAddr }
+	return naming{others: slices.ContainsFunc(set.Seeds, other), self: slices.Contains(set.Seeds, set.AdminAddr)}
 }
 
 // addrSeed keeps entries that start in the same nanosecond from choosing alike.
@@ -147,7 +147,7 @@
 // openTunnel opens the socket that packets wait in while the table is on its way.
 func (e *Edge) openTunnel() error {
 	var err error
-	if e.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.set.Tunnel)); err != nil {
+	if e.conn, err = net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.set.TunnelAddr)); err != nil {
 		return err
 	}
 	// Half a second of traffic at the busiest entry; what the kernel does not grant is not needed.
@@ -160,13 +160,13 @@
 func (e *Edge) openServers() error {
 	set := e.settings()
 	e.metrics = e.newMetrics()
-	if err := e.listen(set.Ready, http.HandlerFunc(e.readiness)); err != nil {
+	if err := e.listen(set.ReadyAddr, http.HandlerFunc(e.readiness)); err != nil {
 		return err
 	}
-	if err := e.listen(set.Admin, e.admin()); err != nil || !set.Metrics.IsValid() {
+	if err := e.listen(set.AdminAddr, e.admin()); err != nil || !set.MetricsAddr.IsValid() {
 		return err
 	}
-	return e.listen(set.Metrics, http.HandlerFunc(e.writeMetrics))
+	return e.listen(set.MetricsAddr, http.HandlerFunc(e.writeMetrics))
 }
 
 const (
--- a/stoatedge/edge_test.go
+++ b/stoatedge/edge_test.go
@@ -77,7 +77,7 @@
 }
 
 func (r *rig) configure(version int, service string) {
-	r.store.Write(platform.KindConfig, platform.NameConfig, map[string]any{
+	r.store.Write(platform.KindConfig, platform.ConfigName, map[string]any{
 		"version": version, "routes": []map[string]any{{"name": "r", "host": "198.18.0.1", "path_prefix": "/443/", "type": "idempotent", "service": service}},
 		"services": []map[string]any{{"name": "app", "max_conns": 2000}}, "limits": map[string]any{"idle_timeout_ms": 15000},
 	})
@@ -112,10 +112,10 @@
 		return a
 	}
 	set := stoatsetting.Settings{
-		Instance: "edge-" + stoatpaddle.InstanceID(host), DataCentre: "here", Level: "info", Platform: r.addr, Seeds: seeds,
-		Tunnel: netip.AddrPortFrom(netip.MustParseAddr(host), r.port), Ready: free(), Admin: free(),
-		Evacuate: r.evacuate,
-		Apply:    600 * time.Millisecond, Return: 500 * time.Millisecond, Life: time.Minute, Stop: 4 * time.Second,
+		Instance: "edge-" + stoatpaddle.InstanceID(host), DataCentre: "here", LogLevel: "info", PlatformAddr: r.addr, Seeds: seeds,
+		TunnelAddr: netip.AddrPortFrom(netip.MustParseAddr(host), r.port), ReadyAddr: free(), AdminAddr: free(),
+		MaxEvacuateDelay: r.evacuate,
+		MaxApplyDelay:    600 * time.Millisecond, GracePeriod: 500 * time.Millisecond, FlowLifetime: time.Minute, StopDeadline: 4 * time.Second,
 	}
 	l := &log{}
 	e, err := stoatedge.Start(context.Background(), stoatedge.Config{Settings: set, Log: l})
@@ -136,7 +136,7 @@
 }
 
 func isReady(set stoatsetting.Settings) bool {
-	res, err := http.Get("http://" + set.Ready.String() + "/-/readyz")
+	res, err := http.Get("http://" + set.ReadyAddr.String() + "/-/readyz")
 	if err != nil {
 		return false
 	}
@@ -163,7 +163,7 @@
 
 func (r *rig) send(set stoatsetting.Settings, b []byte) {
 	r.t.Helper()
-	if _, err := r.caller.WriteToUDPAddrPort(b, set.Tunnel); err != nil {
+	if _, err := r.caller.WriteToUDPAddrPort(b, set.TunnelAddr); err != nil {
 		r.t.Fatal(err)
 	}
 }
@@ -214,7 +214,7 @@
 		t.Error("the flow went to", j)
 	}
 	r.wait("metrics name the upstream", func() bool {
-		res, err := http.Get("http://" + setB.Admin.String() + "/metrics")
+		res, err := http.Get("http://" + setB.AdminAddr.String() + "/metrics")
 		if err != nil {
 			return false
 		}
@@ -246,7 +246,7 @@
 	ours[13] = 11 // 127.0.0.11
 	r.send(set, ours)
 	r.wait("both are counted", func() bool {
-		res, err := http.Get("http://" + set.Admin.String() + "/metrics")
+		res, err := http.Get("http://" + set.AdminAddr.String() + "/metrics")
 		if err != nil {
 			return false
 		}
@@ -270,7 +270,7 @@
 	_, setA, _ := r.start("127.0.0.11")
 	r.wait("the first serves", func() bool { return isReady(setA) })
 	r.store.Set(stoatfake.Trouble{Down: true})
-	b, setB, l := r.start("127.0.0.12", setA.Admin)
+	b, setB, l := r.start("127.0.0.12", setA.AdminAddr)
 	r.wait("the second serves", func() bool { return isReady(setB) })
 	if !l.has(`"event":"SP1417"`) {
 		t.Error("no line tells of the neighbour")
@@ -281,7 +281,7 @@
 	r.configure(2, "app")
 	r.wait("the second follows the store", func() bool {
 		age := b.ViewAge(time.Now())
-		return b.Table().Declaration.Version == 2 && age >= 0 && age < setB.Bound()
+		return b.Table().Declaration.Version == 2 && age >= 0 && age < setB.MaxDelay()
 	})
 }
 
@@ -292,9 +292,9 @@
 	r := newRig(t)
 	seed, setSeed, _ := r.start("127.0.0.11")
 	r.wait("the seed serves", func() bool { return isReady(setSeed) })
-	b, setB, _ := r.start("127.0.0.12", setSeed.Admin)
+	b, setB, _ := r.start("127.0.0.12", setSeed.AdminAddr)
 	r.wait("the second is told", func() bool { return told(b) == 1 })
-	c, setC, _ := r.start("127.0.0.13", setB.Admin)
+	c, setC, _ := r.start("127.0.0.13", setB.AdminAddr)
 	r.wait("the third is told through the second", func() bool { return told(c) == 2 })
 	r.wait("both serve", func() bool { return isReady(setB) && isReady(setC) })
 	// With the first change, what they asked before they were told has ended.
@@ -327,7 +327,7 @@
 	r.evacuate = 600 * time.Millisecond
 	seed, setSeed, logSeed := r.start("127.0.0.11")
 	r.wait("the seed serves", func() bool { return isReady(setSeed) })
-	b, setB, _ := r.start("127.0.0.12", setSeed.Admin)
+	b, setB, _ := r.start("127.0.0.12", setSeed.AdminAddr)
 	r.wait("the second is told", func() bool { return told(b) == 1 && isReady(setB) })
 	r.send(setB, packet(flagSYN, 40001, 443, 0))
 	i, _, cookie := r.arrives()
@@ -335,7 +335,7 @@
 	for _, e := range []*stoatedge.Edge{seed, b} {
 		r.wait("the evacuation is in force", func() bool { return e.Table().Evacuated("here") })
 	}
-	late, setLate, logLate := r.start("127.0.0.13", setSeed.Admin)
+	late, setLate, logLate := r.start("127.0.0.13", setSeed.AdminAddr)
 	for n, set := range []stoatsetting.Settings{setSeed, setB, setLate} {
 		r.send(set, packet(flagSYN, uint16(40010+n), 443, 0))
 		if reset := r.receive(r.caller); reset[0] != flagRST || binary.LittleEndian.Uint16(reset[5:]) != uint16(40010+n) {
@@ -361,7 +361,7 @@
 // answered.
 func (r *rig) calls(set stoatsetting.Settings) string {
 	r.t.Helper()
-	res, err := http.Get("http://" + set.Admin.String() + "/metrics")
+	res, err := http.Get("http://" + set.AdminAddr.String() + "/metrics")
 	if err != nil {
 		r.t.Fatal(err)
 	}
@@ -389,7 +389,7 @@
 	r := newRig(t)
 	_, setSeed, _ := r.start("127.0.0.11")
 	r.wait("the seed serves", func() bool { return isReady(setSeed) })
-	proxy := r.proxy(setSeed.Admin)
+	proxy := r.proxy(setSeed.AdminAddr)
 	b, _, l := r.start("127.0.0.12", proxy.addr)
 	r.wait("it is told", func() bool { return told(b) == 1 })
 	proxy.silence()
@@ -492,7 +492,7 @@
 	e, set, l := r.start("127.0.0.11")
 	_, err := stoatsetting.Parse("entry.ini", []byte("[instance]\nid = a\ncentre = b\n[platform]\napply = soon\n"))
 	e.Reload(stoatsetting.Settings{}, err)
-	set.Apply = time.Second
+	set.MaxApplyDelay = time.Second
 	e.Reload(set, nil)
 	r.wait("both are logged", func() bool { return l.has(`"event":"SP1415"`) && l.has("soon") && l.has(`"applied":"platform.apply"`) })
 }
@@ -505,7 +505,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		res, err := http.Get("http://" + set.Admin.String() + "/metrics")
+		res, err := http.Get("http://" + set.AdminAddr.String() + "/metrics")
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/stoatedge/evacuation_test.go
+++ b/stoatedge/evacuation_test.go
@@ -75,7 +75,7 @@
 	s.want("the request that was withdrawn comes again", false)
 	s.answer(evacuations, 17, evacuated("here", 16), takenBack("here", 16), evacuated("here", 17))
 	s.want("three changes in one answer", true)
-	if in, out := s.events[EventEvacuated.Number], s.events[EventTakenBack.Number]; in != 3 || out != 2 {
+	if in, out := s.events[EventEvacuated.Number], s.events[EventEvacuationWithdrawn.Number]; in != 3 || out != 2 {
 		t.Errorf("%d and %d lines", in, out)
 	}
 }
@@ -197,16 +197,16 @@
 	s := evacuating(t, false, false).serving()
 	var many []change
 	for i := range stoatpaddle.Version(40) {
-		many = append(many, registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", 100+i)), stoatpaddle.Target(100+i), 20+i))
+		many = append(many, registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", 100+i)), stoatpaddle.TargetID(100+i), 20+i))
 	}
-	before := s.events[EventUpstream.Number]
+	before := s.events[EventStandingChanged.Number]
 	s.answer(upstreams, 60, many...)
-	if s.events[EventUpstreams.Number] != 1 || s.events[EventUpstream.Number] != before {
-		t.Errorf("%d lines of one, %d of many", s.events[EventUpstream.Number]-before, s.events[EventUpstreams.Number])
+	if s.events[EventStandingsChanged.Number] != 1 || s.events[EventStandingChanged.Number] != before {
+		t.Errorf("%d lines of one, %d of many", s.events[EventStandingChanged.Number]-before, s.events[EventStandingsChanged.Number])
 	}
 	s.answer(upstreams, 62, ended1("i-100", 61), ended1("i-101", 62))
-	if s.events[EventUpstreams.Number] != 1 || s.events[EventUpstream.Number] != before+2 {
-		t.Errorf("%d lines of one, %d of many", s.events[EventUpstream.Number]-before, s.events[EventUpstreams.Number])
+	if s.events[EventStandingsChanged.Number] != 1 || s.events[EventStandingChanged.Number] != before+2 {
+		t.Errorf("%d lines of one, %d of many", s.events[EventStandingChanged.Number]-before, s.events[EventStandingsChanged.Number])
 	}
 }
 
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -33,8 +33,8 @@
 	declaration  *stoatpaddle.Declaration
 	registration *stoatpaddle.Registration
 	evacuation   *stoatpaddle.Evacuation
-	fault        error              // why it cannot be used
-	target       stoatpaddle.Target // that its name says, if it cannot be used; 0: none
+	fault        error                // why it cannot be used
+	target       stoatpaddle.TargetID // that its name says, if it cannot be used; 0: none
 }
 
 // The events of the keeper.
@@ -129,7 +129,7 @@
 	publish struct{ table *stoatroute.Table }
 	// logged writes a numbered event.
 	logged struct {
-		entry  *stoatevent.Entry
+		entry  *stoatevent.Definition
 		fields []stoatevent.Field
 	}
 )
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -131,7 +131,7 @@
 	if f.parent == "" {
 		f.parent = x.from
 		k.book.SetMirroring(now, true)
-		k.log(EventFollows, stoatevent.F("parent", x.from), stoatevent.F("depth", countOf(len(x.path))),
+		k.log(EventParentFound, stoatevent.F("parent", x.from), stoatevent.F("depth", countOf(len(x.path))),
 			stoatevent.F("revision", x.known.String()), stoatevent.F("age", ageText(x.age)))
 	}
 	f.path = x.path
@@ -184,7 +184,7 @@
 // mirror makes what the parent believes this entry's own.
 func (k *keeper) mirror(now time.Time, x update, later bool) {
 	if x.whole {
-		k.log(EventNeighbour, stoatevent.F("neighbour", x.from), stoatevent.F("age", ageText(x.age)),
+		k.log(EventFullState, stoatevent.F("neighbour", x.from), stoatevent.F("age", ageText(x.age)),
 			stoatevent.F("upstreams", countOf(len(x.upstreams))))
 	}
 	if x.delta != nil {
@@ -235,7 +235,7 @@
 // it answers this entry at all: in an outage each one is paid for by each entry.
 func (k *keeper) read(now time.Time, why string) {
 	k.reading, k.unwatched = true, true
-	k.log(EventReads, stoatevent.F("why", why), stoatevent.F("parent", k.follow.parent))
+	k.log(EventReadsPlatform, stoatevent.F("why", why), stoatevent.F("parent", k.follow.parent))
 	for _, t := range k.topics {
 		k.parked[t] = t != declarations
 		// A replica's word on evacuations has to reach what the exact answer about the configuration says.
@@ -279,10 +279,10 @@
 		return
 	}
 	if f.parent != "" {
-		k.log(EventFollowsNobody, stoatevent.F("parent", f.parent), stoatevent.F("cause", x.cause.Error()))
+		k.log(EventParentLost, stoatevent.F("parent", f.parent), stoatevent.F("cause", x.cause.Error()))
 		f.again = now.Add(time.Duration(k.rnd.Int64N(int64(seekAgain))))
 	} else {
-		k.log(EventSought, stoatevent.F("cause", x.cause.Error()))
+		k.log(EventNoParent, stoatevent.F("cause", x.cause.Error()))
 	}
 	f.seeking, f.parent, f.path = false, "", nil
 	k.book.SetMirroring(now, false)
--- a/stoatedge/former_test.go
+++ b/stoatedge/former_test.go
@@ -15,7 +15,7 @@
 	r.send(setA, packet(flagSYN, 40001, 443, 0))
 	i, _, cookie := r.arrives()
 	r.configure(2, "other")
-	r.wait("the service before is kept", func() bool { return len(r.store.Names(stoatplatform.Kind)) == 1 })
+	r.wait("the service before is kept", func() bool { return len(r.store.Names(stoatplatform.StoreKind)) == 1 })
 	a.Kill()
 	b, setB, _ := r.start("127.0.0.12")
 	r.wait("another one serves", func() bool { return isReady(setB) })
--- a/stoatedge/keeper.go
+++ b/stoatedge/keeper.go
@@ -145,7 +145,7 @@
 
 func (k *keeper) do(effect any) { k.out = append(k.out, effect) }
 
-func (k *keeper) log(e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (k *keeper) log(e *stoatevent.Definition, fields ...stoatevent.Field) {
 	k.do(logged{entry: e, fields: fields})
 }
 
@@ -255,7 +255,7 @@
 	}
 	k.behind[x.topic] = v.Outdated
 	if v.Outdated {
-		k.log(EventBehind, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", k.feeds[x.topic].Position().String()),
+		k.log(EventStaleAnswer, stoatevent.F("topic", x.topic.String()), stoatevent.F("known", k.feeds[x.topic].Position().String()),
 			stoatevent.F("answered", x.result.AsOf.String()),
 			stoatevent.F("list", strconv.FormatBool(x.call.List)), stoatevent.F("exact", strconv.FormatBool(!x.call.AllowStale)))
 	}
--- a/stoatedge/keeper_test.go
+++ b/stoatedge/keeper_test.go
@@ -118,9 +118,9 @@
 	}}
 }
 
-func registered(id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) change {
+func registered(id stoatpaddle.UpstreamID, target stoatpaddle.TargetID, revision stoatpaddle.Version) change {
 	return change{name: string(id), revision: revision, registration: &stoatpaddle.Registration{
-		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, Created: revision,
+		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, CreateRevision: revision,
 	}}
 }
 
@@ -177,7 +177,7 @@
 	s.answer(upstreams, 10, registered("i-1", 1, 6))
 	child := stoatrelay.ChildStateOf(s.table)
 	c := declared(2, 8)
-	c.declaration.Routes[0].Earlier = []stoatpaddle.ServiceID{"before"}
+	c.declaration.Routes[0].FormerServices = []stoatpaddle.ServiceID{"before"}
 	s.tell(update{from: "10.0.0.2:1", whole: true, known: at(10)}, c, registered("i-1", 1, 6))
 	r := s.table.Route(listen)
 	if !r.EverUsed("before") || !r.EverUsed("app") || r.EverUsed("other") {
@@ -207,7 +207,7 @@
 // after a few it waits for a parent, which sends the rest, and reads on if none comes.
 func TestLongListWaitsForAParent(t *testing.T) {
 	page := func(s *session, i int) {
-		s.end(upstreams, stoatfeed.Result{AsOf: at(10), More: true, Last: string(rune('a' + i))}, registered(stoatpaddle.UpstreamID(rune('a'+i)), stoatpaddle.Target(i+1), 6))
+		s.end(upstreams, stoatfeed.Result{AsOf: at(10), More: true, Last: string(rune('a' + i))}, registered(stoatpaddle.UpstreamID(rune('a'+i)), stoatpaddle.TargetID(i+1), 6))
 	}
 	for name, c := range map[string]struct {
 		follows bool
@@ -411,7 +411,7 @@
 func TestFaultyObject(t *testing.T) {
 	s := running(t)
 	s.answer(declarations, 12, change{name: "main", revision: 12, fault: &stoatpaddle.DecodeError{What: "configuration"}})
-	if s.table.Declaration.Version != 1 || s.events[EventInvalid.Number] != 1 {
+	if s.table.Declaration.Version != 1 || s.events[EventInvalidObject.Number] != 1 {
 		t.Error(s.table.Declaration.Version, s.events)
 	}
 }
@@ -450,7 +450,7 @@
 		if got := len(s.table.Candidates("app")); got != len(changes) {
 			t.Error(name, got, "take new flows")
 		}
-		if s.events[EventInvalid.Number] != 1 {
+		if s.events[EventInvalidObject.Number] != 1 {
 			t.Error(name, s.events)
 		}
 		s.answer(upstreams, 15, registered("i-1", 1, 15))
@@ -488,7 +488,7 @@
 func TestBadConfiguration(t *testing.T) {
 	s := running(t)
 	s.answer(declarations, 11, bad("main", 11))
-	if s.table.Declaration.Version != 1 || s.events[EventInvalid.Number] != 1 {
+	if s.table.Declaration.Version != 1 || s.events[EventInvalidObject.Number] != 1 {
 		t.Error(s.table.Declaration.Version, s.events)
 	}
 	s.answer(declarations, 12, declared(2, 12))
@@ -509,7 +509,7 @@
 	s.answer(upstreams, 11, born(5, 11))
 	s.answer(upstreams, 12, born(7, 12))
 	s.answer(upstreams, 13, born(5, 13))
-	if got := s.table.Upstream(stoatroute.KeyOf(1)); got.Incarnation != 7 || got.Revision != 12 || s.events[EventLife.Number] != 2 {
+	if got := s.table.Upstream(stoatroute.KeyOf(1)); got.Incarnation != 7 || got.Revision != 12 || s.events[EventIncarnation.Number] != 2 {
 		t.Errorf("%+v %v", got, s.events)
 	}
 }
@@ -524,14 +524,14 @@
 	for range 3 {
 		s.answer(declarations, 30, declared(7, 25))
 	}
-	if s.events[EventBehind.Number] != 1 {
-		t.Error("older answers were said so often:", s.events[EventBehind.Number])
+	if s.events[EventStaleAnswer.Number] != 1 {
+		t.Error("older answers were said so often:", s.events[EventStaleAnswer.Number])
 	}
 	s.answer(declarations, 41, declared(8, 39))
 	s.answer(declarations, 41, declared(8, 39))
 	s.answer(declarations, 40)
-	if s.events[EventBehind.Number] != 2 || s.events[EventNotTaken.Number] != 1 {
-		t.Error(s.events[EventBehind.Number], s.events[EventNotTaken.Number])
+	if s.events[EventStaleAnswer.Number] != 2 || s.events[EventConfigRejected.Number] != 1 {
+		t.Error(s.events[EventStaleAnswer.Number], s.events[EventConfigRejected.Number])
 	}
 }
 
--- a/stoatedge/log.go
+++ b/stoatedge/log.go
@@ -18,7 +18,7 @@
 
 // eventLog writes events without ever blocking traffic.
 type eventLog struct {
-	pipe    *stoatevent.Pipe
+	pipe    *stoatevent.AsyncWriter
 	mu      sync.RWMutex // guards logger
 	logger  *stoatevent.Logger
 	sampler *stoatevent.Sampler
@@ -29,13 +29,13 @@
 }
 
 func newEventLog(w io.Writer, set stoatsetting.Settings) *eventLog {
-	l := &eventLog{pipe: stoatevent.NewPipe(), name: string(set.Instance)}
+	l := &eventLog{pipe: stoatevent.NewAsyncWriter(), name: string(set.Instance)}
 	l.sampler = stoatevent.NewSampler(map[stoatevent.Number]int{
-		EventOpened.Number: flowLines, EventReset.Number: flowLines,
-		EventDropped.Number: flowLines, EventEjected.Number: flowLines,
-		EventLate.Number: flowLines, EventInvalid.Number: flowLines, EventLife.Number: flowLines,
+		EventFlowPlaced.Number: flowLines, EventFlowReset.Number: flowLines,
+		EventPacketDropped.Number: flowLines, EventUpstreamEjected.Number: flowLines,
+		EventLateAnswer.Number: flowLines, EventInvalidObject.Number: flowLines, EventIncarnation.Number: flowLines,
 	})
-	l.level(set.Level)
+	l.level(set.LogLevel)
 	l.group.Go(func() error { return l.pipe.Run(w) })
 	return l
 }
@@ -46,16 +46,18 @@
 	l.logger = stoatevent.NewLogger(stoatevent.Config{Writer: l.pipe, Level: level, Instance: l.name})
 }
 
-func (l *eventLog) admit(now time.Time, e *stoatevent.Entry) bool { return l.sampler.Admit(now, e) }
+func (l *eventLog) admit(now time.Time, e *stoatevent.Definition) bool {
+	return l.sampler.Allow(now, e)
+}
 
 // write writes a line that was admitted.
-func (l *eventLog) write(e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (l *eventLog) write(e *stoatevent.Definition, fields ...stoatevent.Field) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	l.logger.Emit(e, fields...)
 }
 
-func (l *eventLog) emit(now time.Time, e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (l *eventLog) emit(now time.Time, e *stoatevent.Definition, fields ...stoatevent.Field) {
 	if l.admit(now, e) {
 		l.write(e, fields...)
 	}
@@ -70,15 +72,15 @@
 	}
 	l.told = now
 	var fields []stoatevent.Field
-	for _, left := range l.sampler.Take() {
+	for _, left := range l.sampler.TakeOmitted() {
 		fields = append(fields, stoatevent.F(left.Number.String(), strconv.FormatInt(left.Count, 10)))
 	}
-	if lost := l.pipe.Lost(); lost > l.lost {
+	if lost := l.pipe.Dropped(); lost > l.lost {
 		fields = append(fields, stoatevent.F("writer", strconv.FormatInt(lost-l.lost, 10)))
 		l.lost = lost
 	}
 	if len(fields) > 0 {
-		l.write(EventLeftOut, fields...)
+		l.write(EventLinesOmitted, fields...)
 	}
 	return true
 }
--- a/stoatedge/metrics.go
+++ b/stoatedge/metrics.go
@@ -89,7 +89,7 @@
 	set.NewGauge("stoatpaddle_tree_depth", func() float64 { return float64(e.Depth()) })
 	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="sent"}`, func() float64 { return float64(e.place.sent.Load()) })
 	set.NewGauge(`stoatpaddle_tree_bytes_total{direction="received"}`, func() float64 { return float64(e.place.heard.Load()) })
-	set.NewGauge("stoatpaddle_log_lost_total", func() float64 { return float64(e.log.pipe.Lost()) })
+	set.NewGauge("stoatpaddle_log_lost_total", func() float64 { return float64(e.log.pipe.Dropped()) })
 	return set
 }
 
@@ -97,7 +97,7 @@
 func (e *Edge) writeMetrics(w http.ResponseWriter, _ *http.Request) {
 	stats := e.Stats()
 	e.counts.stats.Store(&stats)
-	for _, left := range e.log.sampler.Total() {
+	for _, left := range e.log.sampler.TotalOmitted() {
 		e.metrics.GetOrCreateCounter(fmt.Sprintf("stoatpaddle_log_left_out_total{event=%q}", left.Number)).Set(uint64(left.Count))
 	}
 	e.metrics.WritePrometheus(w)
--- a/stoatedge/parts_test.go
+++ b/stoatedge/parts_test.go
@@ -69,10 +69,10 @@
 
 // A changed settings file: bounds are in force at once, addresses need a start.
 func TestMergeSettings(t *testing.T) {
-	old := stoatsetting.Settings{Instance: "a", Level: "info", Apply: time.Second}
-	next := stoatsetting.Settings{Instance: "b", Level: "debug", Apply: 2 * time.Second, Stop: time.Second}
+	old := stoatsetting.Settings{Instance: "a", LogLevel: "info", MaxApplyDelay: time.Second}
+	next := stoatsetting.Settings{Instance: "b", LogLevel: "debug", MaxApplyDelay: 2 * time.Second, StopDeadline: time.Second}
 	got, applied, kept := merge(old, next)
-	if got.Instance != "a" || got.Level != "debug" || got.Apply != 2*time.Second || got.Stop != time.Second {
+	if got.Instance != "a" || got.LogLevel != "debug" || got.MaxApplyDelay != 2*time.Second || got.StopDeadline != time.Second {
 		t.Errorf("%+v", got)
 	}
 	if diff := cmp.Diff([]string{"log.level", "platform.apply", "stop.deadline"}, applied); diff != "" {
@@ -96,9 +96,9 @@
 		"not any more":      {old: time.Second, want: time.Second, kept: 1},
 		"as before":         {old: time.Second, next: time.Second, want: time.Second},
 	} {
-		got, applied, kept := merge(stoatsetting.Settings{Evacuate: c.old}, stoatsetting.Settings{Evacuate: c.next})
-		if got.Evacuate != c.want || len(applied) != c.applied || len(kept) != c.kept {
-			t.Errorf("%s: %s, applied %v, kept %v", name, got.Evacuate, applied, kept)
+		got, applied, kept := merge(stoatsetting.Settings{MaxEvacuateDelay: c.old}, stoatsetting.Settings{MaxEvacuateDelay: c.next})
+		if got.MaxEvacuateDelay != c.want || len(applied) != c.applied || len(kept) != c.kept {
+			t.Errorf("%s: %s, applied %v, kept %v", name, got.MaxEvacuateDelay, applied, kept)
 		}
 	}
 	regions := map[stoatpaddle.DataCentreID]stoatpaddle.RegionID{"here": "south"}
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -48,7 +48,7 @@
 	if got := s.k.asOf(); !got.Equal(s.now.Add(-100 * ms)) {
 		t.Error(s.now.Sub(got))
 	}
-	if s.events[EventFollows.Number] != 1 || s.events[EventReads.Number] != 0 {
+	if s.events[EventParentFound.Number] != 1 || s.events[EventReadsPlatform.Number] != 0 {
 		t.Error(s.events)
 	}
 	if !s.table.CompleteAsOf.IsZero() {
@@ -101,7 +101,7 @@
 	s.tell(update{from: "other", age: 50 * ms, whole: true, known: at(11)}, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	s.pass(time.Second)
 	s.quiet("told by another one")
-	if s.events[EventFollowsNobody.Number] != 1 || s.events[EventFollows.Number] != 2 {
+	if s.events[EventParentLost.Number] != 1 || s.events[EventParentFound.Number] != 2 {
 		t.Error(s.events)
 	}
 }
@@ -115,7 +115,7 @@
 		s.pass(time.Second)
 		s.step(parentLost{serial: s.k.follow.serial, cause: &refusedError{}})
 	}
-	if s.calls[declarations] == nil || s.events[EventReads.Number] != 1 {
+	if s.calls[declarations] == nil || s.events[EventReadsPlatform.Number] != 1 {
 		t.Fatal(s.calls, s.events)
 	}
 	s.answer(declarations, 10)
@@ -309,7 +309,7 @@
 // A deployment whose settings name one seed alone. Others wait for its proofs like for those
 // of three: it proves as often.
 func TestLoneSeedProvesForOthers(t *testing.T) {
-	set := stoatsetting.Settings{Admin: above, Seeds: []netip.AddrPort{above}}
+	set := stoatsetting.Settings{AdminAddr: above, Seeds: []netip.AddrPort{above}}
 	if got := namedSeeds(set); got != (naming{self: true}) || got.follows() {
 		t.Error(got)
 	}
@@ -320,11 +320,11 @@
 	if c := s.calls[declarations]; c.Wait > 1350*ms {
 		t.Error("others wait for", c.Wait)
 	}
-	set.Admin = belowA
+	set.AdminAddr = belowA
 	if got := namedSeeds(set); !got.follows() {
 		t.Error(got)
 	}
-	if got := namedSeeds(stoatsetting.Settings{Admin: above}); got != (naming{}) {
+	if got := namedSeeds(stoatsetting.Settings{AdminAddr: above}); got != (naming{}) {
 		t.Error(got)
 	}
 }
--- a/stoatedge/reload.go
+++ b/stoatedge/reload.go
@@ -13,7 +13,7 @@
 func (e *Edge) Reload(set stoatsetting.Settings, err error) {
 	now := clock() // house: the settings were read now
 	if err != nil {
-		e.log.emit(now, EventReloadRefused, stoatevent.F("cause", err.Error()))
+		e.log.emit(now, EventSettingsRejected, stoatevent.F("cause", err.Error()))
 		return
 	}
 	e.reloadMu.Lock()
@@ -23,12 +23,12 @@
 		return
 	}
 	e.set = next
-	e.log.level(next.Level)
+	e.log.level(next.LogLevel)
 	e.engineMu.Lock()
 	e.engine.SetRegions(next.Regions)
 	e.engineMu.Unlock()
-	e.post(rebound{apply: next.Bound(), back: next.Return, life: next.Life, seeds: namedSeeds(next)})
-	e.log.emit(now, EventReload, stoatevent.F("applied", strings.Join(applied, ",")), stoatevent.F("kept", strings.Join(kept, ",")))
+	e.post(rebound{apply: next.MaxDelay(), back: next.GracePeriod, life: next.FlowLifetime, seeds: namedSeeds(next)})
+	e.log.emit(now, EventSettingsReloaded, stoatevent.F("applied", strings.Join(applied, ",")), stoatevent.F("kept", strings.Join(kept, ",")))
 }
 
 // merge returns the settings in force after a change to next, and names what was applied
@@ -47,27 +47,27 @@
 			kept = append(kept, name)
 		}
 	}
-	apply("log.level", old.Level != next.Level, func() { out.Level = next.Level })
-	apply("platform.apply", old.Apply != next.Apply, func() { out.Apply = next.Apply })
-	apply("platform.leave", old.Leave != next.Leave, func() { out.Leave = next.Leave })
+	apply("log.level", old.LogLevel != next.LogLevel, func() { out.LogLevel = next.LogLevel })
+	apply("platform.apply", old.MaxApplyDelay != next.MaxApplyDelay, func() { out.MaxApplyDelay = next.MaxApplyDelay })
+	apply("platform.leave", old.MaxLeaveDelay != next.MaxLeaveDelay, func() { out.MaxLeaveDelay = next.MaxLeaveDelay })
 	// Whether evacuations are followed at all is settled at the start: one that comes to follow them
 	// would know none until it has read them, and send flows where none may go.
-	follows := old.Evacuate > 0 && next.Evacuate > 0
-	apply("platform.evacuate", follows && old.Evacuate != next.Evacuate, func() { out.Evacuate = next.Evacuate })
-	keep("platform.evacuate", !follows && old.Evacuate != next.Evacuate)
+	follows := old.MaxEvacuateDelay > 0 && next.MaxEvacuateDelay > 0
+	apply("platform.evacuate", follows && old.MaxEvacuateDelay != next.MaxEvacuateDelay, func() { out.MaxEvacuateDelay = next.MaxEvacuateDelay })
+	keep("platform.evacuate", !follows && old.MaxEvacuateDelay != next.MaxEvacuateDelay)
 	apply("regions", !maps.Equal(old.Regions, next.Regions), func() { out.Regions = next.Regions })
-	apply("platform.return", old.Return != next.Return, func() { out.Return = next.Return })
-	apply("flow.life", old.Life != next.Life, func() { out.Life = next.Life })
-	apply("stop.deadline", old.Stop != next.Stop, func() { out.Stop = next.Stop })
+	apply("platform.return", old.GracePeriod != next.GracePeriod, func() { out.GracePeriod = next.GracePeriod })
+	apply("flow.life", old.FlowLifetime != next.FlowLifetime, func() { out.FlowLifetime = next.FlowLifetime })
+	apply("stop.deadline", old.StopDeadline != next.StopDeadline, func() { out.StopDeadline = next.StopDeadline })
 	apply("peer.seeds", !sameSeeds(old, next), func() { out.Seeds = next.Seeds })
 	keep("instance.id", old.Instance != next.Instance)
 	keep("instance.centre", old.DataCentre != next.DataCentre)
-	keep("instance.share", old.Share != next.Share)
-	keep("instance.link", old.Link != next.Link)
-	keep("listen.tunnel", old.Tunnel != next.Tunnel)
-	keep("listen.ready", old.Ready != next.Ready)
-	keep("listen.admin", old.Admin != next.Admin)
-	keep("platform.address", old.Platform != next.Platform)
+	keep("instance.share", old.CPUShare != next.CPUShare)
+	keep("instance.link", old.LinkMbps != next.LinkMbps)
+	keep("listen.tunnel", old.TunnelAddr != next.TunnelAddr)
+	keep("listen.ready", old.ReadyAddr != next.ReadyAddr)
+	keep("listen.admin", old.AdminAddr != next.AdminAddr)
+	keep("platform.address", old.PlatformAddr != next.PlatformAddr)
 	keep("fabric.kind", old.Fabric != next.Fabric)
 	return out, applied, kept
 }
--- a/stoatedge/restore_test.go
+++ b/stoatedge/restore_test.go
@@ -24,7 +24,7 @@
 func TestConfigurationAfterARestore(t *testing.T) {
 	r := newRig(t)
 	seed, set, _ := r.start("127.0.0.11")
-	follower, second, _ := r.start("127.0.0.12", set.Admin)
+	follower, second, _ := r.start("127.0.0.12", set.AdminAddr)
 	r.wait("both serve", func() bool { return isReady(set) && isReady(second) })
 	copied := r.store.Save()
 	for version := 2; version <= 9; version++ {
--- a/stoatedge/restored.go
+++ b/stoatedge/restored.go
@@ -21,7 +21,7 @@
 		return
 	}
 	k.open, k.settled = nil, now.Add(k.back)
-	k.log(EventRestored, stoatevent.F("era", era.String()), stoatevent.F("before", before.String()), stoatevent.F("known", k.known.String()),
+	k.log(EventPlatformRestored, stoatevent.F("era", era.String()), stoatevent.F("before", before.String()), stoatevent.F("known", k.known.String()),
 		stoatevent.F("version", k.book.Declaration().Version.String()), stoatevent.F("source", source))
 }
 
--- a/stoatedge/restored_test.go
+++ b/stoatedge/restored_test.go
@@ -15,7 +15,7 @@
 	s.era = 1
 	s.answer(declarations, 30, declared(21, 26))
 	s.answer(upstreams, 30, registered("i-1", 1, 6), registered("i-2", 2, 28))
-	if !s.table.Ready() || s.table.Era != 1 || s.events[EventRestored.Number] != 0 {
+	if !s.table.Ready() || s.table.Era != 1 || s.events[EventPlatformRestored.Number] != 0 {
 		t.Fatal(s.table.Ready(), s.table.Era, s.events)
 	}
 	return s
@@ -30,7 +30,7 @@
 	s := runningIn(t)
 	s.era = 2
 	s.answer(declarations, 24)
-	if s.events[EventRestored.Number] != 1 || !s.calls[declarations].List || !s.calls[upstreams].List {
+	if s.events[EventPlatformRestored.Number] != 1 || !s.calls[declarations].List || !s.calls[upstreams].List {
 		t.Fatalf("%v %+v %+v", s.events, s.calls[declarations], s.calls[upstreams])
 	}
 	s.answer(declarations, 24, declared(19, 22))
@@ -44,7 +44,7 @@
 		t.Error("what was confirmed after the restore is not in force:", s.table.Declaration.Version)
 	}
 	s.pass(3 * time.Second)
-	if len(s.table.Candidates("app")) != 2 || s.events[EventRestored.Number] != 1 {
+	if len(s.table.Candidates("app")) != 2 || s.events[EventPlatformRestored.Number] != 1 {
 		t.Error("an upstream that registered again is gone, or a restore is said twice:", s.events)
 	}
 }
@@ -81,7 +81,7 @@
 	s.answer(declarations, 24)
 	s.answer(upstreams, 24, registered("i-1", 1, 6), registered("i-2", 2, 7))
 	s.answer(upstreams, 26, ended1("i-1", 25), ended1("i-2", 26))
-	for _, target := range []stoatpaddle.Target{1, 2} {
+	for _, target := range []stoatpaddle.TargetID{1, 2} {
 		if u := s.table.Upstream(stoatroute.KeyOf(target)); u.State != stoatroute.Missing {
 			t.Error(target, u.State)
 		}
@@ -108,7 +108,7 @@
 	s.tell(update{from: "parent", age: 100 * ms, whole: true, known: in(1, 30), era: 1}, declared(21, 26), registered("i-1", 1, 6), registered("i-2", 2, 28))
 	s.tell(update{from: "parent", age: 300 * ms, known: in(1, 30), era: 2})
 	s.quiet("the parent lists for others")
-	if s.events[EventRestored.Number] != 1 || s.left != 0 || s.knows != in(1, 30) || len(s.table.Candidates("app")) != 2 {
+	if s.events[EventPlatformRestored.Number] != 1 || s.left != 0 || s.knows != in(1, 30) || len(s.table.Candidates("app")) != 2 {
 		t.Fatal(s.events, s.left, s.knows)
 	}
 	d := declared(24, 25)
@@ -129,7 +129,7 @@
 	s := startSession(t, true, true)
 	s.tell(update{from: "parent", age: 100 * ms, whole: true, known: at(30)}, declared(21, 26), registered("i-1", 1, 6))
 	s.tell(update{from: "parent", age: 100 * ms, known: at(31)}, registered("i-2", 2, 31))
-	if s.left != 0 || s.events[EventRestored.Number] != 0 || len(s.table.Candidates("app")) != 2 || s.knows != at(31) {
+	if s.left != 0 || s.events[EventPlatformRestored.Number] != 0 || len(s.table.Candidates("app")) != 2 || s.knows != at(31) {
 		t.Error(s.left, s.events, s.knows)
 	}
 }
@@ -159,7 +159,7 @@
 			s.answer(evacuations, 27, takenBack("here", 26))
 			s.want("withdrawn", false)
 		}
-		if in, out := s.events[EventEvacuated.Number], s.events[EventTakenBack.Number]; in != 1 || out != 1 {
+		if in, out := s.events[EventEvacuated.Number], s.events[EventEvacuationWithdrawn.Number]; in != 1 || out != 1 {
 			t.Errorf("%s: %d and %d lines", name, in, out)
 		}
 	}
--- a/stoatedge/run_admin.go
+++ b/stoatedge/run_admin.go
@@ -46,20 +46,20 @@
 	routes, n := t.Counts()
 	s := stoatstatus.Status{
 		Instance: string(set.Instance), Ready: t.Ready(), Leaving: e.stop.asked(),
-		Platform: e.inTouch.Load(), Watching: true,
-		Contracts: []stoatstatus.Summary{}, Instances: []stoatstatus.Instance{},
-		View: &stoatstatus.View{
-			Version: uint64(t.Declaration.Version), Age: max(-1, e.ViewAge(clock()).Milliseconds()), Routes: routes, Serving: n[stoatroute.Serving],
+		PlatformAvailable: e.inTouch.Load(), WatchesPlatform: true,
+		Contracts: []stoatstatus.ContractVersion{}, Instances: []stoatstatus.Instance{},
+		View: &stoatstatus.RoutingSummary{
+			Version: uint64(t.Declaration.Version), AgeMS: max(-1, e.ViewAge(clock()).Milliseconds()), Routes: routes, Serving: n[stoatroute.Serving],
 			Leaving: n[stoatroute.Leaving], Missing: n[stoatroute.Missing], Gone: n[stoatroute.Gone],
 		},
 	}
 	named := false
 	for _, seed := range set.Seeds {
-		named = named || seed == set.Admin
+		named = named || seed == set.AdminAddr
 		s.Instances = append(s.Instances, stoatstatus.Instance{Name: seed.String(), Role: "entry", Admin: seed.String()})
 	}
 	if !named {
-		s.Instances = append(s.Instances, stoatstatus.Instance{Name: s.Instance, Role: "entry", Admin: set.Admin.String()})
+		s.Instances = append(s.Instances, stoatstatus.Instance{Name: s.Instance, Role: "entry", Admin: set.AdminAddr.String()})
 	}
 	return s
 }
@@ -68,8 +68,8 @@
 func (e *Edge) report() stoatstatus.Report {
 	s := e.Stats()
 	return stoatstatus.Report{
-		Instance: string(e.settings().Instance), Opened: s.Opened,
-		Reset:   s.Resets[stoatpacket.DropUpstreamGone],
-		Limited: s.Refused,
+		Instance: string(e.settings().Instance), FlowsOpened: s.Opened,
+		FlowsReset:   s.Resets[stoatpacket.DropUpstreamGone],
+		FlowsLimited: s.Refused,
 	}
 }
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -90,7 +90,7 @@
 // call does one call to the platform and reports its end. given is cancelled when the call
 // is given up.
 func (e *Edge) call(given context.Context, x ask) {
-	if !stoatplatform.Pause(given, x.call.Pause) {
+	if !stoatplatform.Sleep(given, x.call.Pause) {
 		if e.ctx.Err() == nil {
 			e.post(ended{topic: x.topic, call: x.call, sent: clock(), result: stoatfeed.Result{Outcome: stoatfeed.Interrupted}})
 		}
@@ -98,7 +98,7 @@
 	}
 	ctx, cancel := context.WithTimeout(given, x.call.Timeout)
 	defer cancel()
-	q := platform.Query{Kind: kindOf(x.topic), Stale: x.call.AllowStale}
+	q := platform.Query{Kind: kindOf(x.topic), AllowStale: x.call.AllowStale}
 	if x.call.List {
 		q.After = x.call.After
 	} else {
@@ -121,7 +121,7 @@
 
 func outcomeOf(err error) stoatfeed.Outcome {
 	var history *platform.HistoryError
-	var rate *stoatpaddle.RateError
+	var rate *stoatpaddle.RateLimitError
 	switch {
 	case err == nil:
 		return stoatfeed.Answered
@@ -135,7 +135,7 @@
 }
 
 // eraOf returns which history an answer is of, also one that refuses to go on from a revision.
-func eraOf(a platform.Answer, err error) stoatpaddle.Era {
+func eraOf(a platform.ReadResult, err error) stoatpaddle.Era {
 	var history *platform.HistoryError
 	if errors.As(err, &history) {
 		return stoatpaddle.Era(history.Era)
@@ -143,7 +143,7 @@
 	return stoatpaddle.Era(a.Era)
 }
 
-func readAnswer(x ask, a platform.Answer, err error) (stoatfeed.Result, []change) {
+func readAnswer(x ask, a platform.ReadResult, err error) (stoatfeed.Result, []change) {
 	r := stoatfeed.Result{Outcome: outcomeOf(err), AsOf: stoatpaddle.Position{Era: eraOf(a, err), Revision: stoatpaddle.Version(a.AsOf)}, More: a.More}
 	var changes []change
 	for i := range a.Items {
@@ -166,7 +166,7 @@
 // readChange decodes one object.
 func readChange(t topic, o *platform.Object, gone bool) change {
 	c := change{name: o.Meta.Name, revision: stoatpaddle.Version(o.Meta.Revision), gone: gone}
-	if t == evacuations && c.name != "" && (gone || o.Fault == nil) {
+	if t == evacuations && c.name != "" && (gone || o.DecodeErr == nil) {
 		c.evacuation = &stoatpaddle.Evacuation{DataCentre: stoatpaddle.DataCentreID(c.name), Revision: c.revision, Withdrawn: gone}
 		return c
 	}
@@ -177,13 +177,13 @@
 		c.readRegistration(o)
 		return c
 	}
-	if c.fault = o.Fault; c.fault != nil {
+	if c.fault = o.DecodeErr; c.fault != nil {
 		return c
 	}
-	if t != declarations || o.Meta.Name != platform.NameConfig {
+	if t != declarations || o.Meta.Name != platform.ConfigName {
 		return c
 	}
-	d, err := platform.Declaration(o.Spec)
+	d, err := platform.DecodeDeclaration(o.Spec)
 	if c.fault = err; err == nil {
 		c.declaration = &d
 	}
@@ -192,15 +192,15 @@
 
 // readRegistration decodes an upstream's object. What its name says is known also if the rest cannot be read.
 func (c *change) readRegistration(o *platform.Object) {
-	err := o.Fault
+	err := o.DecodeErr
 	var r stoatpaddle.Registration
 	if err == nil {
-		r, err = platform.Registration(o.Meta.Name, o.Spec)
+		r, err = platform.DecodeRegistration(o.Meta.Name, o.Spec)
 	}
 	if err != nil {
 		c.fault, c.target = err, platform.TargetOf(o.Meta.Name)
 		return
 	}
-	r.Created = stoatpaddle.Version(o.Meta.CreateRev)
+	r.CreateRevision = stoatpaddle.Version(o.Meta.CreateRevision)
 	c.registration = &r
 }
--- a/stoatedge/run_follow.go
+++ b/stoatedge/run_follow.go
@@ -129,7 +129,7 @@
 		return false, err
 	}
 	defer func() { _ = res.Body.Close() }()
-	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, N: &e.place.heard}))
+	dec := msgpack.NewDecoder(bufio.NewReader(&stoatcount.Reader{R: res.Body, Count: &e.place.heard}))
 	if res.StatusCode != http.StatusOK {
 		return false, e.refused(addr, dec)
 	}
@@ -141,7 +141,7 @@
 			}
 			return accepted, &goneError{addr: addr, cause: err}
 		}
-		silence := stoatfeed.Fraction(e.settings().Bound(), silenceShare)
+		silence := stoatfeed.Fraction(e.settings().MaxDelay(), silenceShare)
 		watchdog.Stop()
 		watchdog = time.AfterFunc(silence, func() { cancel(&silentError{after: silence}) })
 		accepted = true
--- a/stoatedge/run_former.go
+++ b/stoatedge/run_former.go
@@ -20,7 +20,7 @@
 // power loss of all entries nobody else knows. Flows at the service before would be taken for forged.
 
 // formerRef names the object.
-var formerRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectRoutes, Name: "former"}
+var formerRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectFormerServices, Name: "former"}
 
 const (
 	// rememberWithin spreads the seeds, of which the first one writes and the others find it done.
@@ -74,7 +74,7 @@
 	defer cancel()
 	x, err := e.readFormer(ctx)
 	if err != nil {
-		e.log.emit(clock(), EventFormerUnread, stoatevent.F("cause", err.Error()))
+		e.log.emit(clock(), EventFormerLoadFailed, stoatevent.F("cause", err.Error()))
 		return
 	}
 	if len(x.former) > 0 {
@@ -84,12 +84,12 @@
 
 // readFormer returns what a replica has; nothing where there is no such object.
 func (e *Edge) readFormer(ctx context.Context) (remember, error) {
-	answer, err := e.store.Read(ctx, platform.Query{Kind: stoatplatform.Kind, Stale: true})
+	answer, err := e.store.Read(ctx, platform.Query{Kind: stoatplatform.StoreKind, AllowStale: true})
 	if err != nil {
 		return remember{}, err
 	}
 	for _, item := range answer.Items {
-		o, err := stoatplatform.FromObject(item, answer.Era)
+		o, err := stoatplatform.FromStoreObject(item, answer.Era)
 		if err != nil || o.Ref != formerRef {
 			continue
 		}
@@ -100,17 +100,17 @@
 
 // rememberFormer keeps which services routes had, unless another entry did so of as late a configuration.
 func (e *Edge) rememberFormer(x remember) {
-	client := stoatplatform.New(stoatplatform.Config{Addr: e.settings().Platform})
+	client := stoatplatform.New(stoatplatform.Config{Addr: e.settings().PlatformAddr})
 	var err error
 	for range rememberTries {
-		if !stoatplatform.Pause(e.ctx, time.Duration(rand.Int64N(int64(rememberWithin)))) {
+		if !stoatplatform.Sleep(e.ctx, time.Duration(rand.Int64N(int64(rememberWithin)))) {
 			return
 		}
 		if err = writeFormer(e.ctx, client, x); err == nil {
 			return
 		}
 	}
-	e.log.emit(clock(), EventFormerUnwritten, stoatevent.F("version", x.version.String()), stoatevent.F("cause", err.Error()))
+	e.log.emit(clock(), EventFormerSaveFailed, stoatevent.F("version", x.version.String()), stoatevent.F("cause", err.Error()))
 }
 
 func writeFormer(ctx context.Context, p stoatpaddle.Platform, x remember) error {
--- a/stoatedge/run_seen.go
+++ b/stoatedge/run_seen.go
@@ -105,8 +105,8 @@
 	delay, steady := e.pool.PropagationDelay(), e.pool.Stable(now)
 	place, size, parent := e.findPlace()
 	e.engineMu.Lock()
-	e.engine.SetPlace(now, place)
-	e.engine.SetSums(now, sum)
+	e.engine.SetRank(now, place)
+	e.engine.SetDataCentreSums(now, sum)
 	marked := e.engine.EjectFailing(now, t)
 	var silent []stoatecho.SilentUpstream
 	if steady {
@@ -114,7 +114,7 @@
 	}
 	e.engineMu.Unlock()
 	for _, m := range marked {
-		e.log.emit(now, EventFailing, stoatevent.F("upstream", string(m.Upstream.ID)), stoatevent.F("service", string(m.Upstream.Service)),
+		e.log.emit(now, EventUpstreamFailing, stoatevent.F("upstream", string(m.Upstream.ID)), stoatevent.F("service", string(m.Upstream.Service)),
 			stoatevent.F("answered", strconv.Itoa(m.Answered)), stoatevent.F("failed", strconv.Itoa(m.Failed)), stoatevent.F("hold", m.Backoff.String()))
 	}
 	e.logSilent(now, silent)
@@ -140,11 +140,11 @@
 		for _, s := range silent {
 			names = append(names, string(s.Upstream.ID))
 		}
-		e.log.emit(now, EventManySilent, stoatevent.F("count", strconv.Itoa(len(names))), stoatevent.F("names", joinNames(names)))
+		e.log.emit(now, EventUpstreamsSilent, stoatevent.F("count", strconv.Itoa(len(names))), stoatevent.F("names", joinNames(names)))
 		return
 	}
 	for _, s := range silent {
-		e.log.emit(now, EventSilent, stoatevent.F("upstream", string(s.Upstream.ID)), stoatevent.F("service", string(s.Upstream.Service)),
+		e.log.emit(now, EventUpstreamSilent, stoatevent.F("upstream", string(s.Upstream.ID)), stoatevent.F("service", string(s.Upstream.Service)),
 			stoatevent.F("entries", strconv.Itoa(s.WaitingEntries)), stoatevent.F("silence", s.Silence.Round(time.Millisecond).String()),
 			stoatevent.F("waiting", strconv.Itoa(s.PendingRequests)))
 	}
@@ -166,7 +166,7 @@
 		case x := <-e.reports:
 			e.place.sized.Store(int64(x.size))
 			if !e.sendReport(x) {
-				e.pool.ResetParentStream()
+				e.pool.ForceFullUpdate()
 				e.place.sized.Store(0)
 			}
 			e.reporting.Store(false)
@@ -195,7 +195,7 @@
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, seekTimeout)
 	defer cancel()
-	url := "http://" + x.to.String() + pathSeen + "?" + askFrom + "=" + e.settings().Admin.String() + "&" + askSize + "=" + strconv.Itoa(x.size)
+	url := "http://" + x.to.String() + pathSeen + "?" + askFrom + "=" + e.settings().AdminAddr.String() + "&" + askSize + "=" + strconv.Itoa(x.size)
 	if x.update.Full {
 		url += "&" + askWhole + "=1"
 	}
@@ -206,7 +206,7 @@
 	e.place.sent.Add(int64(len(body)))
 	res, err := reportClient.Do(req)
 	if err != nil {
-		e.log.emit(clock(), EventUnreported, stoatevent.F("parent", x.to.String()), stoatevent.F("cause", err.Error()))
+		e.log.emit(clock(), EventReportFailed, stoatevent.F("parent", x.to.String()), stoatevent.F("cause", err.Error()))
 		return false
 	}
 	_, _ = io.Copy(io.Discard, res.Body)
--- a/stoatedge/run_tell.go
+++ b/stoatedge/run_tell.go
@@ -118,13 +118,13 @@
 		refuseAsk(w, a)
 		return
 	}
-	e.log.emit(clock(), EventChild, stoatevent.F("child", ask.From.String()), stoatevent.F("centre", string(ask.Centre)), stoatevent.F("known", ask.Position.String()))
+	e.log.emit(clock(), EventChildAccepted, stoatevent.F("child", ask.From.String()), stoatevent.F("centre", string(ask.Centre)), stoatevent.F("known", ask.Position.String()))
 	cause := e.tellChild(w, r, ask)
 	e.place.mu.Lock()
 	e.place.tree.RemoveChild(ask.From, a.Admission)
 	e.place.mu.Unlock()
 	e.pool.RemoveChild(ask.From)
-	e.log.emit(clock(), EventChildGone, stoatevent.F("child", ask.From.String()), stoatevent.F("cause", cause))
+	e.log.emit(clock(), EventChildLeft, stoatevent.F("child", ask.From.String()), stoatevent.F("cause", cause))
 }
 
 func refuseAsk(w http.ResponseWriter, a stoattree.JoinResponse) {
@@ -136,7 +136,7 @@
 // tellChild sends messages until something ends it, and returns what did.
 func (e *Edge) tellChild(w http.ResponseWriter, r *http.Request, ask stoattree.JoinRequest) string {
 	rc := http.NewResponseController(w)
-	out := &stoatcount.Writer{W: w, N: &e.place.sent}
+	out := &stoatcount.Writer{W: w, Count: &e.place.sent}
 	var child stoatrelay.ChildState
 	var seen stoatoutlier.DeltaTracker
 	for {
@@ -144,7 +144,7 @@
 		if e.stop.asked() {
 			return "this entry stops"
 		}
-		now, bound := clock(), e.settings().Bound()
+		now, bound := clock(), e.settings().MaxDelay()
 		text, told, err := e.message(now, ask, child, &seen)
 		if err != nil {
 			return err.Error()
@@ -198,7 +198,7 @@
 func (e *Edge) headFor(now time.Time, s *announcement, ask stoattree.JoinRequest, body bool, stream *stoatoutlier.DeltaTracker, era stoatpaddle.Era) ([]byte, error) {
 	h := stoatrelay.Head{
 		PositionRevision: uint64(s.known.Revision), PositionEra: uint64(s.known.Era), BodyEra: uint64(era), AgeMS: ageAt(now, s.asOf).Milliseconds(), HasBody: body,
-		Path: stoatrelay.FormatAddrs(append(s.path[:len(s.path):len(s.path)], e.settings().Admin)),
+		Path: stoatrelay.FormatAddrs(append(s.path[:len(s.path):len(s.path)], e.settings().AdminAddr)),
 	}
 	h.Centre = string(e.settings().DataCentre)
 	if seen := e.place.seen.Load(); seen != nil && ask.Centre == e.settings().DataCentre {
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -29,7 +29,7 @@
 
 func newMover() *mover {
 	return &mover{
-		buf:   make([]byte, platform.TargetSize+platform.HeaderSize+platform.MaxData+1),
+		buf:   make([]byte, platform.TargetSize+platform.HeaderSize+platform.MaxDataSize+1),
 		reset: make([]byte, platform.HeaderSize),
 	}
 }
@@ -50,7 +50,7 @@
 		now := clock()
 		e.stop.packet(now)
 		m.drained = e.in.drained
-		reason := platform.ReadPacket(m.buf[platform.TargetSize:platform.TargetSize+n], &p)
+		reason := platform.DecodePacket(m.buf[platform.TargetSize:platform.TargetSize+n], &p)
 		// Resets towards this entry itself would come back as packets.
 		if reason == stoatpacket.DropNone && p.Tuple.Src.Addr() == e.own {
 			reason = stoatpacket.DropOwnSource
@@ -72,7 +72,7 @@
 		e.engine.NoteQueueEmpty(m.drained)
 	}
 	a := e.engine.Handle(now, t, p)
-	if a.Verdict == stoatecho.Wait && !e.hold.Add(now, p, m.buf[platform.TargetSize:platform.TargetSize+n]) {
+	if a.Verdict == stoatecho.Hold && !e.hold.Add(now, p, m.buf[platform.TargetSize:platform.TargetSize+n]) {
 		a.Verdict = stoatecho.Drop
 		e.counts.malformed[a.Reason].Add(1)
 	}
@@ -126,7 +126,7 @@
 		}
 		_, _ = e.conn.WriteToUDPAddrPort(buf, a.Upstream.Addr)
 		if a.Opened {
-			e.logFlow(now, EventOpened, t, a, p, append(loadFields(a),
+			e.logFlow(now, EventFlowPlaced, t, a, p, append(loadFields(a),
 				stoatevent.F("copies", strconv.Itoa(p.Retransmits)), stoatevent.F("moved", strconv.FormatBool(a.Moved)))...)
 		}
 	case stoatecho.Reset:
@@ -141,7 +141,7 @@
 		if a.Reason == stoatpacket.DropNoUpstream {
 			fields = append(fields, excludedFields(&a.Excluded)...)
 		}
-		e.logFlow(now, EventReset, t, a, p, fields...)
+		e.logFlow(now, EventFlowReset, t, a, p, fields...)
 	case stoatecho.Drop:
 		e.logDrop(now, p, a.Reason)
 		if a.Reason == stoatpacket.DropUnverified {
@@ -152,12 +152,12 @@
 		e.counts.answer.Update(a.AnswerTime.Seconds())
 	}
 	if a.Late {
-		e.logFlow(now, EventLate, t, a, p, stoatevent.F("took", a.AnswerTime.Round(time.Millisecond).String()), stoatevent.F("busy", strconv.Itoa(a.InProgress)))
+		e.logFlow(now, EventLateAnswer, t, a, p, stoatevent.F("took", a.AnswerTime.Round(time.Millisecond).String()), stoatevent.F("busy", strconv.Itoa(a.InProgress)))
 	}
 	if a.Ejected != nil {
 		// The packet itself may have gone to another upstream.
 		of := stoatecho.Action{Upstream: a.Ejected, Retransmissions: a.Retransmissions}
-		e.logFlow(now, EventEjected, t, of, p, stoatevent.F("centre", string(a.Ejected.DataCentre)),
+		e.logFlow(now, EventUpstreamEjected, t, of, p, stoatevent.F("centre", string(a.Ejected.DataCentre)),
 			stoatevent.F("silence", a.Silence.Round(time.Millisecond).String()), stoatevent.F("waiting", strconv.Itoa(a.PendingRequests)))
 	}
 }
@@ -193,13 +193,13 @@
 	for _, x := range list {
 		p := stoatpacket.Packet{Tuple: x.Tuple, Ack: x.Ack}
 		e.sendReset(m, &p)
-		e.logFlow(now, EventReset, t, stoatecho.Action{Upstream: x.Upstream}, &p,
+		e.logFlow(now, EventFlowReset, t, stoatecho.Action{Upstream: x.Upstream}, &p,
 			stoatevent.F("reason", stoatpacket.DropUpstreamGone.String()), stoatevent.F("opens", "false"), stoatevent.F("waited", "true"))
 	}
 }
 
 // logFlow writes a line about one flow: its id, what decided, how old that was.
-func (e *Edge) logFlow(now time.Time, entry *stoatevent.Entry, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
+func (e *Edge) logFlow(now time.Time, entry *stoatevent.Definition, t *stoatroute.Table, a stoatecho.Action, p *stoatpacket.Packet, more ...stoatevent.Field) {
 	if !e.log.admit(now, entry) {
 		return
 	}
@@ -215,10 +215,10 @@
 }
 
 func (e *Edge) logDrop(now time.Time, p *stoatpacket.Packet, reason stoatpacket.DropReason) {
-	if !e.log.admit(now, EventDropped) {
+	if !e.log.admit(now, EventPacketDropped) {
 		return
 	}
-	e.log.write(EventDropped, stoatevent.F("reason", reason.String()),
+	e.log.write(EventPacketDropped, stoatevent.F("reason", reason.String()),
 		stoatevent.F("flow", p.Tuple.Src.String()+">"+p.Tuple.Dst.String()), stoatevent.F("cookie", strconv.FormatUint(uint64(p.Cookie), 16)))
 }
 
@@ -248,7 +248,7 @@
 		now := clock()
 		if gap := e.pause.tick(uptime()); gap > 0 {
 			e.post(resumed{gap: gap})
-			e.log.emit(now, EventPaused, stoatevent.F("gap", gap.String()))
+			e.log.emit(now, EventProcessPaused, stoatevent.F("gap", gap.String()))
 		}
 		e.post(ticked{})
 		e.giveUp(now)
--- a/stoatedge/share_test.go
+++ b/stoatedge/share_test.go
@@ -27,15 +27,15 @@
 	})
 	_, setSeed, logSeed := r.start("127.0.0.21")
 	r.wait("the seed serves", func() bool { return isReady(setSeed) })
-	b, setB, logB := r.start("127.0.0.22", setSeed.Admin)
+	b, setB, logB := r.start("127.0.0.22", setSeed.AdminAddr)
 	r.wait("the second is told", func() bool { return told(b) == 1 })
-	c, setC, logC := r.start("127.0.0.23", setB.Admin)
+	c, setC, logC := r.start("127.0.0.23", setB.AdminAddr)
 	r.wait("the third is told through the second", func() bool { return told(c) == 2 })
 	r.wait("all upstreams are known", func() bool { return len(c.Table().Candidates("app")) == 3 })
 
 	now := time.Now()
 	body, err := msgpack.Marshal(stoatoutlier.Encode(now, []stoatoutlier.Report{{
-		Key: stoatroute.KeyOf(stoatpaddle.Target(0x11)),
+		Key: stoatroute.KeyOf(stoatpaddle.TargetID(0x11)),
 		Silence: stoatoutlier.Silence{
 			WaitingEntries: 2, FirstWaitSince: now.Add(-800 * time.Millisecond), SecondWaitSince: now.Add(-700 * time.Millisecond),
 		},
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	res, err := http.Post("http://"+setC.Admin.String()+"/v1/seen?whole=1&from=127.0.0.24:9999", "", bytes.NewReader(body))
+	res, err := http.Post("http://"+setC.AdminAddr.String()+"/v1/seen?whole=1&from=127.0.0.24:9999", "", bytes.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/stoatedge/stop.go
+++ b/stoatedge/stop.go
@@ -62,7 +62,7 @@
 // Stop begins the planned stop; Wait returns when it is complete.
 func (e *Edge) Stop() {
 	now := clock() // house: the signal comes now
-	deadline := e.settings().Stop
+	deadline := e.settings().StopDeadline
 	if e.stop.begin(now, deadline) {
 		// Children look for another parent while this one still serves.
 		e.place.bell.ring()
--- a/stoatentry/entry.go
+++ b/stoatentry/entry.go
@@ -34,8 +34,8 @@
 	Settings stoatsetting.Settings
 	Log      io.Writer
 	Workers  int // goroutines a socket; default 2
-	// Severed tells that the network towards a peer is cut; tests set it.
-	Severed func(id stoatpaddle.InstanceID) bool
+	// Partitioned tells that the network towards a peer is cut; tests set it.
+	Partitioned func(id stoatpaddle.InstanceID) bool
 }
 
 const defaultWorkers = 2
@@ -79,12 +79,12 @@
 	seed := uint64(now.UnixNano())
 	e := &Entry{
 		cfg: cfg, set: cfg.Settings, group: group, ctx: ctx, cancel: cancel,
-		log:      stoatevent.NewLogger(stoatevent.Config{Writer: cfg.Log, Level: cfg.Settings.Level, Instance: string(cfg.Settings.Instance)}),
-		platform: stoatplatform.New(stoatplatform.Config{Addr: cfg.Settings.Platform}),
+		log:      stoatevent.NewLogger(stoatevent.Config{Writer: cfg.Log, Level: cfg.Settings.LogLevel, Instance: string(cfg.Settings.Instance)}),
+		platform: stoatplatform.New(stoatplatform.Config{Addr: cfg.Settings.PlatformAddr}),
 		system:   newSystem(),
 		self:     instanceOf(cfg.Settings, now),
 	}
-	e.engine = stoatflow.New(stoatflow.Config{Self: e.self.ID, Start: now, Settle: e.set.Settle, Seed: seed})
+	e.engine = stoatflow.New(stoatflow.Config{Self: e.self.ID, Start: now, Settle: e.set.SettleTime, Seed: seed})
 	e.calls = stoatcall.New(stoatcall.Config{View: e.view.Load, Clock: clock, Seed: seed})
 	e.metrics = e.newMetrics()
 	if err := e.open(); err != nil {
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	node := stoatnode.New(stoatnode.Config{
-		Self: e.self, Cluster: e.set.Cluster, Seeds: e.set.Seeds, Random: seed, Stop: e.set.Stop, Dead: e.set.Dead,
+		Self: e.self, Cluster: e.set.Cluster, Seeds: e.set.Seeds, RandomSeed: seed, StopDeadline: e.set.StopDeadline, DeadAfter: e.set.PeerTimeout,
 	})
 	e.pid = e.system.Root.Spawn(actor.PropsFromProducer(func() actor.Actor {
 		return &control{node: node, clock: clock, do: e.do}
@@ -101,7 +101,7 @@
 		e.Kill()
 		return nil, err
 	}
-	e.log.Emit(EventListen, stoatevent.F("tunnel", e.set.Tunnel.String()), stoatevent.F("admin", e.set.Admin.String()))
+	e.log.Emit(EventListening, stoatevent.F("tunnel", e.set.TunnelAddr.String()), stoatevent.F("admin", e.set.AdminAddr.String()))
 	e.post(stoatnode.Started{})
 	e.serve()
 	return e, nil
@@ -112,33 +112,33 @@
 func instanceOf(s stoatsetting.Settings, now time.Time) stoatpaddle.Instance {
 	return stoatpaddle.Instance{
 		ID: s.Instance, Role: stoatpaddle.RoleEntry, DataCentre: s.DataCentre, State: stoatpaddle.StateJoining,
-		Incarnation: stoatpaddle.Incarnation(now.UnixMilli()), Relay: s.Relay, Peer: s.Peer, Admin: s.Admin,
+		Incarnation: stoatpaddle.Incarnation(now.UnixMilli()), Relay: s.RelayAddr, Peer: s.PeerAddr, Admin: s.AdminAddr,
 	}
 }
 
 func (e *Entry) open() error {
 	var err error
-	if e.tunnel, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.set.Tunnel)); err != nil {
+	if e.tunnel, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.set.TunnelAddr)); err != nil {
 		return err
 	}
-	if e.relay, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.set.Relay)); err != nil {
+	if e.relay, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(e.set.RelayAddr)); err != nil {
 		return err
 	}
 	admin := stoatadmin.New(stoatadmin.Config{
 		Platform: e.platform, Status: e.status, Metrics: e.writeMetrics, Report: e.report, Clock: clock,
 		Rand: rand.New(rand.NewPCG(uint64(e.self.Incarnation), 3)),
 	})
-	if err = e.listen(e.set.Admin, admin); err != nil {
+	if err = e.listen(e.set.AdminAddr, admin); err != nil {
 		return err
 	}
-	return e.listen(e.set.Call, e.calls)
+	return e.listen(e.set.CallAddr, e.calls)
 }
 
 func (e *Entry) openPeers() error {
 	var err error
 	e.transport, err = stoatpeer.New(e.ctx, stoatpeer.Config{
 		Hello: stoatmessage.Hello{Cluster: e.set.Cluster, Instance: e.self},
-		Addr:  e.set.Peer, Handler: e, Log: e.log, Partitioned: e.cfg.Severed,
+		Addr:  e.set.PeerAddr, Handler: e, Log: e.log, Partitioned: e.cfg.Partitioned,
 	})
 	return err
 }
@@ -164,7 +164,7 @@
 }
 
 // Stop begins the planned stop; Wait returns when it is complete.
-func (e *Entry) Stop() { e.post(stoatnode.StopAsked{}) }
+func (e *Entry) Stop() { e.post(stoatnode.StopRequested{}) }
 
 // Kill ends the entry at once, as a crash would.
 func (e *Entry) Kill() {
@@ -209,14 +209,14 @@
 // Calls returns the call handler, for tests and the demo.
 func (e *Entry) Calls() *stoatcall.Handler { return e.calls }
 
-// ControlBytes returns the bytes of control frames sent since the start.
-func (e *Entry) ControlBytes() int64 {
+// ControlBytesSent returns the bytes of control frames sent since the start.
+func (e *Entry) ControlBytesSent() int64 {
 	sent, _ := e.transport.Bytes()
 	return sent
 }
 
-// Dropped returns the number of packets dropped for the reason.
-func (e *Entry) Dropped(r stoatpacket.DropReason) int64 { return e.drops[r].Load() }
+// DroppedPackets returns the number of packets dropped for the reason.
+func (e *Entry) DroppedPackets(r stoatpacket.DropReason) int64 { return e.drops[r].Load() }
 
 const statusTimeout = 2 * time.Second
 
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -41,9 +41,9 @@
 
 func startEntry(t *testing.T, id string, platform, egress netip.AddrPort, seeds ...netip.AddrPort) (*stoatentry.Entry, stoatsetting.Settings) {
 	set := stoatsetting.Settings{
-		Instance: stoatpaddle.InstanceID(id), DataCentre: "ruwi", Cluster: "test", Platform: platform, Egress: egress, Seeds: seeds,
-		Tunnel: freeAddr(t), Relay: freeAddr(t), Peer: freeAddr(t), Admin: freeAddr(t), Call: freeAddr(t),
-		Level: "info", Stop: time.Minute, Settle: time.Minute, Dead: time.Minute,
+		Instance: stoatpaddle.InstanceID(id), DataCentre: "ruwi", Cluster: "test", PlatformAddr: platform, EgressAddr: egress, Seeds: seeds,
+		TunnelAddr: freeAddr(t), RelayAddr: freeAddr(t), PeerAddr: freeAddr(t), AdminAddr: freeAddr(t), CallAddr: freeAddr(t),
+		LogLevel: "info", StopDeadline: time.Minute, SettleTime: time.Minute, PeerTimeout: time.Minute,
 	}
 	e, err := stoatentry.Start(context.Background(), stoatentry.Config{Settings: set, Log: io.Discard})
 	if err != nil {
@@ -97,7 +97,7 @@
 	a, setA := startEntry(t, "e1", at, callers.Addr())
 	b, setB := startEntry(t, "e2", at, callers.Addr())
 	c := stoatpaddle.Contract{
-		Customer: "sawt", Lean: stoatpaddle.LeanBalance, Limits: stoatpaddle.Limits{Flows: 1000, Opens: 1000, Calls: 10, Rate: 10},
+		Customer: "sawt", Preference: stoatpaddle.PreferBalance, Limits: stoatpaddle.Limits{Flows: 1000, OpenRate: 1000, Calls: 10, CallRate: 10},
 		Services: []stoatpaddle.Service{{
 			ID: "giving", Kind: stoatpaddle.KindFlow, Addr: vip.Addr(), Protocol: stoatpaddle.ProtocolTCP, Ports: []uint16{vip.Port()},
 		}},
@@ -109,29 +109,29 @@
 		}
 		defer u.Close()
 		c.Services[0].Upstreams = append(c.Services[0].Upstreams, stoatpaddle.Upstream{
-			ID: stoatpaddle.UpstreamID(fmt.Sprint("u", n)), DataCentre: "ruwi", Addr: u.Addr(), Weight: 1, Slots: 3, Connections: 100,
+			ID: stoatpaddle.UpstreamID(fmt.Sprint("u", n)), DataCentre: "ruwi", Addr: u.Addr(), Weight: 1, Slots: 3, MaxFlows: 100,
 		})
 	}
 	until(func() bool { return ready(a, 0, 2) && ready(b, 0, 2) })
-	client := stoatadmin.NewClient(setA.Admin.String())
-	if _, err := client.Apply(context.Background(), "sawt", []byte(stoatcontract.Format(c, 0)), stoatadmin.Change{}); err != nil {
+	client := stoatadmin.NewClient(setA.AdminAddr.String())
+	if _, err := client.Apply(context.Background(), "sawt", []byte(stoatcontract.Format(c, 0)), stoatadmin.ChangeOptions{}); err != nil {
 		t.Fatal(err)
 	}
 	until(func() bool { return ready(a, 1, 2) && ready(b, 1, 2) })
-	fabric.Set([]netip.AddrPort{setA.Tunnel, setB.Tunnel})
+	fabric.Set([]netip.AddrPort{setA.TunnelAddr, setB.TunnelAddr})
 	callers.Start(&group)
 	until(func() bool { return callers.Counts().Open == 60 })
 
 	platform.Set(stoatfake.Trouble{Down: true})
-	third, setC := startEntry(t, "e3", at, callers.Addr(), setB.Peer)
+	third, setC := startEntry(t, "e3", at, callers.Addr(), setB.PeerAddr)
 	until(func() bool { return ready(third, 1, 3) })
-	fabric.Set([]netip.AddrPort{setA.Tunnel, setB.Tunnel, setC.Tunnel})
+	fabric.Set([]netip.AddrPort{setA.TunnelAddr, setB.TunnelAddr, setC.TunnelAddr})
 	a.Stop()
 	until(func() bool {
 		st, err := third.Status()
 		return err == nil && len(st.Instances) == 3 && st.Instances[0].State == stoatpaddle.StateLeaving
 	})
-	fabric.Set([]netip.AddrPort{setB.Tunnel, setC.Tunnel})
+	fabric.Set([]netip.AddrPort{setB.TunnelAddr, setC.TunnelAddr})
 	a.Wait()
 	seen := callers.Counts()
 	until(func() bool { return third.Engine().Stats().Relayed.Load()+b.Engine().Stats().Relayed.Load() > 100 })
@@ -166,16 +166,16 @@
 		data   []byte
 		reason stoatpacket.DropReason
 	}{
-		{set.Tunnel, []byte{0x45, 0}, stoatpacket.DropShort},
-		{set.Tunnel, []byte{0x15}, stoatpacket.DropNotIP},
-		{set.Tunnel, segment, stoatpacket.DropUnknownService},
-		{set.Relay, segment, stoatpacket.DropUnauthenticated},
+		{set.TunnelAddr, []byte{0x45, 0}, stoatpacket.DropShort},
+		{set.TunnelAddr, []byte{0x15}, stoatpacket.DropNotIP},
+		{set.TunnelAddr, segment, stoatpacket.DropUnknownService},
+		{set.RelayAddr, segment, stoatpacket.DropUnauthenticated},
 	} {
-		before := e.Dropped(c.reason)
+		before := e.DroppedPackets(c.reason)
 		until(func() bool {
 			_, _ = conn.WriteToUDPAddrPort(c.data, c.to)
 			time.Sleep(time.Millisecond)
-			return e.Dropped(c.reason) > before
+			return e.DroppedPackets(c.reason) > before
 		})
 	}
 }
--- a/stoatentry/metrics.go
+++ b/stoatentry/metrics.go
@@ -33,15 +33,15 @@
 	calls := e.calls.Stats()
 	gauge("stoatpaddle_call_answered_total", calls.Answered.Load)
 	gauge("stoatpaddle_call_refused_total", calls.Refused.Load)
-	gauge("stoatpaddle_call_unknown_total", calls.Unknown.Load)
-	gauge("stoatpaddle_call_cut_total", calls.Cut.Load)
+	gauge("stoatpaddle_call_unknown_total", calls.UnknownOutcome.Load)
+	gauge("stoatpaddle_call_cut_total", calls.Truncated.Load)
 	gauge("stoatpaddle_call_attempts_total", calls.Attempts.Load)
-	gauge("stoatpaddle_call_open", func() int64 { return int64(e.calls.Open()) })
+	gauge("stoatpaddle_call_open", func() int64 { return int64(e.calls.OpenCalls()) })
 	gauge("stoatpaddle_control_sent_bytes_total", func() int64 {
 		if e.transport == nil {
 			return 0
 		}
-		return e.ControlBytes()
+		return e.ControlBytesSent()
 	})
 	return set
 }
@@ -50,9 +50,9 @@
 func (e *Entry) report() stoatstatus.Report {
 	flows, calls := e.engine.Stats(), e.calls.Stats()
 	return stoatstatus.Report{
-		Instance: string(e.self.ID),
-		Opened:   flows.Opened.Load(), Reset: flows.Silent.Load(), Limited: flows.Refused.Load(),
-		Answered: calls.Answered.Load(), Refused: calls.Refused.Load(), Unknown: calls.Unknown.Load(), Cut: calls.Cut.Load(),
+		Instance:    string(e.self.ID),
+		FlowsOpened: flows.Opened.Load(), FlowsReset: flows.Silent.Load(), FlowsLimited: flows.Refused.Load(),
+		CallsAnswered: calls.Answered.Load(), CallsRefused: calls.Refused.Load(), CallsUnknown: calls.UnknownOutcome.Load(), CallsTruncated: calls.Truncated.Load(),
 	}
 }
 
--- a/stoatentry/restore_test.go
+++ b/stoatentry/restore_test.go
@@ -26,18 +26,18 @@
 	a, setA := startEntry(t, "e1", at, netip.MustParseAddrPort("127.0.0.1:9"))
 	b, _ := startEntry(t, "e2", at, netip.MustParseAddrPort("127.0.0.1:9"))
 	until(func() bool { return ready(a, 0, 2) && ready(b, 0, 2) })
-	client := stoatadmin.NewClient(setA.Admin.String())
+	client := stoatadmin.NewClient(setA.AdminAddr.String())
 	c := stoatpaddle.Contract{
-		Customer: "sawt", Lean: stoatpaddle.LeanBalance, Limits: stoatpaddle.Limits{Flows: 100, Opens: 1000, Calls: 10, Rate: 10},
+		Customer: "sawt", Preference: stoatpaddle.PreferBalance, Limits: stoatpaddle.Limits{Flows: 100, OpenRate: 1000, Calls: 10, CallRate: 10},
 		Services: []stoatpaddle.Service{{
 			ID: "giving", Kind: stoatpaddle.KindFlow, Addr: netip.MustParseAddr("203.0.113.10"), Protocol: stoatpaddle.ProtocolTCP, Ports: []uint16{443},
-			Upstreams: []stoatpaddle.Upstream{{ID: "u1", DataCentre: "ruwi", Addr: netip.MustParseAddrPort("127.0.0.1:9"), Weight: 1, Slots: 3, Connections: 100}},
+			Upstreams: []stoatpaddle.Upstream{{ID: "u1", DataCentre: "ruwi", Addr: netip.MustParseAddrPort("127.0.0.1:9"), Weight: 1, Slots: 3, MaxFlows: 100}},
 		}},
 	}
 	apply := func(flows int, base stoatpaddle.Version) stoatpaddle.Version {
 		t.Helper()
 		c.Limits.Flows = flows
-		answer, err := client.Apply(context.Background(), "sawt", []byte(stoatcontract.Format(c, base)), stoatadmin.Change{Base: base})
+		answer, err := client.Apply(context.Background(), "sawt", []byte(stoatcontract.Format(c, base)), stoatadmin.ChangeOptions{Base: base})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -37,9 +37,9 @@
 		e.engine.Prepare(clock(), x.View)
 		e.view.Store(x.View)
 	case stoatnode.List:
-		e.later(x.After, e.list)
+		e.later(x.Delay, e.list)
 	case stoatnode.Watch:
-		e.later(x.After, func() { e.watch(x.From) })
+		e.later(x.Delay, func() { e.watch(x.From) })
 	case stoatnode.Register:
 		e.wanted.Store(&x.Instance)
 		e.transport.SetInstance(x.Instance)
@@ -52,13 +52,13 @@
 		e.later(0, e.makeSeed)
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
-	case stoatnode.Hangup:
+	case stoatnode.Disconnect:
 		e.transport.Disconnect(x.Peer)
 	case stoatnode.Send:
 		e.transport.Send(x.To, x.Message)
-	case stoatnode.Deliver:
+	case stoatnode.DeliverFlows:
 		if v := e.view.Load(); v != nil {
-			e.engine.Receive(clock(), v, x.From, x.Flow.Batch)
+			e.engine.Receive(clock(), v, x.From, x.Flows.Batch)
 		}
 	case stoatnode.Resync:
 		e.engine.Resync(x.Peer)
@@ -73,7 +73,7 @@
 
 func (e *Entry) later(after time.Duration, f func()) {
 	e.group.Go(func() error {
-		if stoatplatform.Pause(e.ctx, after) {
+		if stoatplatform.Sleep(e.ctx, after) {
 			f()
 		}
 		return nil
@@ -100,16 +100,16 @@
 
 func (e *Entry) platformFailed(err error) {
 	ev := stoatnode.PlatformFailed{Cause: err.Error()}
-	var rate *stoatpaddle.RateError
+	var rate *stoatpaddle.RateLimitError
 	if errors.As(err, &rate) {
-		ev.After = rate.After
+		ev.RetryAfter = rate.RetryAfter
 	}
 	var history *platform.HistoryError
-	ev.Forgotten = errors.As(err, &history)
+	ev.HistoryGone = errors.As(err, &history)
 	e.post(ev)
 }
 
-func token() stoatpaddle.Token { return stoatpaddle.Token(uuid.NewString()) }
+func token() stoatpaddle.WriteToken { return stoatpaddle.WriteToken(uuid.NewString()) }
 
 // register writes the instance's object until the platform has it or the entry ends. It
 // writes what is wanted at each try: an older registration that was held up by an outage
@@ -119,13 +119,13 @@
 	for n := 0; e.ctx.Err() == nil; n++ {
 		o, err := e.writeInstance(*e.wanted.Load(), rnd)
 		if err == nil {
-			e.post(stoatnode.Wrote{Object: o})
+			e.post(stoatnode.ObjectWritten{Object: o})
 			return
 		}
 		if n == 0 {
-			e.log.Emit(EventWriteUnknown, stoatevent.F("cause", err.Error()))
+			e.log.Emit(EventWriteFailed, stoatevent.F("cause", err.Error()))
 		}
-		if !stoatplatform.Pause(e.ctx, stoatplatform.Backoff(rnd, n)) {
+		if !stoatplatform.Sleep(e.ctx, stoatplatform.Backoff(rnd, n)) {
 			return
 		}
 	}
@@ -136,7 +136,7 @@
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
-	ref := stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: string(i.ID)}
+	ref := stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: string(i.ID)}
 	current, err := e.platform.Get(e.ctx, ref)
 	var missing *stoatpaddle.NotFoundError
 	if err != nil && !errors.As(err, &missing) {
@@ -145,7 +145,7 @@
 	own := token()
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
 	return w.Put(e.ctx, stoatpaddle.Object{
-		Ref: ref, Version: current.Version, Token: stoatplatform.Trail(own, current.Token), Value: value,
+		Ref: ref, Version: current.Version, Token: stoatplatform.ChainToken(own, current.Token), Value: value,
 	}, own)
 }
 
@@ -153,21 +153,21 @@
 func (e *Entry) rewrite(o stoatpaddle.Object) {
 	rnd := mathrand.New(mathrand.NewPCG(uint64(e.self.Incarnation), 6))
 	own := token()
-	o.Token = stoatplatform.Trail(own, o.Token)
+	o.Token = stoatplatform.ChainToken(own, o.Token)
 	w := &stoatplatform.Writer{Platform: e.platform, Rand: rnd}
-	for n := 0; stoatplatform.Pause(e.ctx, time.Duration(min(n, 1))*stoatplatform.Backoff(rnd, n)); n++ {
+	for n := 0; stoatplatform.Sleep(e.ctx, time.Duration(min(n, 1))*stoatplatform.Backoff(rnd, n)); n++ {
 		done, err := w.Put(e.ctx, o, own)
 		var conflict *stoatpaddle.ConflictError
 		switch {
 		case err == nil:
-			e.post(stoatnode.Wrote{Object: done})
+			e.post(stoatnode.ObjectWritten{Object: done})
 			return
 		case errors.As(err, &conflict):
 			// Whoever watches beside this entry was first, or an operator was.
-			e.post(stoatnode.Wrote{Object: conflict.Current})
+			e.post(stoatnode.ObjectWritten{Object: conflict.Current})
 			return
 		}
-		e.log.Emit(EventWriteUnknown, stoatevent.F("cause", err.Error()))
+		e.log.Emit(EventWriteFailed, stoatevent.F("cause", err.Error()))
 	}
 }
 
@@ -177,11 +177,11 @@
 func (e *Entry) unregister() {
 	ctx, cancel := context.WithTimeout(context.Background(), unregisterTimeout)
 	defer cancel()
-	current, err := e.platform.Get(ctx, stoatpaddle.Ref{Kind: stoatpaddle.ObjectInstance, Name: string(e.self.ID)})
+	current, err := e.platform.Get(ctx, stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectInstance, Name: string(e.self.ID)})
 	if err != nil {
 		return
 	}
-	current.Token = stoatplatform.Trail(token(), current.Token)
+	current.Token = stoatplatform.ChainToken(token(), current.Token)
 	_, _ = e.platform.Delete(ctx, current)
 }
 
@@ -198,17 +198,17 @@
 	var conflict *stoatpaddle.ConflictError
 	switch {
 	case err == nil:
-		e.post(stoatnode.Wrote{Object: o})
+		e.post(stoatnode.ObjectWritten{Object: o})
 	case errors.As(err, &conflict):
-		e.post(stoatnode.Wrote{Object: conflict.Current})
+		e.post(stoatnode.ObjectWritten{Object: conflict.Current})
 	}
 }
 
 // handOver stops new calls and tells how long the flows' records will take.
 func (e *Entry) handOver() {
-	e.calls.Stop()
+	e.calls.Drain()
 	e.handing.Store(true)
-	e.log.Emit(EventHandOver, stoatevent.F("estimate", e.engine.HandoverTime().String()))
+	e.log.Emit(EventHandover, stoatevent.F("estimate", e.engine.HandoverTime().String()))
 }
 
 // drained tells whether a leaving entry has nothing left to hand over; one that never
@@ -236,9 +236,9 @@
 			}
 		}
 		if e.handing.Load() && e.drained(v) {
-			e.post(stoatnode.Handed{CallsOpen: e.calls.Open()})
+			e.post(stoatnode.FlowsHandedOver{OpenCalls: e.calls.OpenCalls()})
 		}
-		if now.Sub(ticked) >= stoatnode.TickEvery {
+		if now.Sub(ticked) >= stoatnode.TickInterval {
 			ticked = now
 			e.post(stoatnode.Ticked{})
 		}
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -153,12 +153,12 @@
 	}
 	if w.packet.Tuple.Protocol == stoatpaddle.ProtocolUDP {
 		if data, err := stoattunnel.PortUnreachable(&w.packet, packet); err == nil {
-			e.send(e.tunnel, data, e.set.Egress)
+			e.send(e.tunnel, data, e.set.EgressAddr)
 		}
 		return
 	}
 	if data, err := stoattunnel.ResetToCaller(&w.packet); err == nil {
-		e.send(e.tunnel, data, e.set.Egress)
+		e.send(e.tunnel, data, e.set.EgressAddr)
 	}
 	if a.Upstream == nil {
 		return
--- a/stoatevent/catalogue.go
+++ b/stoatevent/catalogue.go
@@ -19,11 +19,11 @@
 const (
 	Info    Severity = "info"
 	Warning Severity = "warning"
-	Fatal   Severity = "error"
+	Error   Severity = "error"
 )
 
-// Entry documents one numbered thing that a user can meet.
-type Entry struct {
+// Definition documents one numbered thing that a user can meet.
+type Definition struct {
 	Number   Number
 	Severity Severity
 	Since    string
@@ -31,34 +31,34 @@
 	Text     string // what happened, what the system does by itself, what an operator may do
 }
 
-// DuplicateError reports two entries with one number.
-type DuplicateError struct{ Number Number }
+// DuplicateNumberError reports two entries with one number.
+type DuplicateNumberError struct{ Number Number }
 
 // Error names the number.
-func (e *DuplicateError) Error() string {
+func (e *DuplicateNumberError) Error() string {
 	return "two catalogue entries have number " + e.Number.String()
 }
 
-// UnknownError reports a number that no entry has.
-type UnknownError struct{ Number string }
+// UnknownNumberError reports a number that no entry has.
+type UnknownNumberError struct{ Number string }
 
 // Error names the number.
-func (e *UnknownError) Error() string { return "no catalogue entry has number " + e.Number }
+func (e *UnknownNumberError) Error() string { return "no catalogue entry has number " + e.Number }
 
-var entries = map[Number]*Entry{}
+var entries = map[Number]*Definition{}
 
 // Register adds an entry to the catalogue and panics with *DuplicateError on a number taken.
-func Register(e Entry) *Entry {
+func Register(e Definition) *Definition {
 	if _, taken := entries[e.Number]; taken {
-		panic(&DuplicateError{Number: e.Number})
+		panic(&DuplicateNumberError{Number: e.Number})
 	}
 	entries[e.Number] = &e
 	return &e
 }
 
 // All returns the entries in ascending order of number.
-func All() []*Entry {
-	out := make([]*Entry, 0, len(entries))
+func All() []*Definition {
+	out := make([]*Definition, 0, len(entries))
 	for _, e := range entries {
 		out = append(out, e)
 	}
@@ -66,18 +66,18 @@
 	return out
 }
 
-// Find returns the entry with the printed number, or *UnknownError.
-func Find(number string) (*Entry, error) {
+// Lookup returns the entry with the printed number, or *UnknownError.
+func Lookup(number string) (*Definition, error) {
 	for _, e := range entries {
 		if strings.EqualFold(e.Number.String(), number) {
 			return e, nil
 		}
 	}
-	return nil, &UnknownError{Number: number}
+	return nil, &UnknownNumberError{Number: number}
 }
 
 // Explain returns the entry as the explain command prints it.
-func (e *Entry) Explain() string {
+func (e *Definition) Explain() string {
 	return fmt.Sprintf("%s  %s\n\n%s\n\nSeverity: %s. Since %s.\n", e.Number, e.Title, e.Text, e.Severity, e.Since)
 }
 
--- a/stoatevent/log.go
+++ b/stoatevent/log.go
@@ -17,7 +17,7 @@
 
 // Sink takes numbered events.
 type Sink interface {
-	Emit(e *Entry, fields ...Field)
+	Emit(e *Definition, fields ...Field)
 }
 
 // Config configures a Logger.
@@ -42,7 +42,7 @@
 }
 
 // Emit writes one event.
-func (l *Logger) Emit(e *Entry, fields ...Field) {
+func (l *Logger) Emit(e *Definition, fields ...Field) {
 	line := l.out.WithLevel(level(e.Severity)).Str("event", e.Number.String()).Str("instance", l.instance)
 	for _, f := range fields {
 		line = line.Str(f.Key, f.Value)
@@ -54,7 +54,7 @@
 	switch s {
 	case Warning:
 		return log.WarnLevel
-	case Fatal:
+	case Error:
 		return log.ErrorLevel
 	default:
 		return log.InfoLevel
@@ -65,4 +65,4 @@
 type Discard struct{}
 
 // Emit does nothing.
-func (Discard) Emit(*Entry, ...Field) {}
+func (Discard) Emit(*Definition, ...Field) {}
--- a/stoatevent/pipe.go
+++ b/stoatevent/pipe.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// Pipe is an io.Writer that never blocks: lines wait in a bounded queue, and one that finds
+// AsyncWriter is an io.Writer that never blocks: lines wait in a bounded queue, and one that finds
 // it full is counted and lost. A log that nobody reads must not stop traffic.
-type Pipe struct {
+type AsyncWriter struct {
 	lines chan []byte
 	lost  atomic.Int64
 }
@@ -15,11 +15,11 @@
 // pipeLines is how many lines wait at most: a second of the busiest start.
 const pipeLines = 1024
 
-// NewPipe returns a Pipe; Run has to be started for it.
-func NewPipe() *Pipe { return &Pipe{lines: make(chan []byte, pipeLines)} }
+// NewAsyncWriter returns a Pipe; Run has to be started for it.
+func NewAsyncWriter() *AsyncWriter { return &AsyncWriter{lines: make(chan []byte, pipeLines)} }
 
 // Write queues a line.
-func (p *Pipe) Write(line []byte) (int, error) {
+func (p *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case p.lines <- append([]byte(nil), line...):
 	default:
@@ -28,14 +28,14 @@
 	return len(line), nil
 }
 
-// Lost returns how many lines were lost since the start.
-func (p *Pipe) Lost() int64 { return p.lost.Load() }
+// Dropped returns how many lines were lost since the start.
+func (p *AsyncWriter) Dropped() int64 { return p.lost.Load() }
 
 // maxBatch bounds what is written at once.
 const maxBatch = 32 << 10
 
 // Run writes the queued lines to w, those that wait together in one write, until Close.
-func (p *Pipe) Run(w io.Writer) error {
+func (p *AsyncWriter) Run(w io.Writer) error {
 	var batch []byte
 	for line := range p.lines {
 		batch = append(batch[:0], line...)
@@ -50,4 +50,4 @@
 }
 
 // Close ends Run once it has written what is queued; no Write may follow.
-func (p *Pipe) Close() { close(p.lines) }
+func (p *AsyncWriter) Close() { close(p.lines) }
--- a/stoatevent/sampler.go
+++ b/stoatevent/sampler.go
@@ -21,8 +21,8 @@
 	return &Sampler{bounds: bounds, used: map[Number]int{}, left: map[Number]int64{}, total: map[Number]int64{}}
 }
 
-// Admit tells whether a line of the event may be written now.
-func (s *Sampler) Admit(now time.Time, e *Entry) bool {
+// Allow tells whether a line of the event may be written now.
+func (s *Sampler) Allow(now time.Time, e *Definition) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	bound, bounded := s.bounds[e.Number]
@@ -42,14 +42,14 @@
 	return true
 }
 
-// LeftOut is how many lines of an event were left out.
-type LeftOut struct {
+// OmittedLines is how many lines of an event were left out.
+type OmittedLines struct {
 	Number Number
 	Count  int64
 }
 
-// Take returns what was left out since the last Take, ascending by number.
-func (s *Sampler) Take() []LeftOut {
+// TakeOmitted returns what was left out since the last TakeOmitted, ascending by number.
+func (s *Sampler) TakeOmitted() []OmittedLines {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := listLeft(s.left)
@@ -57,17 +57,17 @@
 	return out
 }
 
-// Total returns what was left out since the start, ascending by number.
-func (s *Sampler) Total() []LeftOut {
+// TotalOmitted returns what was left out since the start, ascending by number.
+func (s *Sampler) TotalOmitted() []OmittedLines {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return listLeft(s.total)
 }
 
-func listLeft(m map[Number]int64) []LeftOut {
-	out := make([]LeftOut, 0, len(m))
+func listLeft(m map[Number]int64) []OmittedLines {
+	out := make([]OmittedLines, 0, len(m))
 	for n, c := range m {
-		out = append(out, LeftOut{Number: n, Count: c})
+		out = append(out, OmittedLines{Number: n, Count: c})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Number < out[j].Number })
 	return out
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -162,7 +162,7 @@
 	defer p.mu.Unlock()
 	var out []stoatpaddle.Object
 	for k, o := range p.objects {
-		if own, err := stoatplatform.FromObject(o, p.era+1); k.kind == stoatplatform.Kind && err == nil {
+		if own, err := stoatplatform.FromStoreObject(o, p.era+1); k.kind == stoatplatform.StoreKind && err == nil {
 			out = append(out, own)
 		}
 	}
@@ -178,7 +178,7 @@
 	}
 	p.revision++
 	if !ok {
-		o.Meta = platform.Meta{Name: k.name, CreateRev: p.revision, Finalizers: []string{}}
+		o.Meta = platform.Meta{Name: k.name, CreateRevision: p.revision, Finalizers: []string{}}
 	}
 	o.Meta.Revision, o.Spec = p.revision, spec
 	p.objects[k] = o
@@ -265,7 +265,7 @@
 // list answers with one page. Stale replicas are not modelled for lists, since no client lists from a replica.
 func (p *Platform) list(w http.ResponseWriter, r *http.Request, kind string) {
 	after := r.URL.Query().Get("after")
-	a := platform.Answer{Items: []platform.Object{}}
+	a := platform.ReadResult{Items: []platform.Object{}}
 	p.mu.Lock()
 	for k, o := range p.objects {
 		if k.kind == kind && k.name > after {
@@ -358,7 +358,7 @@
 			w.WriteHeader(http.StatusGone)
 			return
 		case len(events) > 0 && !t.SilentWatch:
-			respond(w, http.StatusOK, platform.Answer{Events: events, AsOf: seen})
+			respond(w, http.StatusOK, platform.ReadResult{Events: events, AsOf: seen})
 			return
 		}
 		select {
@@ -367,7 +367,7 @@
 			return
 		case <-timer.C:
 			if !t.SilentWatch {
-				respond(w, http.StatusOK, platform.Answer{Events: events, AsOf: seen})
+				respond(w, http.StatusOK, platform.ReadResult{Events: events, AsOf: seen})
 				return
 			}
 			<-r.Context().Done()
--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -165,14 +165,14 @@
 // contact with the platform, so this feed goes on calling the platform as before.
 func (f *Feed) Advance(pos stoatpaddle.Position) {
 	f.BeginEra(pos.Era)
-	f.pos = f.pos.Later(pos)
+	f.pos = f.pos.Max(pos)
 }
 
 // Adopt records that everything up to the position is known from another entry which is in contact with
 // the platform. Its state takes the place of a complete list of this feed.
 func (f *Feed) Adopt(pos stoatpaddle.Position) {
 	f.BeginEra(pos.Era)
-	f.pos = f.pos.Later(pos)
+	f.pos = f.pos.Max(pos)
 	if pos.Era < f.era {
 		// The other entry has not listed the objects of the current era yet. A watch from its position
 		// would miss them.
--- a/stoatflow/engine.go
+++ b/stoatflow/engine.go
@@ -148,9 +148,9 @@
 
 // gain returns the weight of load differences for a customer. It is lower while the byte budget is short,
 // because a tracked flow whose copy has not been sent breaks if this entry dies.
-func (e *Engine) gain(lean stoatpaddle.Lean) float64 {
+func (e *Engine) gain(lean stoatpaddle.Preference) float64 {
 	gain := e.cfg.Gain * e.outbox.gainFactor()
-	if lean == stoatpaddle.LeanFlows {
+	if lean == stoatpaddle.PreferFewTracked {
 		return gain * leanFlowsGain
 	}
 	return gain
--- a/stoatflow/engine_test.go
+++ b/stoatflow/engine_test.go
@@ -52,7 +52,7 @@
 func drawContracts(t *rapid.T) []stoatpaddle.Contract {
 	var out []stoatpaddle.Contract
 	for c := range 3 {
-		contract := stoatpaddle.Contract{Customer: stoatpaddle.CustomerID(fmt.Sprint("c", c)), Lean: stoatpaddle.LeanBalance}
+		contract := stoatpaddle.Contract{Customer: stoatpaddle.CustomerID(fmt.Sprint("c", c)), Preference: stoatpaddle.PreferBalance}
 		for s := range 2 {
 			svc := stoatpaddle.Service{
 				ID: stoatpaddle.ServiceID(fmt.Sprint("s", s)), Kind: stoatpaddle.KindFlow, Protocol: stoatpaddle.ProtocolTCP,
--- a/stoatflow/session_test.go
+++ b/stoatflow/session_test.go
@@ -183,7 +183,7 @@
 	if s.engines[id] == nil {
 		s.engines[id] = stoatflow.New(stoatflow.Config{Self: stoatpaddle.InstanceID(id), Start: epoch, MaxOpening: 1024, Seed: 1})
 	}
-	c := stoatpaddle.Contract{Customer: "c", Lean: stoatpaddle.LeanFlows, Limits: s.limits, Services: []stoatpaddle.Service{{
+	c := stoatpaddle.Contract{Customer: "c", Preference: stoatpaddle.PreferFewTracked, Limits: s.limits, Services: []stoatpaddle.Service{{
 		ID: "s", Kind: stoatpaddle.KindFlow, Addr: service.Addr(), Protocol: stoatpaddle.ProtocolTCP, Ports: []uint16{service.Port()},
 	}}}
 	for _, u := range s.upstreams {
@@ -192,7 +192,7 @@
 		})
 	}
 	for _, u := range s.retired {
-		c.Services[0].Retired = append(c.Services[0].Retired, stoatpaddle.Retired{Upstream: stoatpaddle.Upstream{
+		c.Services[0].Retired = append(c.Services[0].Retired, stoatpaddle.RetiredUpstream{Upstream: stoatpaddle.Upstream{
 			ID: stoatpaddle.UpstreamID(u), DataCentre: stoatpaddle.DataCentreID(u[:1]), Weight: 1,
 		}})
 	}
--- a/stoatflow/usage.go
+++ b/stoatflow/usage.go
@@ -82,8 +82,8 @@
 	if l.Flows > 0 && u.open.Load() >= int64(max(1, l.Flows/entries)) {
 		return false
 	}
-	if l.Opens == 0 {
+	if l.OpenRate == 0 {
 		return true
 	}
-	return u.openRate.take(now, float64(l.Opens)/float64(entries))
+	return u.openRate.take(now, float64(l.OpenRate)/float64(entries))
 }
--- a/stoatini/reader.go
+++ b/stoatini/reader.go
@@ -34,7 +34,7 @@
 	r := &Reader{file: file}
 	f, err := ini.LoadSources(ini.LoadOptions{AllowNonUniqueSections: true}, data)
 	if err != nil {
-		r.Fault("", "", err.Error(), "an INI file: [section] and key = value lines")
+		r.AddFault("", "", err.Error(), "an INI file: [section] and key = value lines")
 		return r
 	}
 	seen := map[string]bool{}
@@ -44,7 +44,7 @@
 		}
 		kind, name, _ := strings.Cut(sec.Name(), " ")
 		if seen[sec.Name()] {
-			r.Fault(sec.Name(), "", sec.Name(), "each section once")
+			r.AddFault(sec.Name(), "", sec.Name(), "each section once")
 			continue
 		}
 		seen[sec.Name()] = true
@@ -55,8 +55,8 @@
 	return r
 }
 
-// Fault adds a fault.
-func (r *Reader) Fault(section, key, got, want string) {
+// AddFault adds a fault.
+func (r *Reader) AddFault(section, key, got, want string) {
 	r.faults = append(r.faults, &stoatpaddle.Fault{File: r.file, Section: section, Key: key, Got: got, Want: want})
 }
 
@@ -87,12 +87,12 @@
 func (r *Reader) Err() error {
 	for _, s := range r.sections {
 		if !s.used {
-			r.Fault(s.header(), "", s.header(), "a known section")
+			r.AddFault(s.header(), "", s.header(), "a known section")
 			continue
 		}
 		for _, k := range s.sec.Keys() {
 			if !s.read[k.Name()] {
-				r.Fault(s.header(), k.Name(), k.Value(), "a known key")
+				r.AddFault(s.header(), k.Name(), k.Value(), "a known key")
 			}
 		}
 	}
@@ -104,8 +104,8 @@
 
 func (s *Section) header() string { return strings.TrimSpace(s.Kind + " " + s.Name) }
 
-// Fault adds a fault at a key of the section.
-func (s *Section) Fault(key, got, want string) { s.r.Fault(s.header(), key, got, want) }
+// AddFault adds a fault at a key of the section.
+func (s *Section) AddFault(key, got, want string) { s.r.AddFault(s.header(), key, got, want) }
 
 // Keys returns the keys of a section whose keys are names, and counts them as known.
 func (s *Section) Keys() []string {
@@ -134,7 +134,7 @@
 		return standard
 	}
 	if !isWord(v) {
-		s.Fault(key, v, "a name of letters, digits, '.', '-' and '_'")
+		s.AddFault(key, v, "a name of letters, digits, '.', '-' and '_'")
 	}
 	return v
 }
@@ -163,7 +163,7 @@
 			return v
 		}
 	}
-	s.Fault(key, v, "one of "+strings.Join(options, ", "))
+	s.AddFault(key, v, "one of "+strings.Join(options, ", "))
 	return options[0]
 }
 
@@ -175,7 +175,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < least || n > most {
-		s.Fault(key, v, fmt.Sprintf("a whole number from %d to %d", least, most))
+		s.AddFault(key, v, fmt.Sprintf("a whole number from %d to %d", least, most))
 		return standard
 	}
 	return n
@@ -189,7 +189,7 @@
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil || !(n >= least && n <= most) {
-		s.Fault(key, v, fmt.Sprintf("a number from %g to %g", least, most))
+		s.AddFault(key, v, fmt.Sprintf("a number from %g to %g", least, most))
 		return standard
 	}
 	return n
@@ -203,7 +203,7 @@
 	}
 	d, err := time.ParseDuration(v)
 	if err != nil || d <= 0 {
-		s.Fault(key, v, "a positive duration such as 30s")
+		s.AddFault(key, v, "a positive duration such as 30s")
 		return standard
 	}
 	return d
@@ -214,7 +214,7 @@
 	v, _ := s.raw(key)
 	a, err := netip.ParseAddr(v)
 	if err != nil {
-		s.Fault(key, v, "an IP address")
+		s.AddFault(key, v, "an IP address")
 	}
 	return a
 }
@@ -227,7 +227,7 @@
 	}
 	a, err := netip.ParseAddrPort(v)
 	if err != nil || a.Port() == 0 {
-		s.Fault(key, v, "an IP address and port such as 127.0.0.1:7000")
+		s.AddFault(key, v, "an IP address and port such as 127.0.0.1:7000")
 	}
 	return a
 }
@@ -239,7 +239,7 @@
 	for _, part := range strings.Split(v, ",") {
 		n, err := strconv.ParseUint(strings.TrimSpace(part), 10, 16)
 		if err != nil || n == 0 {
-			s.Fault(key, v, "ports from 1 to 65535, separated by commas")
+			s.AddFault(key, v, "ports from 1 to 65535, separated by commas")
 			return nil
 		}
 		out = append(out, uint16(n))
@@ -257,7 +257,7 @@
 	for _, part := range strings.Split(v, ",") {
 		a, err := netip.ParseAddrPort(strings.TrimSpace(part))
 		if err != nil || a.Port() == 0 {
-			s.Fault(key, v, "IP addresses and ports, separated by commas")
+			s.AddFault(key, v, "IP addresses and ports, separated by commas")
 			return nil
 		}
 		out = append(out, a)
--- a/stoatmeasure/experiment.go
+++ b/stoatmeasure/experiment.go
@@ -135,5 +135,5 @@
 	if err != nil {
 		return 0
 	}
-	return float64(len(frame)*(entries-1)) / stoatnode.HeartbeatEvery.Seconds()
+	return float64(len(frame)*(entries-1)) / stoatnode.HeartbeatInterval.Seconds()
 }
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -142,15 +142,15 @@
 	}
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
 	m.routes.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
-		{Listen: usualListen, Backends: to, Idempotent: true, Objective: cfg.Objective, Priority: 2},
-		{Listen: urgentListen, Backends: to, Objective: cfg.Objective, Priority: 1},
+		{Listen: usualListen, Backends: to, Idempotent: true, TargetLatency: cfg.Objective, Priority: 2},
+		{Listen: urgentListen, Backends: to, TargetLatency: cfg.Objective, Priority: 1},
 	}}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
 	for i := range cfg.Upstreams {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		m.servers[id], names[id] = &overloadServer{hangs: float64(i) < cfg.Hanging*float64(cfg.Upstreams)}, true
 		m.routes.Register(overloadEpoch, stoatpaddle.Registration{
-			ID: id, Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "here", Slots: cfg.slots(), Created: stoatpaddle.Version(i + 2),
+			ID: id, Target: stoatpaddle.TargetID(i + 1), Service: "app", DataCentre: "here", Slots: cfg.slots(), CreateRevision: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 	}
 	m.routes.ApplyList(overloadEpoch, names, false)
--- a/stoatmeasure/report.go
+++ b/stoatmeasure/report.go
@@ -118,7 +118,7 @@
 	lossy := p.Config
 	lossy.LoadLoss = 0.3
 	add(lossy, "30% of the load reports lost")
-	for _, lean := range []stoatpaddle.Lean{stoatpaddle.LeanFlows, stoatpaddle.LeanBalance} {
+	for _, lean := range []stoatpaddle.Preference{stoatpaddle.PreferFewTracked, stoatpaddle.PreferBalance} {
 		cfg := p.Config
 		cfg.Lean = lean
 		add(cfg, "lean = "+string(lean))
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -140,8 +140,8 @@
 func (m *silenceModel) declareRoutes() {
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
 	m.routes.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
-		{Listen: silenceListen[0], Backends: to, Idempotent: true, Objective: silenceObjective, Priority: 2},
-		{Listen: silenceListen[1], Backends: to, Objective: silenceObjective, Priority: 1},
+		{Listen: silenceListen[0], Backends: to, Idempotent: true, TargetLatency: silenceObjective, Priority: 2},
+		{Listen: silenceListen[1], Backends: to, TargetLatency: silenceObjective, Priority: 1},
 	}}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
 	failing := int(m.cfg.Share * float64(m.cfg.Upstreams))
@@ -149,7 +149,7 @@
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		names[id] = true
 		m.routes.Register(m.now(), stoatpaddle.Registration{
-			ID: id, Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "here", Slots: silenceSlots, Created: stoatpaddle.Version(i + 2),
+			ID: id, Target: stoatpaddle.TargetID(i + 1), Service: "app", DataCentre: "here", Slots: silenceSlots, CreateRevision: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 		m.upstreams = append(m.upstreams, &silenceUpstream{m: m, fails: i < failing, lastRequest: map[stoatpacket.Tuple]uint32{}})
 	}
@@ -175,7 +175,7 @@
 		}
 	}
 	for i := range m.upstreams {
-		if _, seen := m.detected[i]; !seen && m.fails(i) && avoid[stoatroute.KeyOf(stoatpaddle.Target(i+1))]*10 >= 9*len(m.entries) {
+		if _, seen := m.detected[i]; !seen && m.fails(i) && avoid[stoatroute.KeyOf(stoatpaddle.TargetID(i+1))]*10 >= 9*len(m.entries) {
 			m.detected[i] = m.q.now - faultStart
 		}
 	}
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -101,7 +101,7 @@
 	e.roundDue, e.nextRound = false, e.m.q.now+e.pacer.RecordRound(now)
 	own := e.engine.Reports(now, e.aggregator.Suspects(now))
 	sum, report, to := e.aggregator.Aggregate(now, own, e.reporting)
-	e.engine.SetSums(now, sum)
+	e.engine.SetDataCentreSums(now, sum)
 	table := e.m.routes.Table()
 	e.engine.EjectFailing(now, table)
 	if e.aggregator.Stable(now) {
@@ -122,7 +122,7 @@
 	e.m.q.after(e.hopDelay(), func() {
 		now := e.m.now()
 		if !e.parent.aggregator.HandleChildUpdate(now, e.addr(), stoatoutlier.Update{Full: u.Full, Reports: stoatoutlier.Decode(now, wire)}) {
-			e.aggregator.ResetParentStream()
+			e.aggregator.ForceFullUpdate()
 		}
 		e.reporting = false
 		e.scheduleRound()
--- a/stoatmeasure/spread.go
+++ b/stoatmeasure/spread.go
@@ -246,7 +246,7 @@
 	}}, 1)
 	names, indexes := map[stoatpaddle.UpstreamID]bool{}, map[stoatpaddle.UpstreamKey]int{}
 	for i := range m.cfg.Upstreams {
-		r := stoatpaddle.Registration{ID: stoatpaddle.UpstreamID(fmt.Sprint("i-", i)), Target: stoatpaddle.Target(i + 1), Service: "app", DataCentre: "a", Slots: m.cfg.Slots}
+		r := stoatpaddle.Registration{ID: stoatpaddle.UpstreamID(fmt.Sprint("i-", i)), Target: stoatpaddle.TargetID(i + 1), Service: "app", DataCentre: "a", Slots: m.cfg.Slots}
 		b.Register(start, r, stoatpaddle.Version(i+2))
 		names[r.ID], indexes[stoatroute.KeyOf(r.Target)] = true, i
 	}
--- a/stoatmessage/message.go
+++ b/stoatmessage/message.go
@@ -23,12 +23,12 @@
 // Heartbeat says that the sender is alive, and which objects it holds.
 type Heartbeat struct {
 	Digest Digest
-	State  stoatpaddle.State // of the sender
+	State  stoatpaddle.InstanceState // of the sender
 }
 
 // ObjectVersion is a reference to one version of an object.
 type ObjectVersion struct {
-	Ref     stoatpaddle.Ref
+	Ref     stoatpaddle.ObjectRef
 	Version stoatpaddle.Version
 }
 
@@ -36,7 +36,7 @@
 type Have struct{ Objects []ObjectVersion }
 
 // Want requests objects.
-type Want struct{ Refs []stoatpaddle.Ref }
+type Want struct{ Refs []stoatpaddle.ObjectRef }
 
 // Objects carries objects that were requested.
 type Objects struct{ Objects []stoatpaddle.Object }
--- a/stoatnode/bench_test.go
+++ b/stoatnode/bench_test.go
@@ -13,7 +13,7 @@
 // benchmarkTick measures a tick, a heartbeat from a peer and the heartbeats sent, with n
 // entries all connected.
 func benchmarkTick(b *testing.B, n int) {
-	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", Random: 1, Stop: time.Minute})
+	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", RandomSeed: 1, StopDeadline: time.Minute})
 	now := epoch
 	node.Step(now, Started{})
 	node.Step(now, Listed{Listing: stoatpaddle.Listing{Revision: 1, Objects: []stoatpaddle.Object{
@@ -32,7 +32,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		now = now.Add(TickEvery)
+		now = now.Add(TickInterval)
 		for _, p := range peers {
 			node.Step(now, Received{From: p.ID, Message: beat})
 		}
@@ -48,7 +48,7 @@
 
 // benchmarkContract measures adopting one contract of 18 upstreams while n others are held.
 func benchmarkContract(b *testing.B, n int) {
-	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", Random: 1, Stop: time.Minute})
+	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", RandomSeed: 1, StopDeadline: time.Minute})
 	objects := []stoatpaddle.Object{{Ref: SeedRef, Version: 1, Value: []byte(`"000102030405060708090a0b0c0d0e0f"`)}}
 	for i := range n {
 		objects = append(objects, benchContract(i, stoatpaddle.Version(i+2)))
@@ -59,7 +59,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		node.Step(epoch, Wrote{Object: benchContract(i%n, version)})
+		node.Step(epoch, ObjectWritten{Object: benchContract(i%n, version)})
 		version++
 	}
 }
@@ -73,7 +73,7 @@
 		}
 		value += fmt.Sprintf(`{"name":"%s-%d","centre":"a","address":"10.%d.%d.%d:6080","weight":100,"slots":3,"connections":2000}`, name, u, 1+u, n>>8, n&255)
 	}
-	return stoatpaddle.Object{Ref: stoatpaddle.Ref{Kind: stoatpaddle.ObjectContract, Name: name}, Version: version, Value: []byte(value + "]}]}")}
+	return stoatpaddle.Object{Ref: stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectContract, Name: name}, Version: version, Value: []byte(value + "]}]}")}
 }
 
 func BenchmarkContract2(b *testing.B)   { benchmarkContract(b, 2) }
--- a/stoatnode/effect.go
+++ b/stoatnode/effect.go
@@ -17,12 +17,12 @@
 type Publish struct{ View *stoatview.View }
 
 // List reads everything from the platform, after a pause; it ends in Listed or PlatformFailed.
-type List struct{ After time.Duration }
+type List struct{ Delay time.Duration }
 
 // Watch waits for changes on the platform; it ends in Watched or PlatformFailed.
 type Watch struct {
 	From  stoatpaddle.Version
-	After time.Duration
+	Delay time.Duration
 }
 
 // Rewrite writes an object again that a restored platform has lost, on top of the version it names.
@@ -43,8 +43,8 @@
 	Addr netip.AddrPort
 }
 
-// Hangup closes the connection with a peer.
-type Hangup struct{ Peer stoatpaddle.InstanceID }
+// Disconnect closes the connection with a peer.
+type Disconnect struct{ Peer stoatpaddle.InstanceID }
 
 // Send sends a message to a peer.
 type Send struct {
@@ -52,10 +52,10 @@
 	Message stoatmessage.Message
 }
 
-// Deliver gives flow records from a peer to the flow engine.
-type Deliver struct {
-	From stoatpaddle.InstanceID
-	Flow *stoatmessage.Flows
+// DeliverFlows gives flow records from a peer to the flow engine.
+type DeliverFlows struct {
+	From  stoatpaddle.InstanceID
+	Flows *stoatmessage.Flows
 }
 
 // Resync sends a newly connected peer every flow record it should hold: what was under
@@ -64,7 +64,7 @@
 
 // Log writes a numbered event.
 type Log struct {
-	Entry  *stoatevent.Entry
+	Entry  *stoatevent.Definition
 	Fields []stoatevent.Field
 }
 
@@ -74,18 +74,18 @@
 // Exit ends the process.
 type Exit struct{}
 
-func (Publish) isEffect()    {}
-func (List) isEffect()       {}
-func (Watch) isEffect()      {}
-func (Rewrite) isEffect()    {}
-func (Register) isEffect()   {}
-func (Unregister) isEffect() {}
-func (MakeSeed) isEffect()   {}
-func (Dial) isEffect()       {}
-func (Hangup) isEffect()     {}
-func (Send) isEffect()       {}
-func (Deliver) isEffect()    {}
-func (Log) isEffect()        {}
-func (Resync) isEffect()     {}
-func (HandOver) isEffect()   {}
-func (Exit) isEffect()       {}
+func (Publish) isEffect()      {}
+func (List) isEffect()         {}
+func (Watch) isEffect()        {}
+func (Rewrite) isEffect()      {}
+func (Register) isEffect()     {}
+func (Unregister) isEffect()   {}
+func (MakeSeed) isEffect()     {}
+func (Dial) isEffect()         {}
+func (Disconnect) isEffect()   {}
+func (Send) isEffect()         {}
+func (DeliverFlows) isEffect() {}
+func (Log) isEffect()          {}
+func (Resync) isEffect()       {}
+func (HandOver) isEffect()     {}
+func (Exit) isEffect()         {}
