--- a/stoatnode/event.go
+++ b/stoatnode/event.go
@@ -25,13 +25,13 @@
 // PlatformFailed reports a list or watch without an answer; After is the pause the platform asked for.
 // Forgotten says that it cannot go on from the revision that was named.
 type PlatformFailed struct {
-	Cause     string
-	After     time.Duration
-	Forgotten bool
+	Cause       string
+	RetryAfter  time.Duration
+	HistoryGone bool
 }
 
-// Wrote carries an object that this entry's own write made.
-type Wrote struct{ Object stoatpaddle.Object }
+// ObjectWritten carries an object that this entry's own write made.
+type ObjectWritten struct{ Object stoatpaddle.Object }
 
 // Connected reports a connection with a peer.
 type Connected struct{ Hello stoatmessage.Hello }
@@ -45,20 +45,20 @@
 	Message stoatmessage.Message
 }
 
-// StopAsked begins the planned stop.
-type StopAsked struct{}
+// StopRequested begins the planned stop.
+type StopRequested struct{}
 
-// Handed reports that the flow engine has nothing left to hand over.
-type Handed struct{ CallsOpen int }
+// FlowsHandedOver reports that the flow engine has nothing left to hand over.
+type FlowsHandedOver struct{ OpenCalls int }
 
-func (Started) isEvent()        {}
-func (Ticked) isEvent()         {}
-func (Listed) isEvent()         {}
-func (Watched) isEvent()        {}
-func (PlatformFailed) isEvent() {}
-func (Wrote) isEvent()          {}
-func (Connected) isEvent()      {}
-func (Disconnected) isEvent()   {}
-func (Received) isEvent()       {}
-func (StopAsked) isEvent()      {}
-func (Handed) isEvent()         {}
+func (Started) isEvent()         {}
+func (Ticked) isEvent()          {}
+func (Listed) isEvent()          {}
+func (Watched) isEvent()         {}
+func (PlatformFailed) isEvent()  {}
+func (ObjectWritten) isEvent()   {}
+func (Connected) isEvent()       {}
+func (Disconnected) isEvent()    {}
+func (Received) isEvent()        {}
+func (StopRequested) isEvent()   {}
+func (FlowsHandedOver) isEvent() {}
--- a/stoatnode/gossip.go
+++ b/stoatnode/gossip.go
@@ -145,7 +145,7 @@
 	case *stoatmessage.Members:
 		n.introduced(now, m)
 	case *stoatmessage.Flows:
-		n.do(Deliver{From: ev.From, Flow: m})
+		n.do(DeliverFlows{From: ev.From, Flows: m})
 	}
 }
 
--- a/stoatnode/members.go
+++ b/stoatnode/members.go
@@ -10,7 +10,7 @@
 
 func (n *Node) applyInstance(now time.Time, o stoatpaddle.Object) {
 	id := stoatpaddle.InstanceID(o.Ref.Name)
-	if o.Gone {
+	if o.Deleted {
 		n.instanceGone(id)
 		return
 	}
@@ -45,7 +45,7 @@
 	}
 	delete(n.instances, id)
 	delete(n.peers, id)
-	n.do(Hangup{Peer: id})
+	n.do(Disconnect{Peer: id})
 	n.dirty = true
 }
 
@@ -76,7 +76,7 @@
 
 // rank orders the states of one life of an entry: what is said late, by a hello or a
 // lagging list, must not take it back to an earlier one.
-func rank(s stoatpaddle.State) int {
+func rank(s stoatpaddle.InstanceState) int {
 	switch s {
 	case stoatpaddle.StateLeaving:
 		return 2
@@ -89,7 +89,7 @@
 
 // stated notes the state that a peer says it is in, which works while the platform is
 // down. Leaving is never taken back within one life.
-func (n *Node) stated(id stoatpaddle.InstanceID, s stoatpaddle.State) {
+func (n *Node) stated(id stoatpaddle.InstanceID, s stoatpaddle.InstanceState) {
 	i, known := n.instances[id]
 	if !known || rank(s) <= rank(i.State) {
 		return
@@ -104,7 +104,7 @@
 
 // resume follows a pause of this process: everybody looks dead, and nobody needs to be.
 func (n *Node) resume(now time.Time, gap time.Duration) {
-	n.log(EventPaused, stoatevent.F("gap", gap.String()))
+	n.log(EventProcessPaused, stoatevent.F("gap", gap.String()))
 	for _, p := range n.peers {
 		if !p.dead {
 			p.heard = now
@@ -116,7 +116,7 @@
 func (n *Node) members(now time.Time) {
 	for _, id := range sortedIDs(n.peers) {
 		p := n.peers[id]
-		dead := now.Sub(p.heard) >= n.cfg.Dead
+		dead := now.Sub(p.heard) >= n.cfg.DeadAfter
 		if dead == p.dead {
 			continue
 		}
@@ -155,7 +155,7 @@
 		}
 		n.dirty = true
 		if cut[dc] {
-			n.log(EventCentreCut, stoatevent.F("centre", string(dc)))
+			n.log(EventCentrePartitioned, stoatevent.F("centre", string(dc)))
 		} else {
 			n.log(EventCentreBack, stoatevent.F("centre", string(dc)))
 		}
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -13,10 +13,10 @@
 
 // The times of the control protocol.
 const (
-	TickEvery      = 250 * time.Millisecond
-	HeartbeatEvery = 500 * time.Millisecond
-	DefaultDead    = 2 * time.Second // of silence, until an entry counts as dead
-	redialAfter    = time.Second
+	TickInterval      = 250 * time.Millisecond
+	HeartbeatInterval = 500 * time.Millisecond
+	DefaultDeadAfter  = 2 * time.Second // of silence, until an entry counts as dead
+	redialAfter       = time.Second
 	// pausedAfter is a gap between ticks that only a paused process shows.
 	pausedAfter = time.Second
 	// fabricLag is how long packets still arrive after an entry said that it leaves.
@@ -25,26 +25,26 @@
 
 // Config configures a Node.
 type Config struct {
-	Self    stoatpaddle.Instance
-	Cluster stoatpaddle.ClusterID
-	Seeds   []netip.AddrPort // peers to dial without knowing them
-	Random  uint64           // seed of pauses
-	Stop    time.Duration    // deadline of a planned stop
-	Dead    time.Duration    // of silence, until an entry counts as dead; 0: DefaultDead
+	Self         stoatpaddle.Instance
+	Cluster      stoatpaddle.ClusterID
+	Seeds        []netip.AddrPort // peers to dial without knowing them
+	RandomSeed   uint64           // seed of pauses
+	StopDeadline time.Duration    // deadline of a planned stop
+	DeadAfter    time.Duration    // of silence, until an entry counts as dead; 0: DefaultDead
 }
 
 // Node is the control state of one entry; one goroutine uses it.
 type Node struct {
 	cfg       Config
 	rnd       *rand.Rand
-	objects   map[stoatpaddle.Ref]stoatpaddle.Object
+	objects   map[stoatpaddle.ObjectRef]stoatpaddle.Object
 	contracts map[stoatpaddle.CustomerID]served
 	conflicts map[stoatpaddle.CustomerID]stoatpaddle.Version // reported as not served
 	instances map[stoatpaddle.InstanceID]stoatpaddle.Instance
 	peers     map[stoatpaddle.InstanceID]*peer
 	cut       map[stoatpaddle.DataCentreID]bool
 	evacuated map[stoatpaddle.DataCentreID]bool
-	wanted    map[stoatpaddle.Ref]time.Time
+	wanted    map[stoatpaddle.ObjectRef]time.Time
 	seed      *stoatpacket.Seed
 	view      *stoatview.View
 	platform  platform
@@ -76,20 +76,20 @@
 // New returns a Node.
 func New(cfg Config) *Node {
 	cfg.Self.State = stoatpaddle.StateJoining
-	if cfg.Dead == 0 {
-		cfg.Dead = DefaultDead
+	if cfg.DeadAfter == 0 {
+		cfg.DeadAfter = DefaultDeadAfter
 	}
 	n := &Node{
 		cfg:       cfg,
-		rnd:       rand.New(rand.NewPCG(cfg.Random, 1)),
-		objects:   map[stoatpaddle.Ref]stoatpaddle.Object{},
+		rnd:       rand.New(rand.NewPCG(cfg.RandomSeed, 1)),
+		objects:   map[stoatpaddle.ObjectRef]stoatpaddle.Object{},
 		contracts: map[stoatpaddle.CustomerID]served{},
 		conflicts: map[stoatpaddle.CustomerID]stoatpaddle.Version{},
 		instances: map[stoatpaddle.InstanceID]stoatpaddle.Instance{cfg.Self.ID: cfg.Self},
 		peers:     map[stoatpaddle.InstanceID]*peer{},
 		cut:       map[stoatpaddle.DataCentreID]bool{},
 		evacuated: map[stoatpaddle.DataCentreID]bool{},
-		wanted:    map[stoatpaddle.Ref]time.Time{},
+		wanted:    map[stoatpaddle.ObjectRef]time.Time{},
 	}
 	return n
 }
@@ -108,7 +108,7 @@
 		n.watched(now, ev.Listing)
 	case PlatformFailed:
 		n.platformFailed(ev)
-	case Wrote:
+	case ObjectWritten:
 		n.adopt(now, ev.Object, "")
 	case Connected:
 		n.connected(now, ev)
@@ -116,9 +116,9 @@
 		n.disconnected(now, ev.Peer)
 	case Received:
 		n.received(now, ev)
-	case StopAsked:
+	case StopRequested:
 		n.beginStop(now)
-	case Handed:
+	case FlowsHandedOver:
 		n.handed(now, ev)
 	}
 	n.publish(now)
@@ -127,7 +127,7 @@
 
 func (n *Node) do(e Effect) { n.effects = append(n.effects, e) }
 
-func (n *Node) log(e *stoatevent.Entry, fields ...stoatevent.Field) {
+func (n *Node) log(e *stoatevent.Definition, fields ...stoatevent.Field) {
 	n.do(Log{Entry: e, Fields: fields})
 }
 
@@ -146,7 +146,7 @@
 	n.ticked = now
 	n.members(now)
 	n.dial(now)
-	if now.Sub(n.beat) >= HeartbeatEvery {
+	if now.Sub(n.beat) >= HeartbeatInterval {
 		n.beat = now
 		n.heartbeat()
 	}
@@ -173,7 +173,7 @@
 }
 
 // setState changes this entry's own state and tells everybody.
-func (n *Node) setState(s stoatpaddle.State) {
+func (n *Node) setState(s stoatpaddle.InstanceState) {
 	n.cfg.Self.State = s
 	n.instances[n.cfg.Self.ID] = n.cfg.Self
 	n.dirty = true
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -20,7 +20,7 @@
 )
 
 // SeedRef names the object that holds the cluster's hash key.
-var SeedRef = stoatpaddle.Ref{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
+var SeedRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
 
 const seedBytes = 16
 
@@ -32,7 +32,7 @@
 	if o.Version <= held.Version {
 		return
 	}
-	if stoatplatform.Follows(held, o) {
+	if stoatplatform.DescendsFrom(held, o) {
 		// The platform was restored, and has what was amended since at a version that is given out anew.
 		n.rewrite(held, o.Version)
 		return
@@ -46,7 +46,7 @@
 // findLost writes again what a complete list lacks that was known before the platform was restored.
 // In one era an object can only be missing since somebody took it out by hand.
 func (n *Node) findLost(l stoatpaddle.Listing) {
-	listed := map[stoatpaddle.Ref]bool{}
+	listed := map[stoatpaddle.ObjectRef]bool{}
 	for i := range l.Objects {
 		listed[l.Objects[i].Ref] = true
 	}
@@ -67,7 +67,7 @@
 	if on > 0 {
 		shown = on.Position().String()
 	}
-	n.log(EventRewritten, stoatevent.F("object", held.Ref.String()), stoatevent.F("held", held.Version.Position().String()),
+	n.log(EventObjectRewritten, stoatevent.F("object", held.Ref.String()), stoatevent.F("held", held.Version.Position().String()),
 		stoatevent.F("shown", shown))
 	held.Version = on
 	n.do(Rewrite{Object: held})
@@ -90,8 +90,8 @@
 func (n *Node) applyEvacuation(o stoatpaddle.Object) {
 	dc := stoatpaddle.DataCentreID(o.Ref.Name)
 	entry := EventEvacuated
-	if o.Gone {
-		entry = EventTakenBack
+	if o.Deleted {
+		entry = EventEvacuationWithdrawn
 		delete(n.evacuated, dc)
 	} else {
 		n.evacuated[dc] = true
@@ -116,7 +116,7 @@
 
 func (n *Node) applyContract(o stoatpaddle.Object) {
 	id := stoatpaddle.CustomerID(o.Ref.Name)
-	if o.Gone {
+	if o.Deleted {
 		delete(n.contracts, id)
 		n.dirty = true
 		return
@@ -140,7 +140,7 @@
 
 func (n *Node) applySeed(o stoatpaddle.Object) {
 	raw, err := hex.DecodeString(string(trimQuotes(o.Value)))
-	if o.Gone || o.Ref != SeedRef || err != nil || len(raw) != seedBytes {
+	if o.Deleted || o.Ref != SeedRef || err != nil || len(raw) != seedBytes {
 		return
 	}
 	n.seed = &stoatpacket.Seed{K0: binary.BigEndian.Uint64(raw), K1: binary.BigEndian.Uint64(raw[8:])}
--- a/stoatnode/platform.go
+++ b/stoatnode/platform.go
@@ -53,22 +53,22 @@
 		n.log(EventPlatformBack)
 	}
 	if l.Revision < n.platform.revision {
-		n.log(EventReverted, stoatevent.F("seen", n.platform.revision.String()), stoatevent.F("shown", l.Revision.String()))
+		n.log(EventRevisionDecreased, stoatevent.F("seen", n.platform.revision.String()), stoatevent.F("shown", l.Revision.String()))
 	}
 }
 
 func (n *Node) platformFailed(ev PlatformFailed) {
 	n.platform.busy = false
-	if ev.Forgotten && !n.platform.relist {
+	if ev.HistoryGone && !n.platform.relist {
 		// It answers; a watch from there would be refused for ever.
 		n.platform.relist = true
-		n.call(ev.After)
+		n.call(ev.RetryAfter)
 		return
 	}
 	if n.platform.failures == 0 {
 		n.log(EventPlatformLost, stoatevent.F("cause", ev.Cause))
 	}
-	after := max(ev.After, stoatplatform.Backoff(n.rnd, n.platform.failures))
+	after := max(ev.RetryAfter, stoatplatform.Backoff(n.rnd, n.platform.failures))
 	n.platform.failures++
 	n.call(after)
 }
@@ -83,10 +83,10 @@
 func (n *Node) call(after time.Duration) {
 	n.platform.busy = true
 	if n.platform.revision == 0 || n.platform.relist {
-		n.do(List{After: after})
+		n.do(List{Delay: after})
 		return
 	}
-	n.do(Watch{From: n.platform.revision, After: after})
+	n.do(Watch{From: n.platform.revision, Delay: after})
 }
 
 // watchKey places the watchers; any constant would do.
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -20,7 +20,7 @@
 
 var epoch = time.Unix(0, 0)
 
-func testInstance(id string, state stoatpaddle.State, life int) stoatpaddle.Instance {
+func testInstance(id string, state stoatpaddle.InstanceState, life int) stoatpaddle.Instance {
 	port := uint16(1000 + 10*int(id[len(id)-1]-'0') + int(id[0]))
 	addr := func(n uint16) netip.AddrPort {
 		return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port+n)
@@ -32,14 +32,14 @@
 }
 
 func replay(t *testing.T, text string) string {
-	n := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", Random: 1, Stop: 10 * time.Second})
+	n := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", RandomSeed: 1, StopDeadline: 10 * time.Second})
 	var out strings.Builder
 	var now time.Duration
 	write := func(line string) { fmt.Fprintln(&out, line) }
 	stoatgolden.Each(t, text, write, func(until time.Duration, words []string) {
 		if words[0] == "ticks" {
-			for now+TickEvery <= until {
-				now += TickEvery
+			for now+TickInterval <= until {
+				now += TickInterval
 				show(&out, now, n.Step(epoch.Add(now), Ticked{}))
 			}
 			return
@@ -63,13 +63,13 @@
 	case "failed":
 		return PlatformFailed{Cause: "test"}
 	case "forgotten":
-		return PlatformFailed{Cause: "test", Forgotten: true}
+		return PlatformFailed{Cause: "test", HistoryGone: true}
 	case "connected":
-		return Connected{Hello: stoatmessage.Hello{Cluster: "test", Instance: testInstance(f[1], stoatpaddle.State(f[2]), 1)}}
+		return Connected{Hello: stoatmessage.Hello{Cluster: "test", Instance: testInstance(f[1], stoatpaddle.InstanceState(f[2]), 1)}}
 	case "disconnected":
 		return Disconnected{Peer: stoatpaddle.InstanceID(f[1])}
 	case "beat":
-		return Received{From: stoatpaddle.InstanceID(f[1]), Message: &stoatmessage.Heartbeat{State: stoatpaddle.State(f[2])}}
+		return Received{From: stoatpaddle.InstanceID(f[1]), Message: &stoatmessage.Heartbeat{State: stoatpaddle.InstanceState(f[2])}}
 	case "have":
 		m := &stoatmessage.Have{}
 		for _, o := range readObjects(t, f[2:]) {
@@ -81,10 +81,10 @@
 	case "ticked":
 		return Ticked{}
 	case "stop":
-		return StopAsked{}
+		return StopRequested{}
 	case "handed":
 		calls, _ := strconv.Atoi(f[1])
-		return Handed{CallsOpen: calls}
+		return FlowsHandedOver{OpenCalls: calls}
 	}
 	t.Fatal("no such event", f)
 	return nil
@@ -117,9 +117,9 @@
 		w, value, _ := strings.Cut(w, "=")
 		w, token, _ := strings.Cut(w, "~")
 		name, version, _ := strings.Cut(w, "@")
-		o := stoatpaddle.Object{Version: readVersion(t, version), Token: stoatpaddle.Token(token), Gone: value == "gone"}
+		o := stoatpaddle.Object{Version: readVersion(t, version), Token: stoatpaddle.WriteToken(token), Deleted: value == "gone"}
 		kind, id, _ := strings.Cut(name, "/")
-		o.Ref = stoatpaddle.Ref{Kind: stoatpaddle.ObjectKind(kind), Name: id}
+		o.Ref = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectKind(kind), Name: id}
 		switch kind {
 		case "seed":
 			o.Ref, o.Value = SeedRef, []byte(`"000102030405060708090a0b0c0d0e0f"`)
@@ -143,15 +143,15 @@
 		addr = netip.AddrFrom4([4]byte{203, 0, 113, customer[0]})
 	}
 	c := stoatpaddle.Contract{
-		Customer: stoatpaddle.CustomerID(customer), Lean: stoatpaddle.LeanFlows,
-		Limits: stoatpaddle.Limits{Flows: version, Opens: 10, Calls: 10, Rate: 10},
+		Customer: stoatpaddle.CustomerID(customer), Preference: stoatpaddle.PreferFewTracked,
+		Limits: stoatpaddle.Limits{Flows: version, OpenRate: 10, Calls: 10, CallRate: 10},
 		Services: []stoatpaddle.Service{{
 			ID: "web", Kind: stoatpaddle.KindFlow, Addr: addr, Protocol: stoatpaddle.ProtocolTCP, Ports: []uint16{443},
 		}},
 	}
 	for i, dc := range []stoatpaddle.DataCentreID{"a", "b"} {
 		c.Services[0].Upstreams = append(c.Services[0].Upstreams, stoatpaddle.Upstream{
-			ID: stoatpaddle.UpstreamID(customer + "-" + string(dc)), DataCentre: dc, Weight: 1, Slots: 3, Connections: 10,
+			ID: stoatpaddle.UpstreamID(customer + "-" + string(dc)), DataCentre: dc, Weight: 1, Slots: 3, MaxFlows: 10,
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, customer[0], byte(i + 1)}), 6080),
 		})
 	}
@@ -163,12 +163,12 @@
 }
 
 func testMark(t *testing.T, id, value string) []byte {
-	i := testInstance(id+"0", stoatpaddle.State(value), 1)
+	i := testInstance(id+"0", stoatpaddle.InstanceState(value), 1)
 	i.ID = stoatpaddle.InstanceID(id)
 	if strings.Contains(id, "-") {
-		i = stoatpaddle.Instance{ID: i.ID, Role: stoatpaddle.RoleUpstream, State: stoatpaddle.State(value)}
+		i = stoatpaddle.Instance{ID: i.ID, Role: stoatpaddle.RoleUpstream, State: stoatpaddle.InstanceState(value)}
 	} else {
-		i = testInstance(id, stoatpaddle.State(value), 1)
+		i = testInstance(id, stoatpaddle.InstanceState(value), 1)
 	}
 	data, err := stoatcontract.EncodeInstance(i)
 	if err != nil {
@@ -208,17 +208,17 @@
 			text += " " + f.Key + "=" + f.Value
 		}
 		return text
-	case Dial, Resync, Deliver:
+	case Dial, Resync, DeliverFlows:
 		return ""
 	case List:
-		return "list" + waiting(e.After)
+		return "list" + waiting(e.Delay)
 	case Watch:
-		return "watch from " + e.From.String() + waiting(e.After)
+		return "watch from " + e.From.String() + waiting(e.Delay)
 	case Register:
 		return "register " + string(e.Instance.State)
 	case Rewrite:
 		return "write again " + e.Object.Ref.String() + " on top of " + e.Object.Version.Position().String()
-	case Hangup:
+	case Disconnect:
 		return "hang up " + string(e.Peer)
 	default:
 		return strings.ToLower(strings.TrimPrefix(fmt.Sprintf("%T", e), "stoatnode."))
--- a/stoatnode/stop.go
+++ b/stoatnode/stop.go
@@ -22,24 +22,24 @@
 	}
 	n.stop.asked = true
 	n.stop.since = now
-	n.log(EventStopBegins, stoatevent.F("deadline", n.cfg.Stop.String()))
+	n.log(EventStopStarted, stoatevent.F("deadline", n.cfg.StopDeadline.String()))
 	n.setState(stoatpaddle.StateLeaving)
 	n.do(HandOver{})
 }
 
 // handed ends the process once nothing is left and the fabric had time to stop sending.
-func (n *Node) handed(now time.Time, ev Handed) {
-	n.stop.calls = ev.CallsOpen
-	if ev.CallsOpen == 0 && now.Sub(n.stop.since) >= fabricLag {
+func (n *Node) handed(now time.Time, ev FlowsHandedOver) {
+	n.stop.calls = ev.OpenCalls
+	if ev.OpenCalls == 0 && now.Sub(n.stop.since) >= fabricLag {
 		n.exit()
 	}
 }
 
 func (n *Node) stopDeadline(now time.Time) {
-	if !n.stop.asked || n.stop.done || now.Sub(n.stop.since) < n.cfg.Stop {
+	if !n.stop.asked || n.stop.done || now.Sub(n.stop.since) < n.cfg.StopDeadline {
 		return
 	}
-	n.log(EventStopDeadline, stoatevent.F("calls", count(n.stop.calls)))
+	n.log(EventStopDeadlineReached, stoatevent.F("calls", count(n.stop.calls)))
 	n.exit()
 }
 
--- a/stoatoutlier/aggregator.go
+++ b/stoatoutlier/aggregator.go
@@ -99,8 +99,8 @@
 	return now.Sub(agg.parentSince) >= stableAfter
 }
 
-// ResetParentStream makes the next report contain everything, after the parent did not accept one.
-func (agg *Aggregator) ResetParentStream() {
+// ForceFullUpdate makes the next report contain everything, after the parent did not accept one.
+func (agg *Aggregator) ForceFullUpdate() {
 	agg.mu.Lock()
 	defer agg.mu.Unlock()
 	agg.toParent = DeltaTracker{}
--- a/stoatpeer/decode.go
+++ b/stoatpeer/decode.go
@@ -49,9 +49,9 @@
 	return readField(d, func() (netip.AddrPort, error) { return netip.ParseAddrPort(d.text()) })
 }
 
-func (d *decoder) ref() stoatpaddle.Ref {
+func (d *decoder) ref() stoatpaddle.ObjectRef {
 	kind := stoatpaddle.ObjectKind(d.text())
-	return stoatpaddle.Ref{Kind: kind, Name: d.text()}
+	return stoatpaddle.ObjectRef{Kind: kind, Name: d.text()}
 }
 
 func (d *decoder) hello() *stoatmessage.Hello {
@@ -70,9 +70,9 @@
 
 func (d *decoder) instance() stoatpaddle.Instance {
 	i := stoatpaddle.Instance{ID: stoatpaddle.InstanceID(d.text())}
-	i.Role = stoatpaddle.Role(d.text())
+	i.Role = stoatpaddle.InstanceRole(d.text())
 	i.DataCentre = stoatpaddle.DataCentreID(d.text())
-	i.State = stoatpaddle.State(d.text())
+	i.State = stoatpaddle.InstanceState(d.text())
 	i.Incarnation = stoatpaddle.Incarnation(d.uint())
 	i.Relay = d.addr()
 	i.Peer = d.addr()
@@ -110,8 +110,8 @@
 	for n := d.list(); n > 0 && d.err == nil; n-- {
 		o := stoatpaddle.Object{Ref: d.ref()}
 		o.Version = stoatpaddle.Version(d.uint())
-		o.Token = stoatpaddle.Token(d.text())
-		o.Gone = d.bool()
+		o.Token = stoatpaddle.WriteToken(d.text())
+		o.Deleted = d.bool()
 		o.Value = d.bytes()
 		m.Objects = append(m.Objects, o)
 	}
--- a/stoatpeer/encode.go
+++ b/stoatpeer/encode.go
@@ -29,7 +29,7 @@
 func (e *encoder) uint(n uint64)  { e.keep(e.out.EncodeUint(n)) }
 func (e *encoder) bool(b bool)    { e.keep(e.out.EncodeBool(b)) }
 func (e *encoder) bytes(b []byte) { e.keep(e.out.EncodeBytes(b)) }
-func (e *encoder) ref(r stoatpaddle.Ref) {
+func (e *encoder) ref(r stoatpaddle.ObjectRef) {
 	e.text(string(r.Kind))
 	e.text(r.Name)
 }
@@ -64,11 +64,11 @@
 }
 
 // states lists the instance states in the order of their numbers on the wire.
-var states = []stoatpaddle.State{stoatpaddle.StateJoining, stoatpaddle.StateLive, stoatpaddle.StateLeaving}
+var states = []stoatpaddle.InstanceState{stoatpaddle.StateJoining, stoatpaddle.StateLive, stoatpaddle.StateLeaving}
 
-func stateCode(s stoatpaddle.State) int { return max(0, slices.Index(states, s)) }
+func stateCode(s stoatpaddle.InstanceState) int { return max(0, slices.Index(states, s)) }
 
-func (d *decoder) state() stoatpaddle.State {
+func (d *decoder) state() stoatpaddle.InstanceState {
 	n := d.uint()
 	if d.err == nil && n >= uint64(len(states)) {
 		d.err = &RangeError{Got: int(n), Max: len(states) - 1}
@@ -100,7 +100,7 @@
 		e.ref(o.Ref)
 		e.uint(uint64(o.Version))
 		e.text(string(o.Token))
-		e.bool(o.Gone)
+		e.bool(o.Deleted)
 		e.bytes(o.Value)
 	}
 }
--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -50,7 +50,7 @@
 }
 
 func drawMessage(t *rapid.T) stoatmessage.Message {
-	ref := stoatpaddle.Ref{Kind: "contract", Name: rapid.String().Draw(t, "name")}
+	ref := stoatpaddle.ObjectRef{Kind: "contract", Name: rapid.String().Draw(t, "name")}
 	version := stoatpaddle.Version(rapid.Uint64().Draw(t, "version"))
 	switch rapid.IntRange(0, 6).Draw(t, "kind") {
 	case 0:
@@ -60,9 +60,9 @@
 	case 2:
 		return &stoatmessage.Have{Objects: []stoatmessage.ObjectVersion{{Ref: ref, Version: version}}}
 	case 3:
-		return &stoatmessage.Want{Refs: []stoatpaddle.Ref{ref, ref}}
+		return &stoatmessage.Want{Refs: []stoatpaddle.ObjectRef{ref, ref}}
 	case 4:
-		return &stoatmessage.Objects{Objects: []stoatpaddle.Object{{Ref: ref, Version: version, Token: "t", Gone: true, Value: []byte("v")}}}
+		return &stoatmessage.Objects{Objects: []stoatpaddle.Object{{Ref: ref, Version: version, Token: "t", Deleted: true, Value: []byte("v")}}}
 	case 5:
 		return &stoatmessage.Members{Instances: []stoatpaddle.Instance{instance("e", someAddr), instance("f", someAddr)}}
 	default:
@@ -153,8 +153,10 @@
 
 func (r *recorder) Connected(h stoatmessage.Hello) { r.record("connected " + string(h.Instance.ID)) }
 
-func (r *recorder) Disconnected(id stoatpaddle.InstanceID)          { r.record("disconnected " + string(id)) }
-func (r *recorder) Emit(e *stoatevent.Entry, _ ...stoatevent.Field) { r.record(e.Number.String()) }
+func (r *recorder) Disconnected(id stoatpaddle.InstanceID) { r.record("disconnected " + string(id)) }
+
+func (r *recorder) Emit(e *stoatevent.Definition, _ ...stoatevent.Field) { r.record(e.Number.String()) }
+
 func (r *recorder) Received(from stoatpaddle.InstanceID, m stoatmessage.Message) {
 	if w, ok := m.(*stoatmessage.Want); ok {
 		r.record("want " + string(from) + " " + w.Refs[0].Name)
@@ -204,7 +206,7 @@
 		ra.wait(event)
 		_ = conn.Close()
 	}
-	a.Send("b", &stoatmessage.Want{Refs: []stoatpaddle.Ref{{Kind: "contract", Name: "still"}}})
+	a.Send("b", &stoatmessage.Want{Refs: []stoatpaddle.ObjectRef{{Kind: "contract", Name: "still"}}})
 	rb.wait("want a still")
 	a.Disconnect("b")
 	rb.wait("disconnected a")
--- a/stoatpeer/run.go
+++ b/stoatpeer/run.go
@@ -294,7 +294,7 @@
 }
 
 func (t *Transport) read(c *peerConn, r *bufio.Reader) {
-	counter := &stoatcount.Reader{R: r, N: &t.received}
+	counter := &stoatcount.Reader{R: r, Count: &t.received}
 	for {
 		_ = c.conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		m, err := Read(counter)
--- a/stoatplatform/client.go
+++ b/stoatplatform/client.go
@@ -39,13 +39,13 @@
 }
 
 // Get implements stoatpaddle.Platform.
-func (c *Client) Get(ctx context.Context, ref stoatpaddle.Ref) (stoatpaddle.Object, error) {
+func (c *Client) Get(ctx context.Context, ref stoatpaddle.ObjectRef) (stoatpaddle.Object, error) {
 	res, err := c.call(ctx, http.MethodGet, target(ref), nil)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
 	o, err := readObject(ref, res)
-	if err == nil && o.Gone {
+	if err == nil && o.Deleted {
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
 	}
 	return o, err
@@ -55,7 +55,7 @@
 // changed while the others were read is in the watch from there.
 func (c *Client) List(ctx context.Context) (stoatpaddle.Listing, error) {
 	var l stoatpaddle.Listing
-	q := platform.Query{Kind: Kind}
+	q := platform.Query{Kind: StoreKind}
 	var era uint64
 	for {
 		a, err := c.read(ctx, c.timeout, q)
@@ -68,10 +68,10 @@
 		}
 		if a.Era != era {
 			// The pages are of two histories.
-			return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: Kind, Cause: &platform.HistoryError{From: a.AsOf, Era: a.Era}}
+			return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: StoreKind, Cause: &platform.HistoryError{From: a.AsOf, Era: a.Era}}
 		}
 		for _, item := range a.Items {
-			o, err := FromObject(item, a.Era)
+			o, err := FromStoreObject(item, a.Era)
 			if err != nil {
 				return stoatpaddle.Listing{}, err
 			}
@@ -90,28 +90,28 @@
 	pos := from.Position()
 	// The bound is a little more than the wait: a watch that went silent is abandoned
 	// instead of hiding every later change.
-	a, err := c.read(ctx, wait+c.timeout, platform.Query{Kind: Kind, Watch: true, From: uint64(pos.Revision), Wait: wait})
+	a, err := c.read(ctx, wait+c.timeout, platform.Query{Kind: StoreKind, Watch: true, From: uint64(pos.Revision), Wait: wait})
 	if err != nil {
 		return stoatpaddle.Listing{}, err
 	}
 	if a.Era != 0 && stoatpaddle.Era(a.Era) != pos.Era {
 		// It goes on from a revision of another history, and leaves out what has lower ones.
-		return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: Kind, Cause: &platform.HistoryError{From: uint64(pos.Revision), Era: a.Era}}
+		return stoatpaddle.Listing{}, &stoatpaddle.UnavailableError{Op: StoreKind, Cause: &platform.HistoryError{From: uint64(pos.Revision), Era: a.Era}}
 	}
 	l := stoatpaddle.Listing{Revision: versionAsOf(&a)}
 	for _, ev := range a.Events {
-		o, err := FromObject(ev.Object, a.Era)
+		o, err := FromStoreObject(ev.Object, a.Era)
 		if err != nil {
 			return stoatpaddle.Listing{}, err
 		}
 		// Nothing of the system deletes for good; an operator's hand may.
-		o.Gone = o.Gone || ev.Deleted
+		o.Deleted = o.Deleted || ev.Deleted
 		l.Objects = append(l.Objects, o)
 	}
 	return l, nil
 }
 
-func (c *Client) read(ctx context.Context, bound time.Duration, q platform.Query) (platform.Answer, error) {
+func (c *Client) read(ctx context.Context, bound time.Duration, q platform.Query) (platform.ReadResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	a, err := c.store.Read(ctx, q)
@@ -121,7 +121,7 @@
 	return a, err
 }
 
-func versionAsOf(a *platform.Answer) stoatpaddle.Version {
+func versionAsOf(a *platform.ReadResult) stoatpaddle.Version {
 	return stoatpaddle.Position{Era: stoatpaddle.Era(a.Era), Revision: stoatpaddle.Version(a.AsOf)}.Version()
 }
 
@@ -141,7 +141,7 @@
 	}
 	made, err := c.write(ctx, http.MethodPost, o)
 	standing, conflicts := conflictOf(err)
-	if conflicts && standing.Gone {
+	if conflicts && standing.Deleted {
 		o.Version = standing.Version
 		return c.write(ctx, http.MethodPut, o)
 	}
@@ -150,13 +150,13 @@
 
 // Delete implements stoatpaddle.Platform: it leaves a tombstone.
 func (c *Client) Delete(ctx context.Context, o stoatpaddle.Object) (stoatpaddle.Object, error) {
-	o.Gone = true
+	o.Deleted = true
 	return c.write(ctx, http.MethodPut, o)
 }
 
 // write does one write; a lost condition is *stoatpaddle.ConflictError.
 func (c *Client) write(ctx context.Context, method string, o stoatpaddle.Object) (stoatpaddle.Object, error) {
-	p, err := ToObject(o)
+	p, err := ToStoreObject(o)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
@@ -164,7 +164,7 @@
 	if err != nil {
 		return stoatpaddle.Object{}, &stoatpaddle.DecodeError{What: o.Ref.String(), Cause: err}
 	}
-	to := Kind
+	to := StoreKind
 	if method == http.MethodPut {
 		to = target(o.Ref)
 		if era := c.era.Load(); o.Version > 0 && uint64(o.Version.Position().Era) < era {
@@ -200,22 +200,22 @@
 	return res, err
 }
 
-func target(ref stoatpaddle.Ref) string { return Kind + "/" + nameOf(ref) }
+func target(ref stoatpaddle.ObjectRef) string { return StoreKind + "/" + nameOf(ref) }
 
 // readObject reads the answer to a call about one object.
-func readObject(ref stoatpaddle.Ref, res platform.Response) (stoatpaddle.Object, error) {
+func readObject(ref stoatpaddle.ObjectRef, res platform.Response) (stoatpaddle.Object, error) {
 	switch res.Status {
 	case http.StatusNotFound:
 		return stoatpaddle.Object{}, &stoatpaddle.NotFoundError{Ref: ref}
 	case http.StatusOK, http.StatusCreated, http.StatusConflict:
 	default:
-		return stoatpaddle.Object{}, platform.Unexpected(ref.String(), res.Status, res.Body)
+		return stoatpaddle.Object{}, platform.UnexpectedStatus(ref.String(), res.Status, res.Body)
 	}
 	var p platform.Object
 	if err := json.Unmarshal(res.Body, &p); err != nil {
 		return stoatpaddle.Object{}, &stoatpaddle.UnavailableError{Op: ref.String(), Cause: err}
 	}
-	o, err := FromObject(p, res.Era)
+	o, err := FromStoreObject(p, res.Era)
 	if err != nil {
 		return stoatpaddle.Object{}, err
 	}
--- a/stoatplatform/platform_test.go
+++ b/stoatplatform/platform_test.go
@@ -26,10 +26,10 @@
 	return p, stoatplatform.New(stoatplatform.Config{Addr: addr, Timeout: 300 * time.Millisecond})
 }
 
-var ref = stoatpaddle.Ref{Kind: stoatpaddle.ObjectContract, Name: "sawt"}
+var ref = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectContract, Name: "sawt"}
 
 func object(version stoatpaddle.Version, token, value string) stoatpaddle.Object {
-	return stoatpaddle.Object{Ref: ref, Version: version, Token: stoatpaddle.Token(token), Value: []byte(value)}
+	return stoatpaddle.Object{Ref: ref, Version: version, Token: stoatpaddle.WriteToken(token), Value: []byte(value)}
 }
 
 func TestConditions(t *testing.T) {
@@ -54,7 +54,7 @@
 		l, err := c.Watch(ctx, o.Version, time.Second)
 		convey.So(err, convey.ShouldBeNil)
 		convey.So(len(l.Objects), convey.ShouldEqual, 1)
-		convey.So(l.Objects[0].Gone, convey.ShouldBeTrue)
+		convey.So(l.Objects[0].Deleted, convey.ShouldBeTrue)
 		_, err = c.Get(ctx, ref)
 		var missing *stoatpaddle.NotFoundError
 		convey.So(errors.As(err, &missing), convey.ShouldBeTrue)
@@ -74,7 +74,7 @@
 		t.Fatal(done.Version, err)
 	}
 	other := object(1, "", `2`)
-	other.Token = stoatplatform.Trail("b", done.Token)
+	other.Token = stoatplatform.ChainToken("b", done.Token)
 	if _, err := w.Put(ctx, other, "b"); err != nil {
 		t.Fatal(err)
 	}
@@ -96,20 +96,20 @@
 	ctx := context.Background()
 	p, c := start(t)
 	var unavailable *stoatpaddle.UnavailableError
-	var unknown *stoatplatform.UnknownError
-	var rate *stoatpaddle.RateError
+	var unknown *stoatplatform.UnknownOutcomeError
+	var rate *stoatpaddle.RateLimitError
 	p.Set(stoatfake.Trouble{Down: true})
 	if _, err := c.List(ctx); !errors.As(err, &unavailable) {
 		t.Error("down:", err)
 	}
-	w := &stoatplatform.Writer{Platform: c, Rand: rand.New(rand.NewPCG(1, 1)), Tries: 2}
+	w := &stoatplatform.Writer{Platform: c, Rand: rand.New(rand.NewPCG(1, 1)), MaxAttempts: 2}
 	if _, err := w.Put(ctx, object(0, "a", `1`), "a"); !errors.As(err, &unknown) || unknown.Token != "a" {
 		t.Error("write while down:", err)
 	}
 	p.Set(stoatfake.Trouble{Reads: 1})
 	_, _ = c.List(ctx)
 	_, _ = c.List(ctx)
-	if _, err := c.List(ctx); !errors.As(err, &rate) || rate.After != time.Second {
+	if _, err := c.List(ctx); !errors.As(err, &rate) || rate.RetryAfter != time.Second {
 		t.Error("rate:", err)
 	}
 	p.Set(stoatfake.Trouble{SilentWatch: true})
--- a/stoatplatform/wire.go
+++ b/stoatplatform/wire.go
@@ -8,9 +8,9 @@
 	"github.com/stoatpaddle/stoatpaddle/platform"
 )
 
-// Kind is the one kind of object on the platform under which the system keeps its own: one
+// StoreKind is the one kind of object on the platform under which the system keeps its own: one
 // list and one watch show them all at one revision.
-const Kind = "stoatpaddle"
+const StoreKind = "stoatpaddle"
 
 // nameMark stands between the kind and the name of an object in its name on the platform.
 const nameMark = "."
@@ -23,12 +23,12 @@
 	Value json.RawMessage `json:"value,omitempty"`
 }
 
-func nameOf(ref stoatpaddle.Ref) string { return string(ref.Kind) + nameMark + ref.Name }
+func nameOf(ref stoatpaddle.ObjectRef) string { return string(ref.Kind) + nameMark + ref.Name }
 
-// ToObject maps an object to the platform's.
-func ToObject(o stoatpaddle.Object) (platform.Object, error) {
-	s := spec{Token: string(o.Token), Gone: o.Gone}
-	if !o.Gone {
+// ToStoreObject maps an object to the platform's.
+func ToStoreObject(o stoatpaddle.Object) (platform.Object, error) {
+	s := spec{Token: string(o.Token), Gone: o.Deleted}
+	if !o.Deleted {
 		s.Value = o.Value
 	}
 	data, err := json.Marshal(s)
@@ -39,16 +39,16 @@
 	return platform.Object{Meta: meta, Spec: data}, nil
 }
 
-// FromObject maps an object of the platform in that era, or returns *stoatpaddle.DecodeError.
-func FromObject(p platform.Object, era uint64) (stoatpaddle.Object, error) {
+// FromStoreObject maps an object of the platform in that era, or returns *stoatpaddle.DecodeError.
+func FromStoreObject(p platform.Object, era uint64) (stoatpaddle.Object, error) {
 	kind, name, ok := strings.Cut(p.Meta.Name, nameMark)
 	var s spec
 	if err := json.Unmarshal(p.Spec, &s); err != nil || !ok {
 		return stoatpaddle.Object{}, &stoatpaddle.DecodeError{What: "object " + p.Meta.Name, Cause: err}
 	}
 	return stoatpaddle.Object{
-		Ref:     stoatpaddle.Ref{Kind: stoatpaddle.ObjectKind(kind), Name: name},
+		Ref:     stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectKind(kind), Name: name},
 		Version: stoatpaddle.Position{Era: stoatpaddle.Era(era), Revision: stoatpaddle.Version(p.Meta.Revision)}.Version(),
-		Token:   stoatpaddle.Token(s.Token), Gone: s.Gone, Value: s.Value,
+		Token:   stoatpaddle.WriteToken(s.Token), Deleted: s.Gone, Value: s.Value,
 	}, nil
 }
--- a/stoatprocess/main.go
+++ b/stoatprocess/main.go
@@ -72,7 +72,7 @@
 }
 
 // FabricError reports settings for another fabric than the one that this program serves.
-type FabricError struct{ Fabric stoatsetting.Fabric }
+type FabricError struct{ Fabric stoatsetting.FabricKind }
 
 // Error names the fabric and the program that serves it.
 func (e *FabricError) Error() string {
--- a/stoatprocess/start_test.go
+++ b/stoatprocess/start_test.go
@@ -36,10 +36,10 @@
 	r.store = strings.TrimPrefix(srv.URL, "http://")
 	r.caller, r.upstream = r.listen("127.0.0.3:0"), r.listen("127.0.0.4:0")
 	to := r.upstream.LocalAddr().(*net.UDPAddr).AddrPort()
-	d := stoatpaddle.Declaration{Version: 1, Idle: time.Minute, Routes: []stoatpaddle.Route{{
-		Listen: netip.MustParseAddrPort("198.18.0.1:443"), Objective: time.Second, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
+	d := stoatpaddle.Declaration{Version: 1, IdleTimeout: time.Minute, Routes: []stoatpaddle.Route{{
+		Listen: netip.MustParseAddrPort("198.18.0.1:443"), TargetLatency: time.Second, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
 	}}}
-	store.Write(platform.KindConfig, platform.NameConfig, platform.DeclarationSpec(&d))
+	store.Write(platform.KindConfig, platform.ConfigName, platform.DeclarationSpec(&d))
 	for i := range upstreams {
 		reg := stoatpaddle.Registration{Service: "app", Addr: to, DataCentre: "here", Slots: 2}
 		store.Write(platform.KindUpstream, fmt.Sprintf("i-%08x", i+1), platform.RegistrationSpec(&reg))
--- a/stoatrelay/bench_test.go
+++ b/stoatrelay/bench_test.go
@@ -13,17 +13,17 @@
 )
 
 func largeBook(routes, upstreams int) (*stoatroute.Builder, stoatpaddle.Declaration) {
-	d := stoatpaddle.Declaration{Version: 1, Caps: map[stoatpaddle.ServiceID]int{"app": 2000}}
+	d := stoatpaddle.Declaration{Version: 1, MaxFlows: map[stoatpaddle.ServiceID]int{"app": 2000}}
 	for i := range routes {
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
 		d.Routes = append(d.Routes, stoatpaddle.Route{
-			Listen: netip.AddrPortFrom(addr, 443), Objective: 200 * ms, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
+			Listen: netip.AddrPortFrom(addr, 443), TargetLatency: 200 * ms, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}},
 		})
 	}
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.ApplyDeclaration(d, 1)
 	for i := range upstreams {
-		c := registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%010x", i+1)), stoatpaddle.Target(i+1), stoatpaddle.Version(i+2))
+		c := registered(stoatpaddle.UpstreamID(fmt.Sprintf("i-%010x", i+1)), stoatpaddle.TargetID(i+1), stoatpaddle.Version(i+2))
 		c.registration.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8080)
 		b.Register(time.Unix(1000, 0), *c.registration, c.revision)
 	}
--- a/stoatrelay/codec_test.go
+++ b/stoatrelay/codec_test.go
@@ -35,23 +35,23 @@
 	registration *stoatpaddle.Registration
 }
 
-func registered(id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) registeredUpstream {
+func registered(id stoatpaddle.UpstreamID, target stoatpaddle.TargetID, revision stoatpaddle.Version) registeredUpstream {
 	return registeredUpstream{revision: revision, registration: &stoatpaddle.Registration{
-		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, Created: revision,
+		ID: id, Target: target, Service: "app", DataCentre: "here", Slots: 3, CreateRevision: revision,
 	}}
 }
 
 // A child decodes what its parent encoded, and later messages contain only what changed.
 func TestMessageCodec(t *testing.T) {
 	c, r := declared(4, 9), registered("i-2", 2, 7)
-	c.declaration.Caps = map[stoatpaddle.ServiceID]int{"app": 2000}
+	c.declaration.MaxFlows = map[stoatpaddle.ServiceID]int{"app": 2000}
 	c.declaration.ColdRates = map[stoatpaddle.ServiceID]float64{"app": 2.5}
 	c.declaration.Routes[0].Regions = []stoatpaddle.RegionID{"south", "north"}
-	c.declaration.Idle = 15 * time.Second
+	c.declaration.IdleTimeout = 15 * time.Second
 	c.declaration.Routes[0].Idempotent = true
 	r.registration.Leaving = true
 	r.registration.Addr = listen
-	r.registration.Cold = 3 * time.Second
+	r.registration.ColdRemaining = 3 * time.Second
 	now := time.Unix(1000, 0)
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.ApplyDeclaration(*c.declaration, c.revision)
@@ -66,7 +66,7 @@
 		t.Error(diff, a.Revision, a.Base)
 	}
 	want := *r.registration
-	want.Cold = 2 * time.Second
+	want.ColdRemaining = 2 * time.Second
 	if u := got.Upstreams[0]; u.Registration != want || u.Revision != 7 || u.State != stoatroute.Leaving {
 		t.Errorf("%+v", u)
 	}
@@ -137,7 +137,7 @@
 		addr := netip.AddrFrom4([4]byte{198, 18, byte(i >> 8), byte(i)})
 		return stoatpaddle.Route{Listen: netip.AddrPortFrom(addr, 443), Priority: priority, Backends: []stoatpaddle.Backend{{Service: "app", Weight: 1}}}
 	}
-	old := stoatpaddle.Declaration{Version: 3, Caps: map[stoatpaddle.ServiceID]int{}}
+	old := stoatpaddle.Declaration{Version: 3, MaxFlows: map[stoatpaddle.ServiceID]int{}}
 	for i := range 2000 {
 		old.Routes = append(old.Routes, route(i, 1))
 	}
@@ -202,7 +202,7 @@
 	now := time.Unix(1000, 0)
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	r := registered("i-1", 1, 5).registration
-	r.Incarnation, r.Cold, r.Addr = 1_790_000_000_000, 3*time.Second, netip.MustParseAddrPort("10.0.0.1:80")
+	r.Incarnation, r.ColdRemaining, r.Addr = 1_790_000_000_000, 3*time.Second, netip.MustParseAddrPort("10.0.0.1:80")
 	b.Register(now, *r, 5)
 	data, err := Encode(EncodeBody(now, b.Table(), ChildState{}))
 	if err != nil {
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -102,9 +102,9 @@
 	return stoatroute.RemoteUpstream{
 		Revision: stoatpaddle.Version(u.Revision), State: stoatroute.State(u.Standing),
 		Registration: stoatpaddle.Registration{
-			ID: stoatpaddle.UpstreamID(u.ID), Target: stoatpaddle.Target(u.Target), Service: stoatpaddle.ServiceID(r.name(u.Service)),
+			ID: stoatpaddle.UpstreamID(u.ID), Target: stoatpaddle.TargetID(u.Target), Service: stoatpaddle.ServiceID(r.name(u.Service)),
 			DataCentre: stoatpaddle.DataCentreID(r.name(u.Centre)), Addr: r.addr(u.Addr), Slots: u.Slots, Leaving: u.Leaving,
-			Created: stoatpaddle.Version(u.Created), Cold: time.Duration(u.ColdMS) * time.Millisecond,
+			CreateRevision: stoatpaddle.Version(u.Created), ColdRemaining: time.Duration(u.ColdMS) * time.Millisecond,
 			Incarnation: stoatpaddle.Incarnation(u.Incarnation),
 		},
 	}
@@ -114,13 +114,13 @@
 	delta := &Delta{
 		Revision: stoatpaddle.Version(w.Revision), Base: stoatpaddle.Version(w.Base),
 		Declaration: stoatpaddle.Declaration{
-			Version: stoatpaddle.Version(w.Version), Caps: make(map[stoatpaddle.ServiceID]int, len(w.Caps)),
-			Idle: time.Duration(w.IdleMS) * time.Millisecond, Routes: make([]stoatpaddle.Route, 0, len(w.Routes)),
+			Version: stoatpaddle.Version(w.Version), MaxFlows: make(map[stoatpaddle.ServiceID]int, len(w.Caps)),
+			IdleTimeout: time.Duration(w.IdleMS) * time.Millisecond, Routes: make([]stoatpaddle.Route, 0, len(w.Routes)),
 		},
 	}
 	for _, c := range w.Caps {
 		service := stoatpaddle.ServiceID(r.name(c.Service))
-		delta.Declaration.Caps[service] = c.MaxFlows
+		delta.Declaration.MaxFlows[service] = c.MaxFlows
 		delta.Declaration.SetColdRate(service, c.ColdRate)
 	}
 	for _, b := range w.Removed {
@@ -129,7 +129,7 @@
 	for i := range w.Routes {
 		wire := &w.Routes[i]
 		route := stoatpaddle.Route{
-			Listen: r.addr(wire.Listen), Idempotent: wire.Idempotent, Priority: wire.Priority, Objective: time.Duration(wire.ObjectiveMS) * time.Millisecond,
+			Listen: r.addr(wire.Listen), Idempotent: wire.Idempotent, Priority: wire.Priority, TargetLatency: time.Duration(wire.ObjectiveMS) * time.Millisecond,
 		}
 		for _, index := range wire.Regions {
 			route.Regions = append(route.Regions, stoatpaddle.RegionID(r.name(index)))
@@ -138,7 +138,7 @@
 			route.Backends = append(route.Backends, stoatpaddle.Backend{Service: stoatpaddle.ServiceID(r.name(b.Service)), Weight: stoatpaddle.Weight(b.Weight)})
 		}
 		for _, index := range wire.Earlier {
-			route.Earlier = append(route.Earlier, stoatpaddle.ServiceID(r.name(index)))
+			route.FormerServices = append(route.FormerServices, stoatpaddle.ServiceID(r.name(index)))
 		}
 		delta.Declaration.Routes = append(delta.Declaration.Routes, route)
 	}
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -67,7 +67,7 @@
 		r := &u.Registration
 		body.Upstreams = append(body.Upstreams, wireHeld{
 			ID: string(r.ID), Target: uint64(r.Target), Service: names.indexOf(string(r.Service)), Centre: names.indexOf(string(r.DataCentre)),
-			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.Created),
+			Addr: packAddr(r.Addr), Slots: r.Slots, Leaving: r.Leaving, Revision: uint64(u.Revision), Created: uint64(r.CreateRevision),
 			Standing: uint8(u.State), ColdMS: max(0, u.WarmAt.Sub(now).Milliseconds()), Incarnation: uint64(r.Incarnation),
 		})
 	}
@@ -87,13 +87,13 @@
 func encodeDeclaration(names *nameTable, t *stoatroute.Table, child ChildState) *wireConfig {
 	d := &t.Declaration
 	w := &wireConfig{
-		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.Idle.Milliseconds(),
+		Revision: uint64(t.Revision), Version: uint64(d.Version), Base: uint64(child.version), IdleMS: d.IdleTimeout.Milliseconds(),
 	}
 	routes, removed, known := t.RoutesSince(child.change)
 	if !known || child.change == 0 {
 		w.Base, routes, removed = 0, d.Routes, nil
 	}
-	for s, flows := range d.Caps {
+	for s, flows := range d.MaxFlows {
 		w.Caps = append(w.Caps, wireCap{Service: names.indexOf(string(s)), MaxFlows: flows, ColdRate: d.ColdRates[s]})
 	}
 	for _, listen := range removed {
@@ -102,7 +102,7 @@
 	w.Routes = make([]wireRoute, 0, len(routes))
 	for i := range routes {
 		r := &routes[i]
-		out := wireRoute{Listen: packAddr(r.Listen), Idempotent: r.Idempotent, ObjectiveMS: r.Objective.Milliseconds(), Priority: r.Priority}
+		out := wireRoute{Listen: packAddr(r.Listen), Idempotent: r.Idempotent, ObjectiveMS: r.TargetLatency.Milliseconds(), Priority: r.Priority}
 		for _, region := range r.Regions {
 			out.Regions = append(out.Regions, names.indexOf(string(region)))
 		}
--- a/stoatroute/bench_test.go
+++ b/stoatroute/bench_test.go
@@ -28,8 +28,8 @@
 
 func upstream(i, n int) stoatpaddle.Registration {
 	return stoatpaddle.Registration{
-		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%08x", i+1)), Target: stoatpaddle.Target(i + 1),
-		Service: stoatpaddle.ServiceID(fmt.Sprintf("s-%d", i%max(1, n/11))), DataCentre: "a", Slots: 3, Created: stoatpaddle.Version(i + 2),
+		ID: stoatpaddle.UpstreamID(fmt.Sprintf("i-%08x", i+1)), Target: stoatpaddle.TargetID(i + 1),
+		Service: stoatpaddle.ServiceID(fmt.Sprintf("s-%d", i%max(1, n/11))), DataCentre: "a", Slots: 3, CreateRevision: stoatpaddle.Version(i + 2),
 	}
 }
 
--- a/stoatroute/builder.go
+++ b/stoatroute/builder.go
@@ -10,7 +10,7 @@
 )
 
 func newRecord(now time.Time, r *stoatpaddle.Registration) *record {
-	return &record{up: &Upstream{Key: KeyOf(r.Target), WarmAt: now.Add(r.Cold), StartedCold: r.Cold > 0}}
+	return &record{up: &Upstream{Key: KeyOf(r.Target), WarmAt: now.Add(r.ColdRemaining), StartedCold: r.ColdRemaining > 0}}
 }
 
 // setCold records for how much longer the upstream is cold, as it reports. An upstream may also become cold
@@ -125,7 +125,7 @@
 // KeyOf returns the key, also called cookie, that identifies the upstream in packets. It is never 0, which
 // identifies no upstream. Targets of 32 bits map one to one. A hash would give two of 43,000 upstreams the
 // same key one time in five.
-func KeyOf(t stoatpaddle.Target) stoatpaddle.UpstreamKey {
+func KeyOf(t stoatpaddle.TargetID) stoatpaddle.UpstreamKey {
 	const half = 32
 	if k := stoatpaddle.UpstreamKey(t) ^ stoatpaddle.UpstreamKey(t>>half); k != 0 {
 		return k
@@ -157,13 +157,13 @@
 		for _, s := range r.Backends {
 			n.everUsed[s.Service] = true
 		}
-		for _, s := range r.Earlier {
+		for _, s := range r.FormerServices {
 			n.everUsed[s] = true
 		}
 		routes[r.Listen] = n
 	}
 	b.recordRemovals(routes)
-	b.recordShards.staleAll = b.recordShards.staleAll || !maps.Equal(b.decl.Caps, d.Caps) || !maps.Equal(b.decl.ColdRates, d.ColdRates)
+	b.recordShards.staleAll = b.recordShards.staleAll || !maps.Equal(b.decl.MaxFlows, d.MaxFlows) || !maps.Equal(b.decl.ColdRates, d.ColdRates)
 	b.decl, b.revision, b.routes, b.declared, b.dirty = d, revision, routes, true, true
 	b.declarationSeq = b.changeSeq
 	return true
@@ -199,7 +199,7 @@
 // sameRoute reports whether two versions of a route declare the same; former services are not compared.
 func sameRoute(a, b *stoatpaddle.Route) bool {
 	return a.Listen == b.Listen && a.Idempotent == b.Idempotent && a.Priority == b.Priority &&
-		a.Objective == b.Objective && slices.Equal(a.Backends, b.Backends) && slices.Equal(a.Regions, b.Regions)
+		a.TargetLatency == b.TargetLatency && slices.Equal(a.Backends, b.Backends) && slices.Equal(a.Regions, b.Regions)
 }
 
 // maxRemoved limits the memory for removed routes. An entry whose knowledge is older than the removals that
@@ -398,8 +398,8 @@
 // keeps it, because it may have flows. The other one gets no flows, because its packets would go to the
 // first. Only targets longer than 32 bits can share a key; of 43,000 upstreams two do so one time in five.
 func registeredFirst(a, b *Upstream) bool {
-	if a.Created != b.Created {
-		return a.Created < b.Created
+	if a.CreateRevision != b.CreateRevision {
+		return a.CreateRevision < b.CreateRevision
 	}
 	return a.ID < b.ID
 }
--- a/stoatroute/builder_test.go
+++ b/stoatroute/builder_test.go
@@ -21,8 +21,8 @@
 	}}
 }
 
-func registration(target stoatpaddle.Target, id stoatpaddle.UpstreamID) stoatpaddle.Registration {
-	return stoatpaddle.Registration{ID: id, Target: target, Service: "app", Slots: 3, Created: stoatpaddle.Version(target)}
+func registration(target stoatpaddle.TargetID, id stoatpaddle.UpstreamID) stoatpaddle.Registration {
+	return stoatpaddle.Registration{ID: id, Target: target, Service: "app", Slots: 3, CreateRevision: stoatpaddle.Version(target)}
 }
 
 func standingOf(t *testing.T, b *stoatroute.Builder, id stoatpaddle.UpstreamID) stoatroute.State {
@@ -142,7 +142,7 @@
 // flows, in whichever order an entry learns of them, and the other one must get none.
 func TestSharedKey(t *testing.T) {
 	first, second := registration(0x7f00000001, "i-7f00000001"), registration(0x7e00000000, "i-7e00000000")
-	first.Created, second.Created = 5, 6
+	first.CreateRevision, second.CreateRevision = 5, 6
 	if stoatroute.KeyOf(first.Target) != stoatroute.KeyOf(second.Target) {
 		t.Fatal("the upstreams do not share a key")
 	}
@@ -196,7 +196,7 @@
 	return m
 }
 
-func remoteUpstream(target stoatpaddle.Target, id stoatpaddle.UpstreamID, revision stoatpaddle.Version, s stoatroute.State) stoatroute.RemoteUpstream {
+func remoteUpstream(target stoatpaddle.TargetID, id stoatpaddle.UpstreamID, revision stoatpaddle.Version, s stoatroute.State) stoatroute.RemoteUpstream {
 	return stoatroute.RemoteUpstream{Registration: registration(target, id), Revision: revision, State: s}
 }
 
--- a/stoatroute/evacuation_test.go
+++ b/stoatroute/evacuation_test.go
@@ -69,14 +69,14 @@
 	b.Register(now, r, 1)
 	child.Mirror(now, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: 1}}, UpToDate: true})
 	now = now.Add(time.Minute)
-	r.Cold = 4 * time.Second
+	r.ColdRemaining = 4 * time.Second
 	b.Register(now, r, 2)
 	child.Mirror(now, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: 2}}, UpToDate: true})
 	if warm(b) != 4*time.Second || warm(child) != 4*time.Second {
 		t.Errorf("cold for %s, at the other entry: %s", warm(b), warm(child))
 	}
 	now = now.Add(time.Second)
-	r.Cold = 0
+	r.ColdRemaining = 0
 	b.Register(now, r, 3)
 	if warm(b) > 0 {
 		t.Errorf("the upstream reports that it is warm, but counts as cold for %s", warm(b))
--- a/stoatroute/history.go
+++ b/stoatroute/history.go
@@ -54,7 +54,7 @@
 		if !now.Before(f.Until) {
 			continue
 		}
-		routes = append(routes, stoatpaddle.Route{Listen: f.Listen, Earlier: []stoatpaddle.ServiceID{f.Service}})
+		routes = append(routes, stoatpaddle.Route{Listen: f.Listen, FormerServices: []stoatpaddle.ServiceID{f.Service}})
 		if b.formerUntil == nil {
 			b.formerUntil = map[formerKey]time.Time{}
 		}
--- a/stoatroute/memory_test.go
+++ b/stoatroute/memory_test.go
@@ -19,13 +19,13 @@
 	names := map[stoatpaddle.UpstreamID]bool{}
 	for i := range n {
 		// Knuth's multiplicative hash, so that keys are not consecutive.
-		target := stoatpaddle.Target(uint32(i+1) * 2654435761)
+		target := stoatpaddle.TargetID(uint32(i+1) * 2654435761)
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%010x", uint64(target)))
 		names[id] = true
 		b.Register(time.Unix(1000, 0), stoatpaddle.Registration{
 			ID: id, Target: target, Service: stoatpaddle.ServiceID(strings.Clone([]string{"intake-service", "application"}[i%2])),
 			DataCentre: stoatpaddle.DataCentreID(fmt.Sprint("data-centre-", i%5)),
-			Addr:       netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8043), Slots: 2, Incarnation: 7, Created: stoatpaddle.Version(i + 2),
+			Addr:       netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(i >> 8), byte(i)}), 8043), Slots: 2, Incarnation: 7, CreateRevision: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 	}
 	b.ApplyList(time.Unix(1000, 0), names, false)
--- a/stoatroute/mirror.go
+++ b/stoatroute/mirror.go
@@ -78,7 +78,7 @@
 		rec.restart(now, &remote.Registration)
 		isNew = true
 	case remote.Revision > rec.up.Revision:
-		rec.setCold(now, remote.Cold)
+		rec.setCold(now, remote.ColdRemaining)
 	}
 	was, state := rec.up.State, remote.State
 	u := rec.edit()
--- a/stoatroute/register.go
+++ b/stoatroute/register.go
@@ -63,7 +63,7 @@
 	case sameIncarnation:
 	}
 	r = b.keepLeaving(now, rec, r)
-	rec.setCold(now, r.Cold)
+	rec.setCold(now, r.ColdRemaining)
 	b.setRegistration(rec, r, revision, standingOf(&r))
 	if was != rec.up.State {
 		return Changed
@@ -97,10 +97,10 @@
 // An upstream that was unknown becomes known by the key of the given target, which is taken from its id. Its
 // registration still exists, so the platform does not show that it has ended, and flows to it must not be
 // reset.
-func (b *Builder) MarkInvalid(now time.Time, id stoatpaddle.UpstreamID, target stoatpaddle.Target, revision stoatpaddle.Version) bool {
+func (b *Builder) MarkInvalid(now time.Time, id stoatpaddle.UpstreamID, target stoatpaddle.TargetID, revision stoatpaddle.Version) bool {
 	rec := b.records[id]
 	if rec == nil && target != 0 {
-		r := stoatpaddle.Registration{ID: id, Target: target, Addr: unknownAddr, Leaving: true, Created: revision}
+		r := stoatpaddle.Registration{ID: id, Target: target, Addr: unknownAddr, Leaving: true, CreateRevision: revision}
 		rec = newRecord(now, &r)
 		b.records[id] = rec
 		b.setRegistration(rec, r, revision, Leaving)
--- a/stoatroute/register_test.go
+++ b/stoatroute/register_test.go
@@ -24,7 +24,7 @@
 	return r
 }
 
-func cold(r *stoatpaddle.Registration)         { r.Cold = 3 * time.Second }
+func cold(r *stoatpaddle.Registration)         { r.ColdRemaining = 3 * time.Second }
 func leaving(r *stoatpaddle.Registration)      { r.Leaving = true }
 func moved(r *stoatpaddle.Registration)        { r.Addr = away }
 func otherService(r *stoatpaddle.Registration) { r.Service = "intake" }
@@ -70,7 +70,7 @@
 			if u.Registration != c.want || u.State != c.state {
 				t.Errorf("%+v", u)
 			}
-			if isCold := now.Before(u.WarmAt); isCold != (c.want.Cold > 0) || u.StartedCold != isCold {
+			if isCold := now.Before(u.WarmAt); isCold != (c.want.ColdRemaining > 0) || u.StartedCold != isCold {
 				t.Error("cold:", isCold, u.StartedCold)
 			}
 		})
--- a/stoatroute/shards.go
+++ b/stoatroute/shards.go
@@ -150,7 +150,7 @@
 	for _, rec := range list {
 		if rec.snapshot == nil || rs.staleAll {
 			u := rec.edit()
-			u.MaxFlows, u.ColdRate = d.Caps[u.Service], d.ColdRates[u.Service]
+			u.MaxFlows, u.ColdRate = d.MaxFlows[u.Service], d.ColdRates[u.Service]
 			rec.snapshot = u
 		}
 		u := rec.snapshot
--- a/stoatroute/shards_test.go
+++ b/stoatroute/shards_test.go
@@ -25,7 +25,7 @@
 	byKey := map[stoatpaddle.UpstreamKey]Upstream{}
 	for _, e := range b.records {
 		u := *e.up
-		u.MaxFlows, u.ColdRate = b.decl.Caps[u.Service], b.decl.ColdRates[u.Service]
+		u.MaxFlows, u.ColdRate = b.decl.MaxFlows[u.Service], b.decl.ColdRates[u.Service]
 		if other, taken := byKey[u.Key]; !taken || registeredFirst(&u, &other) {
 			byKey[u.Key] = u
 		}
@@ -86,14 +86,14 @@
 			n := rapid.IntRange(1, 6).Draw(t, "upstream")
 			id := stoatpaddle.UpstreamID(fmt.Sprint("i-", n))
 			// The targets of upstreams 5 and 6 have the same key.
-			target := stoatpaddle.Target(n)
+			target := stoatpaddle.TargetID(n)
 			if n == 6 {
-				target = stoatpaddle.Target(1)<<32 | 4
+				target = stoatpaddle.TargetID(1)<<32 | 4
 			}
 			revision++
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			r := stoatpaddle.Registration{
-				ID: id, Target: target, Slots: 3, Created: revision, Service: stoatpaddle.ServiceID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "service")),
+				ID: id, Target: target, Slots: 3, CreateRevision: revision, Service: stoatpaddle.ServiceID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "service")),
 				Leaving: rapid.Bool().Draw(t, "leaving"), Incarnation: stoatpaddle.Incarnation(rapid.IntRange(1, 3).Draw(t, "life")),
 			}
 			switch rapid.IntRange(0, 8).Draw(t, "what") {
@@ -108,7 +108,7 @@
 			case 6:
 				b.Mirror(now, RemoteUpdate{Upstreams: []RemoteUpstream{{Registration: r, Revision: revision, State: State(rapid.IntRange(0, 3).Draw(t, "standing"))}}, UpToDate: true})
 			case 7:
-				b.ApplyDeclaration(stoatpaddle.Declaration{Version: revision, Caps: map[stoatpaddle.ServiceID]int{"a": int(revision) % 3}}, revision)
+				b.ApplyDeclaration(stoatpaddle.Declaration{Version: revision, MaxFlows: map[stoatpaddle.ServiceID]int{"a": int(revision) % 3}}, revision)
 			case 8:
 				era++
 				b.BeginEra(now, era)
--- a/stoatroute/table.go
+++ b/stoatroute/table.go
@@ -74,7 +74,7 @@
 	for _, b := range other.Backends {
 		add(b.Service)
 	}
-	for _, s := range other.Earlier {
+	for _, s := range other.FormerServices {
 		add(s)
 	}
 	return out
--- a/stoatsetting/setting.go
+++ b/stoatsetting/setting.go
@@ -10,45 +10,45 @@
 
 // Settings is everything that one entry instance must be told.
 type Settings struct {
-	Instance   stoatpaddle.InstanceID
-	DataCentre stoatpaddle.DataCentreID
-	Cluster    stoatpaddle.ClusterID
-	Tunnel     netip.AddrPort   // packets from the fabric, UDP
-	Relay      netip.AddrPort   // packets from other entries, UDP
-	Peer       netip.AddrPort   // control between entries, TCP
-	Admin      netip.AddrPort   // administration API, HTTP
-	Call       netip.AddrPort   // callers' requests, HTTP
-	Egress     netip.AddrPort   // the fabric's way to callers, for resets, UDP
-	Platform   netip.AddrPort   // the platform's object API, HTTP
-	Seeds      []netip.AddrPort // peers to ask when the platform does not answer
-	Fabric     Fabric           // what the fabric does for the entries
-	Link       float64          // the bandwidth of its link, Mbit/s; echo fabric only; 0: not known
-	Ready      netip.AddrPort   // the fabric's readiness checks, HTTP; echo fabric only
-	Metrics    netip.AddrPort   // metrics alone, HTTP; echo fabric only; invalid: none
-	Apply      time.Duration    // how soon a change has to be in force; echo fabric only
-	Leave      time.Duration    // how soon a leaving upstream gets no new flows; echo fabric only; 0: as Apply
-	Evacuate   time.Duration    // how soon an evacuation has to be in force; echo fabric only; 0: there are none
+	Instance         stoatpaddle.InstanceID
+	DataCentre       stoatpaddle.DataCentreID
+	Cluster          stoatpaddle.ClusterID
+	TunnelAddr       netip.AddrPort   // packets from the fabric, UDP
+	RelayAddr        netip.AddrPort   // packets from other entries, UDP
+	PeerAddr         netip.AddrPort   // control between entries, TCP
+	AdminAddr        netip.AddrPort   // administration API, HTTP
+	CallAddr         netip.AddrPort   // callers' requests, HTTP
+	EgressAddr       netip.AddrPort   // the fabric's way to callers, for resets, UDP
+	PlatformAddr     netip.AddrPort   // the platform's object API, HTTP
+	Seeds            []netip.AddrPort // peers to ask when the platform does not answer
+	Fabric           FabricKind       // what the fabric does for the entries
+	LinkMbps         float64          // the bandwidth of its link, Mbit/s; echo fabric only; 0: not known
+	ReadyAddr        netip.AddrPort   // the fabric's readiness checks, HTTP; echo fabric only
+	MetricsAddr      netip.AddrPort   // metrics alone, HTTP; echo fabric only; invalid: none
+	MaxApplyDelay    time.Duration    // how soon a change has to be in force; echo fabric only
+	MaxLeaveDelay    time.Duration    // how soon a leaving upstream gets no new flows; echo fabric only; 0: as Apply
+	MaxEvacuateDelay time.Duration    // how soon an evacuation has to be in force; echo fabric only; 0: there are none
 	// Regions are the regions of data centres, for routes that allow only some; echo fabric only.
-	Regions map[stoatpaddle.DataCentreID]stoatpaddle.RegionID
-	Memory  float64       // what its machine has, MB; echo fabric only; 0: not known
-	Share   float64       // the part of a core that this instance has; echo fabric only; 0: not known
-	Life    time.Duration // how long a flow lives at most; echo fabric only
-	Return  time.Duration // how long a lapsed registration may take to come back; echo fabric only
-	Dead    time.Duration // of silence, until a peer counts as dead
-	Level   string
-	Stop    time.Duration // a planned stop takes no longer
-	Settle  time.Duration // how long earlier owners are asked after a change
+	Regions      map[stoatpaddle.DataCentreID]stoatpaddle.RegionID
+	MemoryMB     float64       // what its machine has, MB; echo fabric only; 0: not known
+	CPUShare     float64       // the part of a core that this instance has; echo fabric only; 0: not known
+	FlowLifetime time.Duration // how long a flow lives at most; echo fabric only
+	GracePeriod  time.Duration // how long a lapsed registration may take to come back; echo fabric only
+	PeerTimeout  time.Duration // of silence, until a peer counts as dead
+	LogLevel     string
+	StopDeadline time.Duration // a planned stop takes no longer
+	SettleTime   time.Duration // how long earlier owners are asked after a change
 }
 
-// Fabric tells how flows keep to their upstream.
-type Fabric string
+// FabricKind tells how flows keep to their upstream.
+type FabricKind string
 
 // The kinds of fabric.
 const (
 	// FabricTunnel gives nothing back: entries find a flow's upstream by owners and copies.
-	FabricTunnel Fabric = "tunnel"
+	FabricTunnel FabricKind = "tunnel"
 	// FabricEcho brings back with each packet what an entry wrote into the one before.
-	FabricEcho Fabric = "echo"
+	FabricEcho FabricKind = "echo"
 )
 
 // The defaults, documented in testdata/entry.ini.
@@ -73,10 +73,10 @@
 	maxMemory       = 1e6
 )
 
-// Bound is how soon anything that the platform says has to be in force.
-func (s Settings) Bound() time.Duration {
-	bound := s.Apply
-	for _, d := range []time.Duration{s.Leave, s.Evacuate} {
+// MaxDelay is how soon anything that the platform says has to be in force.
+func (s Settings) MaxDelay() time.Duration {
+	bound := s.MaxApplyDelay
+	for _, d := range []time.Duration{s.MaxLeaveDelay, s.MaxEvacuateDelay} {
 		if d > 0 {
 			bound = min(bound, d)
 		}
@@ -87,7 +87,7 @@
 // MemoryBytes is what the instance's machine has, bytes; 0: not known.
 func (s Settings) MemoryBytes() uint64 {
 	const megabyte = 1 << 20
-	return uint64(s.Memory * megabyte)
+	return uint64(s.MemoryMB * megabyte)
 }
 
 // Parse reads the settings, or returns *stoatpaddle.FaultsError with every fault.
@@ -96,35 +96,35 @@
 	instance := r.Section("instance")
 	listen := r.Section("listen")
 	s := Settings{
-		Instance:   stoatpaddle.InstanceID(instance.Word("id", "")),
-		DataCentre: stoatpaddle.DataCentreID(instance.Word("centre", "")),
-		Cluster:    stoatpaddle.ClusterID(instance.Word("cluster", defaultCluster)),
-		Tunnel:     listen.AddrPort("tunnel", defaultTunnel),
-		Relay:      listen.AddrPort("relay", defaultRelay),
-		Peer:       listen.AddrPort("peer", defaultPeer),
-		Admin:      listen.AddrPort("admin", defaultAdmin),
-		Call:       listen.AddrPort("call", defaultCall),
-		Egress:     r.Section("fabric").AddrPort("egress", defaultEgress),
-		Fabric:     Fabric(r.Section("fabric").Choice("kind", string(FabricTunnel), string(FabricEcho))),
-		Ready:      listen.AddrPort("ready", defaultReady),
-		Apply:      r.Section("platform").Duration("apply", defaultApply),
-		Leave:      r.Section("platform").Duration("leave", 0),
-		Evacuate:   r.Section("platform").Duration("evacuate", 0),
-		Regions:    regions(r.Section("regions")),
-		Share:      instance.Number("share", 0, 0, maxShare),
-		Link:       instance.Number("link", 0, 0, maxLink),
-		Memory:     instance.Number("memory", 0, 0, maxMemory),
-		Return:     r.Section("platform").Duration("return", defaultReturn),
-		Life:       r.Section("flow").Duration("life", defaultLife),
-		Platform:   r.Section("platform").AddrPort("address", defaultPlatform),
-		Seeds:      r.Section("peer").AddrPorts("seeds"),
-		Dead:       r.Section("peer").Duration("dead", defaultDead),
-		Level:      r.Section("log").Choice("level", "info", "debug", "warn", "error"),
-		Stop:       r.Section("stop").Duration("deadline", defaultStop),
-		Settle:     r.Section("flow").Duration("settle", defaultSettle),
+		Instance:         stoatpaddle.InstanceID(instance.Word("id", "")),
+		DataCentre:       stoatpaddle.DataCentreID(instance.Word("centre", "")),
+		Cluster:          stoatpaddle.ClusterID(instance.Word("cluster", defaultCluster)),
+		TunnelAddr:       listen.AddrPort("tunnel", defaultTunnel),
+		RelayAddr:        listen.AddrPort("relay", defaultRelay),
+		PeerAddr:         listen.AddrPort("peer", defaultPeer),
+		AdminAddr:        listen.AddrPort("admin", defaultAdmin),
+		CallAddr:         listen.AddrPort("call", defaultCall),
+		EgressAddr:       r.Section("fabric").AddrPort("egress", defaultEgress),
+		Fabric:           FabricKind(r.Section("fabric").Choice("kind", string(FabricTunnel), string(FabricEcho))),
+		ReadyAddr:        listen.AddrPort("ready", defaultReady),
+		MaxApplyDelay:    r.Section("platform").Duration("apply", defaultApply),
+		MaxLeaveDelay:    r.Section("platform").Duration("leave", 0),
+		MaxEvacuateDelay: r.Section("platform").Duration("evacuate", 0),
+		Regions:          regions(r.Section("regions")),
+		CPUShare:         instance.Number("share", 0, 0, maxShare),
+		LinkMbps:         instance.Number("link", 0, 0, maxLink),
+		MemoryMB:         instance.Number("memory", 0, 0, maxMemory),
+		GracePeriod:      r.Section("platform").Duration("return", defaultReturn),
+		FlowLifetime:     r.Section("flow").Duration("life", defaultLife),
+		PlatformAddr:     r.Section("platform").AddrPort("address", defaultPlatform),
+		Seeds:            r.Section("peer").AddrPorts("seeds"),
+		PeerTimeout:      r.Section("peer").Duration("dead", defaultDead),
+		LogLevel:         r.Section("log").Choice("level", "info", "debug", "warn", "error"),
+		StopDeadline:     r.Section("stop").Duration("deadline", defaultStop),
+		SettleTime:       r.Section("flow").Duration("settle", defaultSettle),
 	}
 	if list := listen.AddrPorts("metrics"); len(list) > 0 {
-		s.Metrics = list[0]
+		s.MetricsAddr = list[0]
 	}
 	distinct(listen, s)
 	if err := r.Err(); err != nil {
@@ -150,18 +150,18 @@
 		addr netip.AddrPort
 	}
 	list := []listener{
-		{"tunnel", true, s.Tunnel},
-		{"relay", true, s.Relay},
-		{"peer", false, s.Peer},
-		{"admin", false, s.Admin},
-		{"call", false, s.Call},
-		{"ready", false, s.Ready},
-		{"metrics", false, s.Metrics},
+		{"tunnel", true, s.TunnelAddr},
+		{"relay", true, s.RelayAddr},
+		{"peer", false, s.PeerAddr},
+		{"admin", false, s.AdminAddr},
+		{"call", false, s.CallAddr},
+		{"ready", false, s.ReadyAddr},
+		{"metrics", false, s.MetricsAddr},
 	}
 	for i, a := range list {
 		for _, b := range list[:i] {
 			if a.addr.IsValid() && a.udp == b.udp && a.addr == b.addr {
-				sec.Fault(a.key, a.addr.String(), "an address that "+b.key+" does not have")
+				sec.AddFault(a.key, a.addr.String(), "an address that "+b.key+" does not have")
 			}
 		}
 	}
--- a/stoatsetting/template_test.go
+++ b/stoatsetting/template_test.go
@@ -39,8 +39,8 @@
 		t.Errorf("filled in:\n%s", body)
 	}
 	set, err := stoatsetting.Parse("entry.ini", []byte(text))
-	if err != nil || set.Fabric != stoatsetting.FabricEcho || len(set.Seeds) != 3 || set.Share != 0.4 || set.Link != 1000 || set.MemoryBytes() != 284<<20 || set.Bound() != 3*time.Second || !set.Metrics.IsValid() ||
-		set.Evacuate != 5*time.Second || set.Regions["seeb"] != "muscat" || len(set.Regions) != 2 {
+	if err != nil || set.Fabric != stoatsetting.FabricEcho || len(set.Seeds) != 3 || set.CPUShare != 0.4 || set.LinkMbps != 1000 || set.MemoryBytes() != 284<<20 || set.MaxDelay() != 3*time.Second || !set.MetricsAddr.IsValid() ||
+		set.MaxEvacuateDelay != 5*time.Second || set.Regions["seeb"] != "muscat" || len(set.Regions) != 2 {
 		t.Errorf("%+v %v", set, err)
 	}
 }
@@ -53,7 +53,7 @@
 		{3 * time.Second, 2 * time.Second, 4 * time.Second, 2 * time.Second},
 		{30 * time.Second, 6 * time.Second, 5 * time.Second, 5 * time.Second},
 	} {
-		if got := (stoatsetting.Settings{Apply: c.apply, Leave: c.leave, Evacuate: c.evacuate}).Bound(); got != c.want {
+		if got := (stoatsetting.Settings{MaxApplyDelay: c.apply, MaxLeaveDelay: c.leave, MaxEvacuateDelay: c.evacuate}).MaxDelay(); got != c.want {
 			t.Errorf("%+v: %s", c, got)
 		}
 	}
--- a/stoatsoak/run_caller.go
+++ b/stoatsoak/run_caller.go
@@ -81,7 +81,7 @@
 			return nil
 		}
 		var s platform.Segment
-		if !platform.ReadSegment(append([]byte(nil), buf[:n]...), &s) {
+		if !platform.DecodeSegment(append([]byte(nil), buf[:n]...), &s) {
 			continue
 		}
 		c.mu.Lock()
@@ -210,7 +210,7 @@
 
 // cut looks at a reset: an entry's is a breach while the flow's upstream lives.
 func (f *flow) cut(s *platform.Segment) {
-	if s.Signed {
+	if s.HasChecksum {
 		return
 	}
 	if u := f.c.w.holder(f); u != nil {
--- a/stoatsoak/run_sabotage.go
+++ b/stoatsoak/run_sabotage.go
@@ -12,7 +12,7 @@
 // sabotage breaks one promise, as a broken entry would, and tells whether the packet is dealt with.
 func (w *world) sabotage(f *flow, packet []byte) bool {
 	var s platform.Segment
-	if !platform.ReadSegment(packet, &s) || w.now() < warmUp {
+	if !platform.DecodeSegment(packet, &s) || w.now() < warmUp {
 		return false
 	}
 	switch w.cfg.Sabotage {
--- a/stoatsoak/run_upstream.go
+++ b/stoatsoak/run_upstream.go
@@ -104,7 +104,7 @@
 	cold := max(0, u.warm-u.w.now())
 	u.mu.Unlock()
 	u.w.store.Write(platform.KindUpstream, u.id, platform.RegistrationSpec(&stoatpaddle.Registration{
-		Service: stoatpaddle.ServiceID(u.service), Addr: u.addr, DataCentre: stoatpaddle.DataCentreID(u.centre), Slots: slots, Leaving: leaving, Incarnation: u.born, Cold: cold,
+		Service: stoatpaddle.ServiceID(u.service), Addr: u.addr, DataCentre: stoatpaddle.DataCentreID(u.centre), Slots: slots, Leaving: leaving, Incarnation: u.born, ColdRemaining: cold,
 	}))
 }
 
@@ -155,7 +155,7 @@
 		if err != nil {
 			return nil
 		}
-		if n < platform.TargetSize || !platform.ReadSegment(buf[platform.TargetSize:n], &s) {
+		if n < platform.TargetSize || !platform.DecodeSegment(buf[platform.TargetSize:n], &s) {
 			continue
 		}
 		// One that is meant for another life says nothing.
--- a/stoatsoak/run_world.go
+++ b/stoatsoak/run_world.go
@@ -323,13 +323,13 @@
 // writeConfiguration writes what the operators want; mu is held.
 func (w *world) writeConfiguration() {
 	d := stoatpaddle.Declaration{
-		Version: stoatpaddle.Version(w.version), Idle: 15 * time.Second, Caps: map[stoatpaddle.ServiceID]int{"app": 2000, "intake": 2000},
+		Version: stoatpaddle.Version(w.version), IdleTimeout: 15 * time.Second, MaxFlows: map[stoatpaddle.ServiceID]int{"app": 2000, "intake": 2000},
 		ColdRates: map[stoatpaddle.ServiceID]float64{"app": coldRate, "intake": coldRate},
 	}
 	add := func(listen netip.AddrPort, service string, repeatable bool) {
 		d.Routes = append(d.Routes, stoatpaddle.Route{
 			Listen: listen, Backends: []stoatpaddle.Backend{{Service: stoatpaddle.ServiceID(service), Weight: 1}},
-			Idempotent: repeatable, Objective: aim, Priority: 1,
+			Idempotent: repeatable, TargetLatency: aim, Priority: 1,
 		})
 	}
 	for _, k := range kinds() {
@@ -340,7 +340,7 @@
 			add(r.listen, "app", true)
 		}
 	}
-	w.store.Write(platform.KindConfig, platform.NameConfig, platform.DeclarationSpec(&d))
+	w.store.Write(platform.KindConfig, platform.ConfigName, platform.DeclarationSpec(&d))
 }
 
 // living returns the upstreams there are.
--- a/stoatstatus/status.go
+++ b/stoatstatus/status.go
@@ -1,48 +1,48 @@
 package stoatstatus
 
-// Summary names a contract and its version.
-type Summary struct {
+// ContractVersion names a contract and its version.
+type ContractVersion struct {
 	Customer string `json:"customer"`
 	Version  uint64 `json:"version"`
 }
 
 // Report is what became of flows and calls on one entry since it started.
 type Report struct {
-	Instance string `json:"instance"`
-	Opened   int64  `json:"opened"`   // flows
-	Reset    int64  `json:"reset"`    // flows that could not live on
-	Limited  int64  `json:"limited"`  // flows refused before they opened
-	Answered int64  `json:"answered"` // calls
-	Refused  int64  `json:"refused"`  // calls, not run
-	Unknown  int64  `json:"unknown"`  // calls that may have run
-	Cut      int64  `json:"cut"`      // answers cut short, and aborted
+	Instance       string `json:"instance"`
+	FlowsOpened    int64  `json:"opened"`   // flows
+	FlowsReset     int64  `json:"reset"`    // flows that could not live on
+	FlowsLimited   int64  `json:"limited"`  // flows refused before they opened
+	CallsAnswered  int64  `json:"answered"` // calls
+	CallsRefused   int64  `json:"refused"`  // calls, not run
+	CallsUnknown   int64  `json:"unknown"`  // calls that may have run
+	CallsTruncated int64  `json:"cut"`      // answers cut short, and aborted
 }
 
 // Add sums two reports up.
 func (r Report) Add(o Report) Report {
 	return Report{
-		Opened: r.Opened + o.Opened, Reset: r.Reset + o.Reset, Limited: r.Limited + o.Limited,
-		Answered: r.Answered + o.Answered, Refused: r.Refused + o.Refused, Unknown: r.Unknown + o.Unknown, Cut: r.Cut + o.Cut,
+		FlowsOpened: r.FlowsOpened + o.FlowsOpened, FlowsReset: r.FlowsReset + o.FlowsReset, FlowsLimited: r.FlowsLimited + o.FlowsLimited,
+		CallsAnswered: r.CallsAnswered + o.CallsAnswered, CallsRefused: r.CallsRefused + o.CallsRefused, CallsUnknown: r.CallsUnknown + o.CallsUnknown, CallsTruncated: r.CallsTruncated + o.CallsTruncated,
 	}
 }
 
 // Status is what is in force on one entry.
 type Status struct {
-	Instance  string     `json:"instance"`
-	Ready     bool       `json:"ready"`
-	Leaving   bool       `json:"leaving"`
-	Platform  bool       `json:"platform"`
-	Watching  bool       `json:"watching"`
-	Contracts []Summary  `json:"contracts"`
-	Instances []Instance `json:"instances"`
-	Evacuated []string   `json:"evacuated,omitempty"` // data centres; on a tunnel fabric
-	View      *View      `json:"view,omitempty"`      // on an echo fabric
+	Instance          string            `json:"instance"`
+	Ready             bool              `json:"ready"`
+	Leaving           bool              `json:"leaving"`
+	PlatformAvailable bool              `json:"platform"`
+	WatchesPlatform   bool              `json:"watching"`
+	Contracts         []ContractVersion `json:"contracts"`
+	Instances         []Instance        `json:"instances"`
+	Evacuated         []string          `json:"evacuated,omitempty"` // data centres; on a tunnel fabric
+	View              *RoutingSummary   `json:"view,omitempty"`      // on an echo fabric
 }
 
-// View is what an entry on an echo fabric believes about routes and upstreams.
-type View struct {
+// RoutingSummary is what an entry on an echo fabric believes about routes and upstreams.
+type RoutingSummary struct {
 	Version uint64 `json:"version"` // of the configuration
-	Age     int64  `json:"age"`     // ms since the upstreams were proven up to date; -1: never
+	AgeMS   int64  `json:"age"`     // ms since the upstreams were proven up to date; -1: never
 	Routes  int    `json:"routes"`
 	Serving int    `json:"serving"` // upstreams
 	Leaving int    `json:"leaving"`
--- a/stoatview/next.go
+++ b/stoatview/next.go
@@ -163,7 +163,7 @@
 func (v *View) addService(prev *View, now time.Time, in Input, c stoatpaddle.Contract, svc *stoatpaddle.Service) {
 	ref := stoatpaddle.ServiceRef{Customer: c.Customer, Service: svc.ID}
 	s := &Service{
-		Ref: ref, Kind: svc.Kind, Lean: c.Lean, Limits: c.Limits, Host: svc.Host, Protocol: svc.Protocol,
+		Ref: ref, Kind: svc.Kind, Preference: c.Preference, Limits: c.Limits, Host: svc.Host, Protocol: svc.Protocol,
 		byKey: map[stoatpaddle.UpstreamKey]*Upstream{},
 	}
 	for i := range svc.Upstreams {
@@ -203,7 +203,7 @@
 func (s *Service) newUpstream(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) *Upstream {
 	return &Upstream{
 		Key: UpstreamKeyOf(s.Ref, u.ID), Ref: s.Ref, ID: u.ID, DataCentre: u.DataCentre, Addr: u.Addr,
-		Weight: effectiveWeight(svc, u), Slots: u.Slots, Connections: u.Connections, Opens: u.Opens,
+		Weight: effectiveWeight(svc, u), Slots: u.Slots, MaxFlows: u.MaxFlows, MaxOpenRate: u.MaxOpenRate,
 		seed: seedOf("upstream", s.Ref.String()+"/"+string(u.ID)),
 	}
 }
@@ -226,10 +226,10 @@
 // effectiveWeight returns the upstream's weight times the share of its data centre. If the service declares
 // shares, a data centre without one gets 0.
 func effectiveWeight(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) stoatpaddle.Weight {
-	if len(svc.Centres) == 0 {
+	if len(svc.CentreWeights) == 0 {
 		return u.Weight
 	}
-	for _, c := range svc.Centres {
+	for _, c := range svc.CentreWeights {
 		if c.DataCentre == u.DataCentre {
 			return u.Weight * c.Weight
 		}
--- a/stoatview/view.go
+++ b/stoatview/view.go
@@ -25,8 +25,8 @@
 // Service is the routing data of one service.
 type Service struct {
 	Ref         stoatpaddle.ServiceRef
-	Kind        stoatpaddle.Kind
-	Lean        stoatpaddle.Lean
+	Kind        stoatpaddle.ServiceKind
+	Preference  stoatpaddle.Preference
 	Limits      stoatpaddle.Limits
 	Protocol    stoatpaddle.Protocol
 	Host        string
