--- a/stoatfake/addr.go
+++ b/stoatfake/addr.go
@@ -6,30 +6,32 @@
 	"sync"
 )
 
-// addrTries bounds the ports that FreeAddr looks at.
-const addrTries = 50
+// maxAddrTries bounds the ports that FreeAddr tries.
+const maxAddrTries = 50
 
-// handed are the addresses that this process got: one that is free stays so until it is used, and the
-// kernel may name it again before that. A contract then has two upstreams at one address and is refused.
-var handed sync.Map
+// issued holds the addresses that FreeAddr has returned in this process. An address stays free until it is
+// used, so that the kernel may offer it again before that. A contract with two upstreams at one address would
+// be refused.
+var issued sync.Map
 
-// FreeAddr returns a loopback address whose port is free for both TCP and UDP, another one each time.
+// FreeAddr returns a loopback address whose port is free for both TCP and UDP, and a different one on each call.
 func FreeAddr() (netip.AddrPort, error) {
-	last := error(&net.AddrError{Err: "no address is free that was not handed out", Addr: "127.0.0.1"})
-	for range addrTries {
-		addr, err := tryAddr()
+	last := error(&net.AddrError{Err: "no free address that was not returned before", Addr: "127.0.0.1"})
+	for range maxAddrTries {
+		addr, err := probeAddr()
 		if err != nil {
 			last = err
 			continue
 		}
-		if _, known := handed.LoadOrStore(addr, true); !known {
+		if _, used := issued.LoadOrStore(addr, true); !used {
 			return addr, nil
 		}
 	}
 	return netip.AddrPort{}, last
 }
 
-func tryAddr() (netip.AddrPort, error) {
+// probeAddr returns an address that the kernel offers for TCP, if its port is free for UDP too.
+func probeAddr() (netip.AddrPort, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return netip.AddrPort{}, err
--- a/stoatfake/upstream.go
+++ b/stoatfake/upstream.go
@@ -13,20 +13,20 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattunnel"
 )
 
-// Upstream is a stand-in for a server of a flow service: the network stack decapsulates,
-// and a small TCP endpoint answers the caller directly. A segment for a connection that
-// it does not know gets a reset, which is what a broken flow is.
+// Upstream is a stand-in for an upstream of a flow service: its network stack decapsulates packets, and a
+// small TCP endpoint answers the caller directly. A segment of an unknown connection is answered with a reset,
+// which is how a broken flow shows.
 type Upstream struct {
-	conn    *net.UDPConn
-	callers netip.AddrPort
-	mu      sync.Mutex
-	flows   map[stoatpacket.Tuple]uint32 // the next sequence number of each
-	opened  time.Time                    // when it last accepted a flow
-	unknown atomic.Int64
-	silent  atomic.Bool
+	conn       *net.UDPConn
+	callers    netip.AddrPort
+	mu         sync.Mutex
+	flows      map[stoatpacket.Tuple]uint32 // the next sequence number of each
+	lastOpened time.Time                    // when a flow was last accepted
+	unknown    atomic.Int64                 // segments of unknown connections
+	silent     atomic.Bool
 }
 
-// NewUpstream opens the upstream's socket; answers go to callers.
+// NewUpstream opens the upstream's socket. Answers are sent to the callers' address.
 func NewUpstream(group *errgroup.Group, callers netip.AddrPort) (*Upstream, error) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -38,7 +38,7 @@
 	return u, nil
 }
 
-// Addr is where entries send packets to.
+// Addr returns the address to which entries send packets.
 func (u *Upstream) Addr() netip.AddrPort { return u.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
 // Open returns the number of open flows.
@@ -52,10 +52,10 @@
 func (u *Upstream) LastOpened() time.Time {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.opened
+	return u.lastOpened
 }
 
-// SetSilent makes the upstream answer nothing.
+// SetSilent sets whether the upstream answers nothing.
 func (u *Upstream) SetSilent(on bool) { u.silent.Store(on) }
 
 // Close releases the socket.
@@ -72,7 +72,7 @@
 		if parser.Parse(buf[:n], &p) != stoatpacket.DropNone || p.ICMP || u.silent.Load() {
 			continue
 		}
-		if answer, ok := u.segment(&p); ok {
+		if answer, ok := u.handleSegment(&p); ok {
 			if data, err := stoattunnel.BuildSegment(answer); err == nil {
 				_, _ = u.conn.WriteToUDPAddrPort(data, u.callers)
 			}
@@ -80,8 +80,8 @@
 	}
 }
 
-// segment answers one segment.
-func (u *Upstream) segment(p *stoatpacket.Packet) (stoattunnel.Segment, bool) {
+// handleSegment processes one segment and returns the answer, if there is one.
+func (u *Upstream) handleSegment(p *stoatpacket.Packet) (stoattunnel.Segment, bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	answer := stoattunnel.Segment{Src: p.Tuple.Dst, Dst: p.Tuple.Src, ACK: true, Ack: p.Seq + uint32(p.Size)}
@@ -91,7 +91,7 @@
 		delete(u.flows, p.Tuple)
 		return answer, false
 	case p.Opens:
-		u.opened = time.Now()
+		u.lastOpened = time.Now()
 		u.flows[p.Tuple] = p.Seq + 1
 		answer.SYN, answer.Ack = true, p.Seq+1
 	case !known:
--- a/stoatmeasure/experiment.go
+++ b/stoatmeasure/experiment.go
@@ -10,32 +10,32 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatpeer"
 )
 
-// Result is what one experiment showed.
+// Result is the outcome of one experiment.
 type Result struct {
 	Name        string
 	Seed        uint64
 	Flows       int // open when counting began
 	Opened      int
 	Broken      int
-	Parted      int // broken because a cut lay between caller and upstream
-	Roamed      int // broken while their packets went to both sides before the entries had noticed the end of a cut
+	Parted      int // broken because a partition lay between the caller and the upstream
+	Roamed      int // broken because packets reached both sides before the entries had detected the end of a partition
 	NaiveBroken int
 	Relays      int
-	Dropped     int     // packets
-	Notices     int     // datagrams that told an owner where a flow goes
-	Tracked     float64 // share of the opened flows that went to another than their first choice
-	Worst       float64 // greatest load over the mean, at any sample
-	Mean        float64 // the same, averaged over the samples
-	Bytes       int     // of flow control frames, over all entries
-	PerEntry    float64 // control bytes a second and entry, heartbeats included
-	LateOpens   time.Duration
+	Dropped     int           // packets
+	Notices     int           // datagrams that told an owner the upstream of a flow
+	Tracked     float64       // share of the opened flows that were placed on another upstream than their first choice
+	Worst       float64       // greatest ratio of the highest to the mean load, over all samples
+	Mean        float64       // mean of that ratio over all samples
+	Bytes       int           // of control frames about flows, over all entries
+	PerEntry    float64       // control bytes per second and entry, including heartbeats
+	LateOpens   time.Duration // longest time from the mark of a leaving upstream to a flow that opened there
 }
 
 // Experiment is one row of the table.
 type Experiment struct {
 	Name string
-	Run  func(f *fleet) // the changes, after the warm-up
-	Last time.Duration  // how long to count
+	Run  func(f *fleet) // makes the changes, after the warm-up
+	Last time.Duration  // how long results are counted
 }
 
 // Experiments returns the experiments in the order of their rows.
@@ -43,43 +43,43 @@
 	return []Experiment{
 		{Name: "1 steady", Run: func(*fleet) {}, Last: 15 * time.Second},
 		{Name: "2 all change at once", Run: allChange, Last: 20 * time.Second},
-		{Name: "3a one entry dies", Run: func(f *fleet) { f.entryDies(f.entries[4]) }, Last: 15 * time.Second},
-		{Name: "3b two entries die", Run: func(f *fleet) { f.entryDies(f.entries[4]); f.entryDies(f.entries[1]) }, Last: 15 * time.Second},
+		{Name: "3a one entry dies", Run: func(f *fleet) { f.killEntry(f.entries[4]) }, Last: 15 * time.Second},
+		{Name: "3b two entries die", Run: func(f *fleet) { f.killEntry(f.entries[4]); f.killEntry(f.entries[1]) }, Last: 15 * time.Second},
 		{Name: "3c one dies within 2", Run: func(f *fleet) {
 			allChange(f)
-			f.q.after(time.Second, func() { f.entryDies(f.entries[4]) })
+			f.q.after(time.Second, func() { f.killEntry(f.entries[4]) })
 		}, Last: 20 * time.Second},
-		{Name: "4 rolling replacement", Run: rolling, Last: 65 * time.Second},
+		{Name: "4 rolling replacement", Run: replaceAllEntries, Last: 65 * time.Second},
 		{Name: "5 partition within 2", Run: func(f *fleet) {
 			f.partition()
 			f.q.after(3*time.Second, func() { allChange(f) })
 			f.q.after(12*time.Second, f.heal)
 		}, Last: 30 * time.Second},
-		{Name: "7 weights amended", Run: func(f *fleet) { f.reweigh(50, 200, 100, 150) }, Last: 20 * time.Second},
+		{Name: "7 weights amended", Run: func(f *fleet) { f.setWeights(50, 200, 100, 150) }, Last: 20 * time.Second},
 	}
 }
 
-// allChange is experiment 2: an entry and an upstream leave, others join, all at once.
+// allChange is experiment 2: an entry and an upstream leave while another entry and another upstream join.
 func allChange(f *fleet) {
-	f.entryLeaves(f.entries[2])
-	f.entryJoins()
-	f.upstreamLeaves(1)
-	f.upstreamJoins()
+	f.beginEntryStop(f.entries[2])
+	f.addEntry()
+	f.markUpstreamLeaving(1)
+	f.addUpstream()
 }
 
-const replaceEvery = 6 * time.Second
+const replaceInterval = 6 * time.Second
 
-// rolling replaces every entry, one after the other.
-func rolling(f *fleet) {
+// replaceAllEntries replaces every entry, one after the other.
+func replaceAllEntries(f *fleet) {
 	for i, e := range slices.Clone(f.entries) {
-		f.q.after(time.Duration(i)*replaceEvery, func() {
-			f.entryJoins()
-			f.entryLeaves(e)
+		f.q.after(time.Duration(i)*replaceInterval, func() {
+			f.addEntry()
+			f.beginEntryStop(e)
 		})
 	}
 }
 
-// warmUp is how long the flows open before anything is counted.
+// warmUp is the time for the first flows to open, before anything is counted.
 const warmUp = 5 * time.Second
 
 // Run runs one experiment.
@@ -90,18 +90,19 @@
 		life := warmUp + time.Duration(f.rnd.ExpFloat64()*float64(cfg.Flows)/cfg.Opens*float64(time.Second))
 		f.q.after(at, func() { f.openFlow(life) })
 	}
-	f.q.run(warmUp)
-	f.arrive()
+	f.q.runUntil(warmUp)
+	f.scheduleArrivals()
 	settle := min(30*time.Second, 10*time.Second+time.Duration(2*float64(cfg.Flows)/cfg.Opens*float64(time.Second)))
-	f.q.run(warmUp + settle)
-	f.result = Result{Name: x.Name, Seed: cfg.Seed, Flows: f.openNow}
+	f.q.runUntil(warmUp + settle)
+	f.result = Result{Name: x.Name, Seed: cfg.Seed, Flows: f.openFlows}
 	f.counting = true
 	opened, tracked := f.stats()
 	x.Run(f)
-	f.q.run(warmUp + settle + x.Last)
+	f.q.runUntil(warmUp + settle + x.Last)
 	return f.finishResult(opened, tracked, x.Last)
 }
 
+// stats returns how many flows all entries together have opened and tracked.
 func (f *fleet) stats() (opened, tracked int64) {
 	for _, e := range f.entries {
 		opened += e.engine.Stats().Opened.Load()
@@ -110,21 +111,22 @@
 	return opened, tracked
 }
 
+// finishResult completes the result from the counts at the start of counting and those of now.
 func (f *fleet) finishResult(opened, tracked int64, last time.Duration) Result {
 	r := f.result
 	o, t := f.stats()
 	if o > opened {
 		r.Tracked = float64(t-tracked) / float64(o-opened)
 	}
-	for _, w := range f.worst {
+	for _, w := range f.imbalances {
 		r.Worst = max(r.Worst, w)
-		r.Mean += w / float64(len(f.worst))
+		r.Mean += w / float64(len(f.imbalances))
 	}
 	r.PerEntry = float64(r.Bytes)/last.Seconds()/float64(f.cfg.Entries) + heartbeatBytes(f.cfg.Entries)
 	return r
 }
 
-// heartbeatBytes is what an entry's heartbeats to all others cost a second.
+// heartbeatBytes returns the bytes per second of one entry's heartbeats to all others.
 func heartbeatBytes(entries int) float64 {
 	beat := &stoatmessage.Heartbeat{
 		Digest: stoatmessage.Digest{Newest: 1 << 20, Checksum: 1 << 31}, State: stoatpaddle.StateLive,
--- a/stoatmeasure/fleet.go
+++ b/stoatmeasure/fleet.go
@@ -19,28 +19,28 @@
 	Entries   int
 	Upstreams int
 	Flows     int     // open in the steady state
-	Opens     float64 // flows opened a second, over all entries
+	Opens     float64 // flows opened per second, over all entries
 	Lean      stoatpaddle.Preference
 	Gain      float64       // 0: the engine's default
 	Budget    int           // 0: the engine's default
 	LoadAge   time.Duration // added to the delay of load reports
-	LoadLoss  float64       // part of the load reports that are lost
+	LoadLoss  float64       // share of the load reports that are lost
 	Seed      uint64
 }
 
 const (
-	centreCount = 3
-	linkDelay   = 500 * time.Microsecond // one way between data centres, as in Muscat
-	localDelay  = 100 * time.Microsecond
-	clientDelay = 3 * time.Millisecond
-	dataEvery   = 2 * time.Second
-	advance     = 100 * time.Millisecond
-	synAgain    = time.Second
-	learnWithin = 2 * time.Second
-	deadAfter   = 2 * time.Second
-	deadJitter  = 500 * time.Millisecond
-	fabricLag   = 2 * time.Second
-	sampleEvery = 250 * time.Millisecond
+	centreCount         = 3
+	linkDelay           = 500 * time.Microsecond // one way between data centres, as in Muscat
+	localDelay          = 100 * time.Microsecond // one way within a data centre
+	clientDelay         = 3 * time.Millisecond   // one way between a caller and an entry
+	dataInterval        = 2 * time.Second        // mean time between segments of a flow
+	advanceInterval     = 100 * time.Millisecond // between runs of an entry's periodic work
+	synTimeout          = time.Second            // before an opening without an answer is repeated
+	maxPropagationDelay = 2 * time.Second        // until every entry has learned of a change
+	detectionDelay      = 2 * time.Second        // until silence is detected, at least
+	detectionJitter     = 500 * time.Millisecond // added to detectionDelay at most
+	fabricLag           = 2 * time.Second        // how long the fabric still sends to an entry that leaves
+	sampleInterval      = 250 * time.Millisecond
 )
 
 var (
@@ -49,57 +49,57 @@
 	vip     = netip.MustParseAddrPort("203.0.113.10:443")
 )
 
-// entry is one entry instance and what it has learned.
+// entry is one entry instance and what it knows.
 type entry struct {
-	inst    stoatpaddle.Instance
-	engine  *stoatflow.Engine
-	view    *stoatview.View
-	input   stoatview.Input
-	alive   bool
-	leaving bool
-	since   time.Duration // when it began to leave
-	naive   map[int]stoatpaddle.UpstreamKey
+	instance     stoatpaddle.Instance
+	engine       *stoatflow.Engine
+	view         *stoatview.View
+	input        stoatview.Input
+	alive        bool
+	leaving      bool
+	leavingSince time.Duration
+	naiveFlows   map[int]stoatpaddle.UpstreamKey // upstreams that the naive entry remembers, by connection id
 }
 
-// conn is one flow as its caller and upstream see it.
+// conn is one flow as its caller and its upstream see it.
 type conn struct {
-	id       int
-	tuple    stoatpacket.Tuple
-	upstream stoatpaddle.UpstreamKey // that accepted it; 0 before
-	naive    stoatpaddle.UpstreamKey
-	seq      uint32
-	end      time.Duration
-	side     int  // which side of a cut the caller is on
-	roams    bool // once the cut is over its packets go to both sides at once, though entries have not noticed
-	done     bool
-	broken   bool
-	naiveBad bool
+	id            int
+	tuple         stoatpacket.Tuple
+	upstream      stoatpaddle.UpstreamKey // 0 until an upstream has accepted the flow
+	naiveUpstream stoatpaddle.UpstreamKey // chosen by the naive entry that got the opening; 0 before
+	seq           uint32
+	end           time.Duration
+	side          int  // the side of a partition on which the caller is
+	roams         bool // packets reach both sides as soon as a partition ends, although entries have not detected the end yet
+	done          bool
+	broken        bool
+	naiveBroken   bool
 }
 
-// fleet is the system in memory.
+// fleet is the simulated system.
 type fleet struct {
-	q        queue
-	cfg      Config
-	rnd      *rand.Rand
-	entries  []*entry
-	byRelay  map[netip.AddrPort]*entry
-	contract stoatpaddle.Contract
-	instance map[stoatpaddle.InstanceID]stoatpaddle.Instance
-	conns    int
-	open     map[stoatpaddle.UpstreamKey]int
-	openNow  int
-	live     map[int]*conn
-	cut      bool          // data centre 0 is cut off from the others
-	healed   time.Duration // when the cut ended; 0 before
-	counting bool
-	result   Result
-	worst    []float64
+	q              queue
+	cfg            Config
+	rnd            *rand.Rand
+	entries        []*entry
+	byRelay        map[netip.AddrPort]*entry
+	contract       stoatpaddle.Contract
+	instances      map[stoatpaddle.InstanceID]stoatpaddle.Instance // entries, and the upstreams that leave
+	lastConnID     int
+	openByUpstream map[stoatpaddle.UpstreamKey]int
+	openFlows      int
+	live           map[int]*conn
+	partitioned    bool          // data centre 0 is disconnected from the others
+	healedAt       time.Duration // when the partition ended; 0 before
+	counting       bool
+	result         Result
+	imbalances     []float64 // one per sample
 }
 
 func newFleet(cfg Config) *fleet {
 	f := &fleet{
 		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 8)), byRelay: map[netip.AddrPort]*entry{},
-		instance: map[stoatpaddle.InstanceID]stoatpaddle.Instance{}, open: map[stoatpaddle.UpstreamKey]int{},
+		instances: map[stoatpaddle.InstanceID]stoatpaddle.Instance{}, openByUpstream: map[stoatpaddle.UpstreamKey]int{},
 		live: map[int]*conn{},
 	}
 	f.contract = stoatpaddle.Contract{
@@ -109,7 +109,7 @@
 		}},
 	}
 	for range cfg.Upstreams {
-		f.addUpstream()
+		f.declareUpstream()
 	}
 	for range cfg.Entries {
 		f.declareEntry().alive = true
@@ -117,7 +117,7 @@
 	for _, e := range f.entries {
 		f.boot(e)
 	}
-	f.every(sampleEvery, f.sample)
+	f.every(sampleInterval, f.sample)
 	return f
 }
 
@@ -125,7 +125,8 @@
 	return stoatpaddle.DataCentreID("dc" + strconv.Itoa(n%centreCount))
 }
 
-func (f *fleet) addUpstream() stoatpaddle.InstanceID {
+// declareUpstream adds an upstream to the contract.
+func (f *fleet) declareUpstream() stoatpaddle.InstanceID {
 	s := &f.contract.Services[0]
 	n := len(s.Upstreams)
 	u := stoatpaddle.Upstream{
@@ -136,52 +137,54 @@
 	return stoatpaddle.InstanceID(u.ID)
 }
 
-// declareEntry adds an entry that has not started.
+// declareEntry adds an entry without starting it.
 func (f *fleet) declareEntry() *entry {
 	n := len(f.entries)
 	relay := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 2, byte(n >> 8), byte(n)}), 6081)
-	e := &entry{naive: map[int]stoatpaddle.UpstreamKey{}, inst: stoatpaddle.Instance{
+	e := &entry{naiveFlows: map[int]stoatpaddle.UpstreamKey{}, instance: stoatpaddle.Instance{
 		ID: stoatpaddle.InstanceID("e" + strconv.Itoa(n)), Role: stoatpaddle.RoleEntry, DataCentre: centre(n),
 		State: stoatpaddle.StateLive, Relay: relay,
 	}}
 	f.entries = append(f.entries, e)
 	f.byRelay[relay] = e
-	f.instance[e.inst.ID] = e.inst
+	f.instances[e.instance.ID] = e.instance
 	return e
 }
 
 // boot starts an entry that knows everything declared so far.
 func (f *fleet) boot(e *entry) {
 	e.engine = stoatflow.New(stoatflow.Config{
-		Self: e.inst.ID, Start: epoch, Gain: f.cfg.Gain, ControlBudget: f.cfg.Budget, Seed: f.rnd.Uint64(),
+		Self: e.instance.ID, Start: epoch, Gain: f.cfg.Gain, ControlBudget: f.cfg.Budget, Seed: f.rnd.Uint64(),
 	})
 	e.input = stoatview.Input{
-		Self: e.inst.ID, Seed: stoatpacket.Seed{K0: f.cfg.Seed, K1: 1}, Contracts: []stoatpaddle.Contract{f.contract},
+		Self: e.instance.ID, Seed: stoatpacket.Seed{K0: f.cfg.Seed, K1: 1}, Contracts: []stoatpaddle.Contract{f.contract},
 		Dead: map[stoatpaddle.InstanceID]bool{}, Partitioned: map[stoatpaddle.DataCentreID]bool{}, Leaving: map[stoatpaddle.InstanceID]bool{},
 	}
 	for _, o := range f.entries {
-		e.input.Instances = append(e.input.Instances, f.instance[o.inst.ID])
+		e.input.Instances = append(e.input.Instances, f.instances[o.instance.ID])
 		if !o.alive {
-			e.input.Dead[o.inst.ID] = true
+			e.input.Dead[o.instance.ID] = true
 		}
 	}
-	for id, i := range f.instance {
+	for id, i := range f.instances {
 		if i.Role == stoatpaddle.RoleUpstream {
 			e.input.Leaving[id] = true
 		}
 	}
-	f.rebuild(e)
-	f.q.after(time.Duration(f.rnd.Int64N(int64(advance))), func() { f.advance(e) })
+	f.rebuildView(e)
+	f.q.after(time.Duration(f.rnd.Int64N(int64(advanceInterval))), func() { f.advance(e) })
 }
 
 func (f *fleet) now() time.Time { return epoch.Add(f.q.now) }
 
-func (f *fleet) rebuild(e *entry) {
+// rebuildView derives an entry's view from its present input.
+func (f *fleet) rebuildView(e *entry) {
 	v := stoatview.Next(e.view, f.now(), e.input)
 	e.engine.Prepare(f.now(), v)
 	e.view = v
 }
 
+// every calls a function at each interval, for as long as the experiment runs.
 func (f *fleet) every(d time.Duration, do func()) {
 	f.q.after(d, func() {
 		do()
@@ -189,48 +192,49 @@
 	})
 }
 
-// advance does one entry's periodic work for as long as it lives.
+// advance runs an entry's periodic work again and again until the entry has ended.
 func (f *fleet) advance(e *entry) {
 	if !e.alive {
 		return
 	}
 	connected := func(id stoatpaddle.InstanceID) bool {
-		o := f.find(id)
-		return o != nil && o.alive && f.reach(e, o)
+		o := f.findEntry(id)
+		return o != nil && o.alive && f.connected(e, o)
 	}
 	for _, b := range e.engine.Advance(f.now(), e.view, connected) {
-		f.deliver(e, f.find(b.To), b)
+		f.deliver(e, f.findEntry(b.To), b)
 	}
-	if e.leaving && f.q.now-e.since > fabricLag+time.Second && e.engine.Drained(e.view) {
+	if e.leaving && f.q.now-e.leavingSince > fabricLag+time.Second && e.engine.Drained(e.view) {
 		e.alive = false
-		f.gone(e)
+		f.finishEntryStop(e)
 		return
 	}
-	f.q.after(advance, func() { f.advance(e) })
+	f.q.after(advanceInterval, func() { f.advance(e) })
 }
 
-func (f *fleet) find(id stoatpaddle.InstanceID) *entry {
+func (f *fleet) findEntry(id stoatpaddle.InstanceID) *entry {
 	for _, e := range f.entries {
-		if e.inst.ID == id {
+		if e.instance.ID == id {
 			return e
 		}
 	}
 	return nil
 }
 
-// reach tells whether the network joins two entries.
-func (f *fleet) reach(a, b *entry) bool {
-	return !f.cut || (a.inst.DataCentre == centre(0)) == (b.inst.DataCentre == centre(0))
+// connected reports whether the network connects two entries.
+func (f *fleet) connected(a, b *entry) bool {
+	return !f.partitioned || (a.instance.DataCentre == centre(0)) == (b.instance.DataCentre == centre(0))
 }
 
 func (f *fleet) delay(a, b *entry) time.Duration {
-	if a.inst.DataCentre == b.inst.DataCentre {
+	if a.instance.DataCentre == b.instance.DataCentre {
 		return localDelay
 	}
 	return linkDelay
 }
 
-// deliver carries a batch, counting the bytes of its real frame.
+// deliver transmits a batch and counts the bytes of its encoded frame. Load reports can be lost or delayed
+// further.
 func (f *fleet) deliver(from, to *entry, b stoatflow.Batch) {
 	if f.counting {
 		frame, err := stoatpeer.Encode(&stoatmessage.Flows{Batch: b})
@@ -241,36 +245,36 @@
 	loads := b.Loads
 	b.Loads = nil
 	f.q.after(f.delay(from, to), func() {
-		if to.alive && f.reach(from, to) {
-			to.engine.Receive(f.now(), to.view, from.inst.ID, b)
+		if to.alive && f.connected(from, to) {
+			to.engine.Receive(f.now(), to.view, from.instance.ID, b)
 		}
 	})
 	if len(loads) == 0 || f.rnd.Float64() < f.cfg.LoadLoss {
 		return
 	}
 	f.q.after(f.delay(from, to)+f.cfg.LoadAge, func() {
-		if to.alive && f.reach(from, to) {
-			to.engine.Receive(f.now(), to.view, from.inst.ID, stoatflow.Batch{Loads: loads})
+		if to.alive && f.connected(from, to) {
+			to.engine.Receive(f.now(), to.view, from.instance.ID, stoatflow.Batch{Loads: loads})
 		}
 	})
 }
 
-// sample notes the imbalance over the upstreams that take new flows.
+// sample records the imbalance among the upstreams that take new flows.
 func (f *fleet) sample() {
 	if !f.counting {
 		return
 	}
 	most, sum, weights := 0.0, 0, 0
 	for _, u := range f.contract.Services[0].Upstreams {
-		if _, leaving := f.instance[stoatpaddle.InstanceID(u.ID)]; leaving || u.Weight == 0 {
+		if _, leaving := f.instances[stoatpaddle.InstanceID(u.ID)]; leaving || u.Weight == 0 {
 			continue
 		}
-		n := f.open[stoatview.UpstreamKeyOf(service, u.ID)]
+		n := f.openByUpstream[stoatview.UpstreamKeyOf(service, u.ID)]
 		most = max(most, float64(n)/float64(u.Weight))
 		sum += n
 		weights += int(u.Weight)
 	}
 	if sum > 0 {
-		f.worst = append(f.worst, most*float64(weights)/float64(sum))
+		f.imbalances = append(f.imbalances, most*float64(weights)/float64(sum))
 	}
 }
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -13,26 +13,26 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatroute"
 )
 
-// The model of an overload: real engines that each see a part of the flows of one data centre, and
-// upstreams with slots and a queue that turn away what does not fit. Callers open a flow a request and
-// come back twice. Virtual time; no network but its delay.
+// The overload model runs real engines, each of which sees a part of the flows of one data centre, and upstreams
+// with slots and a queue, which reject requests that do not fit. Callers open a flow for each request and retry
+// twice. Of the network only the delay is modelled.
 const (
-	overloadSlots     = 3
-	overloadQueue     = 12
-	overloadWork      = 45 * time.Millisecond
-	overloadTrip      = 6 * time.Millisecond // from a caller to its upstream and back
-	overloadObjective = 200 * time.Millisecond
-	overloadTries     = 3
-	// overloadAnswer and overloadRefusal are the bytes that callers acknowledge of an answer, and of
-	// what an upstream says that turns a request away.
-	overloadAnswer, overloadRefusal = 500, 100
+	overloadSlots       = 3
+	overloadQueue       = 12
+	overloadServiceTime = 45 * time.Millisecond
+	overloadRTT         = 6 * time.Millisecond // from a caller to its upstream and back
+	overloadObjective   = 200 * time.Millisecond
+	overloadMaxTries    = 3
+	// overloadAnswer and overloadRejection are the bytes that callers acknowledge of an answer and of the
+	// rejection that a full upstream sends.
+	overloadAnswer, overloadRejection = 500, 100
 )
 
-// Of three quarters of the requests a late one costs a caller little; a quarter is more urgent and worth
-// twice as much.
+// A quarter of the requests are urgent, and an answer in time to one of them counts twice. For the other
+// requests a late answer costs the caller little.
 const (
-	urgentPart  = 0.25
-	urgentWorth = 2.0
+	urgentShare  = 0.25
+	urgentWeight = 2.0
 )
 
 var (
@@ -41,7 +41,7 @@
 	urgentListen  = netip.MustParseAddrPort("198.18.0.1:8080")
 )
 
-// Stage is a part of a load: so many times what the upstreams can do, for a while.
+// Stage is a period of constant load, as a multiple of the capacity of the upstreams.
 type Stage struct {
 	Load float64
 	For  time.Duration
@@ -51,18 +51,18 @@
 type OverloadConfig struct {
 	Entries, Upstreams int
 	Stages             []Stage
-	// Objective is how soon an answer has to come, as entries know it; 0: they refuse nobody for being late.
+	// Objective is the latency objective of the routes; 0: entries refuse no flow for being late.
 	Objective time.Duration
 	Seed      uint64
-	// Long has callers keep flows for many requests, before upstreams of two slots and a queue of eight.
+	// Long makes callers keep flows for many requests, to upstreams with two slots and a queue of eight.
 	Long bool
-	// Hanging is the part of the upstreams that never answer six of ten requests.
+	// Hanging is the share of the upstreams that never answer six of ten requests.
 	Hanging float64
 }
 
-// capacity is how many requests a second the upstreams can do.
+// capacity returns how many requests per second the upstreams can serve.
 func (c OverloadConfig) capacity() float64 {
-	return float64(c.Upstreams) * float64(c.slots()) / overloadWork.Seconds()
+	return float64(c.Upstreams) * float64(c.slots()) / overloadServiceTime.Seconds()
 }
 
 func (c OverloadConfig) slots() int {
@@ -79,7 +79,7 @@
 	return overloadQueue
 }
 
-// Outcomes count the requests of one route.
+// Outcomes counts the requests of one route.
 type Outcomes struct{ Asked, InTime, Late, Refused int }
 
 func (o *Outcomes) add(x Outcomes) {
@@ -89,28 +89,28 @@
 	o.Refused += x.Refused
 }
 
-// Overload is what a load came to.
+// Overload is the outcome of a run.
 type Overload struct {
 	Usual, Urgent Outcomes
-	// Bound is the worth that the slots can yield in time, with the urgent ones first.
+	// Bound is the goodput that the slots can yield if urgent requests are served first.
 	Bound float64
-	// Stages has the same by the stage in which a request was first tried: usual and urgent.
+	// Stages holds the outcomes of usual and urgent requests, by the stage in which a request was first tried.
 	Stages [][2]Outcomes
 }
 
-// Worth is what was answered in time.
+// Worth returns the number of answers in time, with those to urgent requests weighted by urgentWeight.
 func (o *Overload) Worth() float64 {
-	return float64(o.Usual.InTime) + urgentWorth*float64(o.Urgent.InTime)
+	return float64(o.Usual.InTime) + urgentWeight*float64(o.Urgent.InTime)
 }
 
-// bound is the worth that the upstreams can yield of what was asked in each stage. What is asked in one
-// may be answered within the objective after it, which is added once for each.
+// bound returns the goodput that the upstreams can yield for the requests of each stage. A request may still be
+// answered within the objective after the end of its stage, so that this time is added to each stage.
 func (c OverloadConfig) bound(stages [][2]Outcomes) float64 {
 	sum := 0.0
 	for i, s := range c.Stages {
-		can := c.capacity() * (s.For + overloadObjective).Seconds()
-		urgent := min(can, float64(stages[i][1].Asked))
-		sum += urgentWorth*urgent + min(can-urgent, float64(stages[i][0].Asked))
+		capacity := c.capacity() * (s.For + overloadObjective).Seconds()
+		urgent := min(capacity, float64(stages[i][1].Asked))
+		sum += urgentWeight*urgent + min(capacity-urgent, float64(stages[i][0].Asked))
 	}
 	return sum
 }
@@ -121,13 +121,14 @@
 	rnd     *rand.Rand
 	q       queue
 	entries []*stoatecho.Engine
-	book    *stoatroute.Builder
+	routes  *stoatroute.Builder
 	servers map[stoatpaddle.UpstreamID]*overloadServer
 	port    int
-	idle    map[netip.AddrPort][]*longFlow // open flows without a request
-	out     Overload
+	idle    map[netip.AddrPort][]*longFlow // open flows without a pending request
+	result  Overload
 }
 
+// overloadServer is an upstream. One that hangs leaves a share of its requests without an answer.
 type overloadServer struct {
 	hangs   bool
 	running int
@@ -136,11 +137,11 @@
 
 func newOverloadModel(cfg OverloadConfig) *overloadModel {
 	m := &overloadModel{
-		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), book: stoatroute.NewBuilder(stoatroute.Config{}),
+		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 7)), routes: stoatroute.NewBuilder(stoatroute.Config{}),
 		servers: map[stoatpaddle.UpstreamID]*overloadServer{}, idle: map[netip.AddrPort][]*longFlow{},
 	}
 	to := []stoatpaddle.Backend{{Service: "app", Weight: 1}}
-	m.book.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
+	m.routes.ApplyDeclaration(stoatpaddle.Declaration{Version: 1, Routes: []stoatpaddle.Route{
 		{Listen: usualListen, Backends: to, Idempotent: true, TargetLatency: cfg.Objective, Priority: 2},
 		{Listen: urgentListen, Backends: to, TargetLatency: cfg.Objective, Priority: 1},
 	}}, 1)
@@ -148,11 +149,11 @@
 	for i := range cfg.Upstreams {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		m.servers[id], names[id] = &overloadServer{hangs: float64(i) < cfg.Hanging*float64(cfg.Upstreams)}, true
-		m.book.Register(overloadEpoch, stoatpaddle.Registration{
+		m.routes.Register(overloadEpoch, stoatpaddle.Registration{
 			ID: id, Target: stoatpaddle.TargetID(i + 1), Service: "app", DataCentre: "here", Slots: cfg.slots(), CreateRevision: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
 	}
-	m.book.ApplyList(overloadEpoch, names, false)
+	m.routes.ApplyList(overloadEpoch, names, false)
 	for i := range cfg.Entries {
 		m.entries = append(m.entries, stoatecho.New(stoatecho.Config{
 			DataCentre: "here", Start: overloadEpoch.Add(-time.Minute), Seed: cfg.Seed + uint64(i),
@@ -161,55 +162,55 @@
 	return m
 }
 
-// RunOverload plays a load, and returns what became of its requests.
+// RunOverload simulates a load and returns the outcomes of its requests.
 func RunOverload(ctx context.Context, cfg OverloadConfig) (Overload, error) {
 	m := newOverloadModel(cfg)
-	m.out.Stages = make([][2]Outcomes, len(cfg.Stages))
-	at := time.Duration(0)
+	m.result.Stages = make([][2]Outcomes, len(cfg.Stages))
+	from := time.Duration(0)
 	for i, s := range cfg.Stages {
-		m.offer(i, at, s)
-		at += s.For
+		m.offerLoad(i, from, s)
+		from += s.For
 	}
-	for len(m.q.list) > 0 {
+	for len(m.q.pending) > 0 {
 		if err := ctx.Err(); err != nil {
 			return Overload{}, err
 		}
-		m.q.run(m.q.list[0].at)
+		m.q.runUntil(m.q.pending[0].at)
 	}
-	for _, s := range m.out.Stages {
-		m.out.Usual.add(s[0])
-		m.out.Urgent.add(s[1])
+	for _, s := range m.result.Stages {
+		m.result.Usual.add(s[0])
+		m.result.Urgent.add(s[1])
 	}
-	m.out.Bound = cfg.bound(m.out.Stages)
-	return m.out, nil
+	m.result.Bound = cfg.bound(m.result.Stages)
+	return m.result, nil
 }
 
 func (m *overloadModel) now() time.Time { return overloadEpoch.Add(m.q.now) }
 
-// offer has callers ask in a stage that begins at that time.
-func (m *overloadModel) offer(stage int, from time.Duration, s Stage) {
+// offerLoad schedules the requests of a stage that begins at the given time.
+func (m *overloadModel) offerLoad(stage int, from time.Duration, s Stage) {
 	rate := s.Load * m.cfg.capacity()
 	if rate <= 0 {
 		return
 	}
 	for at := from; at < from+s.For; at += time.Duration(m.rnd.ExpFloat64() / rate * float64(time.Second)) {
-		urgent := m.rnd.Float64() < urgentPart
+		urgent := m.rnd.Float64() < urgentShare
 		m.q.after(at, func() {
-			out, listen := &m.out.Stages[stage][0], usualListen
+			out, listen := &m.result.Stages[stage][0], usualListen
 			if urgent {
-				out, listen = &m.out.Stages[stage][1], urgentListen
+				out, listen = &m.result.Stages[stage][1], urgentListen
 			}
 			out.Asked++
 			if m.cfg.Long {
-				m.ask(listen, out, m.q.now)
+				m.sendRequest(listen, out, m.q.now)
 				return
 			}
-			m.try(listen, out, m.q.now, 1)
+			m.openFlow(listen, out, m.q.now, 1)
 		})
 	}
 }
 
-// newFlow returns the entry that a new flow's packets pass, and its five-tuple.
+// newFlow returns the five-tuple of a new flow and the entry that its packets pass.
 func (m *overloadModel) newFlow(to netip.AddrPort) (*stoatecho.Engine, stoatpacket.Tuple) {
 	m.port++
 	e := m.entries[m.rnd.IntN(len(m.entries))]
@@ -217,32 +218,32 @@
 	return e, stoatpacket.Tuple{Src: src, Dst: to, Protocol: stoatpaddle.ProtocolTCP}
 }
 
-// try opens a flow for a request that was first tried at that time.
-func (m *overloadModel) try(to netip.AddrPort, out *Outcomes, first time.Duration, n int) {
+// openFlow opens a flow for the n-th try of a request that was first tried at the given time.
+func (m *overloadModel) openFlow(to netip.AddrPort, out *Outcomes, first time.Duration, n int) {
 	e, tuple := m.newFlow(to)
-	a := e.Handle(m.now(), m.book.Table(), &stoatpacket.Packet{Tuple: tuple, Opens: true})
-	again := func() {
-		if n == overloadTries {
+	a := e.Handle(m.now(), m.routes.Table(), &stoatpacket.Packet{Tuple: tuple, Opens: true})
+	retry := func() {
+		if n == overloadMaxTries {
 			out.Refused++
 			return
 		}
-		m.q.after(overloadTrip, func() { m.try(to, out, first, n+1) })
+		m.q.after(overloadRTT, func() { m.openFlow(to, out, first, n+1) })
 	}
 	if a.Verdict != stoatecho.Forward {
-		again()
+		retry()
 		return
 	}
 	send := func(seq, ack uint32, size int, ends bool) {
-		e.Handle(m.now(), m.book.Table(), &stoatpacket.Packet{Tuple: tuple, Cookie: a.Upstream.Key, Seq: seq, Ack: ack, Size: size, Ends: ends})
+		e.Handle(m.now(), m.routes.Table(), &stoatpacket.Packet{Tuple: tuple, Cookie: a.Upstream.Key, Seq: seq, Ack: ack, Size: size, Ends: ends})
 	}
-	m.q.after(overloadTrip, func() {
+	m.q.after(overloadRTT, func() {
 		send(1, 1, 0, false)
 		send(1, 1, 100, false)
 		m.serve(m.servers[a.Upstream.ID], func(ran bool) {
 			switch {
 			case !ran:
-				send(101, overloadRefusal, 0, true)
-				again()
+				send(101, overloadRejection, 0, true)
+				retry()
 				return
 			case m.q.now-first <= overloadObjective:
 				out.InTime++
@@ -254,8 +255,8 @@
 	})
 }
 
-// ended frees a slot for the next request of the queue.
-func (s *overloadServer) ended() {
+// releaseSlot frees a slot and starts the next request of the queue.
+func (s *overloadServer) releaseSlot() {
 	s.running--
 	if len(s.queue) > 0 {
 		next := s.queue[0]
@@ -264,18 +265,18 @@
 	}
 }
 
-// serve runs one request, now or from the queue, or turns it away.
+// serve runs a request, now or from the queue, or rejects it.
 func (m *overloadModel) serve(s *overloadServer, done func(ran bool)) {
 	var begin func()
 	begin = func() {
 		s.running++
 		if s.hangs && m.rnd.Float64() < hangShare {
-			// Nobody hears of it again; its slot is free when its caller gives up.
-			m.q.after(longDeadline, func() { s.ended() })
+			// The request gets no answer; its slot is free when the caller gives up.
+			m.q.after(longDeadline, func() { s.releaseSlot() })
 			return
 		}
-		m.q.after(time.Duration(float64(overloadWork)*(0.5+m.rnd.Float64())), func() {
-			s.ended()
+		m.q.after(time.Duration(float64(overloadServiceTime)*(0.5+m.rnd.Float64())), func() {
+			s.releaseSlot()
 			done(true)
 		})
 	}
@@ -285,6 +286,6 @@
 	case len(s.queue) < m.cfg.queue():
 		s.queue = append(s.queue, begin)
 	default:
-		m.q.after(overloadTrip, func() { done(false) })
+		m.q.after(overloadRTT, func() { done(false) })
 	}
 }
