--- a/stoatmeasure/experiment.go
+++ b/stoatmeasure/experiment.go
@@ -12,50 +12,50 @@
 
 // Result is the outcome of one experiment.
 type Result struct {
-	Name        string
-	Seed        uint64
-	Flows       int // open when counting began
-	Opened      int
-	Broken      int
-	Parted      int // broken because a partition lay between the caller and the upstream
-	Roamed      int // broken because packets reached both sides before the entries had detected the end of a partition
-	NaiveBroken int
-	Relays      int
-	Dropped     int           // packets
-	Notices     int           // datagrams that told an owner the upstream of a flow
-	Tracked     float64       // share of the opened flows that were placed on another upstream than their first choice
-	Worst       float64       // greatest ratio of the highest to the mean load, over all samples
-	Mean        float64       // mean of that ratio over all samples
-	Bytes       int           // of control frames about flows, over all entries
-	PerEntry    float64       // control bytes per second and entry, including heartbeats
-	LateOpens   time.Duration // longest time from the mark of a leaving upstream to a flow that opened there
+	Name              string
+	Seed              uint64
+	Flows             int // open when counting began
+	Opened            int
+	Broken            int
+	BrokenByPartition int // broken because a partition lay between the caller and the upstream
+	BrokenByRoaming   int // broken because packets reached both sides before the entries had detected the end of a partition
+	NaiveBroken       int
+	Relayed           int
+	Dropped           int           // packets
+	Notices           int           // datagrams that told an owner the upstream of a flow
+	TrackedShare      float64       // share of the opened flows that were placed on another upstream than their first choice
+	MaxImbalance      float64       // greatest ratio of the highest to the mean load, over all samples
+	MeanImbalance     float64       // mean of that ratio over all samples
+	ControlBytes      int           // of control frames about flows, over all entries
+	ControlRate       float64       // control bytes per second and entry, including heartbeats
+	LateOpenDelay     time.Duration // longest time from the mark of a leaving upstream to a flow that opened there
 }
 
 // Experiment is one row of the table.
 type Experiment struct {
-	Name string
-	Run  func(f *fleet) // makes the changes, after the warm-up
-	Last time.Duration  // how long results are counted
+	Name     string
+	Change   func(f *fleet) // makes the changes, after the warm-up
+	Duration time.Duration  // how long results are counted
 }
 
 // Experiments returns the experiments in the order of their rows.
 func Experiments() []Experiment {
 	return []Experiment{
-		{Name: "1 steady", Run: func(*fleet) {}, Last: 15 * time.Second},
-		{Name: "2 all change at once", Run: allChange, Last: 20 * time.Second},
-		{Name: "3a one entry dies", Run: func(f *fleet) { f.killEntry(f.entries[4]) }, Last: 15 * time.Second},
-		{Name: "3b two entries die", Run: func(f *fleet) { f.killEntry(f.entries[4]); f.killEntry(f.entries[1]) }, Last: 15 * time.Second},
-		{Name: "3c one dies within 2", Run: func(f *fleet) {
+		{Name: "1 steady", Change: func(*fleet) {}, Duration: 15 * time.Second},
+		{Name: "2 all change at once", Change: allChange, Duration: 20 * time.Second},
+		{Name: "3a one entry dies", Change: func(f *fleet) { f.killEntry(f.entries[4]) }, Duration: 15 * time.Second},
+		{Name: "3b two entries die", Change: func(f *fleet) { f.killEntry(f.entries[4]); f.killEntry(f.entries[1]) }, Duration: 15 * time.Second},
+		{Name: "3c one dies within 2", Change: func(f *fleet) {
 			allChange(f)
 			f.q.after(time.Second, func() { f.killEntry(f.entries[4]) })
-		}, Last: 20 * time.Second},
-		{Name: "4 rolling replacement", Run: replaceAllEntries, Last: 65 * time.Second},
-		{Name: "5 partition within 2", Run: func(f *fleet) {
+		}, Duration: 20 * time.Second},
+		{Name: "4 rolling replacement", Change: replaceAllEntries, Duration: 65 * time.Second},
+		{Name: "5 partition within 2", Change: func(f *fleet) {
 			f.partition()
 			f.q.after(3*time.Second, func() { allChange(f) })
 			f.q.after(12*time.Second, f.heal)
-		}, Last: 30 * time.Second},
-		{Name: "7 weights amended", Run: func(f *fleet) { f.setWeights(50, 200, 100, 150) }, Last: 20 * time.Second},
+		}, Duration: 30 * time.Second},
+		{Name: "7 weights amended", Change: func(f *fleet) { f.setWeights(50, 200, 100, 150) }, Duration: 20 * time.Second},
 	}
 }
 
@@ -87,19 +87,19 @@
 	f := newFleet(cfg)
 	for range cfg.Flows {
 		at := time.Duration(f.rnd.Int64N(int64(warmUp / 2)))
-		life := warmUp + time.Duration(f.rnd.ExpFloat64()*float64(cfg.Flows)/cfg.Opens*float64(time.Second))
+		life := warmUp + time.Duration(f.rnd.ExpFloat64()*float64(cfg.Flows)/cfg.OpenRate*float64(time.Second))
 		f.q.after(at, func() { f.openFlow(life) })
 	}
 	f.q.runUntil(warmUp)
 	f.scheduleArrivals()
-	settle := min(30*time.Second, 10*time.Second+time.Duration(2*float64(cfg.Flows)/cfg.Opens*float64(time.Second)))
+	settle := min(30*time.Second, 10*time.Second+time.Duration(2*float64(cfg.Flows)/cfg.OpenRate*float64(time.Second)))
 	f.q.runUntil(warmUp + settle)
 	f.result = Result{Name: x.Name, Seed: cfg.Seed, Flows: f.openFlows}
 	f.counting = true
 	opened, tracked := f.stats()
-	x.Run(f)
-	f.q.runUntil(warmUp + settle + x.Last)
-	return f.finishResult(opened, tracked, x.Last)
+	x.Change(f)
+	f.q.runUntil(warmUp + settle + x.Duration)
+	return f.finishResult(opened, tracked, x.Duration)
 }
 
 // stats returns how many flows all entries together have opened and tracked.
@@ -116,13 +116,13 @@
 	r := f.result
 	o, t := f.stats()
 	if o > opened {
-		r.Tracked = float64(t-tracked) / float64(o-opened)
+		r.TrackedShare = float64(t-tracked) / float64(o-opened)
 	}
 	for _, w := range f.imbalances {
-		r.Worst = max(r.Worst, w)
-		r.Mean += w / float64(len(f.imbalances))
+		r.MaxImbalance = max(r.MaxImbalance, w)
+		r.MeanImbalance += w / float64(len(f.imbalances))
 	}
-	r.PerEntry = float64(r.Bytes)/last.Seconds()/float64(f.cfg.Entries) + heartbeatBytes(f.cfg.Entries)
+	r.ControlRate = float64(r.ControlBytes)/last.Seconds()/float64(f.cfg.Entries) + heartbeatBytes(f.cfg.Entries)
 	return r
 }
 
--- a/stoatmeasure/long_flows_test.go
+++ b/stoatmeasure/long_flows_test.go
@@ -8,7 +8,7 @@
 // In an overload of long flows, urgent requests could be served as badly as the others. The load is two and a
 // half times the capacity of upstreams with two slots, a fifth of which hang.
 func TestUrgentRequestsGoFirst(t *testing.T) {
-	fleet := OverloadConfig{Entries: 20, Upstreams: 40, Long: true, Hanging: 0.2}
+	fleet := OverloadConfig{Entries: 20, Upstreams: 40, LongFlows: true, HangingShare: 0.2}
 	o := runStages(t, fleet, 500*time.Millisecond, 3, Stage{0.6, 2 * time.Second}, Stage{2.5, 4 * time.Second})
 	usual, urgent := o.Stages[1][0], o.Stages[1][1]
 	served := func(x Outcomes) float64 { return x.share(x.InTime + x.Late) }
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -43,8 +43,8 @@
 
 // Stage is a period of constant load, as a multiple of the capacity of the upstreams.
 type Stage struct {
-	Load float64
-	For  time.Duration
+	Load     float64
+	Duration time.Duration
 }
 
 // OverloadConfig configures RunOverload.
@@ -54,10 +54,10 @@
 	// Objective is the latency objective of the routes; 0: entries refuse no flow for being late.
 	Objective time.Duration
 	Seed      uint64
-	// Long makes callers keep flows for many requests, to upstreams with two slots and a queue of eight.
-	Long bool
-	// Hanging is the share of the upstreams that never answer six of ten requests.
-	Hanging float64
+	// LongFlows makes callers keep flows for many requests, to upstreams with two slots and a queue of eight.
+	LongFlows bool
+	// HangingShare is the share of the upstreams that never answer six of ten requests.
+	HangingShare float64
 }
 
 // capacity returns how many requests per second the upstreams can serve.
@@ -66,14 +66,14 @@
 }
 
 func (c OverloadConfig) slots() int {
-	if c.Long {
+	if c.LongFlows {
 		return longSlots
 	}
 	return overloadSlots
 }
 
 func (c OverloadConfig) queue() int {
-	if c.Long {
+	if c.LongFlows {
 		return longQueue
 	}
 	return overloadQueue
@@ -89,8 +89,8 @@
 	o.Refused += x.Refused
 }
 
-// Overload is the outcome of a run.
-type Overload struct {
+// OverloadResult is the outcome of a run.
+type OverloadResult struct {
 	Usual, Urgent Outcomes
 	// Bound is the goodput that the slots can yield if urgent requests are served first.
 	Bound float64
@@ -98,8 +98,8 @@
 	Stages [][2]Outcomes
 }
 
-// Worth returns the number of answers in time, with those to urgent requests weighted by urgentWeight.
-func (o *Overload) Worth() float64 {
+// Goodput returns the number of answers in time, with those to urgent requests weighted by urgentWeight.
+func (o *OverloadResult) Goodput() float64 {
 	return float64(o.Usual.InTime) + urgentWeight*float64(o.Urgent.InTime)
 }
 
@@ -108,7 +108,7 @@
 func (c OverloadConfig) bound(stages [][2]Outcomes) float64 {
 	sum := 0.0
 	for i, s := range c.Stages {
-		capacity := c.capacity() * (s.For + overloadObjective).Seconds()
+		capacity := c.capacity() * (s.Duration + overloadObjective).Seconds()
 		urgent := min(capacity, float64(stages[i][1].Asked))
 		sum += urgentWeight*urgent + min(capacity-urgent, float64(stages[i][0].Asked))
 	}
@@ -125,7 +125,7 @@
 	servers map[stoatpaddle.UpstreamID]*overloadServer
 	port    int
 	idle    map[netip.AddrPort][]*longFlow // open flows without a pending request
-	result  Overload
+	result  OverloadResult
 }
 
 // overloadServer is an upstream. One that hangs leaves a share of its requests without an answer.
@@ -148,7 +148,7 @@
 	names := map[stoatpaddle.UpstreamID]bool{}
 	for i := range cfg.Upstreams {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
-		m.servers[id], names[id] = &overloadServer{hangs: float64(i) < cfg.Hanging*float64(cfg.Upstreams)}, true
+		m.servers[id], names[id] = &overloadServer{hangs: float64(i) < cfg.HangingShare*float64(cfg.Upstreams)}, true
 		m.routes.Register(overloadEpoch, stoatpaddle.Registration{
 			ID: id, Target: stoatpaddle.TargetID(i + 1), Service: "app", DataCentre: "here", Slots: cfg.slots(), CreateRevision: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
@@ -163,17 +163,17 @@
 }
 
 // RunOverload simulates a load and returns the outcomes of its requests.
-func RunOverload(ctx context.Context, cfg OverloadConfig) (Overload, error) {
+func RunOverload(ctx context.Context, cfg OverloadConfig) (OverloadResult, error) {
 	m := newOverloadModel(cfg)
 	m.result.Stages = make([][2]Outcomes, len(cfg.Stages))
 	from := time.Duration(0)
 	for i, s := range cfg.Stages {
 		m.offerLoad(i, from, s)
-		from += s.For
+		from += s.Duration
 	}
 	for len(m.q.pending) > 0 {
 		if err := ctx.Err(); err != nil {
-			return Overload{}, err
+			return OverloadResult{}, err
 		}
 		m.q.runUntil(m.q.pending[0].at)
 	}
@@ -193,7 +193,7 @@
 	if rate <= 0 {
 		return
 	}
-	for at := from; at < from+s.For; at += time.Duration(m.rnd.ExpFloat64() / rate * float64(time.Second)) {
+	for at := from; at < from+s.Duration; at += time.Duration(m.rnd.ExpFloat64() / rate * float64(time.Second)) {
 		urgent := m.rnd.Float64() < urgentShare
 		m.q.after(at, func() {
 			out, listen := &m.result.Stages[stage][0], usualListen
@@ -201,7 +201,7 @@
 				out, listen = &m.result.Stages[stage][1], urgentListen
 			}
 			out.Asked++
-			if m.cfg.Long {
+			if m.cfg.LongFlows {
 				m.sendRequest(listen, out, m.q.now)
 				return
 			}
--- a/stoatmeasure/overload_test.go
+++ b/stoatmeasure/overload_test.go
@@ -10,9 +10,9 @@
 
 // runStages runs the stages with the first seeds and adds the outcomes up. Without an objective no flow is
 // refused for being late.
-func runStages(t *testing.T, fleet OverloadConfig, objective time.Duration, seeds uint64, stages ...Stage) Overload {
+func runStages(t *testing.T, fleet OverloadConfig, objective time.Duration, seeds uint64, stages ...Stage) OverloadResult {
 	t.Helper()
-	sum := Overload{Stages: make([][2]Outcomes, len(stages))}
+	sum := OverloadResult{Stages: make([][2]Outcomes, len(stages))}
 	for seed := range seeds {
 		fleet.Stages, fleet.Objective, fleet.Seed = stages, objective, seed
 		o, err := RunOverload(context.Background(), fleet)
@@ -27,7 +27,7 @@
 			sum.Stages[i][1].add(o.Stages[i][1])
 		}
 	}
-	t.Logf("%+v, objective %s: usual %+v, urgent %+v, %.2f of the bound", stages, objective, sum.Usual, sum.Urgent, sum.Worth()/sum.Bound)
+	t.Logf("%+v, objective %s: usual %+v, urgent %+v, %.2f of the bound", stages, objective, sum.Usual, sum.Urgent, sum.Goodput()/sum.Bound)
 	return sum
 }
 
@@ -119,8 +119,8 @@
 func TestBound(t *testing.T) {
 	for _, p := range loadPatterns {
 		for _, objective := range []time.Duration{0, overloadObjective} {
-			if o := runStages(t, smallFleet, objective, 2, p.stages...); o.Worth() > o.Bound {
-				t.Errorf("%s: goodput %.0f, bound %.0f", p.name, o.Worth(), o.Bound)
+			if o := runStages(t, smallFleet, objective, 2, p.stages...); o.Goodput() > o.Bound {
+				t.Errorf("%s: goodput %.0f, bound %.0f", p.name, o.Goodput(), o.Bound)
 			}
 		}
 	}
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -15,32 +15,32 @@
 // SilenceConfig configures the experiment on how soon the entries of a data centre detect upstreams that answer
 // nobody, on an echo fabric.
 type SilenceConfig struct {
-	Entries   int
-	Upstreams int
-	Rate      float64 // requests per second and upstream
-	Share     float64 // of the upstreams that fail
-	Seed      uint64
+	Entries      int
+	Upstreams    int
+	RequestRate  float64 // requests per second and upstream
+	FailingShare float64 // of the upstreams that fail
+	Seed         uint64
 }
 
-// Way is how the entries of the data centre share what they observe.
-type Way string
+// Sharing is how the entries of the data centre share what they observe.
+type Sharing string
 
 // The kinds of sharing that are compared.
 const (
-	Alone  Way = "each for itself"
-	Pooled Way = "product: along the relay tree"
-	AtOnce Way = "known at once" // the bound: the same decisions without any delay
+	Isolated   Sharing = "each for itself"
+	Aggregated Sharing = "product: along the relay tree"
+	Instant    Sharing = "known at once" // the bound: the same decisions without any delay
 )
 
-// Trouble is what goes wrong in the experiment.
-type Trouble string
+// Fault is what goes wrong in the experiment.
+type Fault string
 
 // The faults.
 const (
-	Silenced Trouble = "silent"    // a share of the upstreams answers nothing
-	Refusing Trouble = "refuse"    // the same, and their machines reset the callers' flows
-	Lossy    Trouble = "lossy"     // one packet in thirty is lost, and no upstream fails
-	CutEntry Trouble = "entry cut" // no packet that one entry sends reaches an upstream
+	Silenced    Fault = "silent"    // a share of the upstreams answers nothing
+	Refusing    Fault = "refuse"    // the same, and their machines reset the callers' flows
+	Lossy       Fault = "lossy"     // one packet in thirty is lost, and no upstream fails
+	EntryCutOff Fault = "entry cut" // no packet that one entry sends reaches an upstream
 )
 
 const (
@@ -60,30 +60,30 @@
 	probeInterval      = 20 * time.Millisecond // between checks of which entries avoid which upstreams
 )
 
-// Silence is the outcome of one kind of sharing under one fault.
-type Silence struct {
-	Way     Way
-	Trouble Trouble
-	Asked   int
-	Late    int
-	// Bound counts those of Late on flows that were already open: an open flow stays at its upstream whatever
+// SilenceResult is the outcome of one kind of sharing under one fault.
+type SilenceResult struct {
+	Sharing  Sharing
+	Fault    Fault
+	Requests int
+	Late     int
+	// LateOnOpenFlows counts those of Late on flows that were already open: an open flow stays at its upstream whatever
 	// the entries know.
-	Bound  int
-	Failed int
-	// Wrongly counts ejections of healthy upstreams, once for each entry that ejects.
-	Wrongly int
-	// Known is the time from the start of the fault until nine of ten entries avoided a failing upstream,
+	LateOnOpenFlows int
+	Failed          int
+	// WrongEjections counts ejections of healthy upstreams, once for each entry that ejects.
+	WrongEjections int
+	// DetectionTime is the time from the start of the fault until nine of ten entries avoided a failing upstream,
 	// averaged over these upstreams. One that fewer entries avoided counts with the whole duration of the
 	// fault.
-	Known time.Duration
-	Bytes float64 // of reports and sums, sent per second and entry
+	DetectionTime time.Duration
+	ByteRate      float64 // of reports and sums, sent per second and entry
 }
 
 // silenceModel is one data centre in virtual time.
 type silenceModel struct {
 	cfg       SilenceConfig
-	sharing   Way
-	fault     Trouble
+	sharing   Sharing
+	fault     Fault
 	q         queue
 	rnd       *rand.Rand
 	routes    *stoatroute.Builder
@@ -93,7 +93,7 @@
 	port      int
 	bytes     int
 	detected  map[int]time.Duration // from the start of the fault until nine of ten entries avoided the upstream, by its index
-	result    Silence
+	result    SilenceResult
 }
 
 // silenceEpoch is the start of the virtual time.
@@ -114,12 +114,12 @@
 var silenceListen = [2]netip.AddrPort{netip.MustParseAddrPort("198.18.0.1:8443"), netip.MustParseAddrPort("198.18.0.1:8080")}
 
 // RunSilence simulates one kind of sharing under one fault.
-func RunSilence(ctx context.Context, cfg SilenceConfig, sharing Way, fault Trouble) (Silence, error) {
+func RunSilence(ctx context.Context, cfg SilenceConfig, sharing Sharing, fault Fault) (SilenceResult, error) {
 	m := &silenceModel{
 		cfg: cfg, sharing: sharing, fault: fault, rnd: rand.New(rand.NewPCG(cfg.Seed, 11)),
 		routes: stoatroute.NewBuilder(stoatroute.Config{}),
 		flows:  map[stoatpacket.Tuple]*silenceFlow{}, detected: map[int]time.Duration{},
-		result: Silence{Way: sharing, Trouble: fault},
+		result: SilenceResult{Sharing: sharing, Fault: fault},
 	}
 	m.declareRoutes()
 	for i := range cfg.Entries {
@@ -129,7 +129,7 @@
 	m.q.after(faultStart, m.probe)
 	for at := faultDuration / 10; at <= faultStart+faultDuration+countedAfterFault+silenceTimeout; at += faultDuration / 10 {
 		if err := ctx.Err(); err != nil {
-			return Silence{}, err
+			return SilenceResult{}, err
 		}
 		m.q.runUntil(at)
 	}
@@ -144,7 +144,7 @@
 		{Listen: silenceListen[1], Backends: to, TargetLatency: silenceObjective, Priority: 1},
 	}}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
-	failing := int(m.cfg.Share * float64(m.cfg.Upstreams))
+	failing := int(m.cfg.FailingShare * float64(m.cfg.Upstreams))
 	for i := range m.cfg.Upstreams {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		names[id] = true
@@ -183,7 +183,7 @@
 }
 
 // finish computes the means and returns the outcome.
-func (m *silenceModel) finish() Silence {
+func (m *silenceModel) finish() SilenceResult {
 	failing := 0
 	for i, u := range m.upstreams {
 		if !u.fails || m.fault != Silenced && m.fault != Refusing {
@@ -191,15 +191,15 @@
 		}
 		failing++
 		if d, ok := m.detected[i]; ok {
-			m.result.Known += d
+			m.result.DetectionTime += d
 		} else {
-			m.result.Known += faultDuration
+			m.result.DetectionTime += faultDuration
 		}
 	}
 	if failing > 0 {
-		m.result.Known /= time.Duration(failing)
+		m.result.DetectionTime /= time.Duration(failing)
 	}
-	m.result.Bytes = float64(m.bytes) / m.q.now.Seconds() / float64(len(m.entries))
+	m.result.ByteRate = float64(m.bytes) / m.q.now.Seconds() / float64(len(m.entries))
 	return m.result
 }
 
@@ -209,6 +209,6 @@
 	failing := m.upstreams[i].fails && (m.fault == Silenced || m.fault == Refusing)
 	// Entries learn of a recovery only when they hear from the upstream again.
 	if !failing || m.q.now < faultStart || m.q.now > faultStart+faultDuration+recoveryGrace {
-		m.result.Wrongly++
+		m.result.WrongEjections++
 	}
 }
--- a/stoatmeasure/silence_report.go
+++ b/stoatmeasure/silence_report.go
@@ -38,8 +38,8 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, parallel))
 	for _, fleet := range silenceFleets {
-		for _, fault := range []Trouble{Silenced, Refusing, Lossy, CutEntry} {
-			for _, sharing := range []Way{Alone, Pooled, AtOnce} {
+		for _, fault := range []Fault{Silenced, Refusing, Lossy, EntryCutOff} {
+			for _, sharing := range []Sharing{Isolated, Aggregated, Instant} {
 				rows = append(rows, wireSilence{Trouble: string(fault), Way: string(sharing), Entries: fleet.Entries, Upstreams: fleet.Upstreams})
 			}
 		}
@@ -63,12 +63,12 @@
 
 // measure runs the experiment of a row and fills the row in.
 func (r *wireSilence) measure(ctx context.Context, seed uint64) error {
-	cfg := SilenceConfig{Entries: r.Entries, Upstreams: r.Upstreams, Rate: silenceRate, Share: silenceShare, Seed: seed}
-	s, err := RunSilence(ctx, cfg, Way(r.Way), Trouble(r.Trouble))
+	cfg := SilenceConfig{Entries: r.Entries, Upstreams: r.Upstreams, RequestRate: silenceRate, FailingShare: silenceShare, Seed: seed}
+	s, err := RunSilence(ctx, cfg, Sharing(r.Way), Fault(r.Trouble))
 	if err != nil {
 		return err
 	}
-	r.Asked, r.Late, r.Failed, r.Wrongly, r.Bytes = s.Asked, s.Late, s.Failed, s.Wrongly, s.Bytes
-	r.Known = float64(s.Known.Microseconds()) / 1000
+	r.Asked, r.Late, r.Failed, r.Wrongly, r.Bytes = s.Requests, s.Late, s.Failed, s.WrongEjections, s.ByteRate
+	r.Known = float64(s.DetectionTime.Microseconds()) / 1000
 	return nil
 }
--- a/stoatmeasure/silence_test.go
+++ b/stoatmeasure/silence_test.go
@@ -7,23 +7,23 @@
 )
 
 // runSilence runs thirty entries with forty upstreams, and adds up the outcomes of three seeds.
-func runSilence(t *testing.T, sharing Way, fault Trouble) Silence {
+func runSilence(t *testing.T, sharing Sharing, fault Fault) SilenceResult {
 	t.Helper()
-	var sum Silence
+	var sum SilenceResult
 	for seed := range uint64(3) {
 		s, err := RunSilence(context.Background(), SilenceConfig{
-			Entries: 30, Upstreams: 40, Rate: silenceRate, Share: silenceShare, Seed: seed + 1,
+			Entries: 30, Upstreams: 40, RequestRate: silenceRate, FailingShare: silenceShare, Seed: seed + 1,
 		}, sharing, fault)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sum.Asked += s.Asked
+		sum.Requests += s.Requests
 		sum.Late += s.Late
-		sum.Bound += s.Bound
+		sum.LateOnOpenFlows += s.LateOnOpenFlows
 		sum.Failed += s.Failed
-		sum.Wrongly += s.Wrongly
-		sum.Known += s.Known / 3
-		sum.Bytes += s.Bytes / 3
+		sum.WrongEjections += s.WrongEjections
+		sum.DetectionTime += s.DetectionTime / 3
+		sum.ByteRate += s.ByteRate / 3
 	}
 	t.Logf("%s, %s: %+v", fault, sharing, sum)
 	return sum
@@ -34,26 +34,26 @@
 // and half as many callers of new flows wait. The same decisions without any delay are the bound. Callers on
 // open flows wait in any case, since no evidence may reset a flow.
 func TestSilenceIsDetectedSoon(t *testing.T) {
-	isolated, aggregated, bound := runSilence(t, Alone, Silenced), runSilence(t, Pooled, Silenced), runSilence(t, AtOnce, Silenced)
-	if aggregated.Known > 600*time.Millisecond || isolated.Known < time.Second {
-		t.Errorf("detected after %s, by isolated entries after %s", aggregated.Known, isolated.Known)
+	isolated, aggregated, bound := runSilence(t, Isolated, Silenced), runSilence(t, Aggregated, Silenced), runSilence(t, Instant, Silenced)
+	if aggregated.DetectionTime > 600*time.Millisecond || isolated.DetectionTime < time.Second {
+		t.Errorf("detected after %s, by isolated entries after %s", aggregated.DetectionTime, isolated.DetectionTime)
 	}
-	late := func(s Silence) int { return s.Late - s.Bound }
+	late := func(s SilenceResult) int { return s.Late - s.LateOnOpenFlows }
 	if 10*late(aggregated) > 6*late(isolated) || 10*late(aggregated) > 13*late(bound) {
 		t.Errorf("%d late on new flows, with isolated entries %d, the bound is %d", late(aggregated), late(isolated), late(bound))
 	}
-	if slack := 3; aggregated.Bound > isolated.Bound+slack {
-		t.Errorf("%d late on open flows, with isolated entries %d", aggregated.Bound, isolated.Bound)
+	if slack := 3; aggregated.LateOnOpenFlows > isolated.LateOnOpenFlows+slack {
+		t.Errorf("%d late on open flows, with isolated entries %d", aggregated.LateOnOpenFlows, isolated.LateOnOpenFlows)
 	}
-	if aggregated.Bytes > 2048 {
-		t.Errorf("%.0f bytes per second and entry", aggregated.Bytes)
+	if aggregated.ByteRate > 2048 {
+		t.Errorf("%.0f bytes per second and entry", aggregated.ByteRate)
 	}
 }
 
 // Failing upstreams reset flows, and callers retry at once, at another entry that knows nothing of the
 // failure. If the entries share nothing, three tries end at such upstreams far more often.
 func TestRefusingUpstreamsAreDetectedSoon(t *testing.T) {
-	isolated, aggregated := runSilence(t, Alone, Refusing), runSilence(t, Pooled, Refusing)
+	isolated, aggregated := runSilence(t, Isolated, Refusing), runSilence(t, Aggregated, Refusing)
 	if 2*aggregated.Failed > isolated.Failed {
 		t.Errorf("%d failed, with isolated entries %d", aggregated.Failed, isolated.Failed)
 	}
@@ -62,10 +62,10 @@
 // One packet in thirty is lost, or the link of one entry is cut, while all upstreams are healthy. Reports
 // between entries must cause no additional ejections, and must not serve callers worse.
 func TestLossDoesNotEject(t *testing.T) {
-	for _, fault := range []Trouble{Lossy, CutEntry} {
-		isolated, aggregated := runSilence(t, Alone, fault), runSilence(t, Pooled, fault)
-		if aggregated.Wrongly > isolated.Wrongly {
-			t.Errorf("%s: %d wrong ejections, with isolated entries %d", fault, aggregated.Wrongly, isolated.Wrongly)
+	for _, fault := range []Fault{Lossy, EntryCutOff} {
+		isolated, aggregated := runSilence(t, Isolated, fault), runSilence(t, Aggregated, fault)
+		if aggregated.WrongEjections > isolated.WrongEjections {
+			t.Errorf("%s: %d wrong ejections, with isolated entries %d", fault, aggregated.WrongEjections, isolated.WrongEjections)
 		}
 		if aggregated.Late+aggregated.Failed > isolated.Late+isolated.Failed+3 {
 			t.Errorf("%s: %d late or failed, with isolated entries %d", fault, aggregated.Late+aggregated.Failed, isolated.Late+isolated.Failed)
--- a/stoatmeasure/silence_traffic.go
+++ b/stoatmeasure/silence_traffic.go
@@ -37,7 +37,7 @@
 
 // offerLoad starts the callers: those that keep a long flow, and those that open a flow for each request.
 func (m *silenceModel) offerLoad() {
-	rate := m.cfg.Rate * float64(m.cfg.Upstreams)
+	rate := m.cfg.RequestRate * float64(m.cfg.Upstreams)
 	for range int(longFlowShare * rate * longFlowPause.Seconds()) {
 		m.q.after(time.Duration(m.rnd.Float64()*float64(longFlowPause)), func() { m.openFlow(true, m.q.now, 1, false) })
 	}
@@ -67,7 +67,7 @@
 // that the first try was on a flow that was already open.
 func (m *silenceModel) openFlow(long bool, first time.Duration, n int, onOpenFlow bool) {
 	if n == 1 && counted(first) {
-		m.result.Asked++
+		m.result.Requests++
 	}
 	m.port++
 	f := &silenceFlow{long: long, onOpenFlow: onOpenFlow, firstTried: first, tries: n, entry: m.entries[m.rnd.IntN(len(m.entries))]}
@@ -139,7 +139,7 @@
 		switch {
 		case a.Verdict == stoatecho.Reset:
 			m.q.after(silenceOneWayDelay, func() { m.retry(f) })
-		case a.Verdict != stoatecho.Forward || m.packetLost() || m.fault == CutEntry && f.entry.index == 0 && m.faultActive():
+		case a.Verdict != stoatecho.Forward || m.packetLost() || m.fault == EntryCutOff && f.entry.index == 0 && m.faultActive():
 		default:
 			up := int(a.Upstream.Target) - 1
 			m.q.after(silenceOneWayDelay, func() { m.receive(f, up, a.Upstream.Key, &p) })
@@ -245,7 +245,7 @@
 	if counted(f.firstTried) && m.q.now-f.firstTried > silenceObjective {
 		m.result.Late++
 		if f.onOpenFlow {
-			m.result.Bound++
+			m.result.LateOnOpenFlows++
 		}
 	}
 	m.send(f, stoatpacket.Packet{Seq: f.seq + 100, Ack: f.ack, Ends: !f.long})
@@ -260,7 +260,7 @@
 		}
 		f.firstTried, f.tries, f.onOpenFlow = m.q.now, 1, true
 		if counted(f.firstTried) {
-			m.result.Asked++
+			m.result.Requests++
 		}
 		m.sendRequest(f)
 	})
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -75,12 +75,12 @@
 
 // scheduleRound schedules a round as soon as one may run. Entries that share nothing run none.
 func (e *silenceEntry) scheduleRound() {
-	if e.roundDue || e.m.sharing == Alone {
+	if e.roundDue || e.m.sharing == Isolated {
 		return
 	}
 	e.roundDue = true
 	wait := time.Duration(0)
-	if e.m.sharing == Pooled {
+	if e.m.sharing == Aggregated {
 		wait = max(0, e.nextRound-e.m.q.now)
 	}
 	e.m.q.after(wait, e.runRound)
@@ -88,7 +88,7 @@
 
 // hopDelay returns how long a message takes to the next entry.
 func (e *silenceEntry) hopDelay() time.Duration {
-	if e.m.sharing == AtOnce {
+	if e.m.sharing == Instant {
 		return 0
 	}
 	return treeHopDelay
--- a/stoatmeasure/spread.go
+++ b/stoatmeasure/spread.go
@@ -21,13 +21,13 @@
 // SpreadConfig configures the experiment on how entries choose upstreams on an echo fabric: one data centre,
 // and a flow for each request.
 type SpreadConfig struct {
-	Entries   int
-	Upstreams int
-	Slots     int           // requests that an upstream runs at once
-	Load      float64       // requested share of all slots
-	Work      time.Duration // of a request, mean; uniform between half and one and a half times the mean
-	Last      time.Duration
-	Seed      uint64
+	Entries     int
+	Upstreams   int
+	Slots       int           // requests that an upstream runs at once
+	Load        float64       // requested share of all slots
+	ServiceTime time.Duration // of a request, mean; uniform between half and one and a half times the mean
+	Duration    time.Duration
+	Seed        uint64
 }
 
 const (
@@ -36,14 +36,14 @@
 	subsetSize  = 8                    // upstreams of an entry that uses only some of them
 )
 
-// Spread is the outcome of one policy.
-type Spread struct {
-	Way      string
-	Load     float64
-	Asked    int
-	Turned   int // by a full upstream
-	P50, P99 time.Duration
-	Busiest  float64 // ratio of the requests at the busiest upstream to the mean
+// SpreadResult is the outcome of one policy.
+type SpreadResult struct {
+	Policy    string
+	Load      float64
+	Requests  int
+	Rejected  int // by a full upstream
+	P50, P99  time.Duration
+	Imbalance float64 // ratio of the requests at the busiest upstream to the mean
 }
 
 // spreadModel is one data centre.
@@ -122,8 +122,8 @@
 }
 
 // RunSpread returns the outcome of each policy.
-func RunSpread(ctx context.Context, cfg SpreadConfig) ([]Spread, error) {
-	var out []Spread
+func RunSpread(ctx context.Context, cfg SpreadConfig) ([]SpreadResult, error) {
+	var out []SpreadResult
 	for _, p := range policies() {
 		if err := ctx.Err(); err != nil {
 			return nil, err
@@ -133,7 +133,7 @@
 	return out, nil
 }
 
-func runPolicy(cfg SpreadConfig, p policy) Spread {
+func runPolicy(cfg SpreadConfig, p policy) SpreadResult {
 	m := &spreadModel{
 		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 1)), running: make([]int, cfg.Upstreams),
 		waiting: make([][]func(), cfg.Upstreams), served: make([]int, cfg.Upstreams), sharedPending: make([]int, cfg.Upstreams),
@@ -145,11 +145,11 @@
 		m.shareCounts(p.age)
 	}
 	offer := m.handler(p)
-	rate := cfg.Load * float64(cfg.Upstreams*cfg.Slots) / cfg.Work.Seconds()
+	rate := cfg.Load * float64(cfg.Upstreams*cfg.Slots) / cfg.ServiceTime.Seconds()
 	asked := 0
 	var arrive func()
 	arrive = func() {
-		if m.q.now >= cfg.Last {
+		if m.q.now >= cfg.Duration {
 			return
 		}
 		asked++
@@ -157,15 +157,15 @@
 		m.q.after(time.Duration(m.rnd.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	arrive()
-	m.q.runUntil(cfg.Last + 10*time.Second)
+	m.q.runUntil(cfg.Duration + 10*time.Second)
 	slices.Sort(m.answerTimes)
 	sum := 0
 	for _, n := range m.served {
 		sum += n
 	}
-	return Spread{
-		Way: p.name, Load: cfg.Load, Asked: asked, Turned: m.rejected, P50: m.answerTimes[len(m.answerTimes)/2], P99: m.answerTimes[len(m.answerTimes)*99/100],
-		Busiest: float64(slices.Max(m.served)) * float64(cfg.Upstreams) / float64(max(1, sum)),
+	return SpreadResult{
+		Policy: p.name, Load: cfg.Load, Requests: asked, Rejected: m.rejected, P50: m.answerTimes[len(m.answerTimes)/2], P99: m.answerTimes[len(m.answerTimes)*99/100],
+		Imbalance: float64(slices.Max(m.served)) * float64(cfg.Upstreams) / float64(max(1, sum)),
 	}
 }
 
@@ -177,7 +177,7 @@
 			m.sharedPending[i] += n
 		}
 	}
-	if m.q.now < m.cfg.Last {
+	if m.q.now < m.cfg.Duration {
 		m.q.after(age, func() { m.shareCounts(age) })
 	}
 }
@@ -215,7 +215,7 @@
 	begin = func() {
 		m.running[i]++
 		m.served[i]++
-		m.q.after(time.Duration(float64(m.cfg.Work)*(0.5+m.rnd.Float64())), func() {
+		m.q.after(time.Duration(float64(m.cfg.ServiceTime)*(0.5+m.rnd.Float64())), func() {
 			m.running[i]--
 			if len(m.waiting[i]) > 0 {
 				next := m.waiting[i][0]
@@ -307,7 +307,7 @@
 		}
 		for _, s := range list {
 			rows = append(rows, wireSpread{
-				Way: s.Way, Load: s.Load, Asked: s.Asked, Turned: s.Turned, Busiest: s.Busiest,
+				Way: s.Policy, Load: s.Load, Asked: s.Requests, Turned: s.Rejected, Busiest: s.Imbalance,
 				P50: float64(s.P50.Microseconds()) / 1000, P99: float64(s.P99.Microseconds()) / 1000,
 			})
 		}
--- a/stoatmeasure/traffic.go
+++ b/stoatmeasure/traffic.go
@@ -12,8 +12,8 @@
 
 // scheduleArrivals opens flows at random times for as long as the experiment runs.
 func (f *fleet) scheduleArrivals() {
-	f.q.after(time.Duration(f.rnd.ExpFloat64()/f.cfg.Opens*float64(time.Second)), func() {
-		life := time.Duration(f.rnd.ExpFloat64() * float64(f.cfg.Flows) / f.cfg.Opens * float64(time.Second))
+	f.q.after(time.Duration(f.rnd.ExpFloat64()/f.cfg.OpenRate*float64(time.Second)), func() {
+		life := time.Duration(f.rnd.ExpFloat64() * float64(f.cfg.Flows) / f.cfg.OpenRate * float64(time.Second))
 		f.openFlow(life)
 		f.scheduleArrivals()
 	})
@@ -162,7 +162,7 @@
 		f.deliverNotice(e, a, e.view.Seed.Hash(c.tuple))
 	case stoatflow.Relay:
 		to := f.byRelay[a.To]
-		f.result.Relays++
+		f.result.Relayed++
 		f.q.after(f.delay(e, to), func() {
 			if to.alive && f.connected(e, to) {
 				f.handle(to, c, p, a.Header, e.instance.Relay)
@@ -208,7 +208,7 @@
 			f.result.Opened++
 		}
 		if _, leaving := f.instances[stoatpaddle.InstanceID(u.ID)]; leaving {
-			f.result.LateOpens = max(f.result.LateOpens, f.q.now-f.leftAt(u.ID))
+			f.result.LateOpenDelay = max(f.result.LateOpenDelay, f.q.now-f.leftAt(u.ID))
 		}
 	case c.upstream != u.Key && !c.broken:
 		f.breakFlow(c)
@@ -237,9 +237,9 @@
 	c.broken = true
 	switch {
 	case f.separated(c):
-		f.result.Parted++
+		f.result.BrokenByPartition++
 	case c.roams:
-		f.result.Roamed++
+		f.result.BrokenByRoaming++
 	default:
 		f.result.Broken++
 	}
