--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -241,7 +241,7 @@
 	last := u.LastOpened()
 	env.sleep(2 * time.Second)
 	env.drainKept = func() bool { return u.LastOpened().Sub(marked) < maxDrainDelay }
-	return fmt.Sprintf("last new flow there after %d ms; %d flows still live on it", max(0, last.Sub(marked).Milliseconds()), u.Open()), nil
+	return fmt.Sprintf("last new flow there after %d ms; %d flows still live on it", max(0, last.Sub(marked).Milliseconds()), u.OpenFlows()), nil
 }
 
 // growService adds an upstream to the contract of the other customer.
@@ -341,13 +341,13 @@
 
 // platformDown makes the platform answer nothing.
 func (env *environment) platformDown() (string, error) {
-	env.platform.Set(faults{Down: true})
+	env.platform.SetFaults(faults{Down: true})
 	return "", nil
 }
 
 // platformUp ends the outage of the platform.
 func (env *environment) platformUp() (string, error) {
-	env.platform.Set(faults{})
+	env.platform.SetFaults(faults{})
 	return "", nil
 }
 
--- a/stoatdemo/run_environment.go
+++ b/stoatdemo/run_environment.go
@@ -114,7 +114,7 @@
 		services = append(services, netip.AddrPortFrom(c.addr, servicePort))
 	}
 	env.callers, err = stoatfake.NewCallers(env.group, env.fabric, stoatfake.CallersConfig{
-		Services: services, Flows: env.cfg.Flows, Every: segmentInterval, Churn: churnRate, Seed: env.cfg.Seed,
+		Services: services, Flows: env.cfg.Flows, SegmentInterval: segmentInterval, ChurnRate: churnRate, Seed: env.cfg.Seed,
 	})
 	return err
 }
@@ -186,7 +186,7 @@
 	for _, s := range env.settings {
 		list = append(list, s.TunnelAddr)
 	}
-	env.fabric.Set(list)
+	env.fabric.SetEntries(list)
 }
 
 // removeEntry removes entry i from the lists and returns it. It does not stop the entry.
--- a/stoatdemo/table.go
+++ b/stoatdemo/table.go
@@ -9,7 +9,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-type faults = stoatfake.Trouble
+type faults = stoatfake.Faults
 
 const (
 	// maxDrainDelay bounds the time until a leaving upstream gets no new flow any more.
@@ -21,7 +21,7 @@
 // reading is the state of all counters at one moment.
 type reading struct {
 	at           time.Time
-	flows        stoatfake.Counts
+	flows        stoatfake.FlowCounts
 	calls        callCounts
 	control      int64
 	entries      int
@@ -35,7 +35,7 @@
 		if u.ID == skip {
 			continue
 		}
-		open := env.upstreams[u.ID].Open()
+		open := env.upstreams[u.ID].OpenFlows()
 		most = max(most, open)
 		sum += open
 		n++
--- a/stoatfake/caller.go
+++ b/stoatfake/caller.go
@@ -16,15 +16,15 @@
 
 // CallersConfig configures Callers.
 type CallersConfig struct {
-	Services []netip.AddrPort // flows are distributed over them
-	Flows    int              // kept open
-	Every    time.Duration    // between segments of a flow
-	Churn    float64          // share of the flows that is closed and replaced per second
-	Seed     uint64
+	Services        []netip.AddrPort // flows are distributed over them
+	Flows           int              // kept open
+	SegmentInterval time.Duration    // between segments of a flow
+	ChurnRate       float64          // share of the flows that is closed and replaced per second
+	Seed            uint64
 }
 
-// Counts is what the callers observed.
-type Counts struct {
+// FlowCounts is what the callers observed.
+type FlowCounts struct {
 	Open    int
 	Opened  int
 	Broken  int // reset while open
@@ -56,7 +56,7 @@
 	flows   map[stoatpacket.Tuple]*callerFlow
 	slots   []*callerFlow // one flow each
 	created uint32        // flows so far
-	counts  Counts
+	counts  FlowCounts
 	done    chan struct{}
 }
 
@@ -94,7 +94,7 @@
 }
 
 // Counts returns what the callers observed so far.
-func (c *Callers) Counts() Counts {
+func (c *Callers) Counts() FlowCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.counts
@@ -143,7 +143,7 @@
 		c.slots = append(c.slots, c.newFlow())
 	}
 	c.mu.Unlock()
-	parts := max(1, int(c.cfg.Every/tickInterval))
+	parts := max(1, int(c.cfg.SegmentInterval/tickInterval))
 	for n := 0; ; n++ {
 		select {
 		case <-c.done:
@@ -171,7 +171,7 @@
 	switch {
 	case !f.open:
 		s.SYN = true
-	case f.closing || c.rnd.Float64() < c.cfg.Churn*c.cfg.Every.Seconds():
+	case f.closing || c.rnd.Float64() < c.cfg.ChurnRate*c.cfg.SegmentInterval.Seconds():
 		f.closing = true
 		s.FIN, s.ACK = true, true
 	default:
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -17,15 +17,15 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatplatform"
 )
 
-// Trouble configures what a Platform does wrong.
-type Trouble struct {
-	Down        bool          // answers nothing
-	Slow        time.Duration // before each answer
-	LoseWrites  int           // so many writes take effect without an answer
-	Lagging     bool          // replicas show the state of when this was set
-	SilentWatch bool          // watches are never answered
-	Writes      int           // per second; more are refused; 0: no limit
-	Reads       int           // per second; more are refused; a waiting watch counts as one; 0: no limit
+// Faults configures what a Platform does wrong.
+type Faults struct {
+	Down             bool          // answers nothing
+	Delay            time.Duration // before each answer
+	DropWriteAnswers int           // so many writes take effect without an answer
+	StaleReplicas    bool          // replicas show the state of when this was set
+	SilentWatches    bool          // watches are never answered
+	WriteLimit       int           // per second; more are refused; 0: no limit
+	ReadLimit        int           // per second; more are refused; a waiting watch counts as one; 0: no limit
 }
 
 // pageSize is how many objects one page of a list holds.
@@ -43,7 +43,7 @@
 // http.Handler.
 type Platform struct {
 	mu              sync.Mutex
-	faults          Trouble
+	faults          Faults
 	objects         map[key]platform.Object
 	history         []change
 	revision        uint64
@@ -62,24 +62,24 @@
 	return &Platform{objects: map[key]platform.Object{}, changed: make(chan struct{})}
 }
 
-// Copy is the content of a platform at one moment.
-type Copy struct {
+// Snapshot is the content of a platform at one moment.
+type Snapshot struct {
 	objects   map[key]platform.Object
 	history   []change
 	revision  uint64
 	compacted uint64
 }
 
-// Save returns what the platform holds.
-func (p *Platform) Save() Copy {
+// Snapshot returns what the platform holds.
+func (p *Platform) Snapshot() Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Copy{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, compacted: p.compacted}
+	return Snapshot{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, compacted: p.compacted}
 }
 
 // Restore replaces what the platform holds by a snapshot. What was written since the snapshot is lost, its
 // revisions are assigned again, and a new era begins.
-func (p *Platform) Restore(c Copy) {
+func (p *Platform) Restore(c Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.objects, p.history, p.revision, p.compacted = maps.Clone(c.objects), slices.Clone(c.history), c.revision, c.compacted
@@ -88,16 +88,16 @@
 	p.wakeWatches()
 }
 
-// Set replaces the faults.
-func (p *Platform) Set(t Trouble) {
+// SetFaults replaces the faults.
+func (p *Platform) SetFaults(t Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults, p.replicaRevision = t, p.revision
 	p.wakeWatches()
 }
 
-// Forget drops the history: watches from earlier revisions are answered with status 410.
-func (p *Platform) Forget() {
+// CompactHistory drops the history: watches from earlier revisions are answered with status 410.
+func (p *Platform) CompactHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.history, p.compacted = nil, p.revision
@@ -199,8 +199,8 @@
 	p.mu.Unlock()
 	write := r.Method != http.MethodGet
 	t, allowed := p.admit(write, r.URL.Query().Get("allow_stale") == "1")
-	if t.Slow > 0 {
-		time.Sleep(t.Slow)
+	if t.Delay > 0 {
+		time.Sleep(t.Delay)
 	}
 	if t.Down {
 		closeConn(w)
@@ -224,16 +224,16 @@
 }
 
 // admit counts a request, and returns the faults and whether the request is within the limits.
-func (p *Platform) admit(write, replica bool) (Trouble, bool) {
+func (p *Platform) admit(write, replica bool) (Faults, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
 	if now := time.Now().Unix(); now != p.second {
 		p.second, p.writes, p.reads = now, 0, 0
 	}
-	count, limit := &p.reads, p.faults.Reads
+	count, limit := &p.reads, p.faults.ReadLimit
 	if write {
-		count, limit = &p.writes, p.faults.Writes
+		count, limit = &p.writes, p.faults.WriteLimit
 	}
 	if replica {
 		return p.faults, true
@@ -298,9 +298,9 @@
 		return
 	}
 	o := p.put(k, sent.Spec)
-	lose := p.faults.LoseWrites > 0
+	lose := p.faults.DropWriteAnswers > 0
 	if lose {
-		p.faults.LoseWrites--
+		p.faults.DropWriteAnswers--
 	}
 	p.mu.Unlock()
 	if lose {
@@ -345,7 +345,7 @@
 	for {
 		p.mu.Lock()
 		t, seen, changed, compacted, revision := p.faults, p.revision, p.changed, p.compacted, p.revision
-		if t.Lagging && replica {
+		if t.StaleReplicas && replica {
 			seen = min(seen, p.replicaRevision)
 		}
 		events := p.eventsAfter(kind, from, seen)
@@ -357,7 +357,7 @@
 		case from < compacted || from > revision:
 			w.WriteHeader(http.StatusGone)
 			return
-		case len(events) > 0 && !t.SilentWatch:
+		case len(events) > 0 && !t.SilentWatches:
 			respond(w, http.StatusOK, platform.ReadResult{Events: events, AsOf: seen})
 			return
 		}
@@ -366,7 +366,7 @@
 		case <-r.Context().Done():
 			return
 		case <-timer.C:
-			if !t.SilentWatch {
+			if !t.SilentWatches {
 				respond(w, http.StatusOK, platform.ReadResult{Events: events, AsOf: seen})
 				return
 			}
--- a/stoatfake/server.go
+++ b/stoatfake/server.go
@@ -44,8 +44,8 @@
 // Addr returns the address at which the server listens.
 func (s *Server) Addr() netip.AddrPort { return s.ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// Ran returns how many calls were run and how many were rejected.
-func (s *Server) Ran() (ran, rejected int64) { return s.ran.Load(), s.rejected.Load() }
+// Counts returns how many calls were run and how many were rejected.
+func (s *Server) Counts() (ran, rejected int64) { return s.ran.Load(), s.rejected.Load() }
 
 // Close stops the server at once.
 func (s *Server) Close() { _ = s.srv.Close() }
