--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -24,13 +24,13 @@
 // inForceWithin bounds the time until an accepted contract is in force at every entry.
 const inForceWithin = 4 * time.Second
 
-// BrokenError reports guarantees that the demo found violated.
-type BrokenError struct{ Promises []string }
+// GuaranteeError reports guarantees that the demo found violated.
+type GuaranteeError struct{ Violations []string }
 
 // Error lists the violations.
-func (e *BrokenError) Error() string {
+func (e *GuaranteeError) Error() string {
 	text := "guarantees violated:"
-	for _, p := range e.Promises {
+	for _, p := range e.Violations {
 		text += "\n  " + p
 	}
 	return text
@@ -91,7 +91,7 @@
 		violations = append(violations, "a new flow reached the leaving upstream later than "+maxDrainDelay.String())
 	}
 	if len(violations) > 0 {
-		return &BrokenError{Promises: violations}
+		return &GuaranteeError{Violations: violations}
 	}
 	t.printSummary(env.platform.Calls(), len(env.settings))
 	return nil
