--- a/stoatroute/bench_test.go
+++ b/stoatroute/bench_test.go
@@ -38,40 +38,40 @@
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{18, 150, 1500, 43000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			book := fullBuilder(n)
-			book.Table()
+			builder := fullBuilder(n)
+			builder.Table()
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				u := upstream(0, n)
 				u.Leaving = i%2 == 0
-				book.Register(start, u, stoatpaddle.Version(n+i+2))
-				book.Table()
+				builder.Register(start, u, stoatpaddle.Version(n+i+2))
+				builder.Table()
 			}
 		})
 	}
 }
 
-// BenchmarkTick measures Expire, which runs every tenth of a second, while one of 43,000 upstreams is gone. It
-// took 1.0 ms when Expire examined all upstreams, and takes 0.0002 ms now.
-func BenchmarkTick(b *testing.B) {
-	book := fullBuilder(43000)
-	book.MarkGone(start, "i-00000001", 50000)
+// BenchmarkExpire measures Expire, which runs every tenth of a second, while one of 43,000 upstreams is gone.
+// It took 1.0 ms when Expire examined all upstreams, and takes 0.0002 ms now.
+func BenchmarkExpire(b *testing.B) {
+	builder := fullBuilder(43000)
+	builder.MarkGone(start, "i-00000001", 50000)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		book.Expire(start)
+		builder.Expire(start)
 	}
 }
 
-// BenchmarkProof measures the next table after a call confirmed that nothing has changed.
-func BenchmarkProof(b *testing.B) {
-	book := fullBuilder(43000)
-	book.Table()
+// BenchmarkMarkCurrent measures the next table after a call confirmed that nothing has changed.
+func BenchmarkMarkCurrent(b *testing.B) {
+	builder := fullBuilder(43000)
+	builder.Table()
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		book.MarkCurrent(start.Add(time.Duration(i)))
-		book.Table()
+		builder.MarkCurrent(start.Add(time.Duration(i)))
+		builder.Table()
 	}
 }
--- a/stoatroute/builder.go
+++ b/stoatroute/builder.go
@@ -21,7 +21,7 @@
 	u.StartedCold = u.StartedCold || cold > 0
 }
 
-// Config configures a Book; zero values take the defaults.
+// Config configures a Builder; zero values take the defaults.
 type Config struct {
 	// GracePeriod is how long a registration that lapsed in an outage has to come back after the platform
 	// answers again.
@@ -64,7 +64,7 @@
 	return rec.up
 }
 
-// restart replaces the record by that of a new incarnation.
+// restart replaces the record with that of a new incarnation.
 func (rec *record) restart(now time.Time, r *stoatpaddle.Registration) {
 	indexed := rec.indexed
 	*rec = *newRecord(now, r)
@@ -196,7 +196,7 @@
 	return true
 }
 
-// sameRoute reports whether two versions of a route declare the same; former services are not compared.
+// sameRoute reports whether two versions of a route are equal. Former services are not compared.
 func sameRoute(a, b *stoatpaddle.Route) bool {
 	return a.Listen == b.Listen && a.Idempotent == b.Idempotent && a.Priority == b.Priority &&
 		a.TargetLatency == b.TargetLatency && slices.Equal(a.Backends, b.Backends) && slices.Equal(a.Regions, b.Regions)
@@ -396,7 +396,7 @@
 
 // registeredFirst reports whether a registered before b. Of two upstreams with the same key the first one
 // keeps it, because it may have flows. The other one gets no flows, because its packets would go to the
-// first. Only targets longer than 32 bits can share a key; of 43,000 upstreams two do so one time in five.
+// first one. Only targets longer than 32 bits can share a key; of 43,000 upstreams two do so one time in five.
 func registeredFirst(a, b *Upstream) bool {
 	if a.CreateRevision != b.CreateRevision {
 		return a.CreateRevision < b.CreateRevision
@@ -404,7 +404,7 @@
 	return a.ID < b.ID
 }
 
-// KeyConflict returns the upstream that has the same key as the given one and keeps it, if there is one.
+// KeyConflict returns the upstream to which the key of the given one belongs, if that is another upstream.
 func (b *Builder) KeyConflict(id stoatpaddle.UpstreamID) (stoatpaddle.UpstreamID, bool) {
 	rec := b.records[id]
 	if rec == nil {
--- a/stoatroute/builder_test.go
+++ b/stoatroute/builder_test.go
@@ -25,7 +25,7 @@
 	return stoatpaddle.Registration{ID: id, Target: target, Service: "app", Slots: 3, CreateRevision: stoatpaddle.Version(target)}
 }
 
-func standingOf(t *testing.T, b *stoatroute.Builder, id stoatpaddle.UpstreamID) stoatroute.State {
+func stateOf(t *testing.T, b *stoatroute.Builder, id stoatpaddle.UpstreamID) stoatroute.State {
 	t.Helper()
 	u, ok := b.Lookup(id)
 	if !ok {
@@ -70,17 +70,17 @@
 	b.ApplyDeclaration(declaration(1, "app"), 1)
 	b.Register(start, registration(1, "i-1"), 2)
 	b.Register(start, registration(2, "i-2"), 3)
-	lost := b.ApplyList(start, map[stoatpaddle.UpstreamID]bool{}, true)
-	if !slices.Equal(lost, []stoatpaddle.UpstreamID{"i-1", "i-2"}) || len(b.Table().Candidates("app")) != 2 {
-		t.Fatal(lost, len(b.Table().Candidates("app")))
+	lacking := b.ApplyList(start, map[stoatpaddle.UpstreamID]bool{}, true)
+	if !slices.Equal(lacking, []stoatpaddle.UpstreamID{"i-1", "i-2"}) || len(b.Table().Candidates("app")) != 2 {
+		t.Fatal(lacking, len(b.Table().Candidates("app")))
 	}
 	b.Register(start.Add(time.Second), registration(1, "i-1"), 9)
 	ended := b.Expire(start.Add(2 * time.Second))
 	if !slices.Equal(ended, []stoatpaddle.UpstreamID{"i-2"}) {
 		t.Error(ended)
 	}
-	if standingOf(t, b, "i-1") != stoatroute.Serving || standingOf(t, b, "i-2") != stoatroute.Gone {
-		t.Error(standingOf(t, b, "i-1"), standingOf(t, b, "i-2"))
+	if stateOf(t, b, "i-1") != stoatroute.Serving || stateOf(t, b, "i-2") != stoatroute.Gone {
+		t.Error(stateOf(t, b, "i-1"), stateOf(t, b, "i-2"))
 	}
 	if u := b.Table().Upstream(stoatroute.KeyOf(2)); u == nil || u.State != stoatroute.Gone {
 		t.Error("the table does not show that the upstream ended", u)
@@ -129,7 +129,7 @@
 	if b.Register(start, leaving, 4) != stoatroute.Changed || b.Register(start, registration(1, "i-1"), 3) != stoatroute.Unchanged {
 		t.Error("an older registration was applied")
 	}
-	if standingOf(t, b, "i-1") != stoatroute.Leaving || len(b.Table().Candidates("app")) != 0 {
+	if stateOf(t, b, "i-1") != stoatroute.Leaving || len(b.Table().Candidates("app")) != 0 {
 		t.Error("a leaving upstream takes flows")
 	}
 	b.ApplyList(start, nil, true)
@@ -177,8 +177,8 @@
 	if table := b.Table(); !table.Ready() || !table.CompleteAsOf.IsZero() {
 		t.Error(table.Ready(), table.CompleteAsOf)
 	}
-	if h := b.Table(); len(h.Upstreams()) != 1 || !h.Declared || h.Revision != 1 {
-		t.Errorf("%+v", h)
+	if table := b.Table(); len(table.Upstreams()) != 1 || !table.Declared || table.Revision != 1 {
+		t.Errorf("%+v", table)
 	}
 }
 
@@ -200,8 +200,8 @@
 	return stoatroute.RemoteUpstream{Registration: registration(target, id), Revision: revision, State: s}
 }
 
-func (m *mirror) receive(whole, later bool, list ...stoatroute.RemoteUpstream) {
-	m.b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: list, Complete: whole, UpToDate: later})
+func (m *mirror) receive(complete, upToDate bool, list ...stoatroute.RemoteUpstream) {
+	m.b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: list, Complete: complete, UpToDate: upToDate})
 }
 
 func (m *mirror) want(what string, one, two stoatroute.State) {
--- a/stoatroute/evacuation_test.go
+++ b/stoatroute/evacuation_test.go
@@ -12,15 +12,15 @@
 // States of an evacuation reach an entry along several paths and in any order. The latest state must win; of a
 // request and a withdrawal with the same revision, the withdrawal must win.
 func TestLatestEvacuationWins(t *testing.T) {
-	in := func(revision stoatpaddle.Version) stoatpaddle.Evacuation {
+	requested := func(revision stoatpaddle.Version) stoatpaddle.Evacuation {
 		return stoatpaddle.Evacuation{DataCentre: "here", Revision: revision}
 	}
-	out := func(revision stoatpaddle.Version) stoatpaddle.Evacuation {
-		e := in(revision)
+	withdrawn := func(revision stoatpaddle.Version) stoatpaddle.Evacuation {
+		e := requested(revision)
 		e.Withdrawn = true
 		return e
 	}
-	states := []stoatpaddle.Evacuation{in(5), out(5), in(8), out(9), in(12)}
+	states := []stoatpaddle.Evacuation{requested(5), withdrawn(5), requested(8), withdrawn(9), requested(12)}
 	for first := range states {
 		b := stoatroute.NewBuilder(stoatroute.Config{RequireEvacuations: true})
 		for i := range states {
@@ -29,7 +29,7 @@
 		if !b.Table().Evacuated("here") {
 			t.Errorf("starting with state %d: not evacuated", first)
 		}
-		if b.ApplyEvacuation(out(11)) || !b.ApplyEvacuation(out(12)) || b.ApplyEvacuation(out(13)) {
+		if b.ApplyEvacuation(withdrawn(11)) || !b.ApplyEvacuation(withdrawn(12)) || b.ApplyEvacuation(withdrawn(13)) {
 			t.Errorf("starting with state %d: a wrong result for what is a change", first)
 		}
 		if b.Table().Evacuated("here") || b.Table().Evacuated("there") {
@@ -45,9 +45,9 @@
 	for d, revision := range map[stoatpaddle.DataCentreID]stoatpaddle.Version{"old": 5, "new": 20, "kept": 6} {
 		b.ApplyEvacuation(stoatpaddle.Evacuation{DataCentre: d, Revision: revision})
 	}
-	lifted := b.ApplyEvacuationList(start, map[stoatpaddle.DataCentreID]bool{"kept": true}, 10)
-	if !slices.Equal(lifted, []stoatpaddle.DataCentreID{"old"}) {
-		t.Error(lifted)
+	withdrawn := b.ApplyEvacuationList(start, map[stoatpaddle.DataCentreID]bool{"kept": true}, 10)
+	if !slices.Equal(withdrawn, []stoatpaddle.DataCentreID{"old"}) {
+		t.Error(withdrawn)
 	}
 	table := b.Table()
 	if table.Evacuated("old") || !table.Evacuated("new") || !table.Evacuated("kept") {
--- a/stoatroute/history_test.go
+++ b/stoatroute/history_test.go
@@ -20,13 +20,13 @@
 	now := time.Unix(1000, 0)
 	b := NewBuilder(Config{Retention: time.Minute})
 	declare(b, 1, "app")
-	if list, news := b.FormerServices(now); len(list) > 0 || news {
+	if list, added := b.FormerServices(now); len(list) > 0 || added {
 		t.Error("a current service counts as a former one", list)
 	}
 	declare(b, 2, "other")
-	list, news := b.FormerServices(now)
-	if len(list) != 1 || !news || list[0].Service != "app" || !list[0].Until.Equal(now.Add(time.Minute)) {
-		t.Error(list, news)
+	list, added := b.FormerServices(now)
+	if len(list) != 1 || !added || list[0].Service != "app" || !list[0].Until.Equal(now.Add(time.Minute)) {
+		t.Error(list, added)
 	}
 	if again, added := b.FormerServices(now.Add(time.Second)); len(again) != 1 || added {
 		t.Error("reported as new twice", again, added)
@@ -45,8 +45,8 @@
 		if got := fresh.RestoreFormerServices(now.Add(c.after), list); got != c.want || fresh.Table().Route(listen).EverUsed("app") != c.want {
 			t.Error(name, got)
 		}
-		if kept, news := fresh.FormerServices(now.Add(c.after)); news || len(kept) > 0 && !kept[0].Until.Equal(list[0].Until) {
-			t.Error(name, "the time of a former service is extended", kept, news)
+		if kept, added := fresh.FormerServices(now.Add(c.after)); added || len(kept) > 0 && !kept[0].Until.Equal(list[0].Until) {
+			t.Error(name, "the time of a former service is extended", kept, added)
 		}
 	}
 }
--- a/stoatroute/identity.go
+++ b/stoatroute/identity.go
@@ -20,7 +20,7 @@
 }
 
 // Same reports whether other may be the same incarnation.
-func (l Identity) Same(other Identity) bool { return l.compare(other) == sameIncarnation }
+func (id Identity) Same(other Identity) bool { return id.compare(other) == sameIncarnation }
 
 // incarnationOrder is the relation of a registration to the known one of the same upstream.
 type incarnationOrder uint8
@@ -34,18 +34,18 @@
 
 // compare returns the relation of other to the known identity l. If l has no incarnation, as with servers that
 // got a new id at each start, a different address, service or data centre counts as a restart.
-func (l Identity) compare(other Identity) incarnationOrder {
-	moved := l.Service != other.Service || l.DataCentre != other.DataCentre || l.Addr != other.Addr
+func (id Identity) compare(other Identity) incarnationOrder {
+	moved := id.Service != other.Service || id.DataCentre != other.DataCentre || id.Addr != other.Addr
 	switch {
-	case l.Incarnation == 0 && moved:
+	case id.Incarnation == 0 && moved:
 		return laterIncarnation
-	case l.Incarnation == 0:
+	case id.Incarnation == 0:
 		return sameIncarnation
 	case other.Incarnation == 0:
 		return foreignWriter
-	case other.Incarnation < l.Incarnation:
+	case other.Incarnation < id.Incarnation:
 		return earlierIncarnation
-	case other.Incarnation > l.Incarnation:
+	case other.Incarnation > id.Incarnation:
 		return laterIncarnation
 	case moved:
 		return foreignWriter
--- a/stoatroute/memory_test.go
+++ b/stoatroute/memory_test.go
@@ -35,7 +35,7 @@
 // Guards against a table that has a second copy of each upstream and of the names in it. An entry has 25 MB of
 // memory for 43,000 upstreams.
 func TestLiveBytesPerUpstream(t *testing.T) {
-	const upstreams, most = 10000, 485
+	const upstreams, maxBytes = 10000, 485
 	live := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -46,8 +46,8 @@
 	before := live()
 	b := fleetBuilder(upstreams)
 	table := b.Table()
-	if bytes := (live() - before) / upstreams; bytes > most {
-		t.Errorf("%d bytes per upstream, expected at most %d", bytes, most)
+	if bytes := (live() - before) / upstreams; bytes > maxBytes {
+		t.Errorf("%d bytes per upstream, expected at most %d", bytes, maxBytes)
 	} else {
 		t.Logf("%d bytes per upstream", bytes)
 	}
@@ -58,14 +58,14 @@
 // BenchmarkChangeInLargeService measures the change of one of 8,000 upstreams of a service. It took 3.0 ms when
 // the list of the service was built and sorted again; copying the list takes 0.09 ms.
 func BenchmarkChangeInLargeService(b *testing.B) {
-	book := fleetBuilder(16000)
-	book.Table()
-	u, _ := book.Lookup("i-009e3779b1")
+	builder := fleetBuilder(16000)
+	builder.Table()
+	u, _ := builder.Lookup("i-009e3779b1")
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
 		u.Leaving = i%2 == 0
-		book.Register(time.Unix(1001, 0), u.Registration, stoatpaddle.Version(20000+i))
-		book.Table()
+		builder.Register(time.Unix(1001, 0), u.Registration, stoatpaddle.Version(20000+i))
+		builder.Table()
 	}
 }
--- a/stoatroute/mirror.go
+++ b/stoatroute/mirror.go
@@ -84,7 +84,7 @@
 	u := rec.edit()
 	u.Registration, u.Revision = b.interner.intern(b.keepLeaving(now, rec, remote.Registration)), remote.Revision
 	if state == Serving {
-		state = standingOf(&rec.up.Registration)
+		state = stateOf(&rec.up.Registration)
 	}
 	u.State = state
 	switch state {
--- a/stoatroute/register.go
+++ b/stoatroute/register.go
@@ -42,7 +42,7 @@
 	if rec == nil {
 		rec = newRecord(now, &r)
 		b.records[r.ID] = rec
-		b.setRegistration(rec, r, revision, standingOf(&r))
+		b.setRegistration(rec, r, revision, stateOf(&r))
 		return Changed
 	}
 	if revision <= rec.up.Revision {
@@ -55,7 +55,7 @@
 		return Outdated
 	case laterIncarnation:
 		rec.restart(now, &r)
-		b.setRegistration(rec, r, revision, standingOf(&r))
+		b.setRegistration(rec, r, revision, stateOf(&r))
 		return Restarted
 	case foreignWriter:
 		b.MarkInvalid(now, r.ID, r.Target, revision)
@@ -64,15 +64,15 @@
 	}
 	r = b.keepLeaving(now, rec, r)
 	rec.setCold(now, r.ColdRemaining)
-	b.setRegistration(rec, r, revision, standingOf(&r))
+	b.setRegistration(rec, r, revision, stateOf(&r))
 	if was != rec.up.State {
 		return Changed
 	}
 	return Unchanged
 }
 
-// standingOf returns the state that a registration declares.
-func standingOf(r *stoatpaddle.Registration) State {
+// stateOf returns the state that a registration declares.
+func stateOf(r *stoatpaddle.Registration) State {
 	if r.Leaving {
 		return Leaving
 	}
--- a/stoatroute/register_test.go
+++ b/stoatroute/register_test.go
@@ -134,17 +134,17 @@
 func TestIncarnationsAreMirrored(t *testing.T) {
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.Register(start, incarnation(5, nil), 2)
-	say := func(r stoatpaddle.Registration, rev stoatpaddle.Version) []stoatpaddle.UpstreamID {
+	report := func(r stoatpaddle.Registration, rev stoatpaddle.Version) []stoatpaddle.UpstreamID {
 		return b.Mirror(start.Add(time.Minute), stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: r, Revision: rev}}, UpToDate: true})
 	}
-	if got := say(incarnation(6, cold), 3); len(got) != 1 {
+	if got := report(incarnation(6, cold), 3); len(got) != 1 {
 		t.Error(got)
 	}
 	u, _ := b.Lookup("i-1")
 	if u.Incarnation != 6 || !u.StartedCold || !u.WarmAt.Equal(start.Add(time.Minute+3*time.Second)) {
 		t.Errorf("%+v", u)
 	}
-	if got := say(incarnation(5, leaving), 9); len(got) != 0 {
+	if got := report(incarnation(5, leaving), 9); len(got) != 0 {
 		t.Error("the earlier incarnation is back")
 	}
 	if u, _ = b.Lookup("i-1"); u.Incarnation != 6 || u.State != stoatroute.Serving {
--- a/stoatroute/restore_test.go
+++ b/stoatroute/restore_test.go
@@ -27,11 +27,11 @@
 		}
 		b.BeginEra(start, 2)
 		b.Register(start, ready, 20)
-		if got := standingOf(t, b, "i-1"); got != stoatroute.Leaving {
+		if got := stateOf(t, b, "i-1"); got != stoatroute.Leaving {
 			t.Error(ended, "state after the restored copy was read:", got)
 		}
 		b.Mirror(start, stoatroute.RemoteUpdate{Upstreams: []stoatroute.RemoteUpstream{{Registration: ready, Revision: 24}}, Complete: true, UpToDate: true})
-		if got := standingOf(t, b, "i-1"); got != stoatroute.Leaving {
+		if got := stateOf(t, b, "i-1"); got != stoatroute.Leaving {
 			t.Error(ended, "state after the report of another entry:", got)
 		}
 		if u, _ := b.Lookup("i-1"); u.AcceptsFlows() {
@@ -40,8 +40,8 @@
 		// After a restart under its id the upstream is a new incarnation, which is not leaving.
 		again := ready
 		again.Incarnation = 7
-		if got := b.Register(start, again, 32); got != stoatroute.Restarted || standingOf(t, b, "i-1") != stoatroute.Serving {
-			t.Error(ended, "the next incarnation:", got, standingOf(t, b, "i-1"))
+		if got := b.Register(start, again, 32); got != stoatroute.Restarted || stateOf(t, b, "i-1") != stoatroute.Serving {
+			t.Error(ended, "the next incarnation:", got, stateOf(t, b, "i-1"))
 		}
 	}
 }
@@ -55,7 +55,7 @@
 	b.MarkInvalid(start, "i-1", 0, 30)
 	b.BeginEra(start, 2)
 	b.Register(start, registration(1, "i-1"), 20)
-	if got := standingOf(t, b, "i-1"); got != stoatroute.Serving {
+	if got := stateOf(t, b, "i-1"); got != stoatroute.Serving {
 		t.Error(got)
 	}
 }
@@ -76,7 +76,7 @@
 	if got := b.Register(start, leaving, 14); got != stoatroute.Changed {
 		t.Error(got)
 	}
-	if h := b.Table(); h.Era != stoatpaddle.Era(2) || h.Revision != 13 {
-		t.Error(h.Era, h.Revision)
+	if table := b.Table(); table.Era != stoatpaddle.Era(2) || table.Revision != 13 {
+		t.Error(table.Era, table.Revision)
 	}
 }
--- a/stoatroute/shards.go
+++ b/stoatroute/shards.go
@@ -101,7 +101,7 @@
 	rs.stale[shard] = true
 }
 
-// remove removes a record.
+// remove removes a record and marks its shard as stale.
 func (rs *recordShards) remove(rec *record) {
 	shard := shardOfKey(rec.up.Key)
 	rs.records[shard] = slices.DeleteFunc(rs.records[shard], func(x *record) bool { return x == rec })
--- a/stoatroute/shards_test.go
+++ b/stoatroute/shards_test.go
@@ -23,8 +23,8 @@
 // rebuilt returns the upstreams and the services of a table, computed from all records without shards.
 func rebuilt(b *Builder) (map[stoatpaddle.UpstreamKey]Upstream, map[stoatpaddle.ServiceID][]stoatpaddle.UpstreamID) {
 	byKey := map[stoatpaddle.UpstreamKey]Upstream{}
-	for _, e := range b.records {
-		u := *e.up
+	for _, rec := range b.records {
+		u := *rec.up
 		u.MaxFlows, u.ColdRate = b.decl.MaxFlows[u.Service], b.decl.ColdRates[u.Service]
 		if other, taken := byKey[u.Key]; !taken || registeredFirst(&u, &other) {
 			byKey[u.Key] = u
@@ -67,15 +67,15 @@
 			t.Fatalf("service %s: %v, expected %v", id, got, want)
 		}
 	}
-	if held := len(table.UpstreamsSince(0)); held != len(b.records) {
-		t.Fatalf("%d upstreams are held, expected %d", held, len(b.records))
+	if known := len(table.UpstreamsSince(0)); known != len(b.records) {
+		t.Fatalf("UpstreamsSince returns %d upstreams, expected %d", known, len(b.records))
 	}
 }
 
 // Upstreams register, end, lapse, restart, share a key, are mirrored, are forgotten, or the platform is
 // restored. After any such history, a table that shares shards with the last one must equal a table that is
 // built from all records, and earlier tables must not change.
-func TestShardsAreTheWholeTable(t *testing.T) {
+func TestShardedTableEqualsRebuiltTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBuilder(Config{Retention: 10 * time.Second, GracePeriod: 2 * time.Second})
 		now := time.Unix(1000, 0)
