--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -13,8 +13,8 @@
 	// error. A change that it missed is found by the next watch, which has to be sent and answered
 	// within this time.
 	MaxDelay time.Duration
-	// AllowStale lets a replica answer watches, which costs a tenth and counts toward no rate limit. It
-	// is only for a feed whose position is checked against that of an exact feed.
+	// AllowStale lets a replica answer watches, which costs a tenth of an exact answer and counts toward no
+	// rate limit. It is only for a feed whose position is checked against that of an exact feed.
 	AllowStale bool
 	// AllowStaleStart lets a replica answer the first list. When all entries start at once, exact lists
 	// would use up the platform's read rate for a time that grows with the number of entries.
@@ -43,8 +43,9 @@
 	// listTimeout limits the call for one page. A page of 500 objects takes 4 ms, and up to 60 times as
 	// long on a slow platform.
 	listTimeout = 1500 * time.Millisecond
-	// minPause and maxPause limit the pause after a failed call. Refused calls are charged for as well,
-	// and an outdated view for one more second after an outage is well within MaxDelay.
+	// minPause and maxPause set the range of the random pause after a failed call; see backoff. The pause is
+	// this long because refused calls are charged for as well, and an outdated view for one more second after
+	// an outage is well within MaxDelay.
 	minPause = 60 * time.Millisecond
 	maxPause = time.Second
 	// relayedPause is the minimum pause while another entry reports when the platform is back; up to the
@@ -141,8 +142,8 @@
 // Era returns the latest era that is known to have begun; 0 means that none was reported.
 func (f *Feed) Era() stoatpaddle.Era { return f.era }
 
-// BeginEra records that the platform was restored from an older copy of itself, and reports whether the
-// feed did not know of that restore. A watch from a revision of the earlier era would miss what is written
+// BeginEra records that the platform was restored from an older copy of itself, and reports whether that
+// restore is new to the feed. A watch from a revision of the earlier era would miss what is written
 // under revisions that are assigned a second time, so only a list shows what exists. Objects that the list
 // lacks may have been lost in the restore and get the same time to come back as after an outage.
 func (f *Feed) BeginEra(era stoatpaddle.Era) bool {
@@ -185,7 +186,7 @@
 // Unreachable reports whether the platform counts as not answering.
 func (f *Feed) Unreachable() bool { return f.unreachable }
 
-// FailingSince returns since when the platform has not answered; the time is zero while it answers.
+// FailingSince returns when calls began to fail or to be refused; the time is zero while they are answered.
 func (f *Feed) FailingSince() time.Time { return f.failingSince }
 
 // Next returns the call to make now.
@@ -230,8 +231,8 @@
 }
 
 // AsOf returns the time as of which an answer shows the state of the platform, if the call was sent at sent
-// and answered at now. It is the time of sending, because nothing tells at which moment in between the
-// platform made the answer. A watch that waited to its end without a change was answered after the wait.
+// and answered at now. It is the time of sending, because the moment in between at which the platform made
+// the answer is not known. A watch that waited to its end without a change was answered after the wait.
 func (c *Call) AsOf(sent, now time.Time, r Result) time.Time {
 	if end := sent.Add(c.Wait); c.Wait > time.Millisecond && r.Changes == 0 && !end.After(now) {
 		return end
@@ -300,17 +301,17 @@
 	if !c.List {
 		f.forgottenInRow = 0
 	}
-	v := f.recordAnswer(now, sent, c, r)
+	d := f.recordAnswer(now, sent, c, r)
 	f.outdatedInRow++
-	if !v.Outdated {
+	if !d.Outdated {
 		f.outdatedInRow = 0
 	}
-	return v
+	return d
 }
 
 // recordAnswer records an answer and decides what to do with it.
 func (f *Feed) recordAnswer(now, sent time.Time, c Call, r Result) Decision {
-	v := Decision{OutageEnded: f.unreachable}
+	d := Decision{OutageEnded: f.unreachable}
 	// A platform that refuses calls by rate is running, so no registration lapses in that time.
 	outage := !f.unansweredSince.IsZero() && now.Sub(f.unansweredSince) >= minLapseOutage
 	f.failures, f.failingSince, f.unansweredSince, f.unreachable, f.immediate = 0, time.Time{}, time.Time{}, false, false
@@ -318,28 +319,28 @@
 		f.afterOutage = true
 	}
 	if f.BeginEra(r.AsOf.Era) {
-		return v
+		return d
 	}
 	if outage && !c.List {
 		// Registrations that ended in the outage may only have lapsed, which a watch does not distinguish.
 		// After a list, those that it lacks are given time to come back.
 		f.relist()
-		return v
+		return d
 	}
 	if c.List {
-		return f.recordPage(v, c, r)
+		return f.recordPage(d, c, r)
 	}
 	if f.isOutdated(r.AsOf) {
 		// The answer comes from a replica that is behind this entry, so it contains nothing new.
-		f.exact, v.Outdated = true, true
-		return v
+		f.exact, d.Outdated = true, true
+		return d
 	}
 	f.pos = r.AsOf
-	v.Apply, v.Current = true, !c.AllowStale
+	d.Apply, d.Current = true, !c.AllowStale
 	if !c.AllowStale {
 		f.exact, f.answerAge = false, now.Sub(c.AsOf(sent, now, r))
 	}
-	return v
+	return d
 }
 
 // relist makes the next call start a new list.
@@ -365,33 +366,33 @@
 }
 
 // recordPage records one page of a list.
-func (f *Feed) recordPage(v Decision, c Call, r Result) Decision {
+func (f *Feed) recordPage(d Decision, c Call, r Result) Decision {
 	if r.AsOf.Era < f.era {
 		// The page comes from a replica that does not know of the restore yet.
 		f.relist()
-		f.exact, v.Outdated = true, true
-		return v
+		f.exact, d.Outdated = true, true
+		return d
 	}
-	v.Apply = true
+	d.Apply = true
 	if c.After == "" {
 		f.listStart = r.AsOf
 	}
 	if r.More {
 		f.after = r.Last
-		return v
+		return d
 	}
 	if f.listStart.Before(f.pos) {
 		// The list comes from a replica that is behind. Objects that it lacks may be newer than the list.
 		f.relist()
-		f.exact, v.Outdated = true, true
-		return v
+		f.exact, d.Outdated = true, true
+		return d
 	}
 	// Pages are read one after the other. A watch from the revision of the first page reports what changed
 	// while the others were read.
-	v.Complete, v.Current, v.AfterOutage = true, !c.AllowStale, f.afterOutage
+	d.Complete, d.Current, d.AfterOutage = true, !c.AllowStale, f.afterOutage
 	f.pos = f.listStart
 	f.listed, f.started, f.after, f.afterOutage, f.exact = true, true, "", false, false
-	return v
+	return d
 }
 
 // SetStartOptions sets Config.AllowStaleStart and Config.HasFollowers.
--- a/stoatfeed/feed_test.go
+++ b/stoatfeed/feed_test.go
@@ -11,14 +11,14 @@
 
 var start = time.Unix(1000, 0)
 
-const bound = 3 * time.Second
+const maxDelay = 3 * time.Second
 
 func revision(rev stoatpaddle.Version) stoatpaddle.Position {
 	return stoatpaddle.Position{Revision: rev}
 }
 
 func newFeed(stale bool) *stoatfeed.Feed {
-	return stoatfeed.New(stoatfeed.Config{MaxDelay: bound, AllowStale: stale, Rand: rand.New(rand.NewPCG(1, 1))})
+	return stoatfeed.New(stoatfeed.Config{MaxDelay: maxDelay, AllowStale: stale, Rand: rand.New(rand.NewPCG(1, 1))})
 }
 
 // listed returns a feed that has completed its first list.
@@ -56,7 +56,7 @@
 // before the change that the first one missed has to be in force.
 func TestSilentWatchIsGivenUpInTime(t *testing.T) {
 	c := listed(t, false).Next()
-	if c.List || c.From != 10 || c.Timeout <= c.Wait || c.Timeout > bound*85/100 {
+	if c.List || c.From != 10 || c.Timeout <= c.Wait || c.Timeout > maxDelay*85/100 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -79,15 +79,15 @@
 func TestOutage(t *testing.T) {
 	f := listed(t, true)
 	now := start
-	lost := 0
+	outages := 0
 	for range 5 {
 		if f.Done(now, now, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed}).OutageBegan {
-			lost++
+			outages++
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
-	if lost != 1 || !f.Unreachable() || !f.FailingSince().Equal(start) {
-		t.Error(lost, f.Unreachable(), f.FailingSince())
+	if outages != 1 || !f.Unreachable() || !f.FailingSince().Equal(start) {
+		t.Error(outages, f.Unreachable(), f.FailingSince())
 	}
 	if c := f.Next(); c.Pause <= 0 || c.Pause > 1100*time.Millisecond || c.Wait > time.Millisecond {
 		t.Errorf("%+v", c)
@@ -151,7 +151,7 @@
 func TestPausesAreSpread(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range uint64(50) {
-		f := stoatfeed.New(stoatfeed.Config{MaxDelay: bound, Rand: rand.New(rand.NewPCG(seed, 1))})
+		f := stoatfeed.New(stoatfeed.Config{MaxDelay: maxDelay, Rand: rand.New(rand.NewPCG(seed, 1))})
 		for range 6 {
 			f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Refused})
 		}
@@ -214,7 +214,7 @@
 func TestChangesAreBatched(t *testing.T) {
 	f := listed(t, true)
 	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: revision(11), Changes: 1})
-	if c := f.Next(); c.Pause != 150*time.Millisecond || c.Pause+c.Timeout > bound*9/10 {
+	if c := f.Next(); c.Pause != 150*time.Millisecond || c.Pause+c.Timeout > maxDelay*9/10 {
 		t.Errorf("%+v", c)
 	}
 	f.RequestExact()
@@ -238,24 +238,24 @@
 	if c.Wait != 1350*time.Millisecond {
 		t.Fatal(c.Wait)
 	}
-	came := start.Add(time.Second)
+	answered := start.Add(time.Second)
 	r := stoatfeed.Result{AsOf: revision(11), Changes: 1}
-	if at := c.AsOf(start, came, r); !at.Equal(start) {
+	if at := c.AsOf(start, answered, r); !at.Equal(start) {
 		t.Error("an answer with changes counts as current later than it was sent:", at.Sub(start))
 	}
-	f.Done(came, start, c, r)
+	f.Done(answered, start, c, r)
 	if c = f.Next(); c.Wait != 350*time.Millisecond {
 		t.Error(c.Wait)
 	}
-	end := came.Add(400 * time.Millisecond)
+	end := answered.Add(400 * time.Millisecond)
 	r = stoatfeed.Result{AsOf: revision(11)}
-	if at := c.AsOf(came, end, r); !at.Equal(came.Add(350 * time.Millisecond)) {
-		t.Error("a watch that waited to its end is not current as of that end:", at.Sub(came))
+	if at := c.AsOf(answered, end, r); !at.Equal(answered.Add(350 * time.Millisecond)) {
+		t.Error("a watch that waited to its end is not current as of that end:", at.Sub(answered))
 	}
-	if at := c.AsOf(came, came.Add(100*time.Millisecond), r); !at.Equal(came) {
-		t.Error("a watch that did not wait counts as current later than it was sent:", at.Sub(came))
+	if at := c.AsOf(answered, answered.Add(100*time.Millisecond), r); !at.Equal(answered) {
+		t.Error("a watch that did not wait counts as current later than it was sent:", at.Sub(answered))
 	}
-	f.Done(end, came, c, r)
+	f.Done(end, answered, c, r)
 	if c = f.Next(); c.Wait != 1300*time.Millisecond {
 		t.Error(c.Wait)
 	}
@@ -304,7 +304,7 @@
 		if c.Wait > time.Millisecond || c.Timeout <= last {
 			t.Errorf("%+v after %s", c, last)
 		}
-		if last == 0 && c.Timeout > bound/5 {
+		if last == 0 && c.Timeout > maxDelay/5 {
 			t.Error("the first attempt takes", c.Timeout)
 		}
 		last = c.Timeout
@@ -313,7 +313,7 @@
 	for range 10 {
 		f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Failed})
 	}
-	if c := f.Next(); c.Timeout > bound*85/100 {
+	if c := f.Next(); c.Timeout > maxDelay*85/100 {
 		t.Error(c.Timeout)
 	}
 }
