--- a/stoatfilter/cold.go
+++ b/stoatfilter/cold.go
@@ -21,7 +21,7 @@
 // and the other one has its own upstreams.
 const (
 	// allottedFraction is the part of the limit that is divided into turns. The rest is a reserve: two
-	// parts of a data centre that never heard of each other each allot the whole fraction, which adds up
+	// parts of a data centre that do not know of each other each allot the whole fraction, which adds up
 	// to half as much again as the upstream can handle.
 	allottedFraction = 0.75
 	// turnOpenFraction is the part of the interval between two turns in which a turn can be used. It is
@@ -41,8 +41,8 @@
 
 // hasTurn reports whether it is this entry's turn to send a flow to the upstream and the entry has not
 // used that turn yet.
-func (p EntryRank) hasTurn(now time.Time, u *stoatroute.Upstream, load ColdLoad) bool {
-	if p.Entries <= 0 || p.Rank < 0 || p.Rank >= p.Entries {
+func (r EntryRank) hasTurn(now time.Time, u *stoatroute.Upstream, load ColdLoad) bool {
+	if r.Entries <= 0 || r.Rank < 0 || r.Rank >= r.Entries {
 		return false
 	}
 	// The number of requests is rounded up, so that entries whose estimates differ a little compute the same
@@ -51,8 +51,8 @@
 	interval := time.Duration(float64(time.Second) * requests / (allottedFraction * u.ColdRate))
 	// The first turn goes to a different entry for each upstream. Otherwise one entry would have its turn
 	// at all upstreams at the same time.
-	first := (p.Rank + int(uint32(u.Key)*hashMultiplier>>hashShift)) % p.Entries
-	period := interval * time.Duration(p.Entries)
+	first := (r.Rank + int(uint32(u.Key)*hashMultiplier>>hashShift)) % r.Entries
+	period := interval * time.Duration(r.Entries)
 	sinceTurn := time.Duration(now.UnixNano()-int64(interval)*int64(first)) % period
 	openFor := time.Duration(turnOpenFraction * float64(interval))
 	return sinceTurn < openFor && now.Sub(load.LastSent) > openFor
--- a/stoatfilter/filter.go
+++ b/stoatfilter/filter.go
@@ -11,7 +11,7 @@
 // Verdict says whether an upstream may receive a new flow and, if not, why.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts. Every verdict after ColdEligible excludes the upstream.
 const (
 	Eligible  Verdict = iota
 	Spare             // the upstream is cold and can take one more flow now; warm upstreams are preferred
--- a/stoatfilter/rank.go
+++ b/stoatfilter/rank.go
@@ -29,23 +29,23 @@
 
 // Update records the rank that the relay tree reports now. An unknown rank leaves the last one in force,
 // because the parent in the relay tree may be back in a moment.
-func (p *RankTracker) Update(now time.Time, x EntryRank) {
-	if x.Entries <= 0 {
+func (t *RankTracker) Update(now time.Time, rank EntryRank) {
+	if rank.Entries <= 0 {
 		return
 	}
-	if p.last.Entries == 0 {
-		p.rankedSince = now
+	if t.last.Entries == 0 {
+		t.rankedSince = now
 	}
-	p.last = x
-	if x.Entries >= p.maxEntries || now.Sub(p.maxSeenAt) > maxEntriesRetention {
-		p.maxEntries, p.maxSeenAt = x.Entries, now
+	t.last = rank
+	if rank.Entries >= t.maxEntries || now.Sub(t.maxSeenAt) > maxEntriesRetention {
+		t.maxEntries, t.maxSeenAt = rank.Entries, now
 	}
 }
 
 // At returns the rank to use at the given time; its Entries is 0 while the rank is not settled.
-func (p *RankTracker) At(now time.Time) EntryRank {
-	if p.last.Entries == 0 || now.Sub(p.rankedSince) < rankSettleTime {
+func (t *RankTracker) At(now time.Time) EntryRank {
+	if t.last.Entries == 0 || now.Sub(t.rankedSince) < rankSettleTime {
 		return EntryRank{}
 	}
-	return EntryRank{Rank: p.last.Rank, Entries: max(p.last.Entries, p.maxEntries)}
+	return EntryRank{Rank: t.last.Rank, Entries: max(t.last.Entries, t.maxEntries)}
 }
--- a/stoatfilter/rank_test.go
+++ b/stoatfilter/rank_test.go
@@ -11,13 +11,13 @@
 // must use a rank only after two seconds. Later half of the data centre is cut off: the entry must go on
 // dividing the limit by thirty for a minute, since the other half does so too, and then by fifteen.
 func TestRankTracker(t *testing.T) {
-	var p stoatfilter.RankTracker
+	var tracker stoatfilter.RankTracker
 	now := start
-	at := func(d time.Duration, x, want stoatfilter.EntryRank) {
+	at := func(d time.Duration, rank, want stoatfilter.EntryRank) {
 		t.Helper()
 		now = now.Add(d)
-		p.Update(now, x)
-		if got := p.At(now); got != want {
+		tracker.Update(now, rank)
+		if got := tracker.At(now); got != want {
 			t.Errorf("after %s: %+v, expected %+v", now.Sub(start), got, want)
 		}
 	}
