--- a/stoattree/search.go
+++ b/stoattree/search.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxRequests limits the entries that one search asks. A parent is found within the depth of the tree, and
-// an entry that finds none reads the platform meanwhile.
+// maxRequests limits the entries that are asked in one pass of a search. A parent is found within the depth
+// of the tree, and an entry that finds none reads the platform meanwhile.
 const maxRequests = 12
 
 // maxSiblings limits the siblings that are remembered.
--- a/stoattree/tree.go
+++ b/stoattree/tree.go
@@ -14,14 +14,14 @@
 const (
 	// MaxChildren is how many children the fastest entry accepts. With changes as often as the largest
 	// deployment has them, each child takes 0.32 kB a second and the parent as much: six of these are 1.9
-	// of the 2 kB that control traffic may take.
+	// of the 2 kB a second that control traffic may take.
 	MaxChildren = 5
 	// minChildren is how many children every entry can serve. With one child for each entry, the tree would
 	// be a chain.
 	minChildren = 2
 	// MaxPathLength limits the path from an entry that reads the platform to any other. Eight levels with
-	// two children each reach further than any deployment, and a longer path is a loop that was not
-	// detected.
+	// two children each reach further than any deployment, and a path longer than this limit is a loop that
+	// was not detected.
 	MaxPathLength = 16
 	// maxAlternatives limits the entries that are named to one that looks for a parent.
 	maxAlternatives = 3
@@ -154,7 +154,7 @@
 		return JoinResponse{Refusal: refusal}
 	}
 	if req.Centre != t.cfg.Centre {
-		// One link between two data centres is enough: the first child alternatives serves the others.
+		// One link between two data centres is enough: the first child there serves the others.
 		if alternatives := t.childrenIn(req.Centre, req.Tried); len(alternatives) > 0 {
 			return JoinResponse{Refusal: OtherDataCentre, Alternatives: alternatives}
 		}
@@ -204,13 +204,13 @@
 func entryOrder(a netip.AddrPort) uint64 { return xxhash.Sum64String(a.String()) }
 
 // childrenIn returns a few children in a data centre. If there are none and it is the data centre of this
-// entry, childrenIn returns children in other data centres. Entries that were tried are left out.
+// entry, childrenIn returns a few children in other data centres. Entries that were tried are left out.
 func (t *Tree) childrenIn(centre stoatpaddle.DataCentreID, tried []netip.AddrPort) []netip.AddrPort {
 	var local, remote []netip.AddrPort
-	for a, x := range t.children {
+	for a, c := range t.children {
 		switch {
 		case slices.Contains(tried, a):
-		case x.centre == centre:
+		case c.centre == centre:
 			local = append(local, a)
 		case centre == t.cfg.Centre:
 			remote = append(remote, a)
@@ -268,12 +268,12 @@
 	}
 }
 
-// Siblings returns a few entries that a child may ask when this one is gone: other children in its data
-// centre.
+// Siblings returns a few entries that a child may ask when this one is gone, which are other children in the
+// child's data centre.
 func (t *Tree) Siblings(child netip.AddrPort, centre stoatpaddle.DataCentreID) []netip.AddrPort {
 	var list []netip.AddrPort
-	for a, x := range t.children {
-		if a != child && x.centre == centre {
+	for a, c := range t.children {
+		if a != child && c.centre == centre {
 			list = append(list, a)
 		}
 	}
--- a/stoattree/tree_test.go
+++ b/stoattree/tree_test.go
@@ -40,7 +40,7 @@
 	for name, tc := range map[string]struct {
 		self  int
 		state stoattree.State
-		ask   stoattree.JoinRequest
+		req   stoattree.JoinRequest
 		want  stoattree.Refusal
 	}{
 		"seed that reads the platform":              {0, upToDate, request(5, "a"), stoattree.Accepted},
@@ -59,7 +59,7 @@
 		"another data centre, local only":           {0, upToDate, stoattree.JoinRequest{From: addr(5), Centre: "b", Position: at(9), LocalOnly: true}, stoattree.OtherDataCentre},
 		"another data centre":                       {0, upToDate, request(5, "b"), stoattree.Accepted},
 	} {
-		if got := newTree(tc.self, "a", 0).Admit(tc.state, tc.ask).Refusal; got != tc.want {
+		if got := newTree(tc.self, "a", 0).Admit(tc.state, tc.req).Refusal; got != tc.want {
 			t.Errorf("%s: %q, expected %q", name, got, tc.want)
 		}
 	}
@@ -169,28 +169,28 @@
 func (f *fleet) search(m *member) {
 	m.tree.StartSearch()
 	for {
-		to, a, ok := m.tree.NextCandidate()
+		to, req, ok := m.tree.NextCandidate()
 		if !ok {
 			return
 		}
 		f.requests++
 		var p *member
-		for _, x := range f.all {
-			if addr(x.i) == to && !x.dead {
-				p = x
+		for _, other := range f.all {
+			if addr(other.i) == to && !other.dead {
+				p = other
 			}
 		}
 		if p == nil {
 			continue
 		}
-		a.Position = at(10)
+		req.Position = at(10)
 		s := stoattree.State{Ready: true, Position: at(10), Path: p.path(), ReadsPlatform: p.isSeed() || p.parent == nil}
-		answer := p.tree.Admit(s, a)
-		if answer.Refusal != stoattree.Accepted {
-			m.tree.AddCandidates(answer.Alternatives)
+		response := p.tree.Admit(s, req)
+		if response.Refusal != stoattree.Accepted {
+			m.tree.AddCandidates(response.Alternatives)
 			continue
 		}
-		m.parent, m.admission = p, answer.Admission
+		m.parent, m.admission = p, response.Admission
 		m.tree.SetSiblings(p.tree.Siblings(addr(m.i), m.centre))
 		return
 	}
@@ -212,9 +212,9 @@
 	if m.parent != nil {
 		m.parent.tree.RemoveChild(addr(m.i), m.admission)
 	}
-	for _, x := range f.all {
-		if x.parent == m {
-			x.parent = nil
+	for _, other := range f.all {
+		if other.parent == m {
+			other.parent = nil
 		}
 	}
 }
