--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -476,7 +476,7 @@
 		"nameless": {unreadable("", 0), stoatroute.Missing},
 	} {
 		s := newRunningSession(t)
-		s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+		s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 		s.end(upstreams, stoatfeed.Result{AsOf: position(12), More: true, Last: "i-1", Changes: 1}, c.object)
 		s.answer(upstreams, 12, registered("i-2", 2, 7))
 		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.State != c.want {
