--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -186,7 +186,7 @@
 	if !r.EverUsed("before") || !r.EverUsed("app") || r.EverUsed("other") {
 		t.Error("the former services of the route are not known")
 	}
-	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declaration == nil || len(body.Declaration.Routes) != 1 || len(body.Declaration.Routes[0].Earlier) != 1 {
+	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declaration == nil || len(body.Declaration.Routes) != 1 || len(body.Declaration.Routes[0].FormerServices) != 1 {
 		t.Errorf("children get no update: %+v", body)
 	}
 }
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -55,7 +55,7 @@
 	_msgpack        struct{} `msgpack:",as_array"`
 	Listen          []byte   // address and port in binary: 6 bytes instead of 17 in text
 	Backends        []wireBackend
-	Earlier         []int // indexes of the names of its former services
+	FormerServices  []int // indexes of the names of its former services
 	Idempotent      bool  // its requests may run twice
 	TargetLatencyMS int64 // an answer later than this is late
 	Priority        int
