--- a/contract.go
+++ b/contract.go
@@ -14,7 +14,9 @@
 	KindCall ServiceKind = "call" // HTTP, terminated by an entry
 )
 
-// Preference is what a customer prefers when entries have to trade few tracked flows for an even load.
+// Preference is which of two goals a customer prefers where they conflict: few tracked flows or an even load.
+// A tracked flow goes to another upstream than its preferred one, so that entries have to remember its
+// upstream.
 type Preference string
 
 // The preferences.
--- a/ids.go
+++ b/ids.go
@@ -34,7 +34,8 @@
 // WriteToken identifies one write attempt, so that the writer recognises its own write after a lost answer.
 type WriteToken string
 
-// Incarnation distinguishes the successive starts of one instance id; the higher one is the later.
+// Incarnation distinguishes the starts of one instance id. A later start has a higher one and supersedes the
+// earlier ones.
 type Incarnation uint64
 
 // FlowHash is the keyed hash of a flow's five-tuple (SipHash-2-4, Aumasson and Bernstein 2012), truncated to
--- a/route.go
+++ b/route.go
@@ -15,7 +15,7 @@
 type Route struct {
 	Listen         netip.AddrPort // the destination of callers' packets
 	Backends       []Backend
-	FormerServices []ServiceID   // former services, as reported by another entry; their flows continue
+	FormerServices []ServiceID   // former backends, as reported by another entry; their flows continue
 	Idempotent     bool          // its requests may be executed twice
 	Priority       int           // 0 is the most urgent
 	TargetLatency  time.Duration // an answer that takes longer is late; 0: no target is declared
