--- a/stoatcontract/contract_test.go
+++ b/stoatcontract/contract_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-// A contract is the same after it was formatted and parsed as INI, or encoded and decoded as JSON.
+// A contract stays the same when it is formatted and parsed as INI, or encoded and decoded as JSON.
 func TestRoundTrip(t *testing.T) {
 	draft, err := Parse("sawt.ini", readTestdata(t, "sawt.ini"))
 	if err != nil {
@@ -71,8 +71,8 @@
 	}
 }
 
-// A changed value is reported with its section, once as it was and once as it is.
-func TestDifferences(t *testing.T) {
+// A changed value is reported with its section, once as it was and once as it is now.
+func TestDiff(t *testing.T) {
 	a, err := Parse("sawt.ini", readTestdata(t, "sawt.ini"))
 	if err != nil {
 		t.Fatal(err)
--- a/stoatcontract/format.go
+++ b/stoatcontract/format.go
@@ -50,8 +50,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// Diff returns the lines, each with its section, that only one of the contracts has: those of a with
-// "-" and those of b with "+".
+// Diff returns the lines, each with its section, that only one of the contracts has: those of a with "-" and
+// those of b with "+".
 func Diff(a, b stoatpaddle.Contract) []string {
 	left, right := qualifiedLines(Format(a, 0)), qualifiedLines(Format(b, 0))
 	var out []string
--- a/stoatcontract/parse.go
+++ b/stoatcontract/parse.go
@@ -12,13 +12,13 @@
 // The maximum and default values of a contract's keys.
 const (
 	maxFlows  = 100_000_000
-	maxRate   = 10_000_000
+	maxRate   = 10_000_000 // a second
 	maxWeight = 10_000
 	maxSlots  = 1_000_000
 
-	defaultWeight      = 100
-	defaultSlots       = 3
-	defaultConnections = 2000
+	defaultWeight   = 100
+	defaultSlots    = 3    // concurrent calls
+	defaultMaxFlows = 2000 // open flows
 )
 
 // Draft is a contract that was read from an operator's file.
@@ -104,7 +104,7 @@
 			Addr:        sec.AddrPort("address", ""),
 			Weight:      stoatpaddle.Weight(sec.Int("weight", defaultWeight, 0, maxWeight)),
 			Slots:       sec.Int("slots", defaultSlots, 1, maxSlots),
-			MaxFlows:    sec.Int("connections", defaultConnections, 1, maxFlows),
+			MaxFlows:    sec.Int("connections", defaultMaxFlows, 1, maxFlows),
 			MaxOpenRate: sec.Int("opens", 0, 0, maxRate),
 		}
 		s := findService(c, stoatpaddle.ServiceID(name))
