--- a/stoatsetting/setting.go
+++ b/stoatsetting/setting.go
@@ -18,7 +18,7 @@
 	PeerAddr         netip.AddrPort   // listener for control messages from other entries, TCP
 	AdminAddr        netip.AddrPort   // listener of the administration API, HTTP
 	CallAddr         netip.AddrPort   // listener for callers' requests, HTTP
-	EgressAddr       netip.AddrPort   // where the fabric takes packets to callers, such as resets, UDP
+	EgressAddr       netip.AddrPort   // the fabric's address for packets to callers, such as resets, UDP
 	PlatformAddr     netip.AddrPort   // the platform's object API, HTTP
 	Seeds            []netip.AddrPort // peers to ask when the platform does not answer
 	Fabric           FabricKind       // the kind of fabric
@@ -26,8 +26,8 @@
 	ReadyAddr        netip.AddrPort   // listener for the fabric's readiness checks, HTTP; echo fabric only
 	MetricsAddr      netip.AddrPort   // listener that serves metrics only, HTTP; echo fabric only; invalid: none
 	MaxApplyDelay    time.Duration    // maximum delay until a change is in force; echo fabric only
-	MaxLeaveDelay    time.Duration    // the same for a leaving upstream; echo fabric only; 0: as MaxApplyDelay
-	MaxEvacuateDelay time.Duration    // the same for an evacuation; echo fabric only; 0: evacuations are not read
+	MaxLeaveDelay    time.Duration    // maximum delay until a leaving upstream gets no new flows; echo fabric only; 0: as MaxApplyDelay
+	MaxEvacuateDelay time.Duration    // maximum delay until an evacuation is in force; echo fabric only; 0: evacuations are not read
 	// Regions are the regions of data centres, for routes that allow only some regions; echo fabric only.
 	Regions      map[stoatpaddle.DataCentreID]stoatpaddle.RegionID
 	MemoryMB     float64       // the machine's memory, MB; echo fabric only; 0: not known
@@ -45,10 +45,10 @@
 
 // The kinds of fabric.
 const (
-	// FabricTunnel carries packets only: entries find a flow's upstream by its owner and by copies of the owner's
-	// records.
+	// FabricTunnel carries packets only: entries learn a flow's upstream from its owner or from a copy of the
+	// owner's records.
 	FabricTunnel FabricKind = "tunnel"
-	// FabricEcho returns with each packet of a flow what an entry wrote into the packet before.
+	// FabricEcho returns with each packet of a flow what an entry wrote into the flow's previous packet.
 	FabricEcho FabricKind = "echo"
 )
 
@@ -69,20 +69,20 @@
 	defaultApply    = 3 * time.Second
 	defaultLife     = 60 * time.Second
 	defaultReturn   = 2500 * time.Millisecond
-	maxShare        = 1024
-	maxLink         = 1e6
-	maxMemory       = 1e6
+	maxShare        = 1024 // cores
+	maxLink         = 1e6  // Mbit/s
+	maxMemory       = 1e6  // MB
 )
 
 // MaxDelay returns the shortest of the maximum delays until a change on the platform is in force.
 func (s Settings) MaxDelay() time.Duration {
-	bound := s.MaxApplyDelay
+	shortest := s.MaxApplyDelay
 	for _, d := range []time.Duration{s.MaxLeaveDelay, s.MaxEvacuateDelay} {
 		if d > 0 {
-			bound = min(bound, d)
+			shortest = min(shortest, d)
 		}
 	}
-	return bound
+	return shortest
 }
 
 // MemoryBytes returns the machine's memory in bytes; 0: not known.
--- a/stoatsetting/template_test.go
+++ b/stoatsetting/template_test.go
@@ -35,18 +35,18 @@
 		"{{bounds.grace_s}}", "6", "{{bounds.flow_lifetime_s}}", "60",
 	).Replace(string(template))
 	_, body, _ := strings.Cut(text, "\n")
-	if _, shown, _ := strings.Cut(string(want), "\n"); body != shown {
+	if _, wantBody, _ := strings.Cut(string(want), "\n"); body != wantBody {
 		t.Errorf("rendered template:\n%s", body)
 	}
-	set, err := stoatsetting.Parse("entry.ini", []byte(text))
-	if err != nil || set.Fabric != stoatsetting.FabricEcho || len(set.Seeds) != 3 || set.CPUShare != 0.4 || set.LinkMbps != 1000 || set.MemoryBytes() != 284<<20 || set.MaxDelay() != 3*time.Second || !set.MetricsAddr.IsValid() ||
-		set.MaxEvacuateDelay != 5*time.Second || set.Regions["seeb"] != "muscat" || len(set.Regions) != 2 {
-		t.Errorf("%+v %v", set, err)
+	settings, err := stoatsetting.Parse("entry.ini", []byte(text))
+	if err != nil || settings.Fabric != stoatsetting.FabricEcho || len(settings.Seeds) != 3 || settings.CPUShare != 0.4 || settings.LinkMbps != 1000 || settings.MemoryBytes() != 284<<20 || settings.MaxDelay() != 3*time.Second || !settings.MetricsAddr.IsValid() ||
+		settings.MaxEvacuateDelay != 5*time.Second || settings.Regions["seeb"] != "muscat" || len(settings.Regions) != 2 {
+		t.Errorf("%+v %v", settings, err)
 	}
 }
 
 // The platform is read as often as the shortest of the maximum delays requires, whichever that is.
-func TestBound(t *testing.T) {
+func TestMaxDelay(t *testing.T) {
 	for _, c := range []struct{ apply, leave, evacuate, want time.Duration }{
 		{3 * time.Second, 0, 0, 3 * time.Second},
 		{3 * time.Second, 5 * time.Second, 0, 3 * time.Second},
