--- a/stoatevent/async_writer.go
+++ b/stoatevent/async_writer.go
@@ -12,35 +12,36 @@
 	dropped atomic.Int64
 }
 
-// queueLines is the capacity of the queue: the lines of one second of the busiest start.
+// queueLines is the capacity of the queue, enough for the lines of one second of an entry's busiest
+// start.
 const queueLines = 1024
 
 // NewAsyncWriter returns an AsyncWriter. The caller has to start its Run method.
 func NewAsyncWriter() *AsyncWriter { return &AsyncWriter{queue: make(chan []byte, queueLines)} }
 
 // Write queues a line, or drops it if the queue is full.
-func (p *AsyncWriter) Write(line []byte) (int, error) {
+func (a *AsyncWriter) Write(line []byte) (int, error) {
 	select {
-	case p.queue <- append([]byte(nil), line...):
+	case a.queue <- append([]byte(nil), line...):
 	default:
-		p.dropped.Add(1)
+		a.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
 // Dropped returns the number of dropped lines.
-func (p *AsyncWriter) Dropped() int64 { return p.dropped.Load() }
+func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 // maxBatch is the size in bytes from which on a write gets no further lines.
 const maxBatch = 32 << 10
 
 // Run writes the queued lines to w until Close. Lines that are in the queue together go into one write.
-func (p *AsyncWriter) Run(w io.Writer) error {
+func (a *AsyncWriter) Run(w io.Writer) error {
 	var batch []byte
-	for line := range p.queue {
+	for line := range a.queue {
 		batch = append(batch[:0], line...)
-		for len(batch) < maxBatch && len(p.queue) > 0 {
-			batch = append(batch, <-p.queue...)
+		for len(batch) < maxBatch && len(a.queue) > 0 {
+			batch = append(batch, <-a.queue...)
 		}
 		if _, err := w.Write(batch); err != nil {
 			return err
@@ -50,4 +51,4 @@
 }
 
 // Close makes Run return after it has written the queued lines. Write must not be called afterwards.
-func (p *AsyncWriter) Close() { close(p.queue) }
+func (a *AsyncWriter) Close() { close(a.queue) }
--- a/stoatevent/bounds_test.go
+++ b/stoatevent/bounds_test.go
@@ -9,19 +9,19 @@
 )
 
 // Nobody reads the log. Write must not block, and the lines that do not fit into the queue must be counted.
-func TestPipeNeverBlocks(t *testing.T) {
-	p := stoatevent.NewAsyncWriter()
+func TestAsyncWriterNeverBlocks(t *testing.T) {
+	w := stoatevent.NewAsyncWriter()
 	for range 3000 {
-		if n, err := p.Write([]byte("line\n")); n != 5 || err != nil {
+		if n, err := w.Write([]byte("line\n")); n != 5 || err != nil {
 			t.Fatal(n, err)
 		}
 	}
-	if p.Dropped() != 3000-1024 {
-		t.Error(p.Dropped())
+	if w.Dropped() != 3000-1024 {
+		t.Error(w.Dropped())
 	}
 	var out bytes.Buffer
-	p.Close()
-	if err := p.Run(&out); err != nil || out.Len() != 1024*5 {
+	w.Close()
+	if err := w.Run(&out); err != nil || out.Len() != 1024*5 {
 		t.Error(out.Len(), err)
 	}
 }
@@ -43,7 +43,7 @@
 		t.Error(got)
 	}
 	if len(s.TakeOmitted()) != 0 || len(s.TotalOmitted()) != 1 {
-		t.Error("Take counted a line twice, or Total lost it")
+		t.Error("TakeOmitted returned a line twice, or TotalOmitted lost it")
 	}
 	if !s.Allow(now.Add(time.Second), limited) {
 		t.Error("omitted in the next second")
--- a/stoatevent/catalogue.go
+++ b/stoatevent/catalogue.go
@@ -47,8 +47,8 @@
 
 var catalogue = map[Number]*Definition{}
 
-// Register adds an entry to the catalogue and returns it. It panics with *DuplicateNumberError if the number
-// is in use.
+// Register adds a definition to the catalogue and returns it. It panics with *DuplicateNumberError if the
+// number is in use.
 func Register(e Definition) *Definition {
 	if _, taken := catalogue[e.Number]; taken {
 		panic(&DuplicateNumberError{Number: e.Number})
@@ -57,7 +57,7 @@
 	return &e
 }
 
-// All returns the catalogue's entries, ascending by number.
+// All returns the definitions in the catalogue, ascending by number.
 func All() []*Definition {
 	out := make([]*Definition, 0, len(catalogue))
 	for _, e := range catalogue {
@@ -67,7 +67,7 @@
 	return out
 }
 
-// Lookup returns the entry with the number, given in its printed form, or *UnknownNumberError.
+// Lookup returns the definition with the number, given in its printed form, or *UnknownNumberError.
 func Lookup(number string) (*Definition, error) {
 	for _, e := range catalogue {
 		if strings.EqualFold(e.Number.String(), number) {
--- a/stoatevent/sampler.go
+++ b/stoatevent/sampler.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sampler limits how many lines a second are written of an event, and counts the omitted ones.
+// Sampler limits the number of lines a second that are written for each event, and counts the omitted ones.
 type Sampler struct {
 	mu           sync.Mutex
 	limits       map[Number]int // lines a second; an event without a limit is never omitted
