--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -125,8 +125,8 @@
 // Every upstream refuses the call without starting it, or cannot be reached. The caller must get "not run" and
 // a Retry-After. If another upstream has a free slot, the caller must get its answer instead.
 func TestRefusals(t *testing.T) {
-	closed := netip.MustParseAddrPort("127.0.0.1:1")
-	h, url := startEntry(t, 10, startUpstream(t, refuseCall), closed)
+	unreachable := netip.MustParseAddrPort("127.0.0.1:1")
+	h, url := startEntry(t, 10, startUpstream(t, refuseCall), unreachable)
 	res, body, err := sendRequest(t, http.MethodPost, url, "")
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" || !strings.Contains(body, "SP1304") {
 		t.Fatal(res, body, err)
@@ -134,7 +134,7 @@
 	if h.Stats().Attempts.Load() != 2 {
 		t.Error(h.Stats().Attempts.Load(), "attempts")
 	}
-	_, url = startEntry(t, 10, startUpstream(t, refuseCall), closed, startUpstream(t, echoBody))
+	_, url = startEntry(t, 10, startUpstream(t, refuseCall), unreachable, startUpstream(t, echoBody))
 	if res, _, err := sendRequest(t, http.MethodPost, url, ""); err != nil || res.StatusCode != http.StatusOK {
 		t.Fatal(res, err)
 	}
@@ -188,8 +188,7 @@
 	}
 }
 
-// A caller disconnects in the middle of its upload. The slot must become free again, whatever the
-// upstream does.
+// A caller disconnects in the middle of its upload. The slot must become free again, whatever the upstream does.
 func TestCallerDisconnects(t *testing.T) {
 	done := make(chan struct{})
 	h, url := startEntry(t, 10, startUpstream(t, func(_ net.Conn, r *http.Request) {
--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -25,7 +25,7 @@
 	dialTimeout           = 2 * time.Second
 	// maxAttempts is the maximum number of upstreams that one call tries.
 	maxAttempts    = 3
-	copyBufferSize = 64 << 10
+	copyBufferSize = 64 << 10 // bytes
 	// retryAfterSeconds is the Retry-After value of a refusal.
 	retryAfterSeconds = 1
 )
--- a/stoatcall/problem.go
+++ b/stoatcall/problem.go
@@ -28,7 +28,7 @@
 	ProblemNoCapacity = stoatevent.Register(stoatevent.Definition{
 		Number: 1304, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "not run: no upstream has room",
-		Text:  "Every upstream of the service refused the call or has all its slots in use. The call was not run; Retry-After says when to retry.",
+		Text:  "The upstreams that the entry tried refused the call or could not be reached, or no upstream had a free slot. The call was not run; Retry-After says when to retry.",
 	})
 	ProblemUnknownOutcome = stoatevent.Register(stoatevent.Definition{
 		Number: 1305, Severity: stoatevent.Warning, Since: "0.1",
