--- a/stoatcommand/operate.go
+++ b/stoatcommand/operate.go
@@ -181,8 +181,7 @@
 	Silent  []string             `json:"silent"` // entries that did not answer
 }
 
-// run asks one entry for the list of all entries, then each entry for its own status. That is one call per
-// entry, however many there are.
+// run gets the list of all entries from one entry, then the status of each with one call per entry.
 func (a *statusArgs) run(c *env) error {
 	var cs clusterStatus
 	first, err := a.client().Status(c.ctx)
--- a/stoatcommand/report.go
+++ b/stoatcommand/report.go
@@ -8,7 +8,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatstatus"
 )
 
-// objective is the ratio of flows and calls that have to be good.
+// objective is the fraction of flows and calls that has to be good.
 //
 // TODO(objectives): read it from the contract, per customer and for several time windows, and store the counts
 // on the platform, so that they outlive the instances.
@@ -21,7 +21,7 @@
 	What string  `json:"what"`
 	Good int64   `json:"good"`
 	Bad  int64   `json:"bad"`
-	Used float64 `json:"used"` // ratio of the error budget; above 1 the objective is missed
+	Used float64 `json:"used"` // fraction of the error budget; above 1 the objective is missed
 }
 
 type errorBudgetReport struct {
--- a/stoatcommand/run_entry.go
+++ b/stoatcommand/run_entry.go
@@ -24,14 +24,14 @@
 	if err != nil {
 		return err
 	}
-	set, err := stoatsetting.Parse(a.Config, data)
+	settings, err := stoatsetting.Parse(a.Config, data)
 	if err != nil {
 		return &SettingsError{Cause: err}
 	}
-	if set.Fabric == stoatsetting.FabricEcho {
-		return stoatprocess.Run(c.ctx, stoatprocess.Config{File: a.Config, Text: data, Settings: set, Log: c.out})
+	if settings.Fabric == stoatsetting.FabricEcho {
+		return stoatprocess.Run(c.ctx, stoatprocess.Config{File: a.Config, Text: data, Settings: settings, Log: c.out})
 	}
-	e, err := stoatentry.Start(context.WithoutCancel(c.ctx), stoatentry.Config{Settings: set, Log: c.err})
+	e, err := stoatentry.Start(context.WithoutCancel(c.ctx), stoatentry.Config{Settings: settings, Log: c.err})
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 }
 
 // The parameters of the experiment that --spread selects. Slots and request time are those of the larger
-// deployments. The duration is long enough for one percent of the requests to be some hundreds.
+// deployments. The duration is long enough for the slowest one percent to be some hundreds of requests.
 const (
 	spreadSlots       = 2
 	spreadRequestTime = 45 * time.Millisecond
@@ -67,8 +67,8 @@
 )
 
 func (a *measureArgs) run(c *env) error {
-	lean := stoatpaddle.Preference(a.Lean)
-	if a.Entries < 5 || a.Upstreams < 4 || a.Flows < 1 || a.Opens <= 0 || lean != stoatpaddle.PreferFewTracked && lean != stoatpaddle.PreferBalance {
+	preference := stoatpaddle.Preference(a.Lean)
+	if a.Entries < 5 || a.Upstreams < 4 || a.Flows < 1 || a.Opens <= 0 || preference != stoatpaddle.PreferFewTracked && preference != stoatpaddle.PreferBalance {
 		return &UsageError{Problem: "measure needs at least 5 entries, 4 upstreams, 1 flow, a positive rate, and lean = flows or balance"}
 	}
 	if a.Spread {
@@ -83,7 +83,7 @@
 		return stoatmeasure.ReportOverload(c.ctx, a.Seed, a.Parallel, a.JSON, c.out)
 	}
 	plan := stoatmeasure.Plan{Only: a.Only, Parallel: a.Parallel, Config: stoatmeasure.Config{
-		Entries: a.Entries, Upstreams: a.Upstreams, Flows: a.Flows, Opens: a.Opens, Lean: lean, Gain: a.Gain, Seed: a.Seed,
+		Entries: a.Entries, Upstreams: a.Upstreams, Flows: a.Flows, Opens: a.Opens, Lean: preference, Gain: a.Gain, Seed: a.Seed,
 	}}
 	if a.Curve {
 		return stoatmeasure.RunCurve(c.ctx, plan, a.JSON, c.out)
