--- a/stoatsoak/run_faults.go
+++ b/stoatsoak/run_faults.go
@@ -184,18 +184,18 @@
 			w.changeRoutes(s.Target + i)
 		}
 		w.replace(s.Target)
-		w.after(beforeDown, func() { w.store.Set(stoatfake.Trouble{Down: true}) })
+		w.after(beforeDown, func() { w.store.SetFaults(stoatfake.Faults{Down: true}) })
 	case StoreDown:
-		w.store.Set(stoatfake.Trouble{Down: true})
+		w.store.SetFaults(stoatfake.Faults{Down: true})
 		w.lapse()
 	case StoreSlow:
-		w.store.Set(stoatfake.Trouble{Slow: 200 * time.Millisecond})
+		w.store.SetFaults(stoatfake.Faults{Delay: 200 * time.Millisecond})
 	case StoreLag:
-		w.store.Set(stoatfake.Trouble{Lagging: true})
+		w.store.SetFaults(stoatfake.Faults{StaleReplicas: true})
 	case StoreMute:
-		w.store.Set(stoatfake.Trouble{SilentWatch: true})
+		w.store.SetFaults(stoatfake.Faults{SilentWatches: true})
 	case Forget:
-		w.store.Forget()
+		w.store.CompactHistory()
 	case Refuse:
 		e.store.setRefuse(true)
 	case Silence:
@@ -219,10 +219,10 @@
 	case Restore:
 		w.after(beforeDown, func() { w.restoreStore(s) })
 	case StoreDown:
-		w.store.Set(stoatfake.Trouble{})
+		w.store.SetFaults(stoatfake.Faults{})
 		w.after(time.Second, w.comeBack)
 	case StoreSlow, StoreLag, StoreMute:
-		w.store.Set(stoatfake.Trouble{})
+		w.store.SetFaults(stoatfake.Faults{})
 	case Refuse:
 		e.store.setRefuse(false)
 	case OneWay:
--- a/stoatsoak/run_world.go
+++ b/stoatsoak/run_world.go
@@ -77,7 +77,7 @@
 	evacuated string // a data centre
 	// evacuatedAt is when the store took that.
 	evacuatedAt time.Duration
-	copies      []stoatfake.Copy // of the store, the latest ones
+	copies      []stoatfake.Snapshot // of the store, the latest ones
 }
 
 // routed is a route that was added or removed at a time.
