--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -42,25 +42,25 @@
 	return fmt.Sprintf("%6.2f s %s: %s", b.At.Seconds(), b.Promise, b.What)
 }
 
-// span is a disturbance; to is 0 while it goes on.
-type span struct {
+// disturbance is a disturbance; to is 0 while it goes on.
+type disturbance struct {
 	from, to time.Duration
-	load     bool // callers wait longer, or are refused, and nothing else changes
+	overload bool // callers wait longer, or are refused, and nothing else changes
 }
 
 // checker gathers what callers and upstreams see. Times count from the start of the run.
 type checker struct {
-	mu       sync.Mutex
-	bounds   Bounds
-	troubles []*span
-	tick     time.Duration              // when the run last noted that it goes on; 0: it is not watched
-	runs     map[string]int             // of requests that may not be repeated, by id
-	versions map[string]int             // the highest configuration an entry's life said to be in force
-	colds    map[string][]time.Duration // when a cold upstream got new flows
-	full     time.Duration              // when no upstream last had room; 0: always one did
-	breaches []Breach
-	counts   Counts
-	noticed  func(p Promise) // called at each breach, or nil
+	mu           sync.Mutex
+	limits       Bounds
+	disturbances []*disturbance
+	lastTick     time.Duration              // when the run last noted that it goes on; 0: it is not watched
+	runCounts    map[string]int             // of requests that may not be repeated, by id
+	maxVersions  map[string]int             // the highest configuration an entry's life said to be in force
+	coldOpens    map[string][]time.Duration // when a cold upstream got new flows
+	noRoomAt     time.Duration              // when no upstream last had room; 0: always one did
+	breaches     []Breach
+	counts       Counts
+	onBreach     func(p Promise) // called at each breach, or nil
 }
 
 // Bounds are what the promises with a time say.
@@ -81,55 +81,55 @@
 }
 
 func newChecker(b Bounds) *checker {
-	return &checker{bounds: b, runs: map[string]int{}, versions: map[string]int{}, colds: map[string][]time.Duration{}}
+	return &checker{limits: b, runCounts: map[string]int{}, maxVersions: map[string]int{}, coldOpens: map[string][]time.Duration{}}
 }
 
 func (c *checker) breach(now time.Duration, p Promise, format string, args ...any) {
-	if c.bounds.Untimed && p.timed() {
+	if c.limits.Untimed && p.timed() {
 		return
 	}
 	c.breaches = append(c.breaches, Breach{At: now, Promise: p, What: fmt.Sprintf(format, args...)})
-	if c.noticed != nil {
-		c.noticed(p)
+	if c.onBreach != nil {
+		c.onBreach(p)
 	}
 }
 
-// begin notes a disturbance and returns what ends it.
-func (c *checker) begin(now time.Duration) func(now time.Duration) {
-	return c.note(&span{from: now})
+// beginDisturbance notes a disturbance and returns what ends it.
+func (c *checker) beginDisturbance(now time.Duration) func(now time.Duration) {
+	return c.addDisturbance(&disturbance{from: now})
 }
 
-// load notes that upstreams are loaded, and returns what ends it.
-func (c *checker) load(now time.Duration) func(now time.Duration) {
-	return c.note(&span{from: now, load: true})
+// beginOverload notes that upstreams are loaded, and returns what ends it.
+func (c *checker) beginOverload(now time.Duration) func(now time.Duration) {
+	return c.addDisturbance(&disturbance{from: now, overload: true})
 }
 
-func (c *checker) note(s *span) func(now time.Duration) {
+func (c *checker) addDisturbance(d *disturbance) func(now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.troubles = append(c.troubles, s)
+	c.disturbances = append(c.disturbances, d)
 	return func(now time.Duration) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		s.to = now
+		d.to = now
 	}
 }
 
-// calm tells whether nothing disturbed the system from some time before since until now.
-func (c *checker) calm(since, now time.Duration) bool {
+// undisturbed tells whether nothing disturbed the system from some time before since until now.
+func (c *checker) undisturbed(since, now time.Duration) bool {
 	if c.stalled(now) {
 		return false
 	}
-	for _, s := range c.troubles {
-		if !s.load && s.from <= now && (s.to == 0 || s.to+c.bounds.Stable >= since) {
+	for _, d := range c.disturbances {
+		if !d.overload && d.from <= now && (d.to == 0 || d.to+c.limits.Stable >= since) {
 			return false
 		}
 	}
 	return true
 }
 
-// ran notes that an upstream of a service began a request for a route of another, or the same.
-func (c *checker) ran(now time.Duration, id, service, wanted string, repeatable bool) {
+// requestRan notes that an upstream of a service began a request for a route of another, or the same.
+func (c *checker) requestRan(now time.Duration, id, service, wanted string, repeatable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if service != wanted {
@@ -138,13 +138,13 @@
 	if repeatable {
 		return
 	}
-	if c.runs[id]++; c.runs[id] == 2 {
+	if c.runCounts[id]++; c.runCounts[id] == 2 {
 		c.breach(now, Once, "request %s ran twice", id)
 	}
 }
 
-// answered notes an answer.
-func (c *checker) answered(now time.Duration, id, got string) {
+// gotAnswer notes an answer.
+func (c *checker) gotAnswer(now time.Duration, id, got string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id != got {
@@ -152,123 +152,123 @@
 	}
 }
 
-// wasReset notes that an entry reset an open flow, whose upstream lives all the while.
-func (c *checker) wasReset(now time.Duration, flow, upstream string) {
+// flowReset notes that an entry reset an open flow, whose upstream lives all the while.
+func (c *checker) flowReset(now time.Duration, flow, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Resets++
-	if c.calm(now, now) {
+	if c.undisturbed(now, now) {
 		c.breach(now, FlowLives, "flow %s was reset while %s lives", flow, upstream)
 	}
 }
 
-// openedAt notes an opening at an upstream that was marked as leaving at that time.
-func (c *checker) openedAt(now, left time.Duration, upstream string) {
+// openedAtLeaving notes an opening at an upstream that was marked as leaving at that time.
+func (c *checker) openedAtLeaving(now, leftAt time.Duration, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if late := now - left; late > c.bounds.Apply+c.bounds.Slack && c.calm(left, now) {
-		c.breach(now, Drained, "%s got a new flow %s after it was marked as leaving", upstream, late)
+	if delay := now - leftAt; delay > c.limits.Apply+c.limits.Slack && c.undisturbed(leftAt, now) {
+		c.breach(now, Drained, "%s got a new flow %s after it was marked as leaving", upstream, delay)
 	}
 }
 
-// openedThere notes an opening at an upstream of a data centre that was evacuated at that time.
-func (c *checker) openedThere(now, since time.Duration, upstream, centre string) {
+// openedAtEvacuated notes an opening at an upstream of a data centre that was evacuated at that time.
+func (c *checker) openedAtEvacuated(now, since time.Duration, upstream, centre string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if late := now - since; late > c.bounds.Apply+c.bounds.Slack && c.calm(since, now) {
-		c.breach(now, Evacuated, "%s got a new flow %s after %s was evacuated", upstream, late, centre)
+	if delay := now - since; delay > c.limits.Apply+c.limits.Slack && c.undisturbed(since, now) {
+		c.breach(now, Evacuated, "%s got a new flow %s after %s was evacuated", upstream, delay, centre)
 	}
 }
 
 // Of what a cold upstream bears, as its service says it, so much more may come in a second: copies of
 // openings, and flows that were under way when it said that it is cold.
 const (
-	coldOver  = 1.5
-	coldSlack = 5
+	coldFactor = 1.5
+	coldSlack  = 5
 )
 
-// openedCold notes a new flow at an upstream that is cold and bears so many a second.
-func (c *checker) openedCold(now time.Duration, upstream string, rate float64) {
+// openedAtCold notes a new flow at an upstream that is cold and bears so many a second.
+func (c *checker) openedAtCold(now time.Duration, upstream string, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	recent := []time.Duration{now}
-	for _, at := range c.colds[upstream] {
+	for _, at := range c.coldOpens[upstream] {
 		if now-at < time.Second {
 			recent = append(recent, at)
 		}
 	}
-	c.colds[upstream] = recent
-	if most := coldOver*rate + coldSlack; float64(len(recent)) > most && !c.stalled(now) {
-		c.breach(now, Spared, "%s is cold and got %d new flows within a second, %g are allowed", upstream, len(recent), most)
+	c.coldOpens[upstream] = recent
+	if limit := coldFactor*rate + coldSlack; float64(len(recent)) > limit && !c.stalled(now) {
+		c.breach(now, Spared, "%s is cold and got %d new flows within a second, %g are allowed", upstream, len(recent), limit)
 	}
 }
 
-// look is what a new flow to a route met at one entry.
-type look struct {
-	entry, life string
-	route       string
-	allowed     bool // by the configuration
-	version     int  // of it
-	acked       time.Duration
-	opened      bool
-	room        bool // an upstream of the route's service serves, is warm and may get flows
+// probeResult is what a new flow to a route met at one entry.
+type probeResult struct {
+	entry, process string
+	route          string
+	allowed        bool // by the configuration
+	version        int  // of it
+	ackedAt        time.Duration
+	opened         bool
+	hasRoom        bool // an upstream of the route's service serves, is warm and may get flows
 }
 
-// loadTail is how long after a load an entry may go on refusing: its answers of late were slow.
-const loadTail = time.Second
+// overloadTail is how long after a load an entry may go on refusing: its answers of late were slow.
+const overloadTail = time.Second
 
-// looked checks what a new flow met. One that is refused although its route is in force there was refused for
+// routeProbed checks what a new flow met. One that is refused although its route is in force there was refused for
 // want of room, which only a load excuses.
-func (c *checker) looked(now time.Duration, l look) {
+func (c *checker) routeProbed(now time.Duration, p probeResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !l.room {
-		c.full = max(1, now)
+	if !p.hasRoom {
+		c.noRoomAt = max(1, now)
 	}
-	if now-l.acked <= c.bounds.Apply+c.bounds.Slack || !c.calm(l.acked, now) || l.allowed == l.opened {
+	if now-p.ackedAt <= c.limits.Apply+c.limits.Slack || !c.undisturbed(p.ackedAt, now) || p.allowed == p.opened {
 		return
 	}
-	if l.allowed && c.versions[l.life] >= l.version {
-		if !c.loaded(now) {
-			c.breach(now, Admits, "%s: route %s is in force and refuses a flow, with room at upstreams", l.entry, l.route)
+	if p.allowed && c.maxVersions[p.process] >= p.version {
+		if !c.overloaded(now) {
+			c.breach(now, Admits, "%s: route %s is in force and refuses a flow, with room at upstreams", p.entry, p.route)
 		}
 		return
 	}
-	c.breach(now, InForce, "%s: route %s: allowed %t, opened %t, %s after the change", l.entry, l.route, l.allowed, l.opened, now-l.acked)
+	c.breach(now, InForce, "%s: route %s: allowed %t, opened %t, %s after the change", p.entry, p.route, p.allowed, p.opened, now-p.ackedAt)
 }
 
-// loaded tells whether upstreams are loaded, or were a moment ago.
-func (c *checker) loaded(now time.Duration) bool {
-	if c.full > 0 && c.full+loadTail+c.bounds.Slack >= now {
+// overloaded tells whether upstreams are overloaded, or were a moment ago.
+func (c *checker) overloaded(now time.Duration) bool {
+	if c.noRoomAt > 0 && c.noRoomAt+overloadTail+c.limits.Slack >= now {
 		return true
 	}
-	for _, s := range c.troubles {
-		if s.load && s.from <= now && (s.to == 0 || s.to+loadTail+c.bounds.Slack >= now) {
+	for _, d := range c.disturbances {
+		if d.overload && d.from <= now && (d.to == 0 || d.to+overloadTail+c.limits.Slack >= now) {
 			return true
 		}
 	}
 	return false
 }
 
-// inForce notes the version that a life of an entry says to be in force.
-func (c *checker) inForce(now time.Duration, life string, version int) {
+// versionApplied notes the version that a life of an entry says to be in force.
+func (c *checker) versionApplied(now time.Duration, life string, version int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version < c.versions[life] {
-		c.breach(now, NeverBack, "%s went back from version %d to %d", life, c.versions[life], version)
+	if version < c.maxVersions[life] {
+		c.breach(now, NeverBack, "%s went back from version %d to %d", life, c.maxVersions[life], version)
 	}
-	c.versions[life] = max(c.versions[life], version)
+	c.maxVersions[life] = max(c.maxVersions[life], version)
 }
 
-// ended notes that an entry ended by itself.
-func (c *checker) ended(now time.Duration, entry, how string) {
+// entryExited notes that an entry entryExited by itself.
+func (c *checker) entryExited(now time.Duration, entry, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.breach(now, Runs, "%s ended by itself: %s", entry, how)
+	c.breach(now, Runs, "%s ended by itself: %s", entry, status)
 }
 
-// tried counts a request, and checks that it was served if it may be expected.
-func (c *checker) tried(now, began time.Duration, route string, served, late bool) {
+// requestDone counts a request, and checks that it was served if it may be expected.
+func (c *checker) requestDone(now, began time.Duration, route string, served, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Asked++
@@ -279,24 +279,24 @@
 		c.counts.Served++
 	default:
 		c.counts.Failed++
-		if c.quiet(began, now) {
+		if c.shouldServe(began, now) {
 			c.breach(now, Recovers, "a request to %s begun at %.2f s was not served", route, began.Seconds())
 		}
 	}
 }
 
-// quiet tells whether a request had nothing against it: no disturbance for longer than
+// shouldServe tells whether a request had nothing against it: no disturbance for longer than
 // recovery may take.
-func (c *checker) quiet(since, now time.Duration) bool {
-	for _, s := range c.troubles {
-		if s.from <= now && (s.to == 0 || s.to+c.bounds.Back >= since) {
+func (c *checker) shouldServe(since, now time.Duration) bool {
+	for _, d := range c.disturbances {
+		if d.from <= now && (d.to == 0 || d.to+c.limits.Back >= since) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *checker) opened() {
+func (c *checker) flowOpened() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Flows++
--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -44,13 +44,15 @@
 )
 
 var (
-	planned      = []Kind{Terminate, Rolling, Drain, Release, Routes, Storm, Settings, Foreign}
-	beside       = []Kind{Evacuate, Queue} // come beside the others
-	disturbances = []Kind{Kill, KillAll, Freeze, Crash, Restart, StoreDown, StoreSlow, StoreLag, StoreMute, Forget, Refuse, Silence, OneWay, Lossy}
+	plannedKinds     = []Kind{Terminate, Rolling, Drain, Release, Routes, Storm, Settings, Foreign}
+	overlappingKinds = []Kind{Evacuate, Queue} // come beside the others
+	disturbanceKinds = []Kind{Kill, KillAll, Freeze, Crash, Restart, StoreDown, StoreSlow, StoreLag, StoreMute, Forget, Refuse, Silence, OneWay, Lossy}
 )
 
 // Planned tells whether every promise holds while it goes on.
-func (k Kind) Planned() bool { return slices.Contains(planned, k) || slices.Contains(beside, k) }
+func (k Kind) Planned() bool {
+	return slices.Contains(plannedKinds, k) || slices.Contains(overlappingKinds, k)
+}
 
 // Step is one fault or change of a plan.
 type Step struct {
@@ -71,11 +73,11 @@
 	// coolDown passes after the last one: what it broke must be whole by the end.
 	coolDown = 8 * time.Second
 	// stepGap is the mean pause between two steps: they overlap half of the time.
-	stepGap = 3 * time.Second
-	longest = 4 * time.Second
-	// besideLongest is the same for steps that come beside the others: what has to hold some seconds
+	stepGap         = 3 * time.Second
+	maxStepDuration = 4 * time.Second
+	// maxOverlappingDuration is the same for steps that come beside the others: what has to hold some seconds
 	// after they began is seen.
-	besideLongest = 2 * longest
+	maxOverlappingDuration = 2 * maxStepDuration
 )
 
 // NewPlan returns the steps of a run, the same for the same seed and length.
@@ -83,15 +85,15 @@
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	var steps []Step
 	for at := warmUp; at < length-coolDown; at += stepGap/2 + time.Duration(rnd.Int64N(int64(stepGap))) {
-		kinds := planned
+		kinds := plannedKinds
 		if rnd.IntN(2) == 0 {
-			kinds = disturbances
+			kinds = disturbanceKinds
 		}
 		s := Step{At: at, Kind: kinds[rnd.IntN(len(kinds))], Target: rnd.IntN(1000)}
-		s.For = time.Second + time.Duration(rnd.Int64N(int64(longest-time.Second))).Truncate(time.Millisecond)
+		s.For = time.Second + time.Duration(rnd.Int64N(int64(maxStepDuration-time.Second))).Truncate(time.Millisecond)
 		steps = append(steps, s)
 	}
-	return mix(steps, seed, length)
+	return addOverlapping(steps, seed, length)
 }
 
 // restoreGap is the mean pause between two restores: operators and upstreams write again, and what that
@@ -103,27 +105,27 @@
 func NewRestorePlan(seed uint64, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 17))
 	duration := func() time.Duration {
-		return 100*time.Millisecond + time.Duration(rnd.Int64N(int64(longest))).Truncate(time.Millisecond)
+		return 100*time.Millisecond + time.Duration(rnd.Int64N(int64(maxStepDuration))).Truncate(time.Millisecond)
 	}
 	var steps []Step
 	for at := warmUp; at < length-coolDown; at += stepGap/2 + time.Duration(rnd.Int64N(int64(stepGap))) {
-		steps = append(steps, Step{At: at, Kind: planned[rnd.IntN(len(planned))], Target: rnd.IntN(1000), For: duration()})
+		steps = append(steps, Step{At: at, Kind: plannedKinds[rnd.IntN(len(plannedKinds))], Target: rnd.IntN(1000), For: duration()})
 	}
 	for at := 2 * warmUp; at < length-coolDown; at += restoreGap/2 + time.Duration(rnd.Int64N(int64(restoreGap))) {
 		steps = append(steps, Step{At: at, Kind: Restore, Target: rnd.IntN(1000), For: duration()})
 	}
-	return mix(steps, seed, length)
+	return addOverlapping(steps, seed, length)
 }
 
-// besideGap is the mean pause between two steps that come beside the others.
-const besideGap = 7 * time.Second
+// overlappingGap is the mean pause between two steps that come beside the others.
+const overlappingGap = 7 * time.Second
 
-// mix adds steps beside those of a plan, which stay what they are for the seed.
-func mix(steps []Step, seed uint64, length time.Duration) []Step {
+// addOverlapping adds steps beside those of a plan, which stay what they are for the seed.
+func addOverlapping(steps []Step, seed uint64, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 13))
-	for at := warmUp + time.Duration(rnd.Int64N(int64(besideGap))); at < length-coolDown; at += besideGap/2 + time.Duration(rnd.Int64N(int64(besideGap))) {
-		s := Step{At: at, Kind: beside[rnd.IntN(len(beside))], Target: rnd.IntN(1000)}
-		s.For = longest + time.Duration(rnd.Int64N(int64(besideLongest-longest))).Truncate(time.Millisecond)
+	for at := warmUp + time.Duration(rnd.Int64N(int64(overlappingGap))); at < length-coolDown; at += overlappingGap/2 + time.Duration(rnd.Int64N(int64(overlappingGap))) {
+		s := Step{At: at, Kind: overlappingKinds[rnd.IntN(len(overlappingKinds))], Target: rnd.IntN(1000)}
+		s.For = maxStepDuration + time.Duration(rnd.Int64N(int64(maxOverlappingDuration-maxStepDuration))).Truncate(time.Millisecond)
 		steps = append(steps, s)
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
--- a/stoatsoak/planfile.go
+++ b/stoatsoak/planfile.go
@@ -11,8 +11,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// stepWant is how a step is written, as String does it.
-const stepWant = "a step, as in 6.82 s routes 790 for 1.564s"
+// stepFormat is how a step is written, as String does it.
+const stepFormat = "a step, as in 6.82 s routes 790 for 1.564s"
 
 // StepError reports a line of a plan that is no step.
 type StepError struct {
@@ -22,7 +22,7 @@
 
 // Error names the line.
 func (e *StepError) Error() string {
-	return fmt.Sprintf("line %d is %q, expected %s", e.Line, e.Got, stepWant)
+	return fmt.Sprintf("line %d is %q, expected %s", e.Line, e.Got, stepFormat)
 }
 
 // ReadPlan reads steps as a run prints them, a line each; what is behind # is a comment. A seed gives other
@@ -36,7 +36,7 @@
 		if strings.TrimSpace(text) == "" {
 			continue
 		}
-		s, ok := readStep(text)
+		s, ok := parseStep(text)
 		if !ok || len(steps) > 0 && s.At < steps[len(steps)-1].At {
 			return nil, &StepError{Line: n, Got: strings.TrimSpace(text)}
 		}
@@ -48,15 +48,15 @@
 	return steps, nil
 }
 
-func readStep(text string) (Step, bool) {
+func parseStep(text string) (Step, bool) {
 	var at float64
-	var kind, lasts string
+	var kind, duration string
 	var s Step
-	if n, err := fmt.Sscanf(text, "%f s %s %d for %s", &at, &kind, &s.Target, &lasts); err != nil || n != 4 {
+	if n, err := fmt.Sscanf(text, "%f s %s %d for %s", &at, &kind, &s.Target, &duration); err != nil || n != 4 {
 		return Step{}, false
 	}
-	d, err := time.ParseDuration(lasts)
+	d, err := time.ParseDuration(duration)
 	s.At, s.Kind, s.For = time.Duration(at*float64(time.Second)), Kind(kind), d
-	known := s.Kind.Planned() || slices.Contains(disturbances, s.Kind) || s.Kind == Restore
+	known := s.Kind.Planned() || slices.Contains(disturbanceKinds, s.Kind) || s.Kind == Restore
 	return s, err == nil && known && at >= 0 && d >= 0
 }
--- a/stoatsoak/planfile_test.go
+++ b/stoatsoak/planfile_test.go
@@ -35,7 +35,7 @@
 }
 
 // The plans that are kept for what they once showed can be read.
-func TestKeptPlans(t *testing.T) {
+func TestStoredPlans(t *testing.T) {
 	files, err := os.ReadDir("testdata/plans")
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
--- a/stoatsoak/report.go
+++ b/stoatsoak/report.go
@@ -31,23 +31,23 @@
 		r.Seed, len(r.Steps), c.Asked, c.Served, c.Late, c.Failed, c.Flows, c.Resets, c.Stalls, len(r.Breaches))
 	for _, b := range r.Breaches {
 		_, _ = fmt.Fprintln(w, "BREACH", b)
-		for _, s := range led(r.Steps, b) {
+		for _, s := range stepsBefore(r.Steps, b) {
 			_, _ = fmt.Fprintln(w, "   after", s)
 		}
 	}
 	return err
 }
 
-// ledSteps is how many steps before a breach are shown.
-const ledSteps = 4
+// precedingSteps is how many steps before a breach are shown.
+const precedingSteps = 4
 
-// led returns the last steps before a breach.
-func led(steps []Step, b Breach) []Step {
+// stepsBefore returns the last steps before a breach.
+func stepsBefore(steps []Step, b Breach) []Step {
 	n := 0
 	for n < len(steps) && steps[n].At <= b.At {
 		n++
 	}
-	return steps[max(0, n-ledSteps):n]
+	return steps[max(0, n-precedingSteps):n]
 }
 
 func toWire(r Result) wireResult {
--- a/stoatsoak/run_caller.go
+++ b/stoatsoak/run_caller.go
@@ -14,34 +14,34 @@
 )
 
 // What callers do, as the users' pages say it.
-var openAgain = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond}
+var openRetryDelays = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond}
 
 const (
-	openWithin  = 1400 * time.Millisecond
-	repeatFirst = 200 * time.Millisecond
-	repeatMost  = 1600 * time.Millisecond
-	deadline    = 3 * time.Second
-	aim         = 400 * time.Millisecond
-	tries       = 3
-	partSize    = 1000 // bytes
+	openTimeout          = 1400 * time.Millisecond
+	firstRetransmitDelay = 200 * time.Millisecond
+	maxRetransmitDelay   = 1600 * time.Millisecond
+	requestDeadline      = 3 * time.Second
+	targetLatency        = 400 * time.Millisecond
+	maxAttempts          = 3
+	partSize             = 1000 // bytes
 )
 
-// tryEnd is how a try that was not served ended.
-type tryEnd string
+// attemptError is how a try that was not served ended.
+type attemptError string
 
 // Error names it.
-func (e tryEnd) Error() string { return string(e) }
+func (e attemptError) Error() string { return string(e) }
 
 // The ends of a try.
 const (
-	errRefused tryEnd = "refused"
-	errSilent  tryEnd = "silent"
-	errCut     tryEnd = "cut"
+	errRefused attemptError = "refused"
+	errTimeout attemptError = "silent"
+	errReset   attemptError = "cut"
 )
 
 // caller is one address; its flows have ports of their own and share a socket.
 type caller struct {
-	w     *world
+	h     *harness
 	addr  netip.Addr
 	conn  *net.UDPConn
 	mu    sync.Mutex
@@ -53,23 +53,23 @@
 type flow struct {
 	c        *caller
 	tuple    [2]netip.AddrPort // caller, route
-	in       chan platform.Segment
+	segments chan platform.Segment
 	cookie   stoatpaddle.UpstreamKey
 	seq, ack uint32
 	entry    *entry // of a look: packets go there and nowhere else
 }
 
-func (w *world) newCaller(n int) (*caller, error) {
-	addr := netip.AddrFrom4([4]byte{127, w.net, 200, byte(n + 1)})
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, w.port)))
+func (h *harness) newCaller(n int) (*caller, error) {
+	addr := netip.AddrFrom4([4]byte{127, h.subnet, 200, byte(n + 1)})
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(addr, h.port)))
 	if err != nil {
 		return nil, err
 	}
-	c := &caller{w: w, addr: addr, conn: conn, flows: map[uint16]*flow{}, port: 20000}
-	w.mu.Lock()
-	w.sockets = append(w.sockets, conn)
-	w.mu.Unlock()
-	w.group.Go(c.receive)
+	c := &caller{h: h, addr: addr, conn: conn, flows: map[uint16]*flow{}, port: 20000}
+	h.mu.Lock()
+	h.callerConns = append(h.callerConns, conn)
+	h.mu.Unlock()
+	h.group.Go(c.receive)
 	return c, nil
 }
 
@@ -91,7 +91,7 @@
 			continue
 		}
 		select {
-		case f.in <- s:
+		case f.segments <- s:
 		default: // a caller that does not keep up loses packets, as a socket does
 		}
 	}
@@ -105,14 +105,14 @@
 		c.port = 20000
 	}
 	f := &flow{
-		c: c, tuple: [2]netip.AddrPort{netip.AddrPortFrom(c.addr, c.port), to}, in: make(chan platform.Segment, 16),
-		seq: c.w.random(), entry: e,
+		c: c, tuple: [2]netip.AddrPort{netip.AddrPortFrom(c.addr, c.port), to}, segments: make(chan platform.Segment, 16),
+		seq: c.h.random(), entry: e,
 	}
 	c.flows[c.port] = f
 	return f
 }
 
-func (f *flow) forget() {
+func (f *flow) remove() {
 	f.c.mu.Lock()
 	defer f.c.mu.Unlock()
 	delete(f.c.flows, f.tuple[0].Port())
@@ -120,7 +120,7 @@
 
 func (f *flow) send(s platform.Segment) {
 	s.Src, s.Dst, s.Cookie = f.tuple[0], f.tuple[1], f.cookie
-	f.c.w.forward(f, platform.AppendSegment(nil, &s))
+	f.c.h.forward(f, platform.AppendSegment(nil, &s))
 }
 
 // wait returns the next packet, or false when the time has passed or the run ends.
@@ -128,165 +128,165 @@
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
 	select {
-	case s := <-f.in:
+	case s := <-f.segments:
 		return s, true
 	case <-t.C:
-	case <-f.c.w.ctx.Done():
+	case <-f.c.h.ctx.Done():
 	}
 	return platform.Segment{}, false
 }
 
 // open does the handshake.
 func (f *flow) open() error {
-	began := f.c.w.now()
-	next := began
+	start := f.c.h.now()
+	nextSend := start
 	for copies := uint32(0); ; {
-		now := f.c.w.now()
-		if now >= next && int(copies) <= len(openAgain) {
+		now := f.c.h.now()
+		if now >= nextSend && int(copies) <= len(openRetryDelays) {
 			f.send(platform.Segment{Opens: true, Seq: f.seq, Ack: copies})
-			if int(copies) < len(openAgain) {
-				next += openAgain[copies]
+			if int(copies) < len(openRetryDelays) {
+				nextSend += openRetryDelays[copies]
 			}
 			copies++
 		}
-		end := began + openWithin
-		if int(copies) <= len(openAgain) {
-			end = min(end, next)
+		end := start + openTimeout
+		if int(copies) <= len(openRetryDelays) {
+			end = min(end, nextSend)
 		}
-		s, came := f.wait(end - now)
+		s, received := f.wait(end - now)
 		switch {
-		case came && s.Resets:
+		case received && s.Resets:
 			return errRefused
-		case came && s.Opens && s.Acks:
+		case received && s.Opens && s.Acks:
 			f.cookie, f.ack = s.Cookie, s.Seq+1
 			f.seq++
 			f.send(platform.Segment{Acks: true, Seq: f.seq, Ack: f.ack})
-			f.c.w.check.opened()
+			f.c.h.check.flowOpened()
 			return nil
-		case f.c.w.now()-began >= openWithin || f.c.w.ctx.Err() != nil:
-			return errSilent
+		case f.c.h.now()-start >= openTimeout || f.c.h.ctx.Err() != nil:
+			return errTimeout
 		}
 	}
 }
 
 // request sends one and waits for its answer; ended tells that the upstream closed the flow.
-func (f *flow) request(k *kind, id string, until time.Duration) (ended bool, err error) {
-	first := f.seq
+func (f *flow) request(k *requestType, id string, until time.Duration) (ended bool, err error) {
+	firstSeq := f.seq
 	sendAll := func() {
 		for n := range k.parts {
 			head := fmt.Sprintf("%s %s %s %t %d %d ", id, k.name, k.service, k.repeatable, n, k.parts)
 			data := head + strings.Repeat("x", partSize-len(head))
-			f.send(platform.Segment{Acks: true, Seq: first + uint32(n)*partSize, Ack: f.ack, Data: []byte(data)})
+			f.send(platform.Segment{Acks: true, Seq: firstSeq + uint32(n)*partSize, Ack: f.ack, Data: []byte(data)})
 		}
 	}
-	end := first + uint32(k.parts)*partSize
-	again := repeatFirst
-	next := f.c.w.now()
+	endSeq := firstSeq + uint32(k.parts)*partSize
+	retransmitDelay := firstRetransmitDelay
+	nextSend := f.c.h.now()
 	for {
-		now := f.c.w.now()
-		if now >= until || f.c.w.ctx.Err() != nil {
-			return false, errSilent
+		now := f.c.h.now()
+		if now >= until || f.c.h.ctx.Err() != nil {
+			return false, errTimeout
 		}
-		if now >= next {
+		if now >= nextSend {
 			sendAll()
-			next = now + again
-			again = min(repeatMost, 2*again)
+			nextSend = now + retransmitDelay
+			retransmitDelay = min(maxRetransmitDelay, 2*retransmitDelay)
 		}
-		s, came := f.wait(min(next, until) - now)
+		s, received := f.wait(min(nextSend, until) - now)
 		switch {
-		case !came:
+		case !received:
 		case s.Resets:
-			f.cut(&s)
-			return false, errCut
-		case len(s.Data) > 0 && s.Ack == end:
+			f.checkReset(&s)
+			return false, errReset
+		case len(s.Data) > 0 && s.Ack == endSeq:
 			got, _, _ := strings.Cut(string(s.Data), " ")
-			f.c.w.check.answered(f.c.w.now(), id, got)
-			f.seq, f.ack, f.cookie = end, s.Seq+uint32(len(s.Data)), s.Cookie
+			f.c.h.check.gotAnswer(f.c.h.now(), id, got)
+			f.seq, f.ack, f.cookie = endSeq, s.Seq+uint32(len(s.Data)), s.Cookie
 			f.send(platform.Segment{Acks: true, Seq: f.seq, Ack: f.ack, Ends: s.Ends})
 			return s.Ends, nil
 		}
 	}
 }
 
-// cut looks at a reset: an entry's is a breach while the flow's upstream lives.
-func (f *flow) cut(s *platform.Segment) {
+// checkReset looks at a reset: an entry's is a breach while the flow's upstream lives.
+func (f *flow) checkReset(s *platform.Segment) {
 	if s.HasChecksum {
 		return
 	}
-	if u := f.c.w.holder(f); u != nil {
-		f.c.w.check.wasReset(f.c.w.now(), f.tuple[0].String()+">"+f.tuple[1].String(), u.id)
+	if u := f.c.h.upstreamOf(f); u != nil {
+		f.c.h.check.flowReset(f.c.h.now(), f.tuple[0].String()+">"+f.tuple[1].String(), u.id)
 	}
 }
 
 func (f *flow) close() {
 	f.send(platform.Segment{Acks: true, Ends: true, Seq: f.seq, Ack: f.ack})
-	f.forget()
+	f.remove()
 }
 
-// kind is one kind of request.
-type kind struct {
+// requestType is one requestType of request.
+type requestType struct {
 	name       string
 	service    string
 	listen     netip.AddrPort
 	repeatable bool
-	long       bool // flows stay open for many requests
+	reusesFlow bool // flows stay open for many requests
 	parts      int
-	every      time.Duration // between two requests of one caller
+	interval   time.Duration // between two requests of one caller
 }
 
-// ask serves one request to its end, with retries; held is an open flow, or nil, and what is
+// request serves one request to its end, with retries; held is an open flow, or nil, and what is
 // left open is returned.
-func (c *caller) ask(k *kind, held *flow) *flow {
-	began := c.w.now()
-	id := "r" + strconv.FormatUint(c.w.ids.Add(1), 10)
-	for try := range tries {
-		f := held
-		held = nil
+func (c *caller) request(k *requestType, open *flow) *flow {
+	start := c.h.now()
+	id := "r" + strconv.FormatUint(c.h.lastRequestID.Add(1), 10)
+	for attempt := range maxAttempts {
+		f := open
+		open = nil
 		if f == nil {
 			f = c.newFlow(k.listen, nil)
 			if err := f.open(); err != nil {
-				f.forget()
-				if c.w.now()-began >= deadline || c.w.ctx.Err() != nil {
+				f.remove()
+				if c.h.now()-start >= requestDeadline || c.h.ctx.Err() != nil {
 					break
 				}
 				continue // it never opened: every kind may be tried again
 			}
 		}
-		ended, err := f.request(k, id+"."+strconv.Itoa(try), began+deadline)
+		ended, err := f.request(k, id+"."+strconv.Itoa(attempt), start+requestDeadline)
 		if err == nil {
-			c.done(k, began, true)
-			if ended || !k.long {
+			c.recordResult(k, start, true)
+			if ended || !k.reusesFlow {
 				if !ended {
 					f.close()
 				}
-				f.forget()
+				f.remove()
 				return nil
 			}
 			return f
 		}
-		f.forget()
-		if !k.repeatable || c.w.now()-began >= deadline {
+		f.remove()
+		if !k.repeatable || c.h.now()-start >= requestDeadline {
 			break
 		}
 	}
-	c.done(k, began, false)
+	c.recordResult(k, start, false)
 	return nil
 }
 
-func (c *caller) done(k *kind, began time.Duration, served bool) {
-	if c.w.ctx.Err() == nil {
-		c.w.check.tried(c.w.now(), began, k.name, served, c.w.now()-began > aim)
+func (c *caller) recordResult(k *requestType, start time.Duration, served bool) {
+	if c.h.ctx.Err() == nil {
+		c.h.check.requestDone(c.h.now(), start, k.name, served, c.h.now()-start > targetLatency)
 	}
 }
 
 // run asks until the run ends; a long flow is closed now and then.
-func (c *caller) run(k *kind) error {
-	var held *flow
-	for n := 1; c.w.pause(c.w.jitter(k.every)); n++ {
-		held = c.ask(k, held)
-		if held != nil && n%20 == 0 {
-			held.close()
-			held = nil
+func (c *caller) run(k *requestType) error {
+	var open *flow
+	for n := 1; c.h.sleep(c.h.jitter(k.interval)); n++ {
+		open = c.request(k, open)
+		if open != nil && n%20 == 0 {
+			open.close()
+			open = nil
 		}
 	}
 	return nil
--- a/stoatsoak/run_entry.go
+++ b/stoatsoak/run_entry.go
@@ -21,63 +21,63 @@
 // entry is one entry of the deployment: a process of the real program, started again
 // whenever it ends.
 type entry struct {
-	w     *world
-	n     int
-	name  string
-	addr  netip.Addr
-	conn  *net.UDPConn // of the fabric, towards this entry
-	store *link
-	seeds []*link // to the entries that the settings name; nil: this one
-	level int     // of the log, changed to change the settings
-
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	life     int
-	expected bool // its end was caused by the run
-	rotation bool // the fabric gives it packets
-	misses   int
+	h            *harness
+	n            int
+	name         string
+	addr         netip.Addr
+	conn         *net.UDPConn // of the fabric, towards this entry
+	storeProxy   *proxy
+	seedProxies  []*proxy // to the entries that the settings name; nil: this one
+	levelChanges int      // of the log, changed to change the settings
+
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	starts       int
+	exitExpected bool // its end was caused by the run
+	rotated      bool // the fabric gives it packets
+	failedProbes int
 }
 
 const (
-	adminPort   = 9001
-	readyPort   = 9002
-	restart     = 300 * time.Millisecond
-	probeEvery  = 500 * time.Millisecond
-	probeWithin = 400 * time.Millisecond
+	adminPort     = 9001
+	readyPort     = 9002
+	restartDelay  = 300 * time.Millisecond
+	probeInterval = 500 * time.Millisecond
+	probeTimeout  = 400 * time.Millisecond
 )
 
 // seedCount is how many entries the settings name.
 const seedCount = 3
 
-func (w *world) entryAddr(n int) netip.Addr {
-	return netip.AddrFrom4([4]byte{127, w.net, byte(100 + n/200), byte(n%200 + 1)})
+func (h *harness) entryAddr(n int) netip.Addr {
+	return netip.AddrFrom4([4]byte{127, h.subnet, byte(100 + n/200), byte(n%200 + 1)})
 }
 
-// links returns the ways from this entry to the store and to seeds.
-func (e *entry) links() []*link {
-	list := []*link{e.store}
-	for _, l := range e.seeds {
-		if l != nil {
-			list = append(list, l)
+// proxies returns the ways from this entry to the store and to seeds.
+func (e *entry) proxies() []*proxy {
+	list := []*proxy{e.storeProxy}
+	for _, p := range e.seedProxies {
+		if p != nil {
+			list = append(list, p)
 		}
 	}
 	return list
 }
 
-func (w *world) newEntry(n int) (*entry, error) {
-	e := &entry{w: w, n: n, name: fmt.Sprintf("entry-%d", n+1), addr: w.entryAddr(n)}
+func (h *harness) newEntry(n int) (*entry, error) {
+	e := &entry{h: h, n: n, name: fmt.Sprintf("entry-%d", n+1), addr: h.entryAddr(n)}
 	var err error
-	if e.store, err = w.newLink(w.storeAddr); err != nil {
+	if e.storeProxy, err = h.newProxy(h.storeAddr); err != nil {
 		return nil, err
 	}
-	for i := range min(seedCount, w.cfg.Entries) {
-		var l *link
+	for i := range min(seedCount, h.cfg.Entries) {
+		var p *proxy
 		if i != n {
-			if l, err = w.newLink(netip.AddrPortFrom(w.entryAddr(i), adminPort).String()); err != nil {
+			if p, err = h.newProxy(netip.AddrPortFrom(h.entryAddr(i), adminPort).String()); err != nil {
 				return nil, err
 			}
 		}
-		e.seeds = append(e.seeds, l)
+		e.seedProxies = append(e.seedProxies, p)
 	}
 	if e.conn, err = net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)}); err != nil {
 		return nil, err
@@ -94,18 +94,18 @@
 
 func centreOf(n int) string { return [dataCentres]string{"east", "west"}[n%dataCentres] }
 
-// configure writes the settings.
-func (e *entry) configure() (string, error) {
+// writeSettings writes the settings.
+func (e *entry) writeSettings() (string, error) {
 	var seeds []string
-	for _, l := range e.seeds {
+	for _, p := range e.seedProxies {
 		addr := e.at(adminPort)
-		if l != nil {
-			addr = l.addr
+		if p != nil {
+			addr = p.addr
 		}
 		seeds = append(seeds, addr.String())
 	}
 	e.mu.Lock()
-	level := []string{"info", "debug"}[e.level%2]
+	level := []string{"info", "debug"}[e.levelChanges%2]
 	e.mu.Unlock()
 	text := fmt.Sprintf(`[instance]
 id = %s
@@ -126,33 +126,33 @@
 level = %s
 [stop]
 deadline = 6s
-`, e.name, e.centre(), e.at(e.w.port), e.at(readyPort), e.at(adminPort), strings.Join(seeds, ","), e.store.addr, e.w.cfg.Bounds.Apply, e.w.cfg.Bounds.Apply, level)
-	file := filepath.Join(e.w.cfg.Dir, e.name+".ini")
+`, e.name, e.centre(), e.at(e.h.port), e.at(readyPort), e.at(adminPort), strings.Join(seeds, ","), e.storeProxy.addr, e.h.cfg.Bounds.Apply, e.h.cfg.Bounds.Apply, level)
+	file := filepath.Join(e.h.cfg.Dir, e.name+".ini")
 	return file, os.WriteFile(file, []byte(text), 0o600)
 }
 
 // run keeps the process running until the run ends.
 func (e *entry) run() error {
-	for e.w.ctx.Err() == nil {
+	for e.h.ctx.Err() == nil {
 		if err := e.start(); err != nil {
 			return err
 		}
-		e.w.pause(restart)
+		e.h.sleep(restartDelay)
 	}
 	return nil
 }
 
 func (e *entry) start() error {
-	file, err := e.configure()
+	file, err := e.writeSettings()
 	if err != nil {
 		return err
 	}
-	log, err := os.OpenFile(filepath.Join(e.w.cfg.Dir, e.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	log, err := os.OpenFile(filepath.Join(e.h.cfg.Dir, e.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = log.Close() }()
-	cmd := exec.CommandContext(e.w.ctx, e.w.cfg.Program, "run", "-c", file)
+	cmd := exec.CommandContext(e.h.ctx, e.h.cfg.Program, "run", "-c", file)
 	cmd.Env, cmd.Stderr = []string{}, log
 	out, err := cmd.StdoutPipe()
 	if err != nil {
@@ -162,29 +162,29 @@
 		return err
 	}
 	e.mu.Lock()
-	e.cmd, e.expected = cmd, false
-	e.life++
+	e.cmd, e.exitExpected = cmd, false
+	e.starts++
 	e.mu.Unlock()
-	e.read(e.lifeName(), bufio.NewScanner(out), log)
+	e.readLog(e.processName(), bufio.NewScanner(out), log)
 	err = cmd.Wait()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.expected && e.w.ctx.Err() == nil {
-		e.w.check.ended(e.w.now(), e.name, fmt.Sprint(err))
+	if !e.exitExpected && e.h.ctx.Err() == nil {
+		e.h.check.entryExited(e.h.now(), e.name, fmt.Sprint(err))
 	}
 	e.cmd = nil
 	return nil
 }
 
-var inForce = regexp.MustCompile(`"event":"SP1405".*"version":"(\d+)"`)
+var appliedVersion = regexp.MustCompile(`"event":"SP1405".*"version":"(\d+)"`)
 
-// read keeps the log, and looks for the versions that the entry says to be in force.
-func (e *entry) read(life string, lines *bufio.Scanner, log *os.File) {
+// readLog keeps the log, and looks for the versions that the entry says to be in force.
+func (e *entry) readLog(process string, lines *bufio.Scanner, log *os.File) {
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
 		_, _ = log.Write(append(bytes.Clone(lines.Bytes()), '\n'))
-		if m := inForce.FindSubmatch(lines.Bytes()); m != nil {
-			e.w.check.inForce(e.w.now(), life, atoi(string(m[1])))
+		if match := appliedVersion.FindSubmatch(lines.Bytes()); match != nil {
+			e.h.check.versionApplied(e.h.now(), process, atoi(string(match[1])))
 		}
 	}
 }
@@ -196,40 +196,40 @@
 	if e.cmd == nil || e.cmd.Process == nil {
 		return
 	}
-	e.expected = e.expected || ends
+	e.exitExpected = e.exitExpected || ends
 	// One that has just ended is not there any more.
 	_ = e.cmd.Process.Signal(s)
 }
 
 // probe follows whether the fabric gives the entry packets.
 func (e *entry) probe() error {
-	client := &http.Client{Timeout: probeWithin, Transport: &http.Transport{DisableKeepAlives: true}}
-	for e.w.pause(probeEvery) {
+	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
+	for e.h.sleep(probeInterval) {
 		res, err := client.Get("http://" + e.at(readyPort).String() + "/-/readyz")
 		ready := err == nil && res.StatusCode == http.StatusOK
 		if err == nil {
 			_ = res.Body.Close()
 		}
 		e.mu.Lock()
-		e.misses++
+		e.failedProbes++
 		if ready {
-			e.misses = 0
+			e.failedProbes = 0
 		}
-		e.rotation = ready || e.rotation && e.misses < 2
+		e.rotated = ready || e.rotated && e.failedProbes < 2
 		e.mu.Unlock()
 	}
 	return nil
 }
 
-// lifeName names the present life.
-func (e *entry) lifeName() string {
+// processName names the present life.
+func (e *entry) processName() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.name + "#" + strconv.Itoa(e.life)
+	return e.name + "#" + strconv.Itoa(e.starts)
 }
 
 func (e *entry) inRotation() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.rotation
+	return e.rotated
 }
--- a/stoatsoak/run_fabric.go
+++ b/stoatsoak/run_fabric.go
@@ -10,72 +10,72 @@
 
 // forward gives a caller's packet to an entry, as the fabric does: by a hash of the flow over
 // the entries in rotation, so that nearly all flows move when one joins or leaves.
-func (w *world) forward(f *flow, packet []byte) {
+func (h *harness) forward(f *flow, packet []byte) {
 	e := f.entry
 	if e == nil {
-		e = w.choose(f)
+		e = h.chooseEntry(f)
 	}
-	if e == nil || w.lost() {
+	if e == nil || h.dropsDatagram() {
 		return
 	}
-	if w.cfg.Sabotage != "" && w.sabotage(f, packet) {
+	if h.cfg.Sabotage != "" && h.injectBreach(f, packet) {
 		return
 	}
-	to := e.at(w.port)
+	to := e.at(h.port)
 	_, _ = e.conn.WriteToUDPAddrPort(packet, to)
-	w.mu.Lock()
-	again := w.lossy && w.rnd.IntN(10) == 0
-	w.mu.Unlock()
-	if again {
-		w.after(30*time.Millisecond, func() { _, _ = e.conn.WriteToUDPAddrPort(packet, to) })
+	h.mu.Lock()
+	duplicate := h.lossy && h.rnd.IntN(10) == 0
+	h.mu.Unlock()
+	if duplicate {
+		h.after(30*time.Millisecond, func() { _, _ = e.conn.WriteToUDPAddrPort(packet, to) })
 	}
 }
 
-func (w *world) choose(f *flow) *entry {
-	var in []*entry
-	for _, e := range w.entries {
+func (h *harness) chooseEntry(f *flow) *entry {
+	var candidates []*entry
+	for _, e := range h.entries {
 		if e.inRotation() {
-			in = append(in, e)
+			candidates = append(candidates, e)
 		}
 	}
-	if len(in) == 0 {
+	if len(candidates) == 0 {
 		return nil
 	}
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(f.tuple[0].String() + f.tuple[1].String()))
-	return in[int(h.Sum32()%uint32(len(in)))]
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(f.tuple[0].String() + f.tuple[1].String()))
+	return candidates[int(hash.Sum32()%uint32(len(candidates)))]
 }
 
-// room tells whether an upstream of the service that routes are added to serves, is warm and may get flows.
-func (w *world) room() bool {
-	for _, u := range w.living() {
+// hasRoom tells whether an upstream of the service that routes are added to serves, is warm and may get flows.
+func (h *harness) hasRoom() bool {
+	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
-		serves := u.service == "app" && u.left == 0 && u.warm == 0 && !u.dead.Load()
+		serves := u.service == "app" && u.leftAt == 0 && u.coldUntil == 0 && !u.dead.Load()
 		u.mu.Unlock()
-		if serves && w.evacuatedSince(u.centre) == 0 {
+		if serves && h.evacuatedSince(u.centre) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// look opens flows to routes that were added, removed or never existed, at each entry.
-func (w *world) look() error {
-	c, err := w.newCaller(len(kinds()) * callersPerKind)
+// probeRoutes opens flows to routes that were added, removed or never existed, at each entry.
+func (h *harness) probeRoutes() error {
+	c, err := h.newCaller(len(requestTypes()) * callersPerType)
 	if err != nil {
 		return err
 	}
-	for w.pause(w.jitter(200 * time.Millisecond)) {
-		w.mu.Lock()
-		routes := map[string]routed{"never": {listen: netip.MustParseAddrPort("198.18.9.9:443"), acked: w.cfg.Bounds.Stable + warmUp}}
-		for name, r := range w.routes {
+	for h.sleep(h.jitter(200 * time.Millisecond)) {
+		h.mu.Lock()
+		routes := map[string]routeChange{"never": {listen: netip.MustParseAddrPort("198.18.9.9:443"), ackedAt: h.cfg.Bounds.Stable + warmUp}}
+		for name, r := range h.routes {
 			routes[name] = r
 		}
-		w.mu.Unlock()
+		h.mu.Unlock()
 		for name, r := range routes {
-			for _, e := range w.entries {
+			for _, e := range h.entries {
 				if e.inRotation() {
-					w.lookAt(c, e, name, r)
+					h.probeRoute(c, e, name, r)
 				}
 			}
 		}
@@ -83,22 +83,22 @@
 	return nil
 }
 
-// lookAt opens one flow at one entry. Silence says nothing: a packet may be lost.
-func (w *world) lookAt(c *caller, e *entry, name string, r routed) {
+// probeRoute opens one flow at one entry. Silence says nothing: a packet may be lost.
+func (h *harness) probeRoute(c *caller, e *entry, name string, r routeChange) {
 	f := c.newFlow(r.listen, e)
-	defer f.forget()
-	sent, room := w.now(), w.room()
+	defer f.remove()
+	sent, hadRoom := h.now(), h.hasRoom()
 	f.send(platform.Segment{Opens: true, Seq: f.seq})
-	s, came := f.wait(openAgain[0])
-	w.mu.Lock()
-	same := name == "never" || w.routes[name] == r
-	w.mu.Unlock()
-	if !came || !same {
+	s, received := f.wait(openRetryDelays[0])
+	h.mu.Lock()
+	unchanged := name == "never" || h.routes[name] == r
+	h.mu.Unlock()
+	if !received || !unchanged {
 		return
 	}
-	w.check.looked(sent, look{
-		entry: e.name, life: e.lifeName(), route: name, allowed: r.allowed, version: r.version, acked: r.acked,
-		opened: s.Opens && s.Acks, room: room && w.room(),
+	h.check.routeProbed(sent, probeResult{
+		entry: e.name, process: e.processName(), route: name, allowed: r.allowed, version: r.version, ackedAt: r.ackedAt,
+		opened: s.Opens && s.Acks, hasRoom: hadRoom && h.hasRoom(),
 	})
 	if opened := s.Opens && s.Acks; opened {
 		f.cookie, f.ack = s.Cookie, s.Seq+1
--- a/stoatsoak/run_faults.go
+++ b/stoatsoak/run_faults.go
@@ -10,142 +10,142 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-// apply begins one step; what lasts goes on in the background.
-func (w *world) apply(s Step) {
-	if w.ctx.Err() != nil {
+// startStep begins one step; what lasts goes on in the background.
+func (h *harness) startStep(s Step) {
+	if h.ctx.Err() != nil {
 		return
 	}
-	_, _ = fmt.Fprintln(w.cfg.Out, s)
-	e := w.entries[s.Target%len(w.entries)]
+	_, _ = fmt.Fprintln(h.cfg.Out, s)
+	e := h.entries[s.Target%len(h.entries)]
 	if s.Kind.Planned() {
-		w.plan(s, e)
+		h.startPlanned(s, e)
 		return
 	}
-	ended := w.check.begin(w.now())
-	w.disturb(s, e)
-	w.after(s.For, func() {
-		w.mend(s, e)
-		ended(w.now())
+	ended := h.check.beginDisturbance(h.now())
+	h.startDisturbance(s, e)
+	h.after(s.For, func() {
+		h.endDisturbance(s, e)
+		ended(h.now())
 	})
 }
 
-// plan begins planned work.
-func (w *world) plan(s Step, e *entry) {
+// startPlanned begins planned work.
+func (h *harness) startPlanned(s Step, e *entry) {
 	switch s.Kind {
 	case Terminate:
 		e.signal(syscall.SIGTERM, true)
 	case Rolling:
-		for i, e := range w.entries {
-			w.after(time.Duration(i)*s.For, func() { e.signal(syscall.SIGTERM, true) })
+		for i, e := range h.entries {
+			h.after(time.Duration(i)*s.For, func() { e.signal(syscall.SIGTERM, true) })
 		}
 	case Drain:
-		w.replace(s.Target)
+		h.replaceUpstream(s.Target)
 	case Release:
 		for i := range appUpstreams {
-			w.after(time.Duration(i)*time.Second, func() { w.replace(0) })
+			h.after(time.Duration(i)*time.Second, func() { h.replaceUpstream(0) })
 		}
 	case Routes:
-		w.changeRoutes(s.Target)
+		h.changeRoutes(s.Target)
 	case Storm:
 		for i := range 10 {
-			w.after(time.Duration(i)*100*time.Millisecond, func() { w.changeRoutes(s.Target + i) })
+			h.after(time.Duration(i)*100*time.Millisecond, func() { h.changeRoutes(s.Target + i) })
 		}
 	case Foreign:
-		w.spoil(s)
+		h.writeForeign(s)
 	case Evacuate:
-		w.evacuate(s)
+		h.evacuateCentre(s)
 	case Queue:
-		w.fill(s)
+		h.slowUpstreams(s)
 	case Settings:
 		e.mu.Lock()
-		e.level++
+		e.levelChanges++
 		e.mu.Unlock()
-		if _, err := e.configure(); err == nil && s.Target%2 == 0 {
+		if _, err := e.writeSettings(); err == nil && s.Target%2 == 0 {
 			e.signal(syscall.SIGHUP, false)
 		}
 	}
 }
 
-// evacuate has operators evacuate a data centre, and take it back. Not while another one is, or while
+// evacuateCentre has operators evacuateCentre a data centre, and take it back. Not while another one is, or while
 // an upstream is cold: what is left then may not bear what callers ask.
-func (w *world) evacuate(s Step) {
+func (h *harness) evacuateCentre(s Step) {
 	centre := centreOf(s.Target)
-	w.mu.Lock()
-	busy := w.evacuated != "" || w.cold > 0
+	h.mu.Lock()
+	busy := h.evacuated != "" || h.coldUpstreams > 0
 	if !busy {
-		w.evacuated, w.evacuatedAt = centre, max(1, w.now())
+		h.evacuated, h.evacuatedAt = centre, max(1, h.now())
 	}
-	w.mu.Unlock()
+	h.mu.Unlock()
 	if busy {
 		return
 	}
-	w.store.Write(platform.KindEvacuation, centre, map[string]any{})
-	w.after(s.For, func() {
-		w.store.Remove(platform.KindEvacuation, centre)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.evacuated = ""
+	h.store.Write(platform.KindEvacuation, centre, map[string]any{})
+	h.after(s.For, func() {
+		h.store.Remove(platform.KindEvacuation, centre)
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		h.evacuated = ""
 	})
 }
 
 // evacuatedSince tells since when a data centre is evacuated; 0: it is not.
-func (w *world) evacuatedSince(centre string) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.evacuated != centre {
+func (h *harness) evacuatedSince(centre string) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	if h.evacuated != centre {
 		return 0
 	}
-	return w.evacuatedAt
+	return h.evacuatedAt
 }
 
-// fill has all upstreams answer late. New flows may be refused for it; open ones go on.
-func (w *world) fill(s Step) {
-	ended := w.check.load(w.now())
-	w.queued.Add(1)
-	w.after(s.For, func() {
-		w.queued.Add(-1)
-		ended(w.now())
+// slowUpstreams has all upstreams answer late. New flows may be refused for it; open ones go on.
+func (h *harness) slowUpstreams(s Step) {
+	ended := h.check.beginOverload(h.now())
+	h.slowdowns.Add(1)
+	h.after(s.For, func() {
+		h.slowdowns.Add(-1)
+		ended(h.now())
 	})
 }
 
-// leaveAfter is how much longer than the bound a leaving upstream serves.
-const leaveAfter = 3 * time.Second
+// extraServeTime is how much longer than the bound a leaving upstream serves.
+const extraServeTime = 3 * time.Second
 
-// replace has an upstream of the service leave once another one serves in its place, as
+// replaceUpstream has an upstream of the service leave once another one serves in its place, as
 // planned releases do.
-func (w *world) replace(target int) {
-	u := w.pick(target)
+func (h *harness) replaceUpstream(target int) {
+	u := h.pickServing(target)
 	if u == nil {
 		return
 	}
-	if _, err := w.newUpstream(u.service, u.centre, netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
+	if _, err := h.newUpstream(u.service, u.centre, netip.MustParseAddrPort("127.0.0.1:0")); err != nil {
 		return
 	}
-	u.leave(w.now())
-	w.after(w.cfg.Bounds.Apply+leaveAfter, func() { w.endWhenIdle(u, 10) })
+	u.startLeaving(h.now())
+	h.after(h.cfg.Bounds.Apply+extraServeTime, func() { h.stopWhenIdle(u, 10) })
 }
 
-// endWhenIdle ends a leaving upstream once its flows have ended, or some time later.
-func (w *world) endWhenIdle(u *upstream, times int) {
-	if u.busy() && times > 0 {
-		w.after(500*time.Millisecond, func() { w.endWhenIdle(u, times-1) })
+// stopWhenIdle ends a leaving upstream once its flows have ended, or some time later.
+func (h *harness) stopWhenIdle(u *upstream, attempts int) {
+	if u.hasOpenFlow() && attempts > 0 {
+		h.after(500*time.Millisecond, func() { h.stopWhenIdle(u, attempts-1) })
 		return
 	}
-	if u.busy() {
+	if u.hasOpenFlow() {
 		// Callers who kept a flow open all the while lose it; that is no entry's doing.
-		ended := w.check.begin(w.now())
-		w.after(time.Second, func() { ended(w.now()) })
+		ended := h.check.beginDisturbance(h.now())
+		h.after(time.Second, func() { ended(h.now()) })
 	}
-	u.end()
+	u.stop()
 }
 
-// pick returns an upstream that serves, or nil.
-func (w *world) pick(target int) *upstream {
-	list := w.living()
+// pickServing returns an upstream that serves, or nil.
+func (h *harness) pickServing(target int) *upstream {
+	list := h.liveUpstreams()
 	for i := range list {
 		u := list[(target+i)%len(list)]
 		u.mu.Lock()
-		serves := u.left == 0 && !u.dead.Load()
+		serves := u.leftAt == 0 && !u.dead.Load()
 		u.mu.Unlock()
 		if serves {
 			return u
@@ -155,107 +155,107 @@
 }
 
 // changeRoutes adds a route, or removes the one with that name.
-func (w *world) changeRoutes(n int) {
+func (h *harness) changeRoutes(n int) {
 	name := fmt.Sprint("extra-", n%7)
-	w.configure(func(routes map[string]routed) {
+	h.changeConfig(func(routes map[string]routeChange) {
 		listen := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 1, byte(n % 7)}), 443)
-		routes[name] = routed{listen: listen, allowed: !routes[name].allowed, acked: w.now(), version: w.version}
+		routes[name] = routeChange{listen: listen, allowed: !routes[name].allowed, ackedAt: h.now(), version: h.version}
 	})
 }
 
-// disturb begins a disturbance.
-func (w *world) disturb(s Step, e *entry) {
+// startDisturbance begins a disturbance.
+func (h *harness) startDisturbance(s Step, e *entry) {
 	switch s.Kind {
 	case Kill:
 		e.signal(syscall.SIGKILL, true)
 	case KillAll:
-		for _, e := range w.entries {
+		for _, e := range h.entries {
 			e.signal(syscall.SIGKILL, true)
 		}
 	case Freeze:
 		e.signal(syscall.SIGSTOP, false)
 	case Crash:
-		w.crash(s.Target)
+		h.crashUpstream(s.Target)
 	case Restart:
-		w.restart(s.Target)
+		h.restartUpstream(s.Target)
 	case Restore:
 		// What the copy lacks: more than is written soon afterwards, so that revisions stay lower for long.
-		for i := range lostChanges {
-			w.changeRoutes(s.Target + i)
+		for i := range lostVersions {
+			h.changeRoutes(s.Target + i)
 		}
-		w.replace(s.Target)
-		w.after(beforeDown, func() { w.store.Set(stoatfake.Trouble{Down: true}) })
+		h.replaceUpstream(s.Target)
+		h.after(snapshotDelay, func() { h.store.Set(stoatfake.Trouble{Down: true}) })
 	case StoreDown:
-		w.store.Set(stoatfake.Trouble{Down: true})
-		w.lapse()
+		h.store.Set(stoatfake.Trouble{Down: true})
+		h.expireRegistrations()
 	case StoreSlow:
-		w.store.Set(stoatfake.Trouble{Slow: 200 * time.Millisecond})
+		h.store.Set(stoatfake.Trouble{Slow: 200 * time.Millisecond})
 	case StoreLag:
-		w.store.Set(stoatfake.Trouble{Lagging: true})
+		h.store.Set(stoatfake.Trouble{Lagging: true})
 	case StoreMute:
-		w.store.Set(stoatfake.Trouble{SilentWatch: true})
+		h.store.Set(stoatfake.Trouble{SilentWatch: true})
 	case Forget:
-		w.store.Forget()
+		h.store.Forget()
 	case Refuse:
-		e.store.setRefuse(true)
+		e.storeProxy.setRefuse(true)
 	case Silence:
-		for _, l := range e.links() {
-			l.silence()
+		for _, p := range e.proxies() {
+			p.silence()
 		}
 	case OneWay:
-		for _, l := range e.links() {
-			l.setOneWay(true)
+		for _, p := range e.proxies() {
+			p.setOneWay(true)
 		}
 	case Lossy:
-		w.setLossy(true)
+		h.setLossy(true)
 	}
 }
 
-// mend ends a disturbance.
-func (w *world) mend(s Step, e *entry) {
+// endDisturbance ends a disturbance.
+func (h *harness) endDisturbance(s Step, e *entry) {
 	switch s.Kind {
 	case Freeze:
 		e.signal(syscall.SIGCONT, false)
 	case Restore:
-		w.after(beforeDown, func() { w.restoreStore(s) })
+		h.after(snapshotDelay, func() { h.restoreStore(s) })
 	case StoreDown:
-		w.store.Set(stoatfake.Trouble{})
-		w.after(time.Second, w.comeBack)
+		h.store.Set(stoatfake.Trouble{})
+		h.after(time.Second, h.registerAgain)
 	case StoreSlow, StoreLag, StoreMute:
-		w.store.Set(stoatfake.Trouble{})
+		h.store.Set(stoatfake.Trouble{})
 	case Refuse:
-		e.store.setRefuse(false)
+		e.storeProxy.setRefuse(false)
 	case OneWay:
-		for _, l := range e.links() {
-			l.setOneWay(false)
+		for _, p := range e.proxies() {
+			p.setOneWay(false)
 		}
 	case Lossy:
-		w.setLossy(false)
+		h.setLossy(false)
 	}
 }
 
-func (w *world) setLossy(lossy bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.lossy = lossy
+func (h *harness) setLossy(lossy bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.lossy = lossy
 }
 
-// lapse removes half of the registrations, as a store does that is away.
-func (w *world) lapse() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for i, u := range w.upstreams {
+// expireRegistrations removes half of the registrations, as a store does that is away.
+func (h *harness) expireRegistrations() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, u := range h.upstreams {
 		if i%2 == 0 {
-			w.store.Remove(platform.KindUpstream, u.id)
+			h.store.Remove(platform.KindUpstream, u.id)
 		}
 	}
 }
 
-// comeBack has the upstreams register again.
-func (w *world) comeBack() {
-	for _, u := range w.living() {
+// registerAgain has the upstreams register again.
+func (h *harness) registerAgain() {
+	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
-		left := u.left
+		left := u.leftAt
 		u.mu.Unlock()
 		if left == 0 && !u.dead.Load() {
 			u.register(false)
@@ -263,70 +263,70 @@
 	}
 }
 
-// crash ends an upstream at once; later another one serves in its place, and its address
+// crashUpstream ends an upstream at once; later another one serves in its place, and its address
 // goes to a life of the other service.
-func (w *world) crash(target int) {
-	u := w.pick(target)
+func (h *harness) crashUpstream(target int) {
+	u := h.pickServing(target)
 	if u == nil {
 		return
 	}
 	u.dead.Store(true)
 	_ = u.conn.Close()
-	w.after(2*time.Second, func() {
-		u.end()
+	h.after(2*time.Second, func() {
+		u.stop()
 		other := map[string]string{"app": "intake", "intake": "app"}[u.service]
 		// Somebody may have taken the port meanwhile.
-		_, _ = w.newUpstream(other, u.centre, u.addr)
-		_, _ = w.newUpstream(u.service, u.centre, netip.MustParseAddrPort("127.0.0.1:0"))
+		_, _ = h.newUpstream(other, u.centre, u.addr)
+		_, _ = h.newUpstream(u.service, u.centre, netip.MustParseAddrPort("127.0.0.1:0"))
 	})
 }
 
 // Restarts take so long, soon and late: before an upstream's silence is noticed, and after.
 const (
-	restartSoon = 50 * time.Millisecond
-	restartLate = 2500 * time.Millisecond
+	shortRestart = 50 * time.Millisecond
+	longRestart  = 2500 * time.Millisecond
 )
 
-// restart ends an upstream at once and starts it again under its id; its entry stands meanwhile.
-func (w *world) restart(target int) {
-	u := w.pick(target)
+// restartUpstream ends an upstream at once and starts it again under its id; its entry stands meanwhile.
+func (h *harness) restartUpstream(target int) {
+	u := h.pickServing(target)
 	if u == nil {
 		return
 	}
 	u.dead.Store(true)
 	_ = u.conn.Close()
-	pause, at := restartSoon, u.addr
+	delay, at := shortRestart, u.addr
 	if target%2 == 0 {
-		pause = restartLate
+		delay = longRestart
 	}
 	if target%3 == 0 {
 		at = netip.MustParseAddrPort("127.0.0.1:0")
 	}
-	w.after(pause, func() {
-		u.drop()
+	h.after(delay, func() {
+		u.removeFromHarness()
 		// Somebody may have taken the port meanwhile.
-		_, _ = w.startUpstream(u.target, u.service, u.centre, at, coldFor)
+		_, _ = h.startUpstream(u.targetID, u.service, u.centre, at, coldDuration)
 	})
 }
 
-// spoil writes over an upstream's entry, and adds an entry, with what names no server. The
+// writeForeign writes over an upstream's entry, and adds an entry, with what names no server. The
 // upstream writes its own again a while later, as the next heartbeat does.
-func (w *world) spoil(s Step) {
+func (h *harness) writeForeign(s Step) {
 	specs := []any{
 		nil, "ready",
 		map[string]any{"service": "app", "slots": "three"},
 		map[string]any{"service": "app", "address": "127.0.0.1:9", "zone": "a", "version": "v1", "slots": 3, "state": "resting", "cold_remaining_ms": 0, "seq": 1},
 	}
 	spec := specs[s.Target%len(specs)]
-	w.store.Write(platform.KindUpstream, fmt.Sprintf("i-0bad%04x", s.Target), spec)
-	u := w.pick(s.Target)
+	h.store.Write(platform.KindUpstream, fmt.Sprintf("i-0bad%04x", s.Target), spec)
+	u := h.pickServing(s.Target)
 	if u == nil {
 		return
 	}
-	w.store.Write(platform.KindUpstream, u.id, spec)
-	w.after(s.For, func() {
+	h.store.Write(platform.KindUpstream, u.id, spec)
+	h.after(s.For, func() {
 		u.mu.Lock()
-		left := u.left
+		left := u.leftAt
 		u.mu.Unlock()
 		if !u.dead.Load() {
 			u.register(left > 0)
--- a/stoatsoak/run_restore.go
+++ b/stoatsoak/run_restore.go
@@ -8,62 +8,62 @@
 )
 
 const (
-	// lostChanges is how many configurations a restore loses, beforeDown how long before the store goes down
+	// lostVersions is how many configurations a restore loses, beforeDown how long before the store goes down
 	// they are confirmed: every entry has them.
-	lostChanges = 12
-	beforeDown  = 700 * time.Millisecond
-	copyEvery   = time.Second
-	copiesKept  = 3
-	// writeAgainAfter is when operators and upstreams write again after a restore, and endAgainAfter when
+	lostVersions     = 12
+	snapshotDelay    = 700 * time.Millisecond
+	snapshotInterval = time.Second
+	maxSnapshots     = 3
+	// rewriteDelay is when operators and upstreams write again after a restore, and endAgainAfter when
 	// the store has noticed that those which the copy has and which ended since are silent.
-	writeAgainAfter = 700 * time.Millisecond
-	endAgainAfter   = 2 * time.Second
+	rewriteDelay = 700 * time.Millisecond
+	removeDelay  = 2 * time.Second
 )
 
-// copyStore keeps copies of the store, of which the oldest is some seconds old.
-func (w *world) copyStore() error {
-	for w.pause(copyEvery) {
-		c := w.store.Save()
-		w.mu.Lock()
-		w.copies = append(w.copies, c)
-		w.copies = w.copies[max(0, len(w.copies)-copiesKept):]
-		w.mu.Unlock()
+// snapshotStore keeps copies of the store, of which the oldest is some seconds old.
+func (h *harness) snapshotStore() error {
+	for h.sleep(snapshotInterval) {
+		c := h.store.Save()
+		h.mu.Lock()
+		h.snapshots = append(h.snapshots, c)
+		h.snapshots = h.snapshots[max(0, len(h.snapshots)-maxSnapshots):]
+		h.mu.Unlock()
 	}
 	return nil
 }
 
 // restoreStore has the store come back from a copy. What was written since is written again soon; a route
 // changes once the bounds hold again.
-func (w *world) restoreStore(s Step) {
-	w.mu.Lock()
-	copies := w.copies
-	w.copies = nil
-	w.mu.Unlock()
-	if len(copies) > 0 {
-		w.store.Restore(copies[0])
+func (h *harness) restoreStore(s Step) {
+	h.mu.Lock()
+	snapshots := h.snapshots
+	h.snapshots = nil
+	h.mu.Unlock()
+	if len(snapshots) > 0 {
+		h.store.Restore(snapshots[0])
 	}
-	w.store.Set(stoatfake.Trouble{})
-	w.after(writeAgainAfter, w.writeAgain)
-	w.after(endAgainAfter, w.endAgain)
-	w.after(w.cfg.Bounds.Stable+w.cfg.Bounds.Slack, func() { w.changeRoutes(s.Target) })
+	h.store.Set(stoatfake.Trouble{})
+	h.after(rewriteDelay, h.rewriteAll)
+	h.after(removeDelay, h.removeStopped)
+	h.after(h.cfg.Bounds.Stable+h.cfg.Bounds.Slack, func() { h.changeRoutes(s.Target) })
 }
 
-// writeAgain has operators and upstreams write what they wrote last.
-func (w *world) writeAgain() {
-	w.mu.Lock()
-	w.writeConfiguration()
-	evacuated := w.evacuated
-	w.mu.Unlock()
+// rewriteAll has operators and upstreams write what they wrote last.
+func (h *harness) rewriteAll() {
+	h.mu.Lock()
+	h.writeConfig()
+	evacuated := h.evacuated
+	h.mu.Unlock()
 	for n := range dataCentres {
 		if centre := centreOf(n); centre == evacuated {
-			w.store.Write(platform.KindEvacuation, centre, map[string]any{})
+			h.store.Write(platform.KindEvacuation, centre, map[string]any{})
 		} else {
-			w.store.Remove(platform.KindEvacuation, centre)
+			h.store.Remove(platform.KindEvacuation, centre)
 		}
 	}
-	for _, u := range w.living() {
+	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
-		left := u.left
+		left := u.leftAt
 		u.mu.Unlock()
 		if !u.dead.Load() {
 			u.register(left > 0)
@@ -71,15 +71,15 @@
 	}
 }
 
-// endAgain removes what the copy has of upstreams that ended since.
-func (w *world) endAgain() {
-	lives := map[string]bool{}
-	for _, u := range w.living() {
-		lives[u.id] = true
+// removeStopped removes what the copy has of upstreams that ended since.
+func (h *harness) removeStopped() {
+	live := map[string]bool{}
+	for _, u := range h.liveUpstreams() {
+		live[u.id] = true
 	}
-	for _, name := range w.store.Names(platform.KindUpstream) {
-		if !lives[name] {
-			w.store.Remove(platform.KindUpstream, name)
+	for _, name := range h.store.Names(platform.KindUpstream) {
+		if !live[name] {
+			h.store.Remove(platform.KindUpstream, name)
 		}
 	}
 }
--- a/stoatsoak/run_upstream.go
+++ b/stoatsoak/run_upstream.go
@@ -16,82 +16,82 @@
 // upstream is a stand-in for one life of a server: it holds flows, runs requests and answers
 // callers directly.
 type upstream struct {
-	w       *world
-	id      string
-	target  uint64
-	born    stoatpaddle.Incarnation
-	service string
-	centre  string
-	conn    *net.UDPConn
-	addr    netip.AddrPort
+	h           *harness
+	id          string
+	targetID    uint64
+	incarnation stoatpaddle.Incarnation
+	service     string
+	centre      string
+	conn        *net.UDPConn
+	addr        netip.AddrPort
 
-	mu    sync.Mutex
-	flows map[netip.AddrPort]*served // by caller
-	left  time.Duration              // when the store took its mark; 0: it serves
-	warm  time.Duration              // until then it is cold
-	dead  atomic.Bool
+	mu        sync.Mutex
+	flows     map[netip.AddrPort]*upstreamFlow // by caller
+	leftAt    time.Duration                    // when the store took its mark; 0: it serves
+	coldUntil time.Duration                    // until then it is cold
+	dead      atomic.Bool
 }
 
-// served is a flow at its upstream.
-type served struct {
-	isn     uint32
-	open    bool
-	closing bool
-	parts   map[uint32]string // of the request under way, by sequence number
-	last    *platform.Segment // the last answer, repeated if it was lost
-	lastSeq uint32            // of the first part that it answers
-	running bool
+// upstreamFlow is a flow at its upstream.
+type upstreamFlow struct {
+	seq          uint32
+	open         bool
+	closing      bool
+	parts        map[uint32]string // of the request under way, by sequence number
+	lastAnswer   *platform.Segment // the last answer, repeated if it was lost
+	lastFirstSeq uint32            // of the first part that it answers
+	running      bool
 }
 
 const (
-	workTime  = 30 * time.Millisecond
-	queueTime = 500 * time.Millisecond // through a full queue; callers repeat after 0.2 s
-	slots     = 3
-	coldFor   = 2 * time.Second
-	coldRate  = 5.0 // requests a second that a cold upstream bears
+	workTime      = 30 * time.Millisecond
+	slowWorkTime  = 500 * time.Millisecond // through a full queue; callers repeat after 0.2 s
+	upstreamSlots = 3
+	coldDuration  = 2 * time.Second
+	coldRate      = 5.0 // requests a second that a cold upstream bears
 )
 
 // newUpstream starts one life at the address, which is free; port 0 takes any.
-func (w *world) newUpstream(service, centre string, at netip.AddrPort) (*upstream, error) {
-	return w.startUpstream(firstTarget+w.lives.Add(1), service, centre, at, coldFor)
+func (h *harness) newUpstream(service, centre string, at netip.AddrPort) (*upstream, error) {
+	return h.startUpstream(firstTargetID+h.lastTargetID.Add(1), service, centre, at, coldDuration)
 }
 
-// firstTarget is the number of the first upstream's id.
-const firstTarget = 0x5000_0000
+// firstTargetID is the number of the first upstream's id.
+const firstTargetID = 0x5000_0000
 
 // startUpstream starts a life of the upstream with that number, which is cold for so long; not while a
 // data centre is evacuated, or what is left might not bear what callers ask.
-func (w *world) startUpstream(target uint64, service, centre string, at netip.AddrPort, cold time.Duration) (*upstream, error) {
+func (h *harness) startUpstream(targetID uint64, service, centre string, at netip.AddrPort, cold time.Duration) (*upstream, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
 		return nil, err
 	}
 	u := &upstream{
-		w: w, id: fmt.Sprintf("i-%08x", target), target: target, service: service, centre: centre, conn: conn,
-		born: stoatpaddle.Incarnation(time.Now().UnixMilli()),
-		addr: conn.LocalAddr().(*net.UDPAddr).AddrPort(), flows: map[netip.AddrPort]*served{},
+		h: h, id: fmt.Sprintf("i-%08x", targetID), targetID: targetID, service: service, centre: centre, conn: conn,
+		incarnation: stoatpaddle.Incarnation(time.Now().UnixMilli()),
+		addr:        conn.LocalAddr().(*net.UDPAddr).AddrPort(), flows: map[netip.AddrPort]*upstreamFlow{},
 	}
-	w.mu.Lock()
-	w.upstreams = append(w.upstreams, u)
-	if w.evacuated == "" && cold > 0 {
-		w.cold++
-		u.warm = w.now() + cold
-		w.after(cold, u.warmed)
+	h.mu.Lock()
+	h.upstreams = append(h.upstreams, u)
+	if h.evacuated == "" && cold > 0 {
+		h.coldUpstreams++
+		u.coldUntil = h.now() + cold
+		h.after(cold, u.endCold)
 	}
-	w.mu.Unlock()
-	w.group.Go(u.serve)
+	h.mu.Unlock()
+	h.group.Go(u.serve)
 	u.register(false)
 	return u, nil
 }
 
-// warmed has it say that it is not cold any more.
-func (u *upstream) warmed() {
-	u.w.mu.Lock()
-	u.w.cold--
-	u.w.mu.Unlock()
+// endCold has it say that it is not cold any more.
+func (u *upstream) endCold() {
+	u.h.mu.Lock()
+	u.h.coldUpstreams--
+	u.h.mu.Unlock()
 	u.mu.Lock()
-	u.warm = 0
-	left := u.left
+	u.coldUntil = 0
+	left := u.leftAt
 	u.mu.Unlock()
 	if !u.dead.Load() {
 		u.register(left > 0)
@@ -101,42 +101,42 @@
 // register writes what a server says about itself, as servers do without regard to entries.
 func (u *upstream) register(leaving bool) {
 	u.mu.Lock()
-	cold := max(0, u.warm-u.w.now())
+	cold := max(0, u.coldUntil-u.h.now())
 	u.mu.Unlock()
-	u.w.store.Write(platform.KindUpstream, u.id, platform.RegistrationSpec(&stoatpaddle.Registration{
-		Service: stoatpaddle.ServiceID(u.service), Addr: u.addr, DataCentre: stoatpaddle.DataCentreID(u.centre), Slots: slots, Leaving: leaving, Incarnation: u.born, ColdRemaining: cold,
+	u.h.store.Write(platform.KindUpstream, u.id, platform.RegistrationSpec(&stoatpaddle.Registration{
+		Service: stoatpaddle.ServiceID(u.service), Addr: u.addr, DataCentre: stoatpaddle.DataCentreID(u.centre), Slots: upstreamSlots, Leaving: leaving, Incarnation: u.incarnation, ColdRemaining: cold,
 	}))
 }
 
-// leave marks it; it goes on for the bound and until its flows have ended.
-func (u *upstream) leave(now time.Duration) {
+// startLeaving marks it; it goes on for the bound and until its flows have ended.
+func (u *upstream) startLeaving(now time.Duration) {
 	u.register(true)
 	u.mu.Lock()
-	u.left = max(now, 1)
+	u.leftAt = max(now, 1)
 	u.mu.Unlock()
 }
 
-// end takes it away, with its registration.
-func (u *upstream) end() {
+// stop takes it away, with its registration.
+func (u *upstream) stop() {
 	u.dead.Store(true)
 	_ = u.conn.Close()
-	u.w.store.Remove(platform.KindUpstream, u.id)
-	u.drop()
+	u.h.store.Remove(platform.KindUpstream, u.id)
+	u.removeFromHarness()
 }
 
-// drop takes its life out of those that there are.
-func (u *upstream) drop() {
-	u.w.mu.Lock()
-	defer u.w.mu.Unlock()
-	for i, other := range u.w.upstreams {
+// removeFromHarness takes its life out of those that there are.
+func (u *upstream) removeFromHarness() {
+	u.h.mu.Lock()
+	defer u.h.mu.Unlock()
+	for i, other := range u.h.upstreams {
 		if other == u {
-			u.w.upstreams = append(u.w.upstreams[:i], u.w.upstreams[i+1:]...)
+			u.h.upstreams = append(u.h.upstreams[:i], u.h.upstreams[i+1:]...)
 			return
 		}
 	}
 }
 
-func (u *upstream) busy() bool {
+func (u *upstream) hasOpenFlow() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, f := range u.flows {
@@ -159,65 +159,65 @@
 			continue
 		}
 		// One that is meant for another life says nothing.
-		if t := platform.GetTarget(buf); t != 0 && t != u.target {
+		if t := platform.GetTarget(buf); t != 0 && t != u.targetID {
 			continue
 		}
-		u.take(&s)
+		u.handleSegment(&s)
 	}
 }
 
-func (u *upstream) take(s *platform.Segment) {
+func (u *upstream) handleSegment(s *platform.Segment) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f := u.flows[s.Src]
 	switch {
 	case s.Opens:
-		if u.left > 0 {
-			u.w.check.openedAt(u.w.now(), u.left, u.id)
+		if u.leftAt > 0 {
+			u.h.check.openedAtLeaving(u.h.now(), u.leftAt, u.id)
 		}
-		if since := u.w.evacuatedSince(u.centre); since > 0 {
-			u.w.check.openedThere(u.w.now(), since, u.id, u.centre)
+		if since := u.h.evacuatedSince(u.centre); since > 0 {
+			u.h.check.openedAtEvacuated(u.h.now(), since, u.id, u.centre)
 		}
-		if f == nil && u.warm > 0 {
-			u.w.check.openedCold(u.w.now(), u.id, coldRate)
+		if f == nil && u.coldUntil > 0 {
+			u.h.check.openedAtCold(u.h.now(), u.id, coldRate)
 		}
 		if f == nil {
-			f = &served{isn: u.w.random(), parts: map[uint32]string{}}
+			f = &upstreamFlow{seq: u.h.random(), parts: map[uint32]string{}}
 			u.flows[s.Src] = f
 		}
-		u.answer(s, &platform.Segment{Opens: true, Acks: true, Seq: f.isn, Ack: s.Seq + 1})
+		u.answer(s, &platform.Segment{Opens: true, Acks: true, Seq: f.seq, Ack: s.Seq + 1})
 	case f == nil:
 		if !s.Resets {
 			u.answer(s, &platform.Segment{Resets: true, Seq: s.Ack})
 		}
-	case !f.open && s.Ack != f.isn+1:
+	case !f.open && s.Ack != f.seq+1:
 		// The handshake of another upstream.
 	case s.Ends || s.Resets:
 		delete(u.flows, s.Src)
 	default:
 		f.open = true
 		if len(s.Data) > 0 {
-			u.request(f, s)
+			u.handlePart(f, s)
 		}
 	}
 }
 
-// request gathers the parts of a request, and runs it once it is whole. Each part says
+// handlePart gathers the parts of a handlePart, and runs it once it is whole. Each part says
 // "id route wanted repeatable part parts padding".
-func (u *upstream) request(f *served, s *platform.Segment) {
-	if f.last != nil && s.Seq-f.lastSeq < 1<<16 && s.Seq >= f.lastSeq && s.Seq < f.last.Ack {
-		u.answer(s, f.last)
+func (u *upstream) handlePart(f *upstreamFlow, s *platform.Segment) {
+	if f.lastAnswer != nil && s.Seq-f.lastFirstSeq < 1<<16 && s.Seq >= f.lastFirstSeq && s.Seq < f.lastAnswer.Ack {
+		u.answer(s, f.lastAnswer)
 		return
 	}
 	f.parts[s.Seq] = string(s.Data)
-	words := strings.SplitN(string(s.Data), " ", 7)
-	if len(words) < 7 {
+	fields := strings.SplitN(string(s.Data), " ", 7)
+	if len(fields) < 7 {
 		return
 	}
-	part, parts := atoi(words[4]), atoi(words[5])
-	first, end := s.Seq-uint32(part)*partSize, s.Seq+uint32(parts-part)*partSize
+	part, parts := atoi(fields[4]), atoi(fields[5])
+	firstSeq, endSeq := s.Seq-uint32(part)*partSize, s.Seq+uint32(parts-part)*partSize
 	for n := range parts {
-		if f.parts[first+uint32(n)*partSize] == "" {
+		if f.parts[firstSeq+uint32(n)*partSize] == "" {
 			return
 		}
 	}
@@ -225,31 +225,31 @@
 		return
 	}
 	f.running = true
-	reply := *s
-	u.w.check.ran(u.w.now(), words[0], u.service, words[2], words[3] == "true")
-	takes := workTime
-	if u.w.queued.Load() > 0 {
-		takes = queueTime
+	request := *s
+	u.h.check.requestRan(u.h.now(), fields[0], u.service, fields[2], fields[3] == "true")
+	duration := workTime
+	if u.h.slowdowns.Load() > 0 {
+		duration = slowWorkTime
 	}
-	u.w.after(takes, func() { u.finish(f, &reply, words[0], first, end) })
+	u.h.after(duration, func() { u.finishRequest(f, &request, fields[0], firstSeq, endSeq) })
 }
 
-// finish answers a request that has run.
-func (u *upstream) finish(f *served, s *platform.Segment, id string, first, end uint32) {
+// finishRequest answers a request that has run.
+func (u *upstream) finishRequest(f *upstreamFlow, s *platform.Segment, id string, firstSeq, endSeq uint32) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	f.running, f.parts = false, map[uint32]string{}
-	f.isn += 1000
-	f.closing = u.left > 0
-	f.last, f.lastSeq = &platform.Segment{Acks: true, Seq: f.isn, Ack: end, Ends: f.closing, Data: []byte(id + " " + u.id)}, first
-	u.answer(s, f.last)
+	f.seq += 1000
+	f.closing = u.leftAt > 0
+	f.lastAnswer, f.lastFirstSeq = &platform.Segment{Acks: true, Seq: f.seq, Ack: endSeq, Ends: f.closing, Data: []byte(id + " " + u.id)}, firstSeq
+	u.answer(s, f.lastAnswer)
 }
 
 // answer sends to the caller of s.
 func (u *upstream) answer(s, reply *platform.Segment) {
 	reply.Src, reply.Dst, reply.Cookie = s.Dst, s.Src, s.Cookie
-	to := netip.AddrPortFrom(s.Src.Addr(), u.w.port)
-	if u.w.lost() {
+	to := netip.AddrPortFrom(s.Src.Addr(), u.h.port)
+	if u.h.dropsDatagram() {
 		return
 	}
 	_, _ = u.conn.WriteToUDPAddrPort(platform.AppendSegment(nil, reply), to)
--- a/stoatsoak/run_world.go
+++ b/stoatsoak/run_world.go
@@ -47,44 +47,44 @@
 	Breaches []Breach
 }
 
-// world is the deployment and everything around it.
-type world struct {
-	cfg       Config
-	start     time.Time
-	ctx       context.Context
-	cancel    context.CancelFunc
-	group     *errgroup.Group
-	check     *checker
-	store     *stoatfake.Platform
-	storeAddr string
-	port      uint16       // of the fabric, and of callers
-	net       byte         // the second byte of the run's addresses
-	claimed   *net.UDPConn // no other run uses them while it is open
-	entries   []*entry
-	ids       atomic.Uint64
-	lives     atomic.Uint64
-	queued    atomic.Int64 // so many reasons for upstreams to answer late
+// harness is the deployment and everything around it.
+type harness struct {
+	cfg           Config
+	start         time.Time
+	ctx           context.Context
+	cancel        context.CancelFunc
+	group         *errgroup.Group
+	check         *checker
+	store         *stoatfake.Platform
+	storeAddr     string
+	port          uint16       // of the fabric, and of callers
+	subnet        byte         // the second byte of the run's addresses
+	subnetLock    *net.UDPConn // no other run uses them while it is open
+	entries       []*entry
+	lastRequestID atomic.Uint64
+	lastTargetID  atomic.Uint64
+	slowdowns     atomic.Int64 // so many reasons for upstreams to answer late
 
 	// mu is never held while an upstream's is taken: upstreams take it while they answer.
-	mu        sync.Mutex
-	upstreams []*upstream
-	sockets   []*net.UDPConn // of callers
-	rnd       *rand.Rand
-	lossy     bool
-	version   int
-	routes    map[string]routed
-	cold      int    // upstreams that have just started
-	evacuated string // a data centre
+	mu            sync.Mutex
+	upstreams     []*upstream
+	callerConns   []*net.UDPConn // of callers
+	rnd           *rand.Rand
+	lossy         bool
+	version       int
+	routes        map[string]routeChange
+	coldUpstreams int    // upstreams that have just started
+	evacuated     string // a data centre
 	// evacuatedAt is when the store took that.
 	evacuatedAt time.Duration
-	copies      []stoatfake.Copy // of the store, the latest ones
+	snapshots   []stoatfake.Copy // of the store, the latest ones
 }
 
-// routed is a route that was added or removed at a time.
-type routed struct {
+// routeChange is a route that was added or removed at a time.
+type routeChange struct {
 	listen  netip.AddrPort
 	allowed bool
-	acked   time.Duration
+	ackedAt time.Duration
 	version int // of the configuration that changed it
 }
 
@@ -94,20 +94,20 @@
 	uploadAddr = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-// kinds are what callers ask for.
-func kinds() []*kind {
-	return []*kind{
-		{name: "feed", service: "app", listen: feedAddr, repeatable: true, long: true, parts: 1, every: 150 * time.Millisecond},
-		{name: "pledge", service: "app", listen: pledgeAddr, parts: 1, every: 200 * time.Millisecond},
-		{name: "upload", service: "intake", listen: uploadAddr, repeatable: true, parts: 4, every: 300 * time.Millisecond},
+// requestTypes are what callers ask for.
+func requestTypes() []*requestType {
+	return []*requestType{
+		{name: "feed", service: "app", listen: feedAddr, repeatable: true, reusesFlow: true, parts: 1, interval: 150 * time.Millisecond},
+		{name: "pledge", service: "app", listen: pledgeAddr, parts: 1, interval: 200 * time.Millisecond},
+		{name: "upload", service: "intake", listen: uploadAddr, repeatable: true, parts: 4, interval: 300 * time.Millisecond},
 	}
 }
 
 const (
-	callersPerKind = 4
-	appUpstreams   = 4
-	intakeServers  = 2
-	firstPort      = 8600 // of the fabric
+	callersPerType  = 4
+	appUpstreams    = 4
+	intakeUpstreams = 2
+	firstPort       = 8600 // of the fabric
 )
 
 // Run plays one run. A breach is no error.
@@ -115,12 +115,12 @@
 	ctx, cancel := context.WithTimeout(ctx, cfg.Length)
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
-	w := &world{
+	h := &harness{
 		cfg: cfg, start: time.Now(), ctx: ctx, cancel: cancel, group: group, check: newChecker(cfg.Bounds), store: stoatfake.NewPlatform(),
-		port: firstPort + uint16(cfg.Seed%1000), rnd: rand.New(rand.NewPCG(cfg.Seed, 12)), routes: map[string]routed{},
+		port: firstPort + uint16(cfg.Seed%1000), rnd: rand.New(rand.NewPCG(cfg.Seed, 12)), routes: map[string]routeChange{},
 	}
 	if cfg.Sabotage != "" {
-		w.check.noticed = func(p Promise) {
+		h.check.onBreach = func(p Promise) {
 			if p == cfg.Sabotage {
 				cancel()
 			}
@@ -133,134 +133,134 @@
 			plan = NewRestorePlan(cfg.Seed, cfg.Length)
 		}
 	}
-	err := w.play(plan)
+	err := h.runPlan(plan)
 	cancel()
-	w.shut()
-	if waited := group.Wait(); err == nil {
-		err = waited
+	h.shutdown()
+	if waitErr := group.Wait(); err == nil {
+		err = waitErr
 	}
 	// Not before its processes have ended: another run would find their ports in use.
-	if w.claimed != nil {
-		_ = w.claimed.Close()
+	if h.subnetLock != nil {
+		_ = h.subnetLock.Close()
 	}
-	counts, breaches := w.check.result()
+	counts, breaches := h.check.result()
 	return Result{Seed: cfg.Seed, Steps: plan, Counts: counts, Breaches: breaches}, err
 }
 
-func (w *world) play(plan []Step) error {
-	if err := w.claim(); err != nil {
+func (h *harness) runPlan(plan []Step) error {
+	if err := h.reserveSubnet(); err != nil {
 		return err
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	w.storeAddr = ln.Addr().String()
-	srv := &http.Server{Handler: w.store, ReadHeaderTimeout: time.Minute}
-	w.group.Go(func() error {
+	h.storeAddr = ln.Addr().String()
+	srv := &http.Server{Handler: h.store, ReadHeaderTimeout: time.Minute}
+	h.group.Go(func() error {
 		_ = srv.Serve(ln)
 		return nil
 	})
 	defer func() { _ = srv.Close() }()
-	w.configure(func(map[string]routed) {})
-	for i := range appUpstreams + intakeServers {
+	h.changeConfig(func(map[string]routeChange) {})
+	for i := range appUpstreams + intakeUpstreams {
 		service := "app"
 		if i >= appUpstreams {
 			service = "intake"
 		}
-		if _, err := w.startUpstream(firstTarget+w.lives.Add(1), service, centreOf(i), netip.MustParseAddrPort("127.0.0.1:0"), 0); err != nil {
+		if _, err := h.startUpstream(firstTargetID+h.lastTargetID.Add(1), service, centreOf(i), netip.MustParseAddrPort("127.0.0.1:0"), 0); err != nil {
 			return err
 		}
 	}
-	for n := range w.cfg.Entries {
-		e, err := w.newEntry(n)
+	for n := range h.cfg.Entries {
+		e, err := h.newEntry(n)
 		if err != nil {
 			return err
 		}
-		w.entries = append(w.entries, e)
+		h.entries = append(h.entries, e)
 	}
 	// The time until all serve is no failure of theirs.
-	settled := w.check.begin(0)
-	for _, e := range w.entries {
-		w.group.Go(e.run)
-		w.group.Go(e.probe)
+	startupDone := h.check.beginDisturbance(0)
+	for _, e := range h.entries {
+		h.group.Go(e.run)
+		h.group.Go(e.probe)
 	}
-	w.pause(time.Second)
-	settled(w.now())
-	if err := w.callers(); err != nil {
+	h.sleep(time.Second)
+	startupDone(h.now())
+	if err := h.startCallers(); err != nil {
 		return err
 	}
-	w.group.Go(w.look)
+	h.group.Go(h.probeRoutes)
 	// A run that breaks a promise on purpose is about being noticed, at any speed.
-	if w.cfg.Sabotage == "" {
-		w.group.Go(w.watchStalls)
+	if h.cfg.Sabotage == "" {
+		h.group.Go(h.watchStalls)
 	}
-	w.group.Go(w.summarize)
-	w.group.Go(w.copyStore)
+	h.group.Go(h.summarize)
+	h.group.Go(h.snapshotStore)
 	for _, s := range plan {
-		w.pause(s.At - w.now())
-		w.apply(s)
+		h.sleep(s.At - h.now())
+		h.startStep(s)
 	}
-	<-w.ctx.Done()
+	<-h.ctx.Done()
 	return nil
 }
 
 // summarize says each minute what was done so far.
-func (w *world) summarize() error {
-	for w.pause(time.Minute) {
-		c, breaches := w.check.result()
-		_, _ = fmt.Fprintf(w.cfg.Out, "%.0f s: %d requests, %d late, %d failed, %d breaches\n", w.now().Seconds(), c.Asked, c.Late, c.Failed, len(breaches))
+func (h *harness) summarize() error {
+	for h.sleep(time.Minute) {
+		c, breaches := h.check.result()
+		_, _ = fmt.Fprintf(h.cfg.Out, "%.0f s: %d requests, %d late, %d failed, %d breaches\n", h.now().Seconds(), c.Asked, c.Late, c.Failed, len(breaches))
 	}
 	return nil
 }
 
-func (w *world) callers() error {
-	for i, k := range kinds() {
-		for n := range callersPerKind {
-			c, err := w.newCaller(i*callersPerKind + n)
+func (h *harness) startCallers() error {
+	for i, k := range requestTypes() {
+		for n := range callersPerType {
+			c, err := h.newCaller(i*callersPerType + n)
 			if err != nil {
 				return err
 			}
-			w.group.Go(func() error { return c.run(k) })
+			h.group.Go(func() error { return c.run(k) })
 		}
 	}
 	return nil
 }
 
-// shut ends what was started, and nothing else.
-func (w *world) shut() {
-	for _, e := range w.entries {
+// shutdown ends what was started, and nothing else.
+func (h *harness) shutdown() {
+	for _, e := range h.entries {
 		e.signal(syscall.SIGCONT, true)
 		e.signal(syscall.SIGKILL, true)
-		for _, l := range e.links() {
-			l.close()
+		for _, p := range e.proxies() {
+			p.close()
 		}
 		_ = e.conn.Close()
 	}
-	w.mu.Lock()
-	for _, conn := range w.sockets {
+	h.mu.Lock()
+	for _, conn := range h.callerConns {
 		_ = conn.Close()
 	}
-	w.mu.Unlock()
-	for _, u := range w.living() {
-		u.end()
+	h.mu.Unlock()
+	for _, u := range h.liveUpstreams() {
+		u.stop()
 	}
 }
 
 const (
-	nets     = 250  // 127.1.x.y to 127.250.x.y
-	lockPort = 8599 // of the address that a run holds to itself
+	subnetCount    = 250  // 127.1.x.y to 127.250.x.y
+	subnetLockPort = 8599 // of the address that a run holds to itself
 )
 
-// claim finds a part of the loopback addresses that no other run on this machine uses, and
+// reserveSubnet finds a part of the loopback addresses that no other run on this machine uses, and
 // keeps it until its processes have ended.
-func (w *world) claim() error {
+func (h *harness) reserveSubnet() error {
 	var last error
-	for i := range uint64(nets) {
-		n := byte(1 + (w.cfg.Seed+i)%nets)
-		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, 1}), lockPort)))
+	for i := range uint64(subnetCount) {
+		n := byte(1 + (h.cfg.Seed+i)%subnetCount)
+		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, 1}), subnetLockPort)))
 		if err == nil {
-			w.net, w.claimed = n, conn
+			h.subnet, h.subnetLock = n, conn
 			return nil
 		}
 		last = err
@@ -268,14 +268,14 @@
 	return last
 }
 
-func (w *world) now() time.Duration { return time.Since(w.start) }
+func (h *harness) now() time.Duration { return time.Since(h.start) }
 
-// pause waits, and tells whether the run goes on.
-func (w *world) pause(d time.Duration) bool {
+// sleep waits, and tells whether the run goes on.
+func (h *harness) sleep(d time.Duration) bool {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
 	select {
-	case <-w.ctx.Done():
+	case <-h.ctx.Done():
 		return false
 	case <-t.C:
 		return true
@@ -283,76 +283,76 @@
 }
 
 // after does something later, unless the run ends before.
-func (w *world) after(d time.Duration, do func()) {
-	w.group.Go(func() error {
-		if w.pause(d) {
+func (h *harness) after(d time.Duration, do func()) {
+	h.group.Go(func() error {
+		if h.sleep(d) {
 			do()
 		}
 		return nil
 	})
 }
 
-func (w *world) random() uint32 {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.rnd.Uint32() >> 1
+func (h *harness) random() uint32 {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.rnd.Uint32() >> 1
 }
 
-func (w *world) jitter(d time.Duration) time.Duration {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return d/2 + time.Duration(w.rnd.Int64N(int64(d)))
+func (h *harness) jitter(d time.Duration) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return d/2 + time.Duration(h.rnd.Int64N(int64(d)))
 }
 
-// lost tells whether a datagram is lost now.
-func (w *world) lost() bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.lossy && w.rnd.IntN(10) == 0
+// dropsDatagram tells whether a datagram is dropsDatagram now.
+func (h *harness) dropsDatagram() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.lossy && h.rnd.IntN(10) == 0
 }
 
-// configure writes the operators' configuration, changed.
-func (w *world) configure(change func(routes map[string]routed)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version += 1 + w.rnd.IntN(3)
-	change(w.routes)
-	w.writeConfiguration()
+// changeConfig writes the operators' configuration, changed.
+func (h *harness) changeConfig(change func(routes map[string]routeChange)) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.version += 1 + h.rnd.IntN(3)
+	change(h.routes)
+	h.writeConfig()
 }
 
-// writeConfiguration writes what the operators want; mu is held.
-func (w *world) writeConfiguration() {
+// writeConfig writes what the operators want; mu is held.
+func (h *harness) writeConfig() {
 	d := stoatpaddle.Declaration{
-		Version: stoatpaddle.Version(w.version), IdleTimeout: 15 * time.Second, MaxFlows: map[stoatpaddle.ServiceID]int{"app": 2000, "intake": 2000},
+		Version: stoatpaddle.Version(h.version), IdleTimeout: 15 * time.Second, MaxFlows: map[stoatpaddle.ServiceID]int{"app": 2000, "intake": 2000},
 		ColdRates: map[stoatpaddle.ServiceID]float64{"app": coldRate, "intake": coldRate},
 	}
 	add := func(listen netip.AddrPort, service string, repeatable bool) {
 		d.Routes = append(d.Routes, stoatpaddle.Route{
 			Listen: listen, Backends: []stoatpaddle.Backend{{Service: stoatpaddle.ServiceID(service), Weight: 1}},
-			Idempotent: repeatable, TargetLatency: aim, Priority: 1,
+			Idempotent: repeatable, TargetLatency: targetLatency, Priority: 1,
 		})
 	}
-	for _, k := range kinds() {
+	for _, k := range requestTypes() {
 		add(k.listen, k.service, k.repeatable)
 	}
-	for _, r := range w.routes {
+	for _, r := range h.routes {
 		if r.allowed {
 			add(r.listen, "app", true)
 		}
 	}
-	w.store.Write(platform.KindConfig, platform.ConfigName, platform.DeclarationSpec(&d))
+	h.store.Write(platform.KindConfig, platform.ConfigName, platform.DeclarationSpec(&d))
 }
 
-// living returns the upstreams there are.
-func (w *world) living() []*upstream {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return append([]*upstream(nil), w.upstreams...)
+// liveUpstreams returns the upstreams there are.
+func (h *harness) liveUpstreams() []*upstream {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return append([]*upstream(nil), h.upstreams...)
 }
 
-// holder returns the upstream that holds the flow, if it lives and is known to be its own.
-func (w *world) holder(f *flow) *upstream {
-	for _, u := range w.living() {
+// upstreamOf returns the upstream that holds the flow, if it lives and is known to be its own.
+func (h *harness) upstreamOf(f *flow) *upstream {
+	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
 		s := u.flows[f.tuple[0]]
 		u.mu.Unlock()
--- a/stoatsoak/soak_test.go
+++ b/stoatsoak/soak_test.go
@@ -57,12 +57,12 @@
 // The soak can fail: an entry that breaks a promise is noticed. How soon depends on the machine, on
 // which the run's processes are real ones; so each run goes on until then, and the upstreams that
 // leave do so one after the other, after the start has ceased to count as a disturbance.
-func TestBrokenEntryIsNoticed(t *testing.T) {
+func TestInjectedBreachIsDetected(t *testing.T) {
 	for i, p := range []stoatsoak.Promise{stoatsoak.RightService, stoatsoak.WholeAnswer, stoatsoak.Once, stoatsoak.FlowLives, stoatsoak.Drained, stoatsoak.InForce, stoatsoak.Recovers, stoatsoak.Runs, stoatsoak.Evacuated, stoatsoak.Spared, stoatsoak.Admits} {
 		t.Run(string(p), func(t *testing.T) {
 			plan := []stoatsoak.Step{}
 			if p == stoatsoak.Drained {
-				for at := 12 * time.Second; at < brokenFor; at += 8 * time.Second {
+				for at := 12 * time.Second; at < detectTimeout; at += 8 * time.Second {
 					plan = append(plan, stoatsoak.Step{At: at, Kind: stoatsoak.Drain, Target: 0})
 				}
 			}
@@ -71,11 +71,11 @@
 			}
 			if p == stoatsoak.Evacuated || p == stoatsoak.Spared {
 				kind := map[stoatsoak.Promise]stoatsoak.Kind{stoatsoak.Evacuated: stoatsoak.Evacuate, stoatsoak.Spared: stoatsoak.Drain}[p]
-				for at := 12 * time.Second; at < brokenFor; at += 10 * time.Second {
+				for at := 12 * time.Second; at < detectTimeout; at += 10 * time.Second {
 					plan = append(plan, stoatsoak.Step{At: at, For: 8 * time.Second, Kind: kind, Target: 0})
 				}
 			}
-			r := run(t, stoatsoak.Config{Seed: uint64(20 + i), Length: brokenFor, Plan: plan, Sabotage: p})
+			r := run(t, stoatsoak.Config{Seed: uint64(20 + i), Length: detectTimeout, Plan: plan, Sabotage: p})
 			for _, b := range r.Breaches {
 				if b.Promise == p {
 					return
@@ -86,5 +86,5 @@
 	}
 }
 
-// brokenFor bounds a run that is to notice a broken promise; on an idle machine it takes 20 s at most.
-const brokenFor = 90 * time.Second
+// detectTimeout bounds a run that is to notice a broken promise; on an idle machine it takes 20 s at most.
+const detectTimeout = 90 * time.Second
