--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -26,8 +26,8 @@
 )
 
 // timed tells whether a promise speaks of time: a machine that is slow enough breaks it.
-func (p Promise) timed() bool {
-	return p == FlowLives || p == Evacuated || p == Spared || p == Drained || p == InForce || p == Admits || p == Recovers
+func (g Promise) timed() bool {
+	return g == FlowLives || g == Evacuated || g == Spared || g == Drained || g == InForce || g == Admits || g == Recovers
 }
 
 // Breach is a promise that was broken.
@@ -84,13 +84,13 @@
 	return &checker{limits: b, runCounts: map[string]int{}, maxVersions: map[string]int{}, coldOpens: map[string][]time.Duration{}}
 }
 
-func (c *checker) breach(now time.Duration, p Promise, format string, args ...any) {
-	if c.limits.Untimed && p.timed() {
+func (c *checker) breach(now time.Duration, g Promise, format string, args ...any) {
+	if c.limits.Untimed && g.timed() {
 		return
 	}
-	c.breaches = append(c.breaches, Breach{At: now, Promise: p, What: fmt.Sprintf(format, args...)})
+	c.breaches = append(c.breaches, Breach{At: now, Promise: g, What: fmt.Sprintf(format, args...)})
 	if c.onBreach != nil {
-		c.onBreach(p)
+		c.onBreach(g)
 	}
 }
 
@@ -268,7 +268,7 @@
 }
 
 // requestDone counts a request, and checks that it was served if it may be expected.
-func (c *checker) requestDone(now, began time.Duration, route string, served, late bool) {
+func (c *checker) requestDone(now, start time.Duration, route string, served, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Asked++
@@ -279,17 +279,17 @@
 		c.counts.Served++
 	default:
 		c.counts.Failed++
-		if c.shouldServe(began, now) {
-			c.breach(now, Recovers, "a request to %s begun at %.2f s was not served", route, began.Seconds())
+		if c.shouldServe(start, now) {
+			c.breach(now, Recovers, "a request to %s begun at %.2f s was not served", route, start.Seconds())
 		}
 	}
 }
 
 // shouldServe tells whether a request had nothing against it: no disturbance for longer than
 // recovery may take.
-func (c *checker) shouldServe(since, now time.Duration) bool {
+func (c *checker) shouldServe(start, now time.Duration) bool {
 	for _, d := range c.disturbances {
-		if d.from <= now && (d.to == 0 || d.to+c.limits.Back >= since) {
+		if d.from <= now && (d.to == 0 || d.to+c.limits.Back >= start) {
 			return false
 		}
 	}
--- a/stoatsoak/report.go
+++ b/stoatsoak/report.go
@@ -6,25 +6,25 @@
 	"io"
 )
 
-// wireResult is a run in JSON.
-type wireResult struct {
-	Seed     uint64       `json:"seed"`
-	Steps    int          `json:"steps"`
-	Faults   map[Kind]int `json:"faults"`
-	Asked    int          `json:"asked"`
-	Served   int          `json:"served"`
-	Late     int          `json:"late"`
-	Failed   int          `json:"failed"`
-	Flows    int          `json:"flows"`
-	Resets   int          `json:"resets"`
-	Stalls   int          `json:"stalls"`
-	Breaches []string     `json:"breaches"`
+// jsonResult is a run in JSON.
+type jsonResult struct {
+	Seed         uint64       `json:"seed"`
+	Steps        int          `json:"steps"`
+	Faults       map[Kind]int `json:"faults"`
+	Requests     int          `json:"asked"`
+	ServedInTime int          `json:"served"`
+	ServedLate   int          `json:"late"`
+	Failed       int          `json:"failed"`
+	FlowsOpened  int          `json:"flows"`
+	FlowsReset   int          `json:"resets"`
+	Stalls       int          `json:"stalls"`
+	Breaches     []string     `json:"breaches"`
 }
 
 // Report writes what a run showed: a line, and with breaches what led to them.
 func Report(w io.Writer, r Result, asJSON bool) error {
 	if asJSON {
-		return json.NewEncoder(w).Encode(toWire(r))
+		return json.NewEncoder(w).Encode(toJSON(r))
 	}
 	c := r.Counts
 	_, err := fmt.Fprintf(w, "seed %d: %d steps, %d requests: %d in time, %d late, %d failed; %d flows opened, %d reset; %d stalls of the run itself; %d breaches\n",
@@ -50,10 +50,10 @@
 	return steps[max(0, n-precedingSteps):n]
 }
 
-func toWire(r Result) wireResult {
-	out := wireResult{
-		Seed: r.Seed, Steps: len(r.Steps), Faults: map[Kind]int{}, Asked: r.Counts.Asked, Served: r.Counts.Served, Late: r.Counts.Late,
-		Failed: r.Counts.Failed, Flows: r.Counts.Flows, Resets: r.Counts.Resets, Stalls: r.Counts.Stalls, Breaches: []string{},
+func toJSON(r Result) jsonResult {
+	out := jsonResult{
+		Seed: r.Seed, Steps: len(r.Steps), Faults: map[Kind]int{}, Requests: r.Counts.Asked, ServedInTime: r.Counts.Served, ServedLate: r.Counts.Late,
+		Failed: r.Counts.Failed, FlowsOpened: r.Counts.Flows, FlowsReset: r.Counts.Resets, Stalls: r.Counts.Stalls, Breaches: []string{},
 	}
 	for _, s := range r.Steps {
 		out.Faults[s.Kind]++
--- a/stoatsoak/run_caller.go
+++ b/stoatsoak/run_caller.go
@@ -170,16 +170,16 @@
 }
 
 // request sends one and waits for its answer; ended tells that the upstream closed the flow.
-func (f *flow) request(k *requestType, id string, until time.Duration) (ended bool, err error) {
+func (f *flow) request(typ *requestType, id string, until time.Duration) (ended bool, err error) {
 	firstSeq := f.seq
 	sendAll := func() {
-		for n := range k.parts {
-			head := fmt.Sprintf("%s %s %s %t %d %d ", id, k.name, k.service, k.repeatable, n, k.parts)
+		for n := range typ.parts {
+			head := fmt.Sprintf("%s %s %s %t %d %d ", id, typ.name, typ.service, typ.repeatable, n, typ.parts)
 			data := head + strings.Repeat("x", partSize-len(head))
 			f.send(platform.Segment{Acks: true, Seq: firstSeq + uint32(n)*partSize, Ack: f.ack, Data: []byte(data)})
 		}
 	}
-	endSeq := firstSeq + uint32(k.parts)*partSize
+	endSeq := firstSeq + uint32(typ.parts)*partSize
 	retransmitDelay := firstRetransmitDelay
 	nextSend := f.c.h.now()
 	for {
@@ -236,14 +236,14 @@
 
 // request serves one request to its end, with retries; held is an open flow, or nil, and what is
 // left open is returned.
-func (c *caller) request(k *requestType, open *flow) *flow {
+func (c *caller) request(typ *requestType, open *flow) *flow {
 	start := c.h.now()
 	id := "r" + strconv.FormatUint(c.h.lastRequestID.Add(1), 10)
 	for attempt := range maxAttempts {
 		f := open
 		open = nil
 		if f == nil {
-			f = c.newFlow(k.listen, nil)
+			f = c.newFlow(typ.listen, nil)
 			if err := f.open(); err != nil {
 				f.remove()
 				if c.h.now()-start >= requestDeadline || c.h.ctx.Err() != nil {
@@ -252,10 +252,10 @@
 				continue // it never opened: every kind may be tried again
 			}
 		}
-		ended, err := f.request(k, id+"."+strconv.Itoa(attempt), start+requestDeadline)
+		ended, err := f.request(typ, id+"."+strconv.Itoa(attempt), start+requestDeadline)
 		if err == nil {
-			c.recordResult(k, start, true)
-			if ended || !k.reusesFlow {
+			c.recordResult(typ, start, true)
+			if ended || !typ.reusesFlow {
 				if !ended {
 					f.close()
 				}
@@ -265,25 +265,25 @@
 			return f
 		}
 		f.remove()
-		if !k.repeatable || c.h.now()-start >= requestDeadline {
+		if !typ.repeatable || c.h.now()-start >= requestDeadline {
 			break
 		}
 	}
-	c.recordResult(k, start, false)
+	c.recordResult(typ, start, false)
 	return nil
 }
 
-func (c *caller) recordResult(k *requestType, start time.Duration, served bool) {
+func (c *caller) recordResult(typ *requestType, start time.Duration, served bool) {
 	if c.h.ctx.Err() == nil {
-		c.h.check.requestDone(c.h.now(), start, k.name, served, c.h.now()-start > targetLatency)
+		c.h.check.requestDone(c.h.now(), start, typ.name, served, c.h.now()-start > targetLatency)
 	}
 }
 
 // run asks until the run ends; a long flow is closed now and then.
-func (c *caller) run(k *requestType) error {
+func (c *caller) run(typ *requestType) error {
 	var open *flow
-	for n := 1; c.h.sleep(c.h.jitter(k.interval)); n++ {
-		open = c.request(k, open)
+	for n := 1; c.h.sleep(c.h.jitter(typ.interval)); n++ {
+		open = c.request(typ, open)
 		if open != nil && n%20 == 0 {
 			open.close()
 			open = nil
--- a/stoatsoak/run_harness.go
+++ b/stoatsoak/run_harness.go
@@ -120,8 +120,8 @@
 		port: firstPort + uint16(cfg.Seed%1000), rnd: rand.New(rand.NewPCG(cfg.Seed, 12)), routes: map[string]routeChange{},
 	}
 	if cfg.Sabotage != "" {
-		h.check.onBreach = func(p Promise) {
-			if p == cfg.Sabotage {
+		h.check.onBreach = func(g Promise) {
+			if g == cfg.Sabotage {
 				cancel()
 			}
 		}
@@ -215,13 +215,13 @@
 }
 
 func (h *harness) startCallers() error {
-	for i, k := range requestTypes() {
+	for i, typ := range requestTypes() {
 		for n := range callersPerType {
 			c, err := h.newCaller(i*callersPerType + n)
 			if err != nil {
 				return err
 			}
-			h.group.Go(func() error { return c.run(k) })
+			h.group.Go(func() error { return c.run(typ) })
 		}
 	}
 	return nil
@@ -255,7 +255,7 @@
 // reserveSubnet finds a part of the loopback addresses that no other run on this machine uses, and
 // keeps it until its processes have ended.
 func (h *harness) reserveSubnet() error {
-	var last error
+	var lastErr error
 	for i := range uint64(subnetCount) {
 		n := byte(1 + (h.cfg.Seed+i)%subnetCount)
 		conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, n, 255, 1}), subnetLockPort)))
@@ -263,9 +263,9 @@
 			h.subnet, h.subnetLock = n, conn
 			return nil
 		}
-		last = err
+		lastErr = err
 	}
-	return last
+	return lastErr
 }
 
 func (h *harness) now() time.Duration { return time.Since(h.start) }
@@ -332,8 +332,8 @@
 			Idempotent: repeatable, TargetLatency: targetLatency, Priority: 1,
 		})
 	}
-	for _, k := range requestTypes() {
-		add(k.listen, k.service, k.repeatable)
+	for _, typ := range requestTypes() {
+		add(typ.listen, typ.service, typ.repeatable)
 	}
 	for _, r := range h.routes {
 		if r.allowed {
--- a/stoatsoak/soak_test.go
+++ b/stoatsoak/soak_test.go
@@ -58,26 +58,26 @@
 // which the run's processes are real ones; so each run goes on until then, and the upstreams that
 // leave do so one after the other, after the start has ceased to count as a disturbance.
 func TestInjectedBreachIsDetected(t *testing.T) {
-	for i, p := range []stoatsoak.Promise{stoatsoak.RightService, stoatsoak.WholeAnswer, stoatsoak.Once, stoatsoak.FlowLives, stoatsoak.Drained, stoatsoak.InForce, stoatsoak.Recovers, stoatsoak.Runs, stoatsoak.Evacuated, stoatsoak.Spared, stoatsoak.Admits} {
-		t.Run(string(p), func(t *testing.T) {
+	for i, g := range []stoatsoak.Promise{stoatsoak.RightService, stoatsoak.WholeAnswer, stoatsoak.Once, stoatsoak.FlowLives, stoatsoak.Drained, stoatsoak.InForce, stoatsoak.Recovers, stoatsoak.Runs, stoatsoak.Evacuated, stoatsoak.Spared, stoatsoak.Admits} {
+		t.Run(string(g), func(t *testing.T) {
 			plan := []stoatsoak.Step{}
-			if p == stoatsoak.Drained {
+			if g == stoatsoak.Drained {
 				for at := 12 * time.Second; at < detectTimeout; at += 8 * time.Second {
 					plan = append(plan, stoatsoak.Step{At: at, Kind: stoatsoak.Drain, Target: 0})
 				}
 			}
-			if p == stoatsoak.Admits {
+			if g == stoatsoak.Admits {
 				plan = append(plan, stoatsoak.Step{At: 12 * time.Second, Kind: stoatsoak.Routes, Target: 1})
 			}
-			if p == stoatsoak.Evacuated || p == stoatsoak.Spared {
-				kind := map[stoatsoak.Promise]stoatsoak.Kind{stoatsoak.Evacuated: stoatsoak.Evacuate, stoatsoak.Spared: stoatsoak.Drain}[p]
+			if g == stoatsoak.Evacuated || g == stoatsoak.Spared {
+				kind := map[stoatsoak.Promise]stoatsoak.Kind{stoatsoak.Evacuated: stoatsoak.Evacuate, stoatsoak.Spared: stoatsoak.Drain}[g]
 				for at := 12 * time.Second; at < detectTimeout; at += 10 * time.Second {
 					plan = append(plan, stoatsoak.Step{At: at, For: 8 * time.Second, Kind: kind, Target: 0})
 				}
 			}
-			r := run(t, stoatsoak.Config{Seed: uint64(20 + i), Length: detectTimeout, Plan: plan, Sabotage: p})
+			r := run(t, stoatsoak.Config{Seed: uint64(20 + i), Length: detectTimeout, Plan: plan, Sabotage: g})
 			for _, b := range r.Breaches {
-				if b.Promise == p {
+				if b.Promise == g {
 					return
 				}
 			}
