--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -6,78 +6,81 @@
 	"time"
 )
 
-// Promise is one thing that must hold.
+// Promise is a guarantee of the system that the checker verifies.
 type Promise string
 
-// The promises.
+// The guarantees.
 const (
-	RightService Promise = "route"    // a request is run by a service that its route has or had
-	WholeAnswer  Promise = "mixed"    // an answer belongs to its request and is whole
-	Once         Promise = "twice"    // a request that may not be repeated runs once at most
-	FlowLives    Promise = "flow"     // no open flow is reset while its upstream lives
-	Evacuated    Promise = "evacuate" // an evacuated data centre gets no new flows after the bound
-	Spared       Promise = "cold"     // a cold upstream gets no more new flows than it bears
-	Drained      Promise = "drain"    // a leaving upstream gets no new flows after the bound
-	InForce      Promise = "config"   // a configuration is in force after the bound
-	Admits       Promise = "admit"    // a route that is in force refuses nobody while upstreams have room
-	NeverBack    Promise = "back"     // what is in force never goes back
-	Recovers     Promise = "recover"  // requests are served some time after a disturbance
-	Runs         Promise = "runs"     // an entry does not end by itself
+	RightService Promise = "route"    // A request is run by a service that its route has or had.
+	WholeAnswer  Promise = "mixed"    // A caller gets the complete answer to its own request.
+	Once         Promise = "twice"    // A request that is not repeatable runs at most once.
+	FlowLives    Promise = "flow"     // No entry resets an open flow while its upstream is alive.
+	Evacuated    Promise = "evacuate" // An evacuated data centre gets no new flows after the time limit.
+	Spared       Promise = "cold"     // A cold upstream gets no more new flows than its cold rate allows.
+	Drained      Promise = "drain"    // A leaving upstream gets no new flows after the time limit.
+	InForce      Promise = "config"   // A configuration is in force after the time limit.
+	Admits       Promise = "admit"    // A route in force refuses no flow while upstreams have room.
+	NeverBack    Promise = "back"     // An entry process never returns to an older configuration.
+	Recovers     Promise = "recover"  // Requests are served again some time after a disturbance.
+	Runs         Promise = "runs"     // An entry process does not exit unless the harness ends it.
 )
 
-// timed tells whether a promise speaks of time: a machine that is slow enough breaks it.
+// timed reports whether the guarantee has a time limit, which a machine that is slow enough exceeds.
 func (g Promise) timed() bool {
 	return g == FlowLives || g == Evacuated || g == Spared || g == Drained || g == InForce || g == Admits || g == Recovers
 }
 
-// Breach is a promise that was broken.
+// Breach is a violation of a guarantee.
 type Breach struct {
-	At      time.Duration
+	At      time.Duration // since the start of the run
 	Promise Promise
 	What    string
 }
 
-// String says what was broken when.
+// String returns the time, the guarantee and the description.
 func (b Breach) String() string {
 	return fmt.Sprintf("%6.2f s %s: %s", b.At.Seconds(), b.Promise, b.What)
 }
 
-// disturbance is a disturbance; to is 0 while it goes on.
+// disturbance is a period for which some guarantees are suspended. While it lasts, to is 0.
 type disturbance struct {
 	from, to time.Duration
-	overload bool // callers wait longer, or are refused, and nothing else changes
+	// overload means that upstreams only answer slowly, so that callers may wait or be refused. All other
+	// guarantees hold.
+	overload bool
 }
 
-// checker gathers what callers and upstreams see. Times count from the start of the run.
+// checker collects what callers and upstreams observe, and records breaches. All times count from the start of
+// the run.
 type checker struct {
 	mu           sync.Mutex
 	limits       Bounds
 	disturbances []*disturbance
-	lastTick     time.Duration              // when the run last noted that it goes on; 0: it is not watched
-	runCounts    map[string]int             // of requests that may not be repeated, by id
-	maxVersions  map[string]int             // the highest configuration an entry's life said to be in force
-	coldOpens    map[string][]time.Duration // when a cold upstream got new flows
-	noRoomAt     time.Duration              // when no upstream last had room; 0: always one did
+	lastTick     time.Duration              // the last call of tick; 0 means that stalls are not watched
+	runCounts    map[string]int             // by ID of a request that is not repeatable
+	maxVersions  map[string]int             // highest version reported to be in force, by entry process
+	coldOpens    map[string][]time.Duration // times of the recent new flows, by cold upstream
+	noRoomAt     time.Duration              // when a probe last found that no upstream had room; 0 means never
 	breaches     []Breach
 	counts       Counts
-	onBreach     func(p Promise) // called at each breach, or nil
+	onBreach     func(p Promise) // called at each breach if not nil
 }
 
-// Bounds are what the promises with a time say.
+// Bounds are the time limits of the guarantees.
 type Bounds struct {
-	Apply  time.Duration // of a configuration, and of a leaving upstream
-	Stable time.Duration // how long after a disturbance the promises hold again
-	Slack  time.Duration // for the machine that the run is on
-	Back   time.Duration // how long after a disturbance requests are served again
-	// Untimed leaves out the promises that speak of time, on a machine whose speed is not known.
+	Apply  time.Duration // until a configuration, an evacuation or an upstream's leaving takes effect
+	Stable time.Duration // from the end of a disturbance until the guarantees hold again
+	Slack  time.Duration // allowance for the speed of the machine that the run is on
+	Back   time.Duration // from the end of a disturbance until requests are served again
+	// Untimed omits the guarantees that have a time limit, for a machine of unknown speed.
 	Untimed bool
 }
 
-// Counts are what a run did.
+// Counts are the totals of a run.
 type Counts struct {
-	Asked, Served, Late, Failed int
+	Asked, Served, Late, Failed int // requests; Served counts those that were answered in time
 	Flows, Resets               int
-	Stalls                      int // the run's own process stood still
+	Stalls                      int // periods in which the soak's own process did not run
 }
 
 func newChecker(b Bounds) *checker {
@@ -94,12 +97,12 @@
 	}
 }
 
-// beginDisturbance notes a disturbance and returns what ends it.
+// beginDisturbance records the start of a disturbance and returns the function that records its end.
 func (c *checker) beginDisturbance(now time.Duration) func(now time.Duration) {
 	return c.addDisturbance(&disturbance{from: now})
 }
 
-// beginOverload notes that upstreams are loaded, and returns what ends it.
+// beginOverload records that upstreams begin to answer slowly, and returns the function that records the end.
 func (c *checker) beginOverload(now time.Duration) func(now time.Duration) {
 	return c.addDisturbance(&disturbance{from: now, overload: true})
 }
@@ -115,7 +118,8 @@
 	}
 }
 
-// undisturbed tells whether nothing disturbed the system from some time before since until now.
+// undisturbed reports whether the guarantees held without a break from since until now. A disturbance suspends
+// them until StableDelay after its end.
 func (c *checker) undisturbed(since, now time.Duration) bool {
 	if c.stalled(now) {
 		return false
@@ -128,7 +132,8 @@
 	return true
 }
 
-// requestRan notes that an upstream of a service began a request for a route of another, or the same.
+// requestRan checks a request that an upstream of the given service began to run. The request's route belongs
+// to the wanted service.
 func (c *checker) requestRan(now time.Duration, id, service, wanted string, repeatable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +148,7 @@
 	}
 }
 
-// gotAnswer notes an answer.
+// gotAnswer checks that the answer to request id carries that ID; got is the ID that it carries.
 func (c *checker) gotAnswer(now time.Duration, id, got string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,7 +157,7 @@
 	}
 }
 
-// flowReset notes that an entry reset an open flow, whose upstream lives all the while.
+// flowReset counts an open flow that an entry reset although its upstream is alive.
 func (c *checker) flowReset(now time.Duration, flow, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +167,7 @@
 	}
 }
 
-// openedAtLeaving notes an opening at an upstream that was marked as leaving at that time.
+// openedAtLeaving checks a new flow to an upstream that was marked as leaving at leftAt.
 func (c *checker) openedAtLeaving(now, leftAt time.Duration, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,7 +176,7 @@
 	}
 }
 
-// openedAtEvacuated notes an opening at an upstream of a data centre that was evacuated at that time.
+// openedAtEvacuated checks a new flow to an upstream whose data centre is evacuated since the given time.
 func (c *checker) openedAtEvacuated(now, since time.Duration, upstream, centre string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,14 +185,14 @@
 	}
 }
 
-// Of what a cold upstream bears, as its service says it, so much more may come in a second: copies of
-// openings, and flows that were under way when it said that it is cold.
+// A cold upstream may get coldFactor times its cold rate plus coldSlack new flows within a second. The excess
+// allows for retransmitted openings and for flows that were being opened when the upstream registered as cold.
 const (
 	coldFactor = 1.5
 	coldSlack  = 5
 )
 
-// openedAtCold notes a new flow at an upstream that is cold and bears so many a second.
+// openedAtCold checks a new flow to a cold upstream, whose cold rate is in flows per second.
 func (c *checker) openedAtCold(now time.Duration, upstream string, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,22 +208,22 @@
 	}
 }
 
-// probeResult is what a new flow to a route met at one entry.
+// probeResult is the outcome of an attempt to open a flow to a route through one entry.
 type probeResult struct {
 	entry, process string
 	route          string
-	allowed        bool // by the configuration
-	version        int  // of it
-	ackedAt        time.Duration
+	allowed        bool          // whether the configuration has the route
+	version        int           // of the configuration that added or removed the route
+	ackedAt        time.Duration // when the store acknowledged that configuration
 	opened         bool
-	hasRoom        bool // an upstream of the route's service serves, is warm and may get flows
+	hasRoom        bool // an upstream of the route's service serves, is not cold and may get flows
 }
 
-// overloadTail is how long after a load an entry may go on refusing: its answers of late were slow.
+// overloadTail is how long after an overload an entry may still refuse flows, because recent answers were slow.
 const overloadTail = time.Second
 
-// routeProbed checks what a new flow met. One that is refused although its route is in force there was refused for
-// want of room, which only a load excuses.
+// routeProbed checks the outcome of a probe. If a flow was refused although its route is in force at the entry,
+// the entry refused it for lack of room, which only an overload excuses.
 func (c *checker) routeProbed(now time.Duration, p probeResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -237,7 +242,7 @@
 	c.breach(now, InForce, "%s: route %s: allowed %t, opened %t, %s after the change", p.entry, p.route, p.allowed, p.opened, now-p.ackedAt)
 }
 
-// overloaded tells whether upstreams are overloaded, or were a moment ago.
+// overloaded reports whether upstreams are overloaded or have no room, or were so a moment ago.
 func (c *checker) overloaded(now time.Duration) bool {
 	if c.noRoomAt > 0 && c.noRoomAt+overloadTail+c.limits.Slack >= now {
 		return true
@@ -250,7 +255,7 @@
 	return false
 }
 
-// versionApplied notes the version that a life of an entry says to be in force.
+// versionApplied records the version that an entry process reports to be in force.
 func (c *checker) versionApplied(now time.Duration, life string, version int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -260,14 +265,14 @@
 	c.maxVersions[life] = max(c.maxVersions[life], version)
 }
 
-// entryExited notes that an entry entryExited by itself.
+// entryExited records that an entry process exited without the harness having ended it.
 func (c *checker) entryExited(now time.Duration, entry, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.breach(now, Runs, "%s ended by itself: %s", entry, status)
 }
 
-// requestDone counts a request, and checks that it was served if it may be expected.
+// requestDone counts a request and checks that it was served, unless a disturbance excuses a failure.
 func (c *checker) requestDone(now, start time.Duration, route string, served, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,8 +290,8 @@
 	}
 }
 
-// shouldServe tells whether a request had nothing against it: no disturbance for longer than
-// recovery may take.
+// shouldServe reports whether a request from start until now must be served: no disturbance, overload included,
+// was within RecoveryTime before it or during it.
 func (c *checker) shouldServe(start, now time.Duration) bool {
 	for _, d := range c.disturbances {
 		if d.from <= now && (d.to == 0 || d.to+c.limits.Back >= start) {
--- a/stoatsoak/doc.go
+++ b/stoatsoak/doc.go
@@ -1,6 +1,6 @@
-// Package stoatsoak runs the real program as separate processes on loopback addresses, with
-// stand-ins for callers, upstreams, the fabric and the store, injects faults from outside by
-// a seed, and checks what callers and upstreams see.
+// Package stoatsoak is a soak test: it runs the real program as separate processes on loopback addresses,
+// with fakes of the callers, the upstreams, the fabric and the store. A seed determines the faults that it
+// injects from outside. It checks the guarantees of the system from what callers and upstreams observe.
 //
-// It is a test tool for an echo fabric. It ends only processes that it started.
+// The fabric is of the echo kind. The package signals and ends only processes that it started.
 package stoatsoak
--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -8,79 +8,79 @@
 	"time"
 )
 
-// Kind is one kind of fault or change.
+// Kind is a kind of step: planned work or a fault.
 type Kind string
 
-// The kinds. The first ones are planned work, under which every promise holds; the others
-// are disturbances.
+// The kinds of steps. All guarantees hold during planned work, which is the first group. Faults, the other
+// groups, suspend some of them.
 const (
-	Terminate Kind = "terminate" // SIGTERM to an entry, which starts again
-	Rolling   Kind = "rolling"   // the same for all, in turn
-	Drain     Kind = "drain"     // an upstream leaves, and another one joins
-	Release   Kind = "release"   // all upstreams of a service are replaced in turn
-	Routes    Kind = "routes"    // a route is added, the one added before is removed
-	Storm     Kind = "storm"     // ten configurations within a second
-	Settings  Kind = "settings"  // the settings file changes, with or without a signal
-	Foreign   Kind = "foreign"   // another writer writes over an upstream's entry, and adds one
-	Evacuate  Kind = "evacuate"  // a data centre is evacuated, and taken back
-	Queue     Kind = "queue"     // upstreams answer late, as through a full queue
+	Terminate Kind = "terminate" // An entry gets SIGTERM and is started again.
+	Rolling   Kind = "rolling"   // All entries get SIGTERM, one after the other, and are started again.
+	Drain     Kind = "drain"     // One upstream joins and another one of its service leaves.
+	Release   Kind = "release"   // Several upstreams are replaced, the oldest first, one after the other.
+	Routes    Kind = "routes"    // A route is added, or removed if it exists.
+	Storm     Kind = "storm"     // The configuration changes ten times within a second.
+	Settings  Kind = "settings"  // An entry's settings file changes, with or without SIGHUP.
+	Foreign   Kind = "foreign"   // Another writer overwrites an upstream's registration and adds one, both invalid.
+	Evacuate  Kind = "evacuate"  // A data centre is evacuated, and the evacuation is withdrawn later.
+	Queue     Kind = "queue"     // All upstreams answer slowly, as with a full queue.
 
-	Kill      Kind = "kill"    // SIGKILL to an entry
-	KillAll   Kind = "killall" // SIGKILL to all entries at once
-	Freeze    Kind = "freeze"  // SIGSTOP for a while
-	Crash     Kind = "crash"   // an upstream dies; its address goes to the other service
-	Restart   Kind = "restart" // an upstream dies and starts again under its id, soon or late, there or elsewhere
-	StoreDown Kind = "down"    // the store answers nothing; registrations lapse meanwhile
-	StoreSlow Kind = "slow"    // its answers take 200 ms
-	StoreLag  Kind = "lag"     // its replicas stand still
-	StoreMute Kind = "mute"    // its watches tell nothing
-	Forget    Kind = "forget"  // its history is gone
-	Refuse    Kind = "refuse"  // the store refuses one entry
-	Silence   Kind = "silence" // one entry's connections to store and seeds go silent; new ones work
-	OneWay    Kind = "oneway"  // nothing comes back to one entry from store and seeds
-	Lossy     Kind = "lossy"   // datagrams are lost, doubled and late
+	Kill      Kind = "kill"    // An entry gets SIGKILL.
+	KillAll   Kind = "killall" // All entries get SIGKILL at once.
+	Freeze    Kind = "freeze"  // An entry gets SIGSTOP, and SIGCONT later.
+	Crash     Kind = "crash"   // An upstream dies, and the other service takes over its address.
+	Restart   Kind = "restart" // An upstream dies and restarts under its ID, soon or late, on the same or another port.
+	StoreDown Kind = "down"    // The store answers no request, and half of the registrations expire.
+	StoreSlow Kind = "slow"    // Each answer of the store takes 200 ms.
+	StoreLag  Kind = "lag"     // The store's replicas don't follow its writes.
+	StoreMute Kind = "mute"    // The store's watches report no changes.
+	Forget    Kind = "forget"  // The store drops its history of changes.
+	Refuse    Kind = "refuse"  // One entry's connections to the store are refused.
+	Silence   Kind = "silence" // One entry's open connections to the store and seeds carry no data; new ones do.
+	OneWay    Kind = "oneway"  // One entry receives no data from the store and seeds.
+	Lossy     Kind = "lossy"   // Datagrams are lost or duplicated, and the duplicates come late.
 
-	Restore Kind = "restore" // the store answers nothing, and comes back from a copy some seconds old
+	Restore Kind = "restore" // The store is down, then restored from a snapshot some seconds old.
 )
 
 var (
 	plannedKinds     = []Kind{Terminate, Rolling, Drain, Release, Routes, Storm, Settings, Foreign}
-	overlappingKinds = []Kind{Evacuate, Queue} // come beside the others
+	overlappingKinds = []Kind{Evacuate, Queue} // planned work that runs concurrently with the other steps
 	disturbanceKinds = []Kind{Kill, KillAll, Freeze, Crash, Restart, StoreDown, StoreSlow, StoreLag, StoreMute, Forget, Refuse, Silence, OneWay, Lossy}
 )
 
-// Planned tells whether every promise holds while it goes on.
+// Planned reports whether the kind is planned work, during which all guarantees hold.
 func (k Kind) Planned() bool {
 	return slices.Contains(plannedKinds, k) || slices.Contains(overlappingKinds, k)
 }
 
-// Step is one fault or change of a plan.
+// Step is a fault or a change in a plan.
 type Step struct {
-	At     time.Duration
+	At     time.Duration // since the start of the run
 	For    time.Duration
 	Kind   Kind
-	Target int // which entry, upstream or service, modulo their number
+	Target int // selects the entry, upstream, route or data centre, modulo the number of them
 }
 
-// String says what happens when.
+// String returns the step in the format that ReadPlan reads.
 func (s Step) String() string {
 	return fmt.Sprintf("%6.2f s %s %d for %s", s.At.Seconds(), s.Kind, s.Target, s.For)
 }
 
 const (
-	// warmUp passes before the first step: all entries serve and are told by then.
+	// warmUp is the time before the first step. All entries serve and have their configuration by then.
 	warmUp = 3 * time.Second
-	// coolDown passes after the last one: what it broke must be whole by the end.
+	// coolDown is the time after the last step. The system must have recovered from it by the end of the run.
 	coolDown = 8 * time.Second
-	// stepGap is the mean pause between two steps: they overlap half of the time.
+	// stepGap is the mean time from one step to the next. Steps overlap half of the time.
 	stepGap         = 3 * time.Second
 	maxStepDuration = 4 * time.Second
-	// maxOverlappingDuration is the same for steps that come beside the others: what has to hold some seconds
-	// after they began is seen.
+	// maxOverlappingDuration is the limit for the overlapping kinds. It is longer because some guarantees apply
+	// only some seconds after such a step began.
 	maxOverlappingDuration = 2 * maxStepDuration
 )
 
-// NewPlan returns the steps of a run, the same for the same seed and length.
+// NewPlan returns the steps of a run, which the seed and the length determine.
 func NewPlan(seed uint64, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 11))
 	var steps []Step
@@ -96,12 +96,12 @@
 	return addOverlapping(steps, seed, length)
 }
 
-// restoreGap is the mean pause between two restores: operators and upstreams write again, and what that
-// breaks has to be seen before the next.
+// restoreGap is the mean time from one restore to the next. Operators and upstreams write their objects again
+// after a restore, and the checker must see the effect before the next one.
 const restoreGap = 16 * time.Second
 
-// NewRestorePlan returns the steps of a run in which the store comes back from a copy now and then. There
-// are no other disturbances: beside them, what a restore breaks would not be seen.
+// NewRestorePlan returns the steps of a run in which the store is restored from a snapshot now and then. The
+// plan has no other faults, as they would hide what a restore breaks.
 func NewRestorePlan(seed uint64, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 17))
 	duration := func() time.Duration {
@@ -117,10 +117,11 @@
 	return addOverlapping(steps, seed, length)
 }
 
-// overlappingGap is the mean pause between two steps that come beside the others.
+// overlappingGap is the mean time from one step of an overlapping kind to the next.
 const overlappingGap = 7 * time.Second
 
-// addOverlapping adds steps beside those of a plan, which stay what they are for the seed.
+// addOverlapping adds steps of the overlapping kinds. It has a random generator of its own, so that the other
+// steps of a seed stay the same.
 func addOverlapping(steps []Step, seed uint64, length time.Duration) []Step {
 	rnd := rand.New(rand.NewPCG(seed, 13))
 	for at := warmUp + time.Duration(rnd.Int64N(int64(overlappingGap))); at < length-coolDown; at += overlappingGap/2 + time.Duration(rnd.Int64N(int64(overlappingGap))) {
--- a/stoatsoak/planfile.go
+++ b/stoatsoak/planfile.go
@@ -11,23 +11,23 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// stepFormat is how a step is written, as String does it.
+// stepFormat describes the text of a step, as Step.String writes it.
 const stepFormat = "a step, as in 6.82 s routes 790 for 1.564s"
 
-// StepError reports a line of a plan that is no step.
+// StepError reports a line of a plan that is not a valid step, or is earlier than the step before it.
 type StepError struct {
 	Line int
 	Got  string
 }
 
-// Error names the line.
+// Error gives the line's number and text, and the expected format.
 func (e *StepError) Error() string {
 	return fmt.Sprintf("line %d is %q, expected %s", e.Line, e.Got, stepFormat)
 }
 
-// ReadPlan reads steps as a run prints them, a line each; what is behind # is a comment. A seed gives other
-// steps once there are new kinds of them, and the load that it was kept for is lost; a file keeps it. Errors:
-// *StepError, *stoatpaddle.DecodeError.
+// ReadPlan reads steps, one per line, as a run prints them. The text after a # is a comment. A plan that found
+// a fault is kept as a file, as its seed no longer gives the same steps once there are new kinds of steps.
+// Errors: *StepError, *stoatpaddle.DecodeError.
 func ReadPlan(r io.Reader) ([]Step, error) {
 	var steps []Step
 	lines := bufio.NewScanner(r)
--- a/stoatsoak/report.go
+++ b/stoatsoak/report.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// jsonResult is a run in JSON.
+// jsonResult is the JSON form of a Result.
 type jsonResult struct {
 	Seed         uint64       `json:"seed"`
 	Steps        int          `json:"steps"`
@@ -21,7 +21,8 @@
 	Breaches     []string     `json:"breaches"`
 }
 
-// Report writes what a run showed: a line, and with breaches what led to them.
+// Report writes the result of a run: a summary line, then each breach with the last steps before it. With
+// asJSON it writes one line of JSON instead.
 func Report(w io.Writer, r Result, asJSON bool) error {
 	if asJSON {
 		return json.NewEncoder(w).Encode(toJSON(r))
@@ -38,10 +39,10 @@
 	return err
 }
 
-// precedingSteps is how many steps before a breach are shown.
+// precedingSteps is the number of steps that a report shows before a breach.
 const precedingSteps = 4
 
-// stepsBefore returns the last steps before a breach.
+// stepsBefore returns the last steps that began before a breach.
 func stepsBefore(steps []Step, b Breach) []Step {
 	n := 0
 	for n < len(steps) && steps[n].At <= b.At {
