--- a/stoatsoak/planfile_test.go
+++ b/stoatsoak/planfile_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What a run prints of its steps is a plan that plays the same ones, to a hundredth of a second.
+// The steps that a run prints can be read as a plan of the same steps, with times rounded to 0.01 s.
 func TestPlanFile(t *testing.T) {
 	want := NewPlan(7, time.Minute)
 	var b strings.Builder
@@ -34,7 +34,7 @@
 	}
 }
 
-// The plans that are kept for what they once showed can be read.
+// The stored plans, each of which once found a fault, can be read.
 func TestStoredPlans(t *testing.T) {
 	files, err := os.ReadDir("testdata/plans")
 	if err != nil || len(files) == 0 {
--- a/stoatsoak/run_breach.go
+++ b/stoatsoak/run_breach.go
@@ -9,7 +9,8 @@
 	"github.com/stoatpaddle/stoatpaddle/platform"
 )
 
-// injectBreach breaks one promise, as a broken entry would, and tells whether the packet is dealt with.
+// injectBreach violates the guarantee that the configuration names, as a faulty entry would. It reports whether
+// it consumed the packet, which is not forwarded then.
 func (h *harness) injectBreach(f *flow, packet []byte) bool {
 	var s platform.Segment
 	if !platform.DecodeSegment(packet, &s) || h.now() < warmUp {
@@ -51,7 +52,7 @@
 	return false
 }
 
-// misdeliver gives a packet to an upstream, whatever its route.
+// misdeliver sends a packet to the first upstream that matches, regardless of the packet's route.
 func (h *harness) misdeliver(packet []byte, matches func(u *upstream) bool) bool {
 	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
@@ -65,7 +66,7 @@
 	return false
 }
 
-// floodCold opens many flows at an upstream that is cold.
+// floodCold opens many flows to a cold upstream.
 func (h *harness) floodCold(s platform.Segment) {
 	for n := range uint16(20) {
 		opening := platform.Segment{Src: netip.AddrPortFrom(s.Src.Addr(), 60000+n), Dst: s.Dst, Opens: true, Seq: s.Seq}
@@ -77,7 +78,7 @@
 	_, _ = h.entries[0].conn.WriteToUDPAddrPort(append(make([]byte, platform.TargetSize), packet...), u.addr)
 }
 
-// alterRequestID changes the id of a request.
+// alterRequestID sends a request on with another ID.
 func (h *harness) alterRequestID(f *flow, s *platform.Segment) bool {
 	if len(s.Data) == 0 {
 		return false
@@ -91,15 +92,15 @@
 	return true
 }
 
-// resetFlow resets a flow as an entry does.
+// resetFlow resets a flow at its caller, as an entry would.
 func (h *harness) resetFlow(s *platform.Segment) bool {
 	reset := platform.AppendSegment(nil, &platform.Segment{Src: s.Dst, Dst: s.Src, Resets: true, Seq: s.Ack})
-	clear(reset[len(reset)-4:]) // an entry's resets have no checksum
+	clear(reset[len(reset)-4:]) // The resets of an entry have no checksum.
 	_, _ = h.entries[0].conn.WriteToUDPAddrPort(reset, netip.AddrPortFrom(s.Src.Addr(), h.port))
 	return true
 }
 
-// duplicateRequest runs a request at a second upstream too.
+// duplicateRequest has a second upstream run the request too.
 func (h *harness) duplicateRequest(f *flow, s platform.Segment) {
 	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
--- a/stoatsoak/run_caller.go
+++ b/stoatsoak/run_caller.go
@@ -13,7 +13,7 @@
 	"github.com/stoatpaddle/stoatpaddle/platform"
 )
 
-// What callers do, as the users' pages say it.
+// openRetryDelays and the constants below are the behaviour of callers, as the user documentation describes it.
 var openRetryDelays = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond}
 
 const (
@@ -23,23 +23,24 @@
 	requestDeadline      = 3 * time.Second
 	targetLatency        = 400 * time.Millisecond
 	maxAttempts          = 3
-	partSize             = 1000 // bytes
+	partSize             = 1000 // bytes per part of a request
 )
 
-// attemptError is how a try that was not served ended.
+// attemptError is the reason why an attempt of a request failed.
 type attemptError string
 
-// Error names it.
+// Error returns the reason.
 func (e attemptError) Error() string { return string(e) }
 
-// The ends of a try.
+// The reasons why an attempt fails.
 const (
 	errRefused attemptError = "refused"
 	errTimeout attemptError = "silent"
 	errReset   attemptError = "cut"
 )
 
-// caller is one address; its flows have ports of their own and share a socket.
+// caller is a fake caller with one address. Its flows differ in their ports, which exist only in the packets,
+// and share one socket.
 type caller struct {
 	h     *harness
 	addr  netip.Addr
@@ -49,14 +50,14 @@
 	port  uint16
 }
 
-// flow is one flow at its caller.
+// flow is the caller's side of a flow.
 type flow struct {
 	c        *caller
 	tuple    [2]netip.AddrPort // caller, route
 	segments chan platform.Segment
 	cookie   stoatpaddle.UpstreamKey
 	seq, ack uint32
-	entry    *entry // of a look: packets go there and nowhere else
+	entry    *entry // set for a probe, whose packets all go to this entry
 }
 
 func (h *harness) newCaller(n int) (*caller, error) {
@@ -92,7 +93,7 @@
 		}
 		select {
 		case f.segments <- s:
-		default: // a caller that does not keep up loses packets, as a socket does
+		default: // Packets that the flow is too slow to read are dropped, as by a socket.
 		}
 	}
 }
@@ -123,7 +124,7 @@
 	f.c.h.forward(f, platform.AppendSegment(nil, &s))
 }
 
-// wait returns the next packet, or false when the time has passed or the run ends.
+// wait returns the next packet, or false if none arrives within d or the run ends.
 func (f *flow) wait(d time.Duration) (platform.Segment, bool) {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
@@ -136,7 +137,7 @@
 	return platform.Segment{}, false
 }
 
-// open does the handshake.
+// open performs the handshake. Its errors are of type attemptError.
 func (f *flow) open() error {
 	start := f.c.h.now()
 	nextSend := start
@@ -169,7 +170,8 @@
 	}
 }
 
-// request sends one and waits for its answer; ended tells that the upstream closed the flow.
+// request sends a request and waits for its answer. It reports as ended whether the upstream closed the flow.
+// Its errors are of type attemptError.
 func (f *flow) request(typ *requestType, id string, until time.Duration) (ended bool, err error) {
 	firstSeq := f.seq
 	sendAll := func() {
@@ -208,7 +210,8 @@
 	}
 }
 
-// checkReset looks at a reset: an entry's is a breach while the flow's upstream lives.
+// checkReset reports a reset by an entry to the checker if the flow's upstream is alive. A reset by an upstream
+// has a checksum and is no breach.
 func (f *flow) checkReset(s *platform.Segment) {
 	if s.HasChecksum {
 		return
@@ -223,19 +226,19 @@
 	f.remove()
 }
 
-// requestType is one requestType of request.
+// requestType is a type of request that callers send.
 type requestType struct {
 	name       string
 	service    string
 	listen     netip.AddrPort
 	repeatable bool
-	reusesFlow bool // flows stay open for many requests
+	reusesFlow bool // a caller sends many requests on one flow
 	parts      int
-	interval   time.Duration // between two requests of one caller
+	interval   time.Duration // mean pause of a caller between two requests
 }
 
-// request serves one request to its end, with retries; held is an open flow, or nil, and what is
-// left open is returned.
+// request performs a request, including retries. It uses the given open flow first, if it is not nil, and returns
+// the flow that is open afterwards, or nil.
 func (c *caller) request(typ *requestType, open *flow) *flow {
 	start := c.h.now()
 	id := "r" + strconv.FormatUint(c.h.lastRequestID.Add(1), 10)
@@ -249,7 +252,7 @@
 				if c.h.now()-start >= requestDeadline || c.h.ctx.Err() != nil {
 					break
 				}
-				continue // it never opened: every kind may be tried again
+				continue // No flow was opened, so a request of any type may be retried.
 			}
 		}
 		ended, err := f.request(typ, id+"."+strconv.Itoa(attempt), start+requestDeadline)
@@ -279,7 +282,7 @@
 	}
 }
 
-// run asks until the run ends; a long flow is closed now and then.
+// run sends requests until the run ends. It closes a reused flow now and then.
 func (c *caller) run(typ *requestType) error {
 	var open *flow
 	for n := 1; c.h.sleep(c.h.jitter(typ.interval)); n++ {
--- a/stoatsoak/run_entry.go
+++ b/stoatsoak/run_entry.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"net/netip"
 	"os"
-	"os/exec" // house: the soak runs the deployed program as a user would; the program itself starts none
+	"os/exec" // house: the soak runs the deployed program as a user would; the program itself starts no processes
 	"path/filepath"
 	"regexp"
 	"strconv"
@@ -18,23 +18,23 @@
 	"time"
 )
 
-// entry is one entry of the deployment: a process of the real program, started again
-// whenever it ends.
+// entry is an entry of the deployment: a process of the real program, which the harness starts again whenever
+// it exits.
 type entry struct {
 	h            *harness
-	n            int
+	index        int
 	name         string
 	addr         netip.Addr
-	conn         *net.UDPConn // of the fabric, towards this entry
+	conn         *net.UDPConn // the fabric's socket for this entry
 	storeProxy   *proxy
-	seedProxies  []*proxy // to the entries that the settings name; nil: this one
-	levelChanges int      // of the log, changed to change the settings
+	seedProxies  []*proxy // one per entry that the settings list as seed; nil for this entry itself
+	levelChanges int      // counts changes of the log level, which stand for any change of the settings
 
 	mu           sync.Mutex
 	cmd          *exec.Cmd
 	starts       int
-	exitExpected bool // its end was caused by the run
-	rotated      bool // the fabric gives it packets
+	exitExpected bool // the harness ended the process
+	routable     bool // the fabric sends packets to the entry
 	failedProbes int
 }
 
@@ -46,14 +46,14 @@
 	probeTimeout  = 400 * time.Millisecond
 )
 
-// seedCount is how many entries the settings name.
+// seedCount is the number of entries that the settings list as seeds.
 const seedCount = 3
 
 func (h *harness) entryAddr(n int) netip.Addr {
 	return netip.AddrFrom4([4]byte{127, h.subnet, byte(100 + n/200), byte(n%200 + 1)})
 }
 
-// proxies returns the ways from this entry to the store and to seeds.
+// proxies returns the proxies between this entry and the store and seeds.
 func (e *entry) proxies() []*proxy {
 	list := []*proxy{e.storeProxy}
 	for _, p := range e.seedProxies {
@@ -65,7 +65,7 @@
 }
 
 func (h *harness) newEntry(n int) (*entry, error) {
-	e := &entry{h: h, n: n, name: fmt.Sprintf("entry-%d", n+1), addr: h.entryAddr(n)}
+	e := &entry{h: h, index: n, name: fmt.Sprintf("entry-%d", n+1), addr: h.entryAddr(n)}
 	var err error
 	if e.storeProxy, err = h.newProxy(h.storeAddr); err != nil {
 		return nil, err
@@ -87,14 +87,14 @@
 
 func (e *entry) at(port uint16) netip.AddrPort { return netip.AddrPortFrom(e.addr, port) }
 
-func (e *entry) centre() string { return centreOf(e.n) }
+func (e *entry) centre() string { return centreOf(e.index) }
 
-// dataCentres is how many there are.
+// dataCentres is the number of data centres, which entries and upstreams are distributed over.
 const dataCentres = 2
 
 func centreOf(n int) string { return [dataCentres]string{"east", "west"}[n%dataCentres] }
 
-// writeSettings writes the settings.
+// writeSettings writes the entry's settings file and returns its name.
 func (e *entry) writeSettings() (string, error) {
 	var seeds []string
 	for _, p := range e.seedProxies {
@@ -131,7 +131,7 @@
 	return file, os.WriteFile(file, []byte(text), 0o600)
 }
 
-// run keeps the process running until the run ends.
+// run starts the process, again after each exit, until the run ends.
 func (e *entry) run() error {
 	for e.h.ctx.Err() == nil {
 		if err := e.start(); err != nil {
@@ -178,7 +178,8 @@
 
 var appliedVersion = regexp.MustCompile(`"event":"SP1405".*"version":"(\d+)"`)
 
-// readLog keeps the log, and looks for the versions that the entry says to be in force.
+// readLog copies the process's log to a file and passes the configuration versions that are reported to be in
+// force to the checker.
 func (e *entry) readLog(process string, lines *bufio.Scanner, log *os.File) {
 	lines.Buffer(nil, 1<<20)
 	for lines.Scan() {
@@ -189,19 +190,20 @@
 	}
 }
 
-// signal sends one to the process, if there is one; ends tells that its end is expected then.
-func (e *entry) signal(s syscall.Signal, ends bool) {
+// signal sends a signal to the process, if it is running. With ends, the process is expected to exit.
+func (e *entry) signal(sig syscall.Signal, ends bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cmd == nil || e.cmd.Process == nil {
 		return
 	}
 	e.exitExpected = e.exitExpected || ends
-	// One that has just ended is not there any more.
-	_ = e.cmd.Process.Signal(s)
+	// An error means that the process has just exited.
+	_ = e.cmd.Process.Signal(sig)
 }
 
-// probe follows whether the fabric gives the entry packets.
+// probe keeps track of whether the entry is in the fabric's rotation. An entry leaves it after two failed
+// readiness probes.
 func (e *entry) probe() error {
 	client := &http.Client{Timeout: probeTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for e.h.sleep(probeInterval) {
@@ -215,13 +217,13 @@
 		if ready {
 			e.failedProbes = 0
 		}
-		e.rotated = ready || e.rotated && e.failedProbes < 2
+		e.routable = ready || e.routable && e.failedProbes < 2
 		e.mu.Unlock()
 	}
 	return nil
 }
 
-// processName names the present life.
+// processName identifies the current process of the entry.
 func (e *entry) processName() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -231,5 +233,5 @@
 func (e *entry) inRotation() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.rotated
+	return e.routable
 }
--- a/stoatsoak/run_fabric.go
+++ b/stoatsoak/run_fabric.go
@@ -8,8 +8,8 @@
 	"github.com/stoatpaddle/stoatpaddle/platform"
 )
 
-// forward gives a caller's packet to an entry, as the fabric does: by a hash of the flow over
-// the entries in rotation, so that nearly all flows move when one joins or leaves.
+// forward sends a caller's packet to an entry, as the fabric does. It selects the entry by a hash of the flow
+// modulo the number of entries in rotation, so that nearly all flows move when an entry joins or leaves.
 func (h *harness) forward(f *flow, packet []byte) {
 	e := f.entry
 	if e == nil {
@@ -46,7 +46,8 @@
 	return candidates[int(hash.Sum32()%uint32(len(candidates)))]
 }
 
-// hasRoom tells whether an upstream of the service that routes are added to serves, is warm and may get flows.
+// hasRoom reports whether an upstream of the service that the added routes use serves, is not cold and may get
+// flows.
 func (h *harness) hasRoom() bool {
 	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
@@ -59,7 +60,8 @@
 	return false
 }
 
-// probeRoutes opens flows to routes that were added, removed or never existed, at each entry.
+// probeRoutes opens flows through each entry in rotation, to routes that were added or removed and to one that
+// never existed.
 func (h *harness) probeRoutes() error {
 	c, err := h.newCaller(len(requestTypes()) * callersPerType)
 	if err != nil {
@@ -83,7 +85,8 @@
 	return nil
 }
 
-// probeRoute opens one flow at one entry. Silence says nothing: a packet may be lost.
+// probeRoute opens a flow through one entry. It ignores a missing answer, as a packet may have been lost, and
+// an answer to a route that changed meanwhile.
 func (h *harness) probeRoute(c *caller, e *entry, name string, r routeChange) {
 	f := c.newFlow(r.listen, e)
 	defer f.remove()
--- a/stoatsoak/run_faults.go
+++ b/stoatsoak/run_faults.go
@@ -10,7 +10,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-// startStep begins one step; what lasts goes on in the background.
+// startStep starts a step. The rest of a step that takes time runs in the background.
 func (h *harness) startStep(s Step) {
 	if h.ctx.Err() != nil {
 		return
@@ -29,7 +29,7 @@
 	})
 }
 
-// startPlanned begins planned work.
+// startPlanned starts a step of planned work.
 func (h *harness) startPlanned(s Step, e *entry) {
 	switch s.Kind {
 	case Terminate:
@@ -66,8 +66,9 @@
 	}
 }
 
-// evacuateCentre has operators evacuateCentre a data centre, and take it back. Not while another one is, or while
-// an upstream is cold: what is left then may not bear what callers ask.
+// evacuateCentre evacuates a data centre and withdraws the evacuation at the end of the step. It does nothing
+// while a data centre is evacuated or an upstream is cold, as the remaining upstreams might lack the capacity for
+// all requests.
 func (h *harness) evacuateCentre(s Step) {
 	centre := centreOf(s.Target)
 	h.mu.Lock()
@@ -88,7 +89,7 @@
 	})
 }
 
-// evacuatedSince tells since when a data centre is evacuated; 0: it is not.
+// evacuatedSince returns the time since which a data centre is evacuated, or 0 if it is not.
 func (h *harness) evacuatedSince(centre string) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -98,7 +99,8 @@
 	return h.evacuatedAt
 }
 
-// slowUpstreams has all upstreams answer late. New flows may be refused for it; open ones go on.
+// slowUpstreams makes all upstreams answer slowly. Entries may refuse new flows because of it, but open flows
+// must go on.
 func (h *harness) slowUpstreams(s Step) {
 	ended := h.check.beginOverload(h.now())
 	h.slowdowns.Add(1)
@@ -108,11 +110,10 @@
 	})
 }
 
-// extraServeTime is how much longer than the bound a leaving upstream serves.
+// extraServeTime is how much longer than the time limit for leaving an upstream serves.
 const extraServeTime = 3 * time.Second
 
-// replaceUpstream has an upstream of the service leave once another one serves in its place, as
-// planned releases do.
+// replaceUpstream starts an upstream and then lets another one of the same service leave, as planned releases do.
 func (h *harness) replaceUpstream(target int) {
 	u := h.pickServing(target)
 	if u == nil {
@@ -125,21 +126,22 @@
 	h.after(h.cfg.Bounds.Apply+extraServeTime, func() { h.stopWhenIdle(u, 10) })
 }
 
-// stopWhenIdle ends a leaving upstream once its flows have ended, or some time later.
+// stopWhenIdle stops a leaving upstream once it has no open flows, or after the given number of attempts, which
+// are 0.5 s apart.
 func (h *harness) stopWhenIdle(u *upstream, attempts int) {
 	if u.hasOpenFlow() && attempts > 0 {
 		h.after(500*time.Millisecond, func() { h.stopWhenIdle(u, attempts-1) })
 		return
 	}
 	if u.hasOpenFlow() {
-		// Callers who kept a flow open all the while lose it; that is no entry's doing.
+		// The upstream breaks the flows that callers have kept open until now, which is no fault of an entry.
 		ended := h.check.beginDisturbance(h.now())
 		h.after(time.Second, func() { ended(h.now()) })
 	}
 	u.stop()
 }
 
-// pickServing returns an upstream that serves, or nil.
+// pickServing returns an upstream that is alive and not leaving, or nil. The search begins at the target.
 func (h *harness) pickServing(target int) *upstream {
 	list := h.liveUpstreams()
 	for i := range list {
@@ -154,7 +156,7 @@
 	return nil
 }
 
-// changeRoutes adds a route, or removes the one with that name.
+// changeRoutes adds one of seven routes, or removes it if the configuration has it.
 func (h *harness) changeRoutes(n int) {
 	name := fmt.Sprint("extra-", n%7)
 	h.changeConfig(func(routes map[string]routeChange) {
@@ -163,7 +165,7 @@
 	})
 }
 
-// startDisturbance begins a disturbance.
+// startDisturbance starts a fault.
 func (h *harness) startDisturbance(s Step, e *entry) {
 	switch s.Kind {
 	case Kill:
@@ -179,12 +181,13 @@
 	case Restart:
 		h.restartUpstream(s.Target)
 	case Restore:
-		// What the copy lacks: more than is written soon afterwards, so that revisions stay lower for long.
+		// The snapshot lacks these changes. They outnumber the writes that follow the restore, so that the
+		// store's revisions stay lower than before for a long time.
 		for i := range lostVersions {
 			h.changeRoutes(s.Target + i)
 		}
 		h.replaceUpstream(s.Target)
-		h.after(snapshotDelay, func() { h.store.Set(stoatfake.Trouble{Down: true}) })
+		h.after(storeDownDelay, func() { h.store.Set(stoatfake.Trouble{Down: true}) })
 	case StoreDown:
 		h.store.Set(stoatfake.Trouble{Down: true})
 		h.expireRegistrations()
@@ -211,13 +214,13 @@
 	}
 }
 
-// endDisturbance ends a disturbance.
+// endDisturbance ends a fault. Some faults, like a killed process, need no end.
 func (h *harness) endDisturbance(s Step, e *entry) {
 	switch s.Kind {
 	case Freeze:
 		e.signal(syscall.SIGCONT, false)
 	case Restore:
-		h.after(snapshotDelay, func() { h.restoreStore(s) })
+		h.after(storeDownDelay, func() { h.restoreStore(s) })
 	case StoreDown:
 		h.store.Set(stoatfake.Trouble{})
 		h.after(time.Second, h.registerAgain)
@@ -240,7 +243,8 @@
 	h.lossy = lossy
 }
 
-// expireRegistrations removes half of the registrations, as a store does that is away.
+// expireRegistrations removes half of the registrations, as a store does when upstreams could not renew them
+// during an outage.
 func (h *harness) expireRegistrations() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -251,7 +255,7 @@
 	}
 }
 
-// registerAgain has the upstreams register again.
+// registerAgain makes all serving upstreams register again.
 func (h *harness) registerAgain() {
 	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
@@ -263,8 +267,8 @@
 	}
 }
 
-// crashUpstream ends an upstream at once; later another one serves in its place, and its address
-// goes to a life of the other service.
+// crashUpstream ends an upstream without warning. Later, a new upstream takes its place, and an upstream of the
+// other service gets its address.
 func (h *harness) crashUpstream(target int) {
 	u := h.pickServing(target)
 	if u == nil {
@@ -275,19 +279,20 @@
 	h.after(2*time.Second, func() {
 		u.stop()
 		other := map[string]string{"app": "intake", "intake": "app"}[u.service]
-		// Somebody may have taken the port meanwhile.
+		// This fails if another process has taken the port meanwhile.
 		_, _ = h.newUpstream(other, u.centre, u.addr)
 		_, _ = h.newUpstream(u.service, u.centre, netip.MustParseAddrPort("127.0.0.1:0"))
 	})
 }
 
-// Restarts take so long, soon and late: before an upstream's silence is noticed, and after.
+// An upstream restarts either before or after entries notice that it is silent.
 const (
 	shortRestart = 50 * time.Millisecond
 	longRestart  = 2500 * time.Millisecond
 )
 
-// restartUpstream ends an upstream at once and starts it again under its id; its entry stands meanwhile.
+// restartUpstream ends an upstream without warning and starts it again under its ID. Its registration stays in
+// the store in between.
 func (h *harness) restartUpstream(target int) {
 	u := h.pickServing(target)
 	if u == nil {
@@ -304,13 +309,13 @@
 	}
 	h.after(delay, func() {
 		u.removeFromHarness()
-		// Somebody may have taken the port meanwhile.
+		// This fails if another process has taken the port meanwhile.
 		_, _ = h.startUpstream(u.targetID, u.service, u.centre, at, coldDuration)
 	})
 }
 
-// writeForeign writes over an upstream's entry, and adds an entry, with what names no server. The
-// upstream writes its own again a while later, as the next heartbeat does.
+// writeForeign overwrites an upstream's registration and adds another one, both with a text that is not a valid
+// registration. The upstream registers again at the end of the step, as it would with its next heartbeat.
 func (h *harness) writeForeign(s Step) {
 	specs := []any{
 		nil, "ready",
--- a/stoatsoak/run_harness.go
+++ b/stoatsoak/run_harness.go
@@ -25,21 +25,22 @@
 
 // Config configures a run.
 type Config struct {
-	Program string // the program's file
-	Dir     string // of settings and logs
+	Program string // path of the program
+	Dir     string // directory for settings and logs
 	Seed    uint64
 	Length  time.Duration
 	Entries int
 	Bounds  Bounds
-	Plan    []Step // nil: by the seed
-	// Restores makes restores of the store the disturbances of the plan by the seed.
+	Plan    []Step // nil means that the seed determines the steps
+	// Restores makes restores of the store the only faults of the plan that the seed determines.
 	Restores bool
-	// Sabotage breaks one promise on purpose, to see that it is noticed; the run ends when it is.
+	// Sabotage makes the harness violate one guarantee, for a test that the checker detects it. The run ends as
+	// soon as it does.
 	Sabotage Promise
-	Out      io.Writer // progress
+	Out      io.Writer // receives the steps and a summary every minute
 }
 
-// Result is what a run showed.
+// Result is the result of a run.
 type Result struct {
 	Seed     uint64
 	Steps    []Step
@@ -47,7 +48,7 @@
 	Breaches []Breach
 }
 
-// harness is the deployment and everything around it.
+// harness runs the deployment and the fakes around it, and injects faults.
 type harness struct {
 	cfg           Config
 	start         time.Time
@@ -57,35 +58,35 @@
 	check         *checker
 	store         *stoatfake.Platform
 	storeAddr     string
-	port          uint16       // of the fabric, and of callers
-	subnet        byte         // the second byte of the run's addresses
-	subnetLock    *net.UDPConn // no other run uses them while it is open
+	port          uint16       // of the tunnel of entries and of the callers' sockets
+	subnet        byte         // second byte of the run's loopback addresses
+	subnetLock    *net.UDPConn // while it is open, no other run uses the subnet
 	entries       []*entry
 	lastRequestID atomic.Uint64
 	lastTargetID  atomic.Uint64
-	slowdowns     atomic.Int64 // so many reasons for upstreams to answer late
+	slowdowns     atomic.Int64 // number of steps that make upstreams answer slowly now
 
-	// mu is never held while an upstream's is taken: upstreams take it while they answer.
+	// mu must not be held while an upstream's mutex is locked, as upstreams lock mu while they hold theirs.
 	mu            sync.Mutex
 	upstreams     []*upstream
-	callerConns   []*net.UDPConn // of callers
+	callerConns   []*net.UDPConn
 	rnd           *rand.Rand
 	lossy         bool
 	version       int
 	routes        map[string]routeChange
-	coldUpstreams int    // upstreams that have just started
-	evacuated     string // a data centre
-	// evacuatedAt is when the store took that.
+	coldUpstreams int    // number of upstreams that started a short time ago
+	evacuated     string // the evacuated data centre, or empty
+	// evacuatedAt is the time at which that data centre was evacuated.
 	evacuatedAt time.Duration
-	snapshots   []stoatfake.Copy // of the store, the latest ones
+	snapshots   []stoatfake.Copy // the latest ones of the store, oldest first
 }
 
-// routeChange is a route that was added or removed at a time.
+// routeChange is the latest change of a route, which was added or removed.
 type routeChange struct {
 	listen  netip.AddrPort
 	allowed bool
 	ackedAt time.Duration
-	version int // of the configuration that changed it
+	version int // of the configuration with the change
 }
 
 var (
@@ -94,7 +95,7 @@
 	uploadAddr = netip.MustParseAddrPort("198.18.0.2:443")
 )
 
-// requestTypes are what callers ask for.
+// requestTypes returns the types of requests that callers send.
 func requestTypes() []*requestType {
 	return []*requestType{
 		{name: "feed", service: "app", listen: feedAddr, repeatable: true, reusesFlow: true, parts: 1, interval: 150 * time.Millisecond},
@@ -107,10 +108,10 @@
 	callersPerType  = 4
 	appUpstreams    = 4
 	intakeUpstreams = 2
-	firstPort       = 8600 // of the fabric
+	firstPort       = 8600 // of a range of 1000, from which the seed selects one
 )
 
-// Run plays one run. A breach is no error.
+// Run performs one run. Breaches are part of the result and are not errors.
 func Run(ctx context.Context, cfg Config) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, cfg.Length)
 	defer cancel()
@@ -139,7 +140,8 @@
 	if waitErr := group.Wait(); err == nil {
 		err = waitErr
 	}
-	// Not before its processes have ended: another run would find their ports in use.
+	// The subnet is released only when the run's processes have ended. Another run would find their ports in use
+	// before that.
 	if h.subnetLock != nil {
 		_ = h.subnetLock.Close()
 	}
@@ -179,7 +181,7 @@
 		}
 		h.entries = append(h.entries, e)
 	}
-	// The time until all serve is no failure of theirs.
+	// No guarantee applies until all entries serve.
 	startupDone := h.check.beginDisturbance(0)
 	for _, e := range h.entries {
 		h.group.Go(e.run)
@@ -191,7 +193,7 @@
 		return err
 	}
 	h.group.Go(h.probeRoutes)
-	// A run that breaks a promise on purpose is about being noticed, at any speed.
+	// A run with an injected breach must detect it on a machine of any speed, so no stall may excuse it.
 	if h.cfg.Sabotage == "" {
 		h.group.Go(h.watchStalls)
 	}
@@ -205,7 +207,7 @@
 	return nil
 }
 
-// summarize says each minute what was done so far.
+// summarize writes the totals so far every minute.
 func (h *harness) summarize() error {
 	for h.sleep(time.Minute) {
 		c, breaches := h.check.result()
@@ -227,7 +229,7 @@
 	return nil
 }
 
-// shutdown ends what was started, and nothing else.
+// shutdown ends the processes and closes the sockets that this run started, and no others.
 func (h *harness) shutdown() {
 	for _, e := range h.entries {
 		e.signal(syscall.SIGCONT, true)
@@ -249,11 +251,11 @@
 
 const (
 	subnetCount    = 250  // 127.1.x.y to 127.250.x.y
-	subnetLockPort = 8599 // of the address that a run holds to itself
+	subnetLockPort = 8599 // port of the socket that reserves a subnet
 )
 
-// reserveSubnet finds a part of the loopback addresses that no other run on this machine uses, and
-// keeps it until its processes have ended.
+// reserveSubnet reserves a subnet of the loopback addresses that no other run on this machine uses. The
+// reservation lasts until subnetLock is closed.
 func (h *harness) reserveSubnet() error {
 	var lastErr error
 	for i := range uint64(subnetCount) {
@@ -270,7 +272,7 @@
 
 func (h *harness) now() time.Duration { return time.Since(h.start) }
 
-// sleep waits, and tells whether the run goes on.
+// sleep waits for d or the end of the run. It reports whether the run goes on.
 func (h *harness) sleep(d time.Duration) bool {
 	t := time.NewTimer(max(0, d))
 	defer t.Stop()
@@ -282,7 +284,7 @@
 	}
 }
 
-// after does something later, unless the run ends before.
+// after calls do after a delay, unless the run ends before.
 func (h *harness) after(d time.Duration, do func()) {
 	h.group.Go(func() error {
 		if h.sleep(d) {
@@ -304,14 +306,14 @@
 	return d/2 + time.Duration(h.rnd.Int64N(int64(d)))
 }
 
-// dropsDatagram tells whether a datagram is dropsDatagram now.
+// dropsDatagram decides whether the next datagram is lost.
 func (h *harness) dropsDatagram() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.lossy && h.rnd.IntN(10) == 0
 }
 
-// changeConfig writes the operators' configuration, changed.
+// changeConfig changes the routes and writes the configuration with a higher version, as operators do.
 func (h *harness) changeConfig(change func(routes map[string]routeChange)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -320,7 +322,7 @@
 	h.writeConfig()
 }
 
-// writeConfig writes what the operators want; mu is held.
+// writeConfig writes the current configuration to the store. The caller must hold mu.
 func (h *harness) writeConfig() {
 	d := stoatpaddle.Declaration{
 		Version: stoatpaddle.Version(h.version), IdleTimeout: 15 * time.Second, MaxFlows: map[stoatpaddle.ServiceID]int{"app": 2000, "intake": 2000},
@@ -343,14 +345,15 @@
 	h.store.Write(platform.KindConfig, platform.ConfigName, platform.DeclarationSpec(&d))
 }
 
-// liveUpstreams returns the upstreams there are.
+// liveUpstreams returns a copy of the list of upstreams. It includes those that have crashed and were not
+// removed yet.
 func (h *harness) liveUpstreams() []*upstream {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]*upstream(nil), h.upstreams...)
 }
 
-// upstreamOf returns the upstream that holds the flow, if it lives and is known to be its own.
+// upstreamOf returns the live upstream at which the flow is open, or nil.
 func (h *harness) upstreamOf(f *flow) *upstream {
 	for _, u := range h.liveUpstreams() {
 		u.mu.Lock()
@@ -364,12 +367,12 @@
 }
 
 func atoi(s string) int {
-	// What is no number was written by nobody here.
+	// The numbers come from this package's own requests and from the entries' logs, so they are valid.
 	n, _ := strconv.Atoi(s)
 	return n
 }
 
-// Logs names the files that tell what happened.
+// Logs returns the directory and the names of its log files.
 func Logs(dir string) string {
 	list, err := os.ReadDir(dir)
 	if err != nil {
--- a/stoatsoak/run_proxy.go
+++ b/stoatsoak/run_proxy.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// proxy is the way from one entry to the store or to a seed.
+// proxy is a TCP proxy between one entry and the store or a seed. It injects network faults.
 type proxy struct {
 	h      *harness
 	ln     net.Listener
@@ -14,12 +14,12 @@
 	target string
 
 	mu      sync.Mutex
-	refuses bool // new connections and those open are closed
-	oneWay  bool // nothing comes back to the entry
+	refuses bool // new connections are closed
+	oneWay  bool // data towards the entry is dropped
 	conns   map[net.Conn]*proxyConn
 }
 
-// proxyConn is one connection; one that is mute carries nothing any more, for good.
+// proxyConn is the state of a proxied connection. A silent connection drops all data until it is closed.
 type proxyConn struct {
 	mu     sync.Mutex
 	silent bool
@@ -94,14 +94,14 @@
 	return p.oneWay
 }
 
-// setOneWay has nothing come back any more, or again.
+// setOneWay starts or stops dropping the data towards the entry.
 func (p *proxy) setOneWay(oneWay bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.oneWay = oneWay
 }
 
-// silence makes the open connections carry nothing any more.
+// silence makes the open connections drop all data from now on. New connections are not affected.
 func (p *proxy) silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// setRefuse closes what is open and refuses what comes, or no more.
+// setRefuse starts or stops refusing connections. Open connections are closed at the start.
 func (p *proxy) setRefuse(refuse bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/stoatsoak/run_restore.go
+++ b/stoatsoak/run_restore.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// lostVersions is how many configurations a restore loses, beforeDown how long before the store goes down
-	// they are confirmed: every entry has them.
+	// lostVersions is the number of configurations that a restore loses. storeDownDelay is the time from their
+	// writing until the store goes down, which is enough for every entry to receive them.
 	lostVersions     = 12
-	snapshotDelay    = 700 * time.Millisecond
+	storeDownDelay   = 700 * time.Millisecond
 	snapshotInterval = time.Second
 	maxSnapshots     = 3
-	// rewriteDelay is when operators and upstreams write again after a restore, and endAgainAfter when
-	// the store has noticed that those which the copy has and which ended since are silent.
+	// rewriteDelay is the time after a restore at which operators and upstreams write their objects again.
+	// removeDelay is the time after which the store expires the restored registrations of stopped upstreams,
+	// which send no heartbeats.
 	rewriteDelay = 700 * time.Millisecond
 	removeDelay  = 2 * time.Second
 )
 
-// snapshotStore keeps copies of the store, of which the oldest is some seconds old.
+// snapshotStore keeps the latest snapshots of the store. The oldest of them is some seconds old.
 func (h *harness) snapshotStore() error {
 	for h.sleep(snapshotInterval) {
 		c := h.store.Save()
@@ -32,8 +33,8 @@
 	return nil
 }
 
-// restoreStore has the store come back from a copy. What was written since is written again soon; a route
-// changes once the bounds hold again.
+// restoreStore restores the store from the oldest snapshot. Soon afterwards, operators and upstreams write their
+// objects again. A route changes once the time limits apply again, so that probes check it.
 func (h *harness) restoreStore(s Step) {
 	h.mu.Lock()
 	snapshots := h.snapshots
@@ -48,7 +49,7 @@
 	h.after(h.cfg.Bounds.Stable+h.cfg.Bounds.Slack, func() { h.changeRoutes(s.Target) })
 }
 
-// rewriteAll has operators and upstreams write what they wrote last.
+// rewriteAll makes operators and upstreams write their latest objects again.
 func (h *harness) rewriteAll() {
 	h.mu.Lock()
 	h.writeConfig()
@@ -71,7 +72,7 @@
 	}
 }
 
-// removeStopped removes what the copy has of upstreams that ended since.
+// removeStopped removes the restored registrations of upstreams that have stopped since the snapshot.
 func (h *harness) removeStopped() {
 	live := map[string]bool{}
 	for _, u := range h.liveUpstreams() {
--- a/stoatsoak/run_stall.go
+++ b/stoatsoak/run_stall.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// minStall is how long the soak's own process must have stood still for it to count: by
-	// half of a caller's first repeat, requests look as if their upstream were silent.
+	// minStall is the shortest pause of the soak's own process that counts as a stall. It is half of a caller's
+	// first retransmission delay: after that, a request can look as if its upstream were silent.
 	minStall           = 100 * time.Millisecond
 	stallCheckInterval = 20 * time.Millisecond
 )
 
-// watchStalls notes when this process stood still.
+// watchStalls records when this process did not run.
 //
-// The failure: callers, the fabric and the upstreams of a run are one process. On a busy machine
-// it got no processor for 0.28 s; then callers repeated themselves all at once, before the answers
-// of that time came, and an entry that saw an upstream silent for so long ejected it. The upstream
-// was silent indeed: the stall is a disturbance of the upstreams, of the run's own making.
+// Callers, the fabric and the upstreams of a run share this process. On a busy machine it got no CPU time for
+// 0.28 s. Then all callers retransmitted at once, before the delayed answers arrived, and an entry ejected an
+// upstream that it had seen silent for so long. As the upstream was in fact silent, a stall counts as a
+// disturbance that the run itself caused.
 func (h *harness) watchStalls() error {
 	for h.sleep(stallCheckInterval) {
 		h.check.tick(h.now())
@@ -22,7 +22,7 @@
 	return nil
 }
 
-// tick notes that the run goes on; a gap since the last time is a disturbance that has ended.
+// tick records that the process is running. A gap since the last call is recorded as a disturbance that has ended.
 func (c *checker) tick(now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,5 +33,6 @@
 	c.lastTick = now
 }
 
-// stalled tells whether the run stands still, or has not noticed yet that it goes on.
+// stalled reports whether the last call of tick is too long ago, as the process did not run or has only just
+// resumed.
 func (c *checker) stalled(now time.Duration) bool { return c.lastTick > 0 && now-c.lastTick > minStall }
--- a/stoatsoak/run_upstream.go
+++ b/stoatsoak/run_upstream.go
@@ -13,8 +13,8 @@
 	"github.com/stoatpaddle/stoatpaddle/platform"
 )
 
-// upstream is a stand-in for one life of a server: it holds flows, runs requests and answers
-// callers directly.
+// upstream is a fake server, from its start to its stop or crash. It holds flows, runs requests and answers
+// callers directly, not through an entry.
 type upstream struct {
 	h           *harness
 	id          string
@@ -26,41 +26,41 @@
 	addr        netip.AddrPort
 
 	mu        sync.Mutex
-	flows     map[netip.AddrPort]*upstreamFlow // by caller
-	leftAt    time.Duration                    // when the store took its mark; 0: it serves
-	coldUntil time.Duration                    // until then it is cold
+	flows     map[netip.AddrPort]*upstreamFlow // by the caller's address
+	leftAt    time.Duration                    // when the store had it marked as leaving; 0 means that it is not leaving
+	coldUntil time.Duration                    // end of its cold phase; 0 means that it is not cold
 	dead      atomic.Bool
 }
 
-// upstreamFlow is a flow at its upstream.
+// upstreamFlow is the upstream's side of a flow.
 type upstreamFlow struct {
 	seq          uint32
 	open         bool
 	closing      bool
-	parts        map[uint32]string // of the request under way, by sequence number
-	lastAnswer   *platform.Segment // the last answer, repeated if it was lost
-	lastFirstSeq uint32            // of the first part that it answers
+	parts        map[uint32]string // of the request being received, by sequence number
+	lastAnswer   *platform.Segment // sent again if the caller retransmits its request
+	lastFirstSeq uint32            // sequence number of the first part of the request that lastAnswer answers
 	running      bool
 }
 
 const (
 	workTime      = 30 * time.Millisecond
-	slowWorkTime  = 500 * time.Millisecond // through a full queue; callers repeat after 0.2 s
+	slowWorkTime  = 500 * time.Millisecond // as through a full queue; exceeds the 0.2 s after which callers retransmit
 	upstreamSlots = 3
 	coldDuration  = 2 * time.Second
-	coldRate      = 5.0 // requests a second that a cold upstream bears
+	coldRate      = 5.0 // requests per second that a cold upstream can take
 )
 
-// newUpstream starts one life at the address, which is free; port 0 takes any.
+// newUpstream starts a cold upstream with a new ID at the address. Port 0 selects any free port.
 func (h *harness) newUpstream(service, centre string, at netip.AddrPort) (*upstream, error) {
 	return h.startUpstream(firstTargetID+h.lastTargetID.Add(1), service, centre, at, coldDuration)
 }
 
-// firstTargetID is the number of the first upstream's id.
+// firstTargetID is the base of the upstreams' IDs.
 const firstTargetID = 0x5000_0000
 
-// startUpstream starts a life of the upstream with that number, which is cold for so long; not while a
-// data centre is evacuated, or what is left might not bear what callers ask.
+// startUpstream starts an upstream with that ID, which is cold for the given time. While a data centre is
+// evacuated it starts warm, as the remaining upstreams might lack the capacity for all requests otherwise.
 func (h *harness) startUpstream(targetID uint64, service, centre string, at netip.AddrPort, cold time.Duration) (*upstream, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
@@ -84,7 +84,7 @@
 	return u, nil
 }
 
-// endCold has it say that it is not cold any more.
+// endCold ends the cold phase and registers the upstream as warm.
 func (u *upstream) endCold() {
 	u.h.mu.Lock()
 	u.h.coldUpstreams--
@@ -98,7 +98,7 @@
 	}
 }
 
-// register writes what a server says about itself, as servers do without regard to entries.
+// register writes the upstream's registration to the store. Like a real server, it needs no entry for that.
 func (u *upstream) register(leaving bool) {
 	u.mu.Lock()
 	cold := max(0, u.coldUntil-u.h.now())
@@ -108,7 +108,8 @@
 	}))
 }
 
-// startLeaving marks it; it goes on for the bound and until its flows have ended.
+// startLeaving marks the upstream as leaving. It serves until the time limit for leaving has passed and its flows
+// have ended.
 func (u *upstream) startLeaving(now time.Duration) {
 	u.register(true)
 	u.mu.Lock()
@@ -116,7 +117,7 @@
 	u.mu.Unlock()
 }
 
-// stop takes it away, with its registration.
+// stop ends the upstream and removes its registration.
 func (u *upstream) stop() {
 	u.dead.Store(true)
 	_ = u.conn.Close()
@@ -124,7 +125,7 @@
 	u.removeFromHarness()
 }
 
-// removeFromHarness takes its life out of those that there are.
+// removeFromHarness removes the upstream from the harness's list of upstreams.
 func (u *upstream) removeFromHarness() {
 	u.h.mu.Lock()
 	defer u.h.mu.Unlock()
@@ -158,7 +159,7 @@
 		if n < platform.TargetSize || !platform.DecodeSegment(buf[platform.TargetSize:n], &s) {
 			continue
 		}
-		// One that is meant for another life says nothing.
+		// A packet for another upstream, which had this address before, is ignored.
 		if t := platform.GetTarget(buf); t != 0 && t != u.targetID {
 			continue
 		}
@@ -191,7 +192,7 @@
 			u.answer(s, &platform.Segment{Resets: true, Seq: s.Ack})
 		}
 	case !f.open && s.Ack != f.seq+1:
-		// The handshake of another upstream.
+		// The packet acknowledges the handshake of another upstream and is ignored.
 	case s.Ends || s.Resets:
 		delete(u.flows, s.Src)
 	default:
@@ -202,7 +203,7 @@
 	}
 }
 
-// handlePart gathers the parts of a handlePart, and runs it once it is whole. Each part says
+// handlePart collects the parts of a request and runs the request once it is complete. The text of a part is
 // "id route wanted repeatable part parts padding".
 func (u *upstream) handlePart(f *upstreamFlow, s *platform.Segment) {
 	if f.lastAnswer != nil && s.Seq-f.lastFirstSeq < 1<<16 && s.Seq >= f.lastFirstSeq && s.Seq < f.lastAnswer.Ack {
@@ -234,7 +235,7 @@
 	u.h.after(duration, func() { u.finishRequest(f, &request, fields[0], firstSeq, endSeq) })
 }
 
-// finishRequest answers a request that has run.
+// finishRequest answers a request after its work time.
 func (u *upstream) finishRequest(f *upstreamFlow, s *platform.Segment, id string, firstSeq, endSeq uint32) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -245,7 +246,7 @@
 	u.answer(s, f.lastAnswer)
 }
 
-// answer sends to the caller of s.
+// answer sends a reply to the caller that sent s.
 func (u *upstream) answer(s, reply *platform.Segment) {
 	reply.Src, reply.Dst, reply.Cookie = s.Dst, s.Src, s.Cookie
 	to := netip.AddrPortFrom(s.Src.Addr(), u.h.port)
--- a/stoatsoak/soak_test.go
+++ b/stoatsoak/soak_test.go
@@ -11,7 +11,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsoak"
 )
 
-// TestMain makes the test's program the one that the runs start as entries.
+// TestMain makes the test binary run as the program when a run starts it as an entry.
 func TestMain(m *testing.M) {
 	if len(os.Args) > 1 && os.Args[1] == "run" {
 		os.Exit(stoatcommand.Main(os.Args[1:], os.Stdout, os.Stderr))
@@ -35,7 +35,7 @@
 	return r
 }
 
-// A run of planned work and disturbances: what must hold whatever the machine's speed holds.
+// A run of planned work and faults violates none of the guarantees that do not depend on the machine's speed.
 func TestRun(t *testing.T) {
 	at := func(s int, k stoatsoak.Kind, target int) stoatsoak.Step {
 		return stoatsoak.Step{At: time.Duration(s) * time.Second, For: time.Second, Kind: k, Target: target}
@@ -54,9 +54,9 @@
 	}
 }
 
-// The soak can fail: an entry that breaks a promise is noticed. How soon depends on the machine, on
-// which the run's processes are real ones; so each run goes on until then, and the upstreams that
-// leave do so one after the other, after the start has ceased to count as a disturbance.
+// The soak detects an entry that violates a guarantee. How soon depends on the machine, as the entries are real
+// processes. So each run lasts until the breach is detected, and the steps that a breach needs repeat, after the
+// start has ceased to count as a disturbance.
 func TestInjectedBreachIsDetected(t *testing.T) {
 	for i, g := range []stoatsoak.Promise{stoatsoak.RightService, stoatsoak.WholeAnswer, stoatsoak.Once, stoatsoak.FlowLives, stoatsoak.Drained, stoatsoak.InForce, stoatsoak.Recovers, stoatsoak.Runs, stoatsoak.Evacuated, stoatsoak.Spared, stoatsoak.Admits} {
 		t.Run(string(g), func(t *testing.T) {
@@ -81,10 +81,10 @@
 					return
 				}
 			}
-			t.Errorf("not noticed among %d breaches", len(r.Breaches))
+			t.Errorf("not detected among %d breaches", len(r.Breaches))
 		})
 	}
 }
 
-// detectTimeout bounds a run that is to notice a broken promise; on an idle machine it takes 20 s at most.
+// detectTimeout limits a run that must detect a breach. On an idle machine, such a run takes 20 s at most.
 const detectTimeout = 90 * time.Second
