--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -63,7 +63,7 @@
 	noRoomAt     time.Duration              // when a probe last found that no upstream had room; 0 means never
 	breaches     []Breach
 	counts       Counts
-	onBreach     func(p Promise) // called at each breach if not nil
+	onBreach     func(g Promise) // called at each breach if not nil
 }
 
 // Bounds are the time limits of the guarantees.
@@ -78,13 +78,13 @@
 
 // Counts are the totals of a run.
 type Counts struct {
-	Asked, Served, Late, Failed int // requests; Served counts those that were answered in time
+	Asked, Served, Late, Failed int // numbers of requests
 	Flows, Resets               int
 	Stalls                      int // periods in which the soak's own process did not run
 }
 
-func newChecker(b Bounds) *checker {
-	return &checker{limits: b, runCounts: map[string]int{}, maxVersions: map[string]int{}, coldOpens: map[string][]time.Duration{}}
+func newChecker(limits Bounds) *checker {
+	return &checker{limits: limits, runCounts: map[string]int{}, maxVersions: map[string]int{}, coldOpens: map[string][]time.Duration{}}
 }
 
 func (c *checker) breach(now time.Duration, g Promise, format string, args ...any) {
@@ -132,13 +132,13 @@
 	return true
 }
 
-// requestRan checks a request that an upstream of the given service began to run. The request's route belongs
-// to the wanted service.
-func (c *checker) requestRan(now time.Duration, id, service, wanted string, repeatable bool) {
+// requestRan checks a request that an upstream of the given service began to run. Its route belongs to
+// routeService.
+func (c *checker) requestRan(now time.Duration, id, service, routeService string, repeatable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if service != wanted {
-		c.breach(now, RightService, "request %s for %s was run by %s", id, wanted, service)
+	if service != routeService {
+		c.breach(now, RightService, "request %s for %s was run by %s", id, routeService, service)
 	}
 	if repeatable {
 		return
@@ -256,13 +256,13 @@
 }
 
 // versionApplied records the version that an entry process reports to be in force.
-func (c *checker) versionApplied(now time.Duration, life string, version int) {
+func (c *checker) versionApplied(now time.Duration, process string, version int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version < c.maxVersions[life] {
-		c.breach(now, NeverBack, "%s went back from version %d to %d", life, c.maxVersions[life], version)
+	if version < c.maxVersions[process] {
+		c.breach(now, NeverBack, "%s went back from version %d to %d", process, c.maxVersions[process], version)
 	}
-	c.maxVersions[life] = max(c.maxVersions[life], version)
+	c.maxVersions[process] = max(c.maxVersions[process], version)
 }
 
 // entryExited records that an entry process exited without the harness having ended it.
--- a/stoatsoak/checker_test.go
+++ b/stoatsoak/checker_test.go
@@ -9,7 +9,7 @@
 
 const second = time.Second
 
-func testBounds() Bounds {
+func testLimits() Bounds {
 	return Bounds{Apply: 3 * second, Stable: 4 * second, Slack: second, Back: 12 * second}
 }
 
@@ -132,7 +132,7 @@
 		}, nil},
 		"an entry exits": {func(c *checker) { c.entryExited(0, "e", "exit 1") }, []Promise{Runs}},
 	} {
-		c := newChecker(testBounds())
+		c := newChecker(testLimits())
 		test.observe(c)
 		_, breaches := c.result()
 		var got []Promise
@@ -152,9 +152,9 @@
 
 // With SkipTimed, only the guarantees without a time limit are checked.
 func TestSkipTimed(t *testing.T) {
-	bounds := testBounds()
-	bounds.Untimed = true
-	c := newChecker(bounds)
+	limits := testLimits()
+	limits.Untimed = true
+	c := newChecker(limits)
 	c.flowReset(20*second, "f", "u")
 	c.requestDone(33*second, 30*second, "feed", false, false)
 	c.gotAnswer(0, "r1", "r2")
--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -54,10 +54,10 @@
 	return slices.Contains(plannedKinds, k) || slices.Contains(overlappingKinds, k)
 }
 
-// Step is a fault or a change in a plan.
+// Step is a step of a plan.
 type Step struct {
 	At     time.Duration // since the start of the run
-	For    time.Duration
+	For    time.Duration // how long the step lasts
 	Kind   Kind
 	Target int // selects the entry, upstream, route or data centre, modulo the number of them
 }
--- a/stoatsoak/run_breach.go
+++ b/stoatsoak/run_breach.go
@@ -28,13 +28,13 @@
 	case FlowLives:
 		return len(s.Data) > 0 && h.resetFlow(&s)
 	case Drained:
-		allowed := h.cfg.Bounds.Apply + h.cfg.Bounds.Slack
-		return s.Opens && f.tuple[1] == pledgeAddr && h.misdeliver(packet, func(u *upstream) bool { return u.leftAt > 0 && h.now()-u.leftAt > allowed })
+		limit := h.cfg.Bounds.Apply + h.cfg.Bounds.Slack
+		return s.Opens && f.tuple[1] == pledgeAddr && h.misdeliver(packet, func(u *upstream) bool { return u.leftAt > 0 && h.now()-u.leftAt > limit })
 	case Evacuated:
-		late := h.cfg.Bounds.Apply + h.cfg.Bounds.Slack
+		limit := h.cfg.Bounds.Apply + h.cfg.Bounds.Slack
 		return s.Opens && f.tuple[1] == pledgeAddr && h.misdeliver(packet, func(u *upstream) bool {
 			since := h.evacuatedSince(u.centre)
-			return since > 0 && h.now()-since > late && u.service == "app"
+			return since > 0 && h.now()-since > limit && u.service == "app"
 		})
 	case Spared:
 		if s.Opens && f.tuple[1] == pledgeAddr {
@@ -54,7 +54,7 @@
 
 // misdeliver sends a packet to the first upstream that matches, regardless of the packet's route.
 func (h *harness) misdeliver(packet []byte, matches func(u *upstream) bool) bool {
-	for _, u := range h.liveUpstreams() {
+	for _, u := range h.listUpstreams() {
 		u.mu.Lock()
 		ok := matches(u)
 		u.mu.Unlock()
@@ -102,7 +102,7 @@
 
 // duplicateRequest has a second upstream run the request too.
 func (h *harness) duplicateRequest(f *flow, s platform.Segment) {
-	for _, u := range h.liveUpstreams() {
+	for _, u := range h.listUpstreams() {
 		u.mu.Lock()
 		other := u.service == "app" && u.flows[f.tuple[0]] == nil
 		u.mu.Unlock()
--- a/stoatsoak/run_caller.go
+++ b/stoatsoak/run_caller.go
@@ -13,7 +13,7 @@
 	"github.com/stoatpaddle/stoatpaddle/platform"
 )
 
-// openRetryDelays and the constants below are the behaviour of callers, as the user documentation describes it.
+// openRetryDelays and the constants below make callers behave as the user documentation describes.
 var openRetryDelays = []time.Duration{200 * time.Millisecond, 400 * time.Millisecond}
 
 const (
--- a/stoatsoak/run_fabric.go
+++ b/stoatsoak/run_fabric.go
@@ -49,7 +49,7 @@
 // hasRoom reports whether an upstream of the service that the added routes use serves, is not cold and may get
 // flows.
 func (h *harness) hasRoom() bool {
-	for _, u := range h.liveUpstreams() {
+	for _, u := range h.listUpstreams() {
 		u.mu.Lock()
 		serves := u.service == "app" && u.leftAt == 0 && u.coldUntil == 0 && !u.dead.Load()
 		u.mu.Unlock()
--- a/stoatsoak/run_faults.go
+++ b/stoatsoak/run_faults.go
@@ -10,7 +10,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-// startStep starts a step. The rest of a step that takes time runs in the background.
+// startStep starts a step. A step that takes time continues in the background.
 func (h *harness) startStep(s Step) {
 	if h.ctx.Err() != nil {
 		return
@@ -110,7 +110,7 @@
 	})
 }
 
-// extraServeTime is how much longer than the time limit for leaving an upstream serves.
+// extraServeTime is how long a leaving upstream serves beyond the time limit for leaving.
 const extraServeTime = 3 * time.Second
 
 // replaceUpstream starts an upstream and then lets another one of the same service leave, as planned releases do.
@@ -134,7 +134,7 @@
 		return
 	}
 	if u.hasOpenFlow() {
-		// The upstream breaks the flows that callers have kept open until now, which is no fault of an entry.
+		// Stopping the upstream breaks the flows that callers still keep open, which is not the fault of an entry.
 		ended := h.check.beginDisturbance(h.now())
 		h.after(time.Second, func() { ended(h.now()) })
 	}
@@ -143,7 +143,7 @@
 
 // pickServing returns an upstream that is alive and not leaving, or nil. The search begins at the target.
 func (h *harness) pickServing(target int) *upstream {
-	list := h.liveUpstreams()
+	list := h.listUpstreams()
 	for i := range list {
 		u := list[(target+i)%len(list)]
 		u.mu.Lock()
@@ -257,7 +257,7 @@
 
 // registerAgain makes all serving upstreams register again.
 func (h *harness) registerAgain() {
-	for _, u := range h.liveUpstreams() {
+	for _, u := range h.listUpstreams() {
 		u.mu.Lock()
 		left := u.leftAt
 		u.mu.Unlock()
@@ -314,7 +314,7 @@
 	})
 }
 
-// writeForeign overwrites an upstream's registration and adds another one, both with a text that is not a valid
+// writeForeign overwrites an upstream's registration and adds another one, both with a value that is not a valid
 // registration. The upstream registers again at the end of the step, as it would with its next heartbeat.
 func (h *harness) writeForeign(s Step) {
 	specs := []any{
--- a/stoatsoak/run_harness.go
+++ b/stoatsoak/run_harness.go
@@ -34,8 +34,8 @@
 	Plan    []Step // nil means that the seed determines the steps
 	// Restores makes restores of the store the only faults of the plan that the seed determines.
 	Restores bool
-	// Sabotage makes the harness violate one guarantee, for a test that the checker detects it. The run ends as
-	// soon as it does.
+	// Sabotage makes the harness violate one guarantee, to test that the checker detects the breach. The run ends
+	// once it has.
 	Sabotage Promise
 	Out      io.Writer // receives the steps and a summary every minute
 }
@@ -50,23 +50,23 @@
 
 // harness runs the deployment and the fakes around it, and injects faults.
 type harness struct {
-	cfg           Config
-	start         time.Time
-	ctx           context.Context
-	cancel        context.CancelFunc
-	group         *errgroup.Group
-	check         *checker
-	store         *stoatfake.Platform
-	storeAddr     string
-	port          uint16       // of the tunnel of entries and of the callers' sockets
-	subnet        byte         // second byte of the run's loopback addresses
-	subnetLock    *net.UDPConn // while it is open, no other run uses the subnet
-	entries       []*entry
-	lastRequestID atomic.Uint64
-	lastTargetID  atomic.Uint64
-	slowdowns     atomic.Int64 // number of steps that make upstreams answer slowly now
+	cfg             Config
+	start           time.Time
+	ctx             context.Context
+	cancel          context.CancelFunc
+	group           *errgroup.Group
+	check           *checker
+	store           *stoatfake.Platform
+	storeAddr       string
+	port            uint16       // tunnel port of the entries, and port of the callers' sockets
+	subnet          byte         // second byte of the run's loopback addresses
+	subnetLock      *net.UDPConn // while it is open, no other run uses the subnet
+	entries         []*entry
+	lastRequestID   atomic.Uint64
+	issuedTargetIDs atomic.Uint64
+	slowdowns       atomic.Int64 // number of steps that make upstreams answer slowly now
 
-	// mu must not be held while an upstream's mutex is locked, as upstreams lock mu while they hold theirs.
+	// Code that holds mu must not lock the mutex of an upstream, as upstreams lock mu while they hold their own.
 	mu            sync.Mutex
 	upstreams     []*upstream
 	callerConns   []*net.UDPConn
@@ -149,6 +149,7 @@
 	return Result{Seed: cfg.Seed, Steps: plan, Counts: counts, Breaches: breaches}, err
 }
 
+// runPlan starts the deployment and the fakes around it, and performs the steps of the plan.
 func (h *harness) runPlan(plan []Step) error {
 	if err := h.reserveSubnet(); err != nil {
 		return err
@@ -170,7 +171,7 @@
 		if i >= appUpstreams {
 			service = "intake"
 		}
-		if _, err := h.startUpstream(firstTargetID+h.lastTargetID.Add(1), service, centreOf(i), netip.MustParseAddrPort("127.0.0.1:0"), 0); err != nil {
+		if _, err := h.startUpstream(firstTargetID+h.issuedTargetIDs.Add(1), service, centreOf(i), netip.MustParseAddrPort("127.0.0.1:0"), 0); err != nil {
 			return err
 		}
 	}
@@ -244,7 +245,7 @@
 		_ = conn.Close()
 	}
 	h.mu.Unlock()
-	for _, u := range h.liveUpstreams() {
+	for _, u := range h.listUpstreams() {
 		u.stop()
 	}
 }
@@ -300,6 +301,7 @@
 	return h.rnd.Uint32() >> 1
 }
 
+// jitter returns a random duration from half of d to one and a half of d.
 func (h *harness) jitter(d time.Duration) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -345,9 +347,9 @@
 	h.store.Write(platform.KindConfig, platform.ConfigName, platform.DeclarationSpec(&d))
 }
 
-// liveUpstreams returns a copy of the list of upstreams. It includes those that have crashed and were not
-// removed yet.
-func (h *harness) liveUpstreams() []*upstream {
+// listUpstreams returns a copy of the list of upstreams. It includes those that have crashed until they are
+// removed.
+func (h *harness) listUpstreams() []*upstream {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]*upstream(nil), h.upstreams...)
@@ -355,7 +357,7 @@
 
 // upstreamOf returns the live upstream at which the flow is open, or nil.
 func (h *harness) upstreamOf(f *flow) *upstream {
-	for _, u := range h.liveUpstreams() {
+	for _, u := range h.listUpstreams() {
 		u.mu.Lock()
 		s := u.flows[f.tuple[0]]
 		u.mu.Unlock()
--- a/stoatsoak/run_restore.go
+++ b/stoatsoak/run_restore.go
@@ -62,7 +62,7 @@
 			h.store.Remove(platform.KindEvacuation, centre)
 		}
 	}
-	for _, u := range h.liveUpstreams() {
+	for _, u := range h.listUpstreams() {
 		u.mu.Lock()
 		left := u.leftAt
 		u.mu.Unlock()
@@ -75,7 +75,7 @@
 // removeStopped removes the restored registrations of upstreams that have stopped since the snapshot.
 func (h *harness) removeStopped() {
 	live := map[string]bool{}
-	for _, u := range h.liveUpstreams() {
+	for _, u := range h.listUpstreams() {
 		live[u.id] = true
 	}
 	for _, name := range h.store.Names(platform.KindUpstream) {
--- a/stoatsoak/run_stall.go
+++ b/stoatsoak/run_stall.go
@@ -22,7 +22,8 @@
 	return nil
 }
 
-// tick records that the process is running. A gap since the last call is recorded as a disturbance that has ended.
+// tick records that the process is running. A gap since the last call is recorded as a disturbance that has
+// ended.
 func (c *checker) tick(now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/stoatsoak/run_upstream.go
+++ b/stoatsoak/run_upstream.go
@@ -27,7 +27,7 @@
 
 	mu        sync.Mutex
 	flows     map[netip.AddrPort]*upstreamFlow // by the caller's address
-	leftAt    time.Duration                    // when the store had it marked as leaving; 0 means that it is not leaving
+	leftAt    time.Duration                    // when it was marked as leaving; 0 means that it is not leaving
 	coldUntil time.Duration                    // end of its cold phase; 0 means that it is not cold
 	dead      atomic.Bool
 }
@@ -51,9 +51,9 @@
 	coldRate      = 5.0 // requests per second that a cold upstream can take
 )
 
-// newUpstream starts a cold upstream with a new ID at the address. Port 0 selects any free port.
+// newUpstream starts a cold upstream with a new ID at the address. Port 0 stands for any free port.
 func (h *harness) newUpstream(service, centre string, at netip.AddrPort) (*upstream, error) {
-	return h.startUpstream(firstTargetID+h.lastTargetID.Add(1), service, centre, at, coldDuration)
+	return h.startUpstream(firstTargetID+h.issuedTargetIDs.Add(1), service, centre, at, coldDuration)
 }
 
 // firstTargetID is the base of the upstreams' IDs.
@@ -204,7 +204,7 @@
 }
 
 // handlePart collects the parts of a request and runs the request once it is complete. The text of a part is
-// "id route wanted repeatable part parts padding".
+// "id type service repeatable part parts padding", with the service of the request's route.
 func (u *upstream) handlePart(f *upstreamFlow, s *platform.Segment) {
 	if f.lastAnswer != nil && s.Seq-f.lastFirstSeq < 1<<16 && s.Seq >= f.lastFirstSeq && s.Seq < f.lastAnswer.Ack {
 		u.answer(s, f.lastAnswer)
