--- a/stoatflow/choose.go
+++ b/stoatflow/choose.go
@@ -43,7 +43,7 @@
 		return preferredSlot, preferredIndex, preferredSlot != nil
 	}
 	b.computeMean()
-	if b.usable(preferredSlot, preferred) && p.sh.rnd.Float64() >= b.divertProbability(preferredSlot, preferred, e.gain(p.in.Service.Lean)) {
+	if b.usable(preferredSlot, preferred) && p.sh.rnd.Float64() >= b.divertProbability(preferredSlot, preferred, e.gain(p.in.Service.Preference)) {
 		return preferredSlot, preferredIndex, true
 	}
 	if alternative := b.pickUnderloaded(preferredSlot); alternative != nil {
@@ -139,10 +139,10 @@
 
 // usable reports whether the upstream may take a new flow.
 func (b *balancer) usable(s *slot, u *stoatview.Upstream) bool {
-	if s.isEjected(b.p.tick) || u.Connections > 0 && s.load() >= float64(u.Connections) {
+	if s.isEjected(b.p.tick) || u.MaxFlows > 0 && s.load() >= float64(u.MaxFlows) {
 		return false
 	}
-	return u.Opens == 0 || s.openRate.ready(b.p.now, b.p.entryShare(u.Opens))
+	return u.MaxOpenRate == 0 || s.openRate.ready(b.p.now, b.p.entryShare(u.MaxOpenRate))
 }
 
 // entryShare returns this entry's equal part of a limit per second.
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -52,8 +52,8 @@
 		e.stats.Refused.Add(1)
 		return Action{Verdict: Reset, Reason: stoatpacket.DropLimit}
 	}
-	if u := sl.upstream.Load(); u.Opens > 0 {
-		sl.openRate.take(p.now, p.entryShare(u.Opens))
+	if u := sl.upstream.Load(); u.MaxOpenRate > 0 {
+		sl.openRate.take(p.now, p.entryShare(u.MaxOpenRate))
 	}
 	e.stats.Opened.Add(1)
 	if sl.key != preferred.Key {
--- a/stoatsoak/run_faults.go
+++ b/stoatsoak/run_faults.go
@@ -187,18 +187,18 @@
 			h.changeRoutes(s.Target + i)
 		}
 		h.replaceUpstream(s.Target)
-		h.after(storeDownDelay, func() { h.store.Set(stoatfake.Trouble{Down: true}) })
+		h.after(storeDownDelay, func() { h.store.SetFaults(stoatfake.Faults{Down: true}) })
 	case StoreDown:
-		h.store.Set(stoatfake.Trouble{Down: true})
+		h.store.SetFaults(stoatfake.Faults{Down: true})
 		h.expireRegistrations()
 	case StoreSlow:
-		h.store.Set(stoatfake.Trouble{Slow: 200 * time.Millisecond})
+		h.store.SetFaults(stoatfake.Faults{Delay: 200 * time.Millisecond})
 	case StoreLag:
-		h.store.Set(stoatfake.Trouble{Lagging: true})
+		h.store.SetFaults(stoatfake.Faults{StaleReplicas: true})
 	case StoreMute:
-		h.store.Set(stoatfake.Trouble{SilentWatch: true})
+		h.store.SetFaults(stoatfake.Faults{SilentWatches: true})
 	case Forget:
-		h.store.Forget()
+		h.store.CompactHistory()
 	case Refuse:
 		e.storeProxy.setRefuse(true)
 	case Silence:
@@ -222,10 +222,10 @@
 	case Restore:
 		h.after(storeDownDelay, func() { h.restoreStore(s) })
 	case StoreDown:
-		h.store.Set(stoatfake.Trouble{})
+		h.store.SetFaults(stoatfake.Faults{})
 		h.after(time.Second, h.registerAgain)
 	case StoreSlow, StoreLag, StoreMute:
-		h.store.Set(stoatfake.Trouble{})
+		h.store.SetFaults(stoatfake.Faults{})
 	case Refuse:
 		e.storeProxy.setRefuse(false)
 	case OneWay:
--- a/stoatsoak/run_harness.go
+++ b/stoatsoak/run_harness.go
@@ -78,7 +78,7 @@
 	evacuated     string // the evacuated data centre, or empty
 	// evacuatedAt is the time at which that data centre was evacuated.
 	evacuatedAt time.Duration
-	snapshots   []stoatfake.Copy // the latest ones of the store, oldest first
+	snapshots   []stoatfake.Snapshot // the latest ones of the store, oldest first
 }
 
 // routeChange is the latest change of a route, which was added or removed.
--- a/stoatsoak/run_restore.go
+++ b/stoatsoak/run_restore.go
@@ -24,7 +24,7 @@
 // snapshotStore keeps the latest snapshots of the store. The oldest of them is some seconds old.
 func (h *harness) snapshotStore() error {
 	for h.sleep(snapshotInterval) {
-		c := h.store.Save()
+		c := h.store.Snapshot()
 		h.mu.Lock()
 		h.snapshots = append(h.snapshots, c)
 		h.snapshots = h.snapshots[max(0, len(h.snapshots)-maxSnapshots):]
@@ -43,7 +43,7 @@
 	if len(snapshots) > 0 {
 		h.store.Restore(snapshots[0])
 	}
-	h.store.Set(stoatfake.Trouble{})
+	h.store.SetFaults(stoatfake.Faults{})
 	h.after(rewriteDelay, h.rewriteAll)
 	h.after(removeDelay, h.removeStopped)
 	h.after(h.cfg.Bounds.Stable+h.cfg.Bounds.Slack, func() { h.changeRoutes(s.Target) })
--- a/stoatview/next.go
+++ b/stoatview/next.go
@@ -163,7 +163,7 @@
 func (v *View) addService(prev *View, now time.Time, in Input, c stoatpaddle.Contract, svc *stoatpaddle.Service) {
 	ref := stoatpaddle.ServiceRef{Customer: c.Customer, Service: svc.ID}
 	s := &Service{
-		Ref: ref, Kind: svc.Kind, Lean: c.Preference, Limits: c.Limits, Host: svc.Host, Protocol: svc.Protocol,
+		Ref: ref, Kind: svc.Kind, Preference: c.Preference, Limits: c.Limits, Host: svc.Host, Protocol: svc.Protocol,
 		byKey: map[stoatpaddle.UpstreamKey]*Upstream{},
 	}
 	for i := range svc.Upstreams {
@@ -203,7 +203,7 @@
 func (s *Service) newUpstream(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) *Upstream {
 	return &Upstream{
 		Key: UpstreamKeyOf(s.Ref, u.ID), Ref: s.Ref, ID: u.ID, DataCentre: u.DataCentre, Addr: u.Addr,
-		Weight: effectiveWeight(svc, u), Slots: u.Slots, Connections: u.MaxFlows, Opens: u.MaxOpenRate,
+		Weight: effectiveWeight(svc, u), Slots: u.Slots, MaxFlows: u.MaxFlows, MaxOpenRate: u.MaxOpenRate,
 		seed: seedOf("upstream", s.Ref.String()+"/"+string(u.ID)),
 	}
 }
--- a/stoatview/set.go
+++ b/stoatview/set.go
@@ -16,8 +16,8 @@
 	Addr        netip.AddrPort
 	Weight      stoatpaddle.Weight
 	Slots       int // requests that may run at once
-	Connections int // open flows at most; 0: no limit
-	Opens       int // new flows a second at most; 0: no limit
+	MaxFlows    int // open flows at most; 0: no limit
+	MaxOpenRate int // new flows a second at most; 0: no limit
 	seed        uint64
 }
 
@@ -85,7 +85,7 @@
 	for i, u := range s.Upstreams {
 		v := other.Upstreams[i]
 		if u.Key != v.Key || u.Weight != v.Weight || u.DataCentre != v.DataCentre || u.Addr != v.Addr ||
-			u.Connections != v.Connections || u.Opens != v.Opens || u.Slots != v.Slots {
+			u.MaxFlows != v.MaxFlows || u.MaxOpenRate != v.MaxOpenRate || u.Slots != v.Slots {
 			return false
 		}
 	}
--- a/stoatview/view.go
+++ b/stoatview/view.go
@@ -26,7 +26,7 @@
 type Service struct {
 	Ref         stoatpaddle.ServiceRef
 	Kind        stoatpaddle.ServiceKind
-	Lean        stoatpaddle.Preference
+	Preference  stoatpaddle.Preference
 	Limits      stoatpaddle.Limits
 	Protocol    stoatpaddle.Protocol
 	Host        string
