--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -6,145 +6,150 @@
 	"time"
 )
 
-// Promise is one thing that must hold.
+// Promise is a guarantee of the system that the checker verifies.
 type Promise string
 
-// The promises.
+// The guarantees.
 const (
-	RightService Promise = "route"    // a request is run by a service that its route has or had
-	WholeAnswer  Promise = "mixed"    // an answer belongs to its request and is whole
-	Once         Promise = "twice"    // a request that may not be repeated runs once at most
-	FlowLives    Promise = "flow"     // no open flow is reset while its upstream lives
-	Evacuated    Promise = "evacuate" // an evacuated data centre gets no new flows after the bound
-	Spared       Promise = "cold"     // a cold upstream gets no more new flows than it bears
-	Drained      Promise = "drain"    // a leaving upstream gets no new flows after the bound
-	InForce      Promise = "config"   // a configuration is in force after the bound
-	Admits       Promise = "admit"    // a route that is in force refuses nobody while upstreams have room
-	NeverBack    Promise = "back"     // what is in force never goes back
-	Recovers     Promise = "recover"  // requests are served some time after a disturbance
-	Runs         Promise = "runs"     // an entry does not end by itself
+	RightService Promise = "route"    // A request is run by a service that its route has or had.
+	WholeAnswer  Promise = "mixed"    // A caller gets the complete answer to its own request.
+	Once         Promise = "twice"    // A request that is not repeatable runs at most once.
+	FlowLives    Promise = "flow"     // No entry resets an open flow while its upstream is alive.
+	Evacuated    Promise = "evacuate" // An evacuated data centre gets no new flows after the time limit.
+	Spared       Promise = "cold"     // A cold upstream gets no more new flows than its cold rate allows.
+	Drained      Promise = "drain"    // A leaving upstream gets no new flows after the time limit.
+	InForce      Promise = "config"   // A configuration is in force after the time limit.
+	Admits       Promise = "admit"    // A route in force refuses no flow while upstreams have room.
+	NeverBack    Promise = "back"     // An entry process never returns to an older configuration.
+	Recovers     Promise = "recover"  // Requests are served again some time after a disturbance.
+	Runs         Promise = "runs"     // An entry process does not exit unless the harness ends it.
 )
 
-// timed tells whether a promise speaks of time: a machine that is slow enough breaks it.
-func (p Promise) timed() bool {
-	return p == FlowLives || p == Evacuated || p == Spared || p == Drained || p == InForce || p == Admits || p == Recovers
+// timed reports whether the guarantee has a time limit, which a machine that is slow enough exceeds.
+func (g Promise) timed() bool {
+	return g == FlowLives || g == Evacuated || g == Spared || g == Drained || g == InForce || g == Admits || g == Recovers
 }
 
-// Breach is a promise that was broken.
+// Breach is a violation of a guarantee.
 type Breach struct {
-	At      time.Duration
+	At      time.Duration // since the start of the run
 	Promise Promise
 	What    string
 }
 
-// String says what was broken when.
+// String returns the time, the guarantee and the description.
 func (b Breach) String() string {
 	return fmt.Sprintf("%6.2f s %s: %s", b.At.Seconds(), b.Promise, b.What)
 }
 
-// span is a disturbance; to is 0 while it goes on.
-type span struct {
+// disturbance is a period for which some guarantees are suspended. While it lasts, to is 0.
+type disturbance struct {
 	from, to time.Duration
-	load     bool // callers wait longer, or are refused, and nothing else changes
+	// overload means that upstreams only answer slowly, so that callers may wait or be refused. All other
+	// guarantees hold.
+	overload bool
 }
 
-// checker gathers what callers and upstreams see. Times count from the start of the run.
+// checker collects what callers and upstreams observe, and records breaches. All times count from the start of
+// the run.
 type checker struct {
-	mu       sync.Mutex
-	bounds   Bounds
-	troubles []*span
-	tick     time.Duration              // when the run last noted that it goes on; 0: it is not watched
-	runs     map[string]int             // of requests that may not be repeated, by id
-	versions map[string]int             // the highest configuration an entry's life said to be in force
-	colds    map[string][]time.Duration // when a cold upstream got new flows
-	full     time.Duration              // when no upstream last had room; 0: always one did
-	breaches []Breach
-	counts   Counts
-	noticed  func(p Promise) // called at each breach, or nil
+	mu           sync.Mutex
+	limits       Bounds
+	disturbances []*disturbance
+	lastTick     time.Duration              // the last call of tick; 0 means that stalls are not watched
+	runCounts    map[string]int             // by ID of a request that is not repeatable
+	maxVersions  map[string]int             // highest version reported to be in force, by entry process
+	coldOpens    map[string][]time.Duration // times of the recent new flows, by cold upstream
+	noRoomAt     time.Duration              // when a probe last found that no upstream had room; 0 means never
+	breaches     []Breach
+	counts       Counts
+	onBreach     func(g Promise) // called at each breach if not nil
 }
 
-// Bounds are what the promises with a time say.
+// Bounds are the time limits of the guarantees.
 type Bounds struct {
-	Apply  time.Duration // of a configuration, and of a leaving upstream
-	Stable time.Duration // how long after a disturbance the promises hold again
-	Slack  time.Duration // for the machine that the run is on
-	Back   time.Duration // how long after a disturbance requests are served again
-	// Untimed leaves out the promises that speak of time, on a machine whose speed is not known.
+	Apply  time.Duration // until a configuration, an evacuation or an upstream's leaving takes effect
+	Stable time.Duration // from the end of a disturbance until the guarantees hold again
+	Slack  time.Duration // allowance for the speed of the machine that the run is on
+	Back   time.Duration // from the end of a disturbance until requests are served again
+	// Untimed omits the guarantees that have a time limit, for a machine of unknown speed.
 	Untimed bool
 }
 
-// Counts are what a run did.
+// Counts are the totals of a run.
 type Counts struct {
-	Asked, Served, Late, Failed int
+	Asked, Served, Late, Failed int // numbers of requests
 	Flows, Resets               int
-	Stalls                      int // the run's own process stood still
+	Stalls                      int // periods in which the soak's own process did not run
 }
 
-func newChecker(b Bounds) *checker {
-	return &checker{bounds: b, runs: map[string]int{}, versions: map[string]int{}, colds: map[string][]time.Duration{}}
+func newChecker(limits Bounds) *checker {
+	return &checker{limits: limits, runCounts: map[string]int{}, maxVersions: map[string]int{}, coldOpens: map[string][]time.Duration{}}
 }
 
-func (c *checker) breach(now time.Duration, p Promise, format string, args ...any) {
-	if c.bounds.Untimed && p.timed() {
+func (c *checker) breach(now time.Duration, g Promise, format string, args ...any) {
+	if c.limits.Untimed && g.timed() {
 		return
 	}
-	c.breaches = append(c.breaches, Breach{At: now, Promise: p, What: fmt.Sprintf(format, args...)})
-	if c.noticed != nil {
-		c.noticed(p)
+	c.breaches = append(c.breaches, Breach{At: now, Promise: g, What: fmt.Sprintf(format, args...)})
+	if c.onBreach != nil {
+		c.onBreach(g)
 	}
 }
 
-// begin notes a disturbance and returns what ends it.
-func (c *checker) begin(now time.Duration) func(now time.Duration) {
-	return c.note(&span{from: now})
+// beginDisturbance records the start of a disturbance and returns the function that records its end.
+func (c *checker) beginDisturbance(now time.Duration) func(now time.Duration) {
+	return c.addDisturbance(&disturbance{from: now})
 }
 
-// load notes that upstreams are loaded, and returns what ends it.
-func (c *checker) load(now time.Duration) func(now time.Duration) {
-	return c.note(&span{from: now, load: true})
+// beginOverload records that upstreams begin to answer slowly, and returns the function that records the end.
+func (c *checker) beginOverload(now time.Duration) func(now time.Duration) {
+	return c.addDisturbance(&disturbance{from: now, overload: true})
 }
 
-func (c *checker) note(s *span) func(now time.Duration) {
+func (c *checker) addDisturbance(d *disturbance) func(now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.troubles = append(c.troubles, s)
+	c.disturbances = append(c.disturbances, d)
 	return func(now time.Duration) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		s.to = now
+		d.to = now
 	}
 }
 
-// calm tells whether nothing disturbed the system from some time before since until now.
-func (c *checker) calm(since, now time.Duration) bool {
+// undisturbed reports whether the guarantees held without a break from since until now. A disturbance suspends
+// them until StableDelay after its end.
+func (c *checker) undisturbed(since, now time.Duration) bool {
 	if c.stalled(now) {
 		return false
 	}
-	for _, s := range c.troubles {
-		if !s.load && s.from <= now && (s.to == 0 || s.to+c.bounds.Stable >= since) {
+	for _, d := range c.disturbances {
+		if !d.overload && d.from <= now && (d.to == 0 || d.to+c.limits.Stable >= since) {
 			return false
 		}
 	}
 	return true
 }
 
-// ran notes that an upstream of a service began a request for a route of another, or the same.
-func (c *checker) ran(now time.Duration, id, service, wanted string, repeatable bool) {
+// requestRan checks a request that an upstream of the given service began to run. Its route belongs to
+// routeService.
+func (c *checker) requestRan(now time.Duration, id, service, routeService string, repeatable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if service != wanted {
-		c.breach(now, RightService, "request %s for %s was run by %s", id, wanted, service)
+	if service != routeService {
+		c.breach(now, RightService, "request %s for %s was run by %s", id, routeService, service)
 	}
 	if repeatable {
 		return
 	}
-	if c.runs[id]++; c.runs[id] == 2 {
+	if c.runCounts[id]++; c.runCounts[id] == 2 {
 		c.breach(now, Once, "request %s ran twice", id)
 	}
 }
 
-// answered notes an answer.
-func (c *checker) answered(now time.Duration, id, got string) {
+// gotAnswer checks that the answer to request id carries that ID; got is the ID that it carries.
+func (c *checker) gotAnswer(now time.Duration, id, got string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id != got {
@@ -152,123 +157,123 @@
 	}
 }
 
-// wasReset notes that an entry reset an open flow, whose upstream lives all the while.
-func (c *checker) wasReset(now time.Duration, flow, upstream string) {
+// flowReset counts an open flow that an entry reset although its upstream is alive.
+func (c *checker) flowReset(now time.Duration, flow, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Resets++
-	if c.calm(now, now) {
+	if c.undisturbed(now, now) {
 		c.breach(now, FlowLives, "flow %s was reset while %s lives", flow, upstream)
 	}
 }
 
-// openedAt notes an opening at an upstream that was marked as leaving at that time.
-func (c *checker) openedAt(now, left time.Duration, upstream string) {
+// openedAtLeaving checks a new flow to an upstream that was marked as leaving at leftAt.
+func (c *checker) openedAtLeaving(now, leftAt time.Duration, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if late := now - left; late > c.bounds.Apply+c.bounds.Slack && c.calm(left, now) {
-		c.breach(now, Drained, "%s got a new flow %s after it was marked as leaving", upstream, late)
+	if delay := now - leftAt; delay > c.limits.Apply+c.limits.Slack && c.undisturbed(leftAt, now) {
+		c.breach(now, Drained, "%s got a new flow %s after it was marked as leaving", upstream, delay)
 	}
 }
 
-// openedThere notes an opening at an upstream of a data centre that was evacuated at that time.
-func (c *checker) openedThere(now, since time.Duration, upstream, centre string) {
+// openedAtEvacuated checks a new flow to an upstream whose data centre is evacuated since the given time.
+func (c *checker) openedAtEvacuated(now, since time.Duration, upstream, centre string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if late := now - since; late > c.bounds.Apply+c.bounds.Slack && c.calm(since, now) {
-		c.breach(now, Evacuated, "%s got a new flow %s after %s was evacuated", upstream, late, centre)
+	if delay := now - since; delay > c.limits.Apply+c.limits.Slack && c.undisturbed(since, now) {
+		c.breach(now, Evacuated, "%s got a new flow %s after %s was evacuated", upstream, delay, centre)
 	}
 }
 
-// Of what a cold upstream bears, as its service says it, so much more may come in a second: copies of
-// openings, and flows that were under way when it said that it is cold.
+// A cold upstream may get coldFactor times its cold rate plus coldSlack new flows within a second. The excess
+// allows for retransmitted openings and for flows that were being opened when the upstream registered as cold.
 const (
-	coldOver  = 1.5
-	coldSlack = 5
+	coldFactor = 1.5
+	coldSlack  = 5
 )
 
-// openedCold notes a new flow at an upstream that is cold and bears so many a second.
-func (c *checker) openedCold(now time.Duration, upstream string, rate float64) {
+// openedAtCold checks a new flow to a cold upstream, whose cold rate is in flows per second.
+func (c *checker) openedAtCold(now time.Duration, upstream string, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	recent := []time.Duration{now}
-	for _, at := range c.colds[upstream] {
+	for _, at := range c.coldOpens[upstream] {
 		if now-at < time.Second {
 			recent = append(recent, at)
 		}
 	}
-	c.colds[upstream] = recent
-	if most := coldOver*rate + coldSlack; float64(len(recent)) > most && !c.stalled(now) {
-		c.breach(now, Spared, "%s is cold and got %d new flows within a second, %g are allowed", upstream, len(recent), most)
+	c.coldOpens[upstream] = recent
+	if limit := coldFactor*rate + coldSlack; float64(len(recent)) > limit && !c.stalled(now) {
+		c.breach(now, Spared, "%s is cold and got %d new flows within a second, %g are allowed", upstream, len(recent), limit)
 	}
 }
 
-// look is what a new flow to a route met at one entry.
-type look struct {
-	entry, life string
-	route       string
-	allowed     bool // by the configuration
-	version     int  // of it
-	acked       time.Duration
-	opened      bool
-	room        bool // an upstream of the route's service serves, is warm and may get flows
+// probeResult is the outcome of an attempt to open a flow to a route through one entry.
+type probeResult struct {
+	entry, process string
+	route          string
+	allowed        bool          // whether the configuration has the route
+	version        int           // of the configuration that added or removed the route
+	ackedAt        time.Duration // when the store acknowledged that configuration
+	opened         bool
+	hasRoom        bool // an upstream of the route's service serves, is not cold and may get flows
 }
 
-// loadTail is how long after a load an entry may go on refusing: its answers of late were slow.
-const loadTail = time.Second
+// overloadTail is how long after an overload an entry may still refuse flows, because recent answers were slow.
+const overloadTail = time.Second
 
-// looked checks what a new flow met. One that is refused although its route is in force there was refused for
-// want of room, which only a load excuses.
-func (c *checker) looked(now time.Duration, l look) {
+// routeProbed checks the outcome of a probe. If a flow was refused although its route is in force at the entry,
+// the entry refused it for lack of room, which only an overload excuses.
+func (c *checker) routeProbed(now time.Duration, p probeResult) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !l.room {
-		c.full = max(1, now)
+	if !p.hasRoom {
+		c.noRoomAt = max(1, now)
 	}
-	if now-l.acked <= c.bounds.Apply+c.bounds.Slack || !c.calm(l.acked, now) || l.allowed == l.opened {
+	if now-p.ackedAt <= c.limits.Apply+c.limits.Slack || !c.undisturbed(p.ackedAt, now) || p.allowed == p.opened {
 		return
 	}
-	if l.allowed && c.versions[l.life] >= l.version {
-		if !c.loaded(now) {
-			c.breach(now, Admits, "%s: route %s is in force and refuses a flow, with room at upstreams", l.entry, l.route)
+	if p.allowed && c.maxVersions[p.process] >= p.version {
+		if !c.overloaded(now) {
+			c.breach(now, Admits, "%s: route %s is in force and refuses a flow, with room at upstreams", p.entry, p.route)
 		}
 		return
 	}
-	c.breach(now, InForce, "%s: route %s: allowed %t, opened %t, %s after the change", l.entry, l.route, l.allowed, l.opened, now-l.acked)
+	c.breach(now, InForce, "%s: route %s: allowed %t, opened %t, %s after the change", p.entry, p.route, p.allowed, p.opened, now-p.ackedAt)
 }
 
-// loaded tells whether upstreams are loaded, or were a moment ago.
-func (c *checker) loaded(now time.Duration) bool {
-	if c.full > 0 && c.full+loadTail+c.bounds.Slack >= now {
+// overloaded reports whether upstreams are overloaded or have no room, or were so a moment ago.
+func (c *checker) overloaded(now time.Duration) bool {
+	if c.noRoomAt > 0 && c.noRoomAt+overloadTail+c.limits.Slack >= now {
 		return true
 	}
-	for _, s := range c.troubles {
-		if s.load && s.from <= now && (s.to == 0 || s.to+loadTail+c.bounds.Slack >= now) {
+	for _, d := range c.disturbances {
+		if d.overload && d.from <= now && (d.to == 0 || d.to+overloadTail+c.limits.Slack >= now) {
 			return true
 		}
 	}
 	return false
 }
 
-// inForce notes the version that a life of an entry says to be in force.
-func (c *checker) inForce(now time.Duration, life string, version int) {
+// versionApplied records the version that an entry process reports to be in force.
+func (c *checker) versionApplied(now time.Duration, process string, version int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if version < c.versions[life] {
-		c.breach(now, NeverBack, "%s went back from version %d to %d", life, c.versions[life], version)
+	if version < c.maxVersions[process] {
+		c.breach(now, NeverBack, "%s went back from version %d to %d", process, c.maxVersions[process], version)
 	}
-	c.versions[life] = max(c.versions[life], version)
+	c.maxVersions[process] = max(c.maxVersions[process], version)
 }
 
-// ended notes that an entry ended by itself.
-func (c *checker) ended(now time.Duration, entry, how string) {
+// entryExited records that an entry process exited without the harness having ended it.
+func (c *checker) entryExited(now time.Duration, entry, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.breach(now, Runs, "%s ended by itself: %s", entry, how)
+	c.breach(now, Runs, "%s ended by itself: %s", entry, status)
 }
 
-// tried counts a request, and checks that it was served if it may be expected.
-func (c *checker) tried(now, began time.Duration, route string, served, late bool) {
+// requestDone counts a request and checks that it was served, unless a disturbance excuses a failure.
+func (c *checker) requestDone(now, start time.Duration, route string, served, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Asked++
@@ -279,24 +284,24 @@
 		c.counts.Served++
 	default:
 		c.counts.Failed++
-		if c.quiet(began, now) {
-			c.breach(now, Recovers, "a request to %s begun at %.2f s was not served", route, began.Seconds())
+		if c.shouldServe(start, now) {
+			c.breach(now, Recovers, "a request to %s begun at %.2f s was not served", route, start.Seconds())
 		}
 	}
 }
 
-// quiet tells whether a request had nothing against it: no disturbance for longer than
-// recovery may take.
-func (c *checker) quiet(since, now time.Duration) bool {
-	for _, s := range c.troubles {
-		if s.from <= now && (s.to == 0 || s.to+c.bounds.Back >= since) {
+// shouldServe reports whether a request from start until now must be served: no disturbance, overload included,
+// was within RecoveryTime before it or during it.
+func (c *checker) shouldServe(start, now time.Duration) bool {
+	for _, d := range c.disturbances {
+		if d.from <= now && (d.to == 0 || d.to+c.limits.Back >= start) {
 			return false
 		}
 	}
 	return true
 }
 
-func (c *checker) opened() {
+func (c *checker) flowOpened() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.counts.Flows++
--- a/stoatsoak/planfile.go
+++ b/stoatsoak/planfile.go
@@ -11,23 +11,23 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// stepWant is how a step is written, as String does it.
-const stepWant = "a step, as in 6.82 s routes 790 for 1.564s"
+// stepFormat describes the text of a step, as Step.String writes it.
+const stepFormat = "a step, as in 6.82 s routes 790 for 1.564s"
 
-// StepError reports a line of a plan that is no step.
+// StepError reports a line of a plan that is not a valid step, or is earlier than the step before it.
 type StepError struct {
 	Line int
 	Got  string
 }
 
-// Error names the line.
+// Error gives the line's number and text, and the expected format.
 func (e *StepError) Error() string {
-	return fmt.Sprintf("line %d is %q, expected %s", e.Line, e.Got, stepWant)
+	return fmt.Sprintf("line %d is %q, expected %s", e.Line, e.Got, stepFormat)
 }
 
-// ReadPlan reads steps as a run prints them, a line each; what is behind # is a comment. A seed gives other
-// steps once there are new kinds of them, and the load that it was kept for is lost; a file keeps it. Errors:
-// *StepError, *stoatpaddle.DecodeError.
+// ReadPlan reads steps, one per line, as a run prints them. The text after a # is a comment. A plan that found
+// a fault is kept as a file, as its seed no longer gives the same steps once there are new kinds of steps.
+// Errors: *StepError, *stoatpaddle.DecodeError.
 func ReadPlan(r io.Reader) ([]Step, error) {
 	var steps []Step
 	lines := bufio.NewScanner(r)
@@ -36,7 +36,7 @@
 		if strings.TrimSpace(text) == "" {
 			continue
 		}
-		s, ok := readStep(text)
+		s, ok := parseStep(text)
 		if !ok || len(steps) > 0 && s.At < steps[len(steps)-1].At {
 			return nil, &StepError{Line: n, Got: strings.TrimSpace(text)}
 		}
@@ -48,15 +48,15 @@
 	return steps, nil
 }
 
-func readStep(text string) (Step, bool) {
+func parseStep(text string) (Step, bool) {
 	var at float64
-	var kind, lasts string
+	var kind, duration string
 	var s Step
-	if n, err := fmt.Sscanf(text, "%f s %s %d for %s", &at, &kind, &s.Target, &lasts); err != nil || n != 4 {
+	if n, err := fmt.Sscanf(text, "%f s %s %d for %s", &at, &kind, &s.Target, &duration); err != nil || n != 4 {
 		return Step{}, false
 	}
-	d, err := time.ParseDuration(lasts)
+	d, err := time.ParseDuration(duration)
 	s.At, s.Kind, s.For = time.Duration(at*float64(time.Second)), Kind(kind), d
-	known := s.Kind.Planned() || slices.Contains(disturbances, s.Kind) || s.Kind == Restore
+	known := s.Kind.Planned() || slices.Contains(disturbanceKinds, s.Kind) || s.Kind == Restore
 	return s, err == nil && known && at >= 0 && d >= 0
 }
