--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Promise is a guarantee of the system that the checker verifies.
-type Promise string
+// Guarantee is a guarantee of the system that the checker verifies.
+type Guarantee string
 
 // The guarantees.
 const (
-	RightService Promise = "route"    // A request is run by a service that its route has or had.
-	WholeAnswer  Promise = "mixed"    // A caller gets the complete answer to its own request.
-	Once         Promise = "twice"    // A request that is not repeatable runs at most once.
-	FlowLives    Promise = "flow"     // No entry resets an open flow while its upstream is alive.
-	Evacuated    Promise = "evacuate" // An evacuated data centre gets no new flows after the time limit.
-	Spared       Promise = "cold"     // A cold upstream gets no more new flows than its cold rate allows.
-	Drained      Promise = "drain"    // A leaving upstream gets no new flows after the time limit.
-	InForce      Promise = "config"   // A configuration is in force after the time limit.
-	Admits       Promise = "admit"    // A route in force refuses no flow while upstreams have room.
-	NeverBack    Promise = "back"     // An entry process never returns to an older configuration.
-	Recovers     Promise = "recover"  // Requests are served again some time after a disturbance.
-	Runs         Promise = "runs"     // An entry process does not exit unless the harness ends it.
+	CorrectService     Guarantee = "route"    // A request is run by a service that its route has or had.
+	CorrectAnswer      Guarantee = "mixed"    // A caller gets the complete answer to its own request.
+	AtMostOnce         Guarantee = "twice"    // A request that is not repeatable runs at most once.
+	FlowSurvives       Guarantee = "flow"     // No entry resets an open flow while its upstream is alive.
+	NoFlowToEvacuated  Guarantee = "evacuate" // An evacuated data centre gets no new flows after the time limit.
+	ColdLimit          Guarantee = "cold"     // A cold upstream gets no more new flows than its cold rate allows.
+	NoFlowToLeaving    Guarantee = "drain"    // A leaving upstream gets no new flows after the time limit.
+	ConfigApplied      Guarantee = "config"   // A configuration is in force after the time limit.
+	AdmitsFlows        Guarantee = "admit"    // A route in force refuses no flow while upstreams have room.
+	ConfigNeverReverts Guarantee = "back"     // An entry process never returns to an older configuration.
+	Recovers           Guarantee = "recover"  // Requests are served again some time after a disturbance.
+	EntryRuns          Guarantee = "runs"     // An entry process does not exit unless the harness ends it.
 )
 
 // timed reports whether the guarantee has a time limit, which a machine that is slow enough exceeds.
-func (g Promise) timed() bool {
-	return g == FlowLives || g == Evacuated || g == Spared || g == Drained || g == InForce || g == Admits || g == Recovers
+func (g Guarantee) timed() bool {
+	return g == FlowSurvives || g == NoFlowToEvacuated || g == ColdLimit || g == NoFlowToLeaving || g == ConfigApplied || g == AdmitsFlows || g == Recovers
 }
 
 // Breach is a violation of a guarantee.
 type Breach struct {
-	At      time.Duration // since the start of the run
-	Promise Promise
-	What    string
+	At          time.Duration // since the start of the run
+	Guarantee   Guarantee
+	Description string
 }
 
 // String returns the time, the guarantee and the description.
 func (b Breach) String() string {
-	return fmt.Sprintf("%6.2f s %s: %s", b.At.Seconds(), b.Promise, b.What)
+	return fmt.Sprintf("%6.2f s %s: %s", b.At.Seconds(), b.Guarantee, b.Description)
 }
 
 // disturbance is a period for which some guarantees are suspended. While it lasts, to is 0.
@@ -54,7 +54,7 @@
 // the run.
 type checker struct {
 	mu           sync.Mutex
-	limits       Bounds
+	limits       TimeLimits
 	disturbances []*disturbance
 	lastTick     time.Duration              // the last call of tick; 0 means that stalls are not watched
 	runCounts    map[string]int             // by ID of a request that is not repeatable
@@ -63,35 +63,35 @@
 	noRoomAt     time.Duration              // when a probe last found that no upstream had room; 0 means never
 	breaches     []Breach
 	counts       Counts
-	onBreach     func(g Promise) // called at each breach if not nil
+	onBreach     func(g Guarantee) // called at each breach if not nil
 }
 
-// Bounds are the time limits of the guarantees.
-type Bounds struct {
-	Apply  time.Duration // until a configuration, an evacuation or an upstream's leaving takes effect
-	Stable time.Duration // from the end of a disturbance until the guarantees hold again
-	Slack  time.Duration // allowance for the speed of the machine that the run is on
-	Back   time.Duration // from the end of a disturbance until requests are served again
-	// Untimed omits the guarantees that have a time limit, for a machine of unknown speed.
-	Untimed bool
+// TimeLimits are the time limits of the guarantees.
+type TimeLimits struct {
+	ApplyDelay   time.Duration // until a configuration, an evacuation or an upstream's leaving takes effect
+	StableDelay  time.Duration // from the end of a disturbance until the guarantees hold again
+	Slack        time.Duration // allowance for the speed of the machine that the run is on
+	RecoveryTime time.Duration // from the end of a disturbance until requests are served again
+	// SkipTimed omits the guarantees that have a time limit, for a machine of unknown speed.
+	SkipTimed bool
 }
 
 // Counts are the totals of a run.
 type Counts struct {
-	Asked, Served, Late, Failed int // numbers of requests
-	Flows, Resets               int
-	Stalls                      int // periods in which the soak's own process did not run
+	Requests, ServedInTime, ServedLate, Failed int // numbers of requests
+	FlowsOpened, FlowsReset                    int
+	Stalls                                     int // periods in which the soak's own process did not run
 }
 
-func newChecker(limits Bounds) *checker {
+func newChecker(limits TimeLimits) *checker {
 	return &checker{limits: limits, runCounts: map[string]int{}, maxVersions: map[string]int{}, coldOpens: map[string][]time.Duration{}}
 }
 
-func (c *checker) breach(now time.Duration, g Promise, format string, args ...any) {
-	if c.limits.Untimed && g.timed() {
+func (c *checker) breach(now time.Duration, g Guarantee, format string, args ...any) {
+	if c.limits.SkipTimed && g.timed() {
 		return
 	}
-	c.breaches = append(c.breaches, Breach{At: now, Promise: g, What: fmt.Sprintf(format, args...)})
+	c.breaches = append(c.breaches, Breach{At: now, Guarantee: g, Description: fmt.Sprintf(format, args...)})
 	if c.onBreach != nil {
 		c.onBreach(g)
 	}
@@ -125,7 +125,7 @@
 		return false
 	}
 	for _, d := range c.disturbances {
-		if !d.overload && d.from <= now && (d.to == 0 || d.to+c.limits.Stable >= since) {
+		if !d.overload && d.from <= now && (d.to == 0 || d.to+c.limits.StableDelay >= since) {
 			return false
 		}
 	}
@@ -138,13 +138,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if service != routeService {
-		c.breach(now, RightService, "request %s for %s was run by %s", id, routeService, service)
+		c.breach(now, CorrectService, "request %s for %s was run by %s", id, routeService, service)
 	}
 	if repeatable {
 		return
 	}
 	if c.runCounts[id]++; c.runCounts[id] == 2 {
-		c.breach(now, Once, "request %s ran twice", id)
+		c.breach(now, AtMostOnce, "request %s ran twice", id)
 	}
 }
 
@@ -153,7 +153,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id != got {
-		c.breach(now, WholeAnswer, "request %s got the answer %q", id, got)
+		c.breach(now, CorrectAnswer, "request %s got the answer %q", id, got)
 	}
 }
 
@@ -161,9 +161,9 @@
 func (c *checker) flowReset(now time.Duration, flow, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts.Resets++
+	c.counts.FlowsReset++
 	if c.undisturbed(now, now) {
-		c.breach(now, FlowLives, "flow %s was reset while %s lives", flow, upstream)
+		c.breach(now, FlowSurvives, "flow %s was reset while %s lives", flow, upstream)
 	}
 }
 
@@ -171,8 +171,8 @@
 func (c *checker) openedAtLeaving(now, leftAt time.Duration, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if delay := now - leftAt; delay > c.limits.Apply+c.limits.Slack && c.undisturbed(leftAt, now) {
-		c.breach(now, Drained, "%s got a new flow %s after it was marked as leaving", upstream, delay)
+	if delay := now - leftAt; delay > c.limits.ApplyDelay+c.limits.Slack && c.undisturbed(leftAt, now) {
+		c.breach(now, NoFlowToLeaving, "%s got a new flow %s after it was marked as leaving", upstream, delay)
 	}
 }
 
@@ -180,8 +180,8 @@
 func (c *checker) openedAtEvacuated(now, since time.Duration, upstream, centre string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if delay := now - since; delay > c.limits.Apply+c.limits.Slack && c.undisturbed(since, now) {
-		c.breach(now, Evacuated, "%s got a new flow %s after %s was evacuated", upstream, delay, centre)
+	if delay := now - since; delay > c.limits.ApplyDelay+c.limits.Slack && c.undisturbed(since, now) {
+		c.breach(now, NoFlowToEvacuated, "%s got a new flow %s after %s was evacuated", upstream, delay, centre)
 	}
 }
 
@@ -204,7 +204,7 @@
 	}
 	c.coldOpens[upstream] = recent
 	if limit := coldFactor*rate + coldSlack; float64(len(recent)) > limit && !c.stalled(now) {
-		c.breach(now, Spared, "%s is cold and got %d new flows within a second, %g are allowed", upstream, len(recent), limit)
+		c.breach(now, ColdLimit, "%s is cold and got %d new flows within a second, %g are allowed", upstream, len(recent), limit)
 	}
 }
 
@@ -230,16 +230,16 @@
 	if !p.hasRoom {
 		c.noRoomAt = max(1, now)
 	}
-	if now-p.ackedAt <= c.limits.Apply+c.limits.Slack || !c.undisturbed(p.ackedAt, now) || p.allowed == p.opened {
+	if now-p.ackedAt <= c.limits.ApplyDelay+c.limits.Slack || !c.undisturbed(p.ackedAt, now) || p.allowed == p.opened {
 		return
 	}
 	if p.allowed && c.maxVersions[p.process] >= p.version {
 		if !c.overloaded(now) {
-			c.breach(now, Admits, "%s: route %s is in force and refuses a flow, with room at upstreams", p.entry, p.route)
+			c.breach(now, AdmitsFlows, "%s: route %s is in force and refuses a flow, with room at upstreams", p.entry, p.route)
 		}
 		return
 	}
-	c.breach(now, InForce, "%s: route %s: allowed %t, opened %t, %s after the change", p.entry, p.route, p.allowed, p.opened, now-p.ackedAt)
+	c.breach(now, ConfigApplied, "%s: route %s: allowed %t, opened %t, %s after the change", p.entry, p.route, p.allowed, p.opened, now-p.ackedAt)
 }
 
 // overloaded reports whether upstreams are overloaded or have no room, or were so a moment ago.
@@ -260,7 +260,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if version < c.maxVersions[process] {
-		c.breach(now, NeverBack, "%s went back from version %d to %d", process, c.maxVersions[process], version)
+		c.breach(now, ConfigNeverReverts, "%s went back from version %d to %d", process, c.maxVersions[process], version)
 	}
 	c.maxVersions[process] = max(c.maxVersions[process], version)
 }
@@ -269,19 +269,19 @@
 func (c *checker) entryExited(now time.Duration, entry, status string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.breach(now, Runs, "%s ended by itself: %s", entry, status)
+	c.breach(now, EntryRuns, "%s ended by itself: %s", entry, status)
 }
 
 // requestDone counts a request and checks that it was served, unless a disturbance excuses a failure.
 func (c *checker) requestDone(now, start time.Duration, route string, served, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts.Asked++
+	c.counts.Requests++
 	switch {
 	case served && late:
-		c.counts.Late++
+		c.counts.ServedLate++
 	case served:
-		c.counts.Served++
+		c.counts.ServedInTime++
 	default:
 		c.counts.Failed++
 		if c.shouldServe(start, now) {
@@ -294,7 +294,7 @@
 // was within RecoveryTime before it or during it.
 func (c *checker) shouldServe(start, now time.Duration) bool {
 	for _, d := range c.disturbances {
-		if d.from <= now && (d.to == 0 || d.to+c.limits.Back >= start) {
+		if d.from <= now && (d.to == 0 || d.to+c.limits.RecoveryTime >= start) {
 			return false
 		}
 	}
@@ -304,7 +304,7 @@
 func (c *checker) flowOpened() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts.Flows++
+	c.counts.FlowsOpened++
 }
 
 func (c *checker) result() (Counts, []Breach) {
--- a/stoatsoak/checker_test.go
+++ b/stoatsoak/checker_test.go
@@ -9,8 +9,8 @@
 
 const second = time.Second
 
-func testLimits() Bounds {
-	return Bounds{Apply: 3 * second, Stable: 4 * second, Slack: second, Back: 12 * second}
+func testLimits() TimeLimits {
+	return TimeLimits{ApplyDelay: 3 * second, StableDelay: 4 * second, Slack: second, RecoveryTime: 12 * second}
 }
 
 // For each guarantee, the checker records what violates it, but not what is allowed or what a disturbance
@@ -18,21 +18,21 @@
 func TestGuarantees(t *testing.T) {
 	for name, test := range map[string]struct {
 		observe func(c *checker)
-		want    []Promise
+		want    []Guarantee
 	}{
-		"a request is run by another service":         {func(c *checker) { c.requestRan(0, "r1", "intake", "app", true) }, []Promise{RightService}},
+		"a request is run by another service":         {func(c *checker) { c.requestRan(0, "r1", "intake", "app", true) }, []Guarantee{CorrectService}},
 		"a request is run by its own service":         {func(c *checker) { c.requestRan(0, "r1", "app", "app", true) }, nil},
-		"a caller gets the answer to another request": {func(c *checker) { c.gotAnswer(0, "r1", "r2") }, []Promise{WholeAnswer}},
+		"a caller gets the answer to another request": {func(c *checker) { c.gotAnswer(0, "r1", "r2") }, []Guarantee{CorrectAnswer}},
 		"a caller gets the answer to its own request": {func(c *checker) { c.gotAnswer(0, "r1", "r1") }, nil},
 		"a request that is not repeatable runs twice": {func(c *checker) {
 			c.requestRan(0, "r1", "app", "app", false)
 			c.requestRan(0, "r1", "app", "app", false)
-		}, []Promise{Once}},
+		}, []Guarantee{AtMostOnce}},
 		"a repeatable request runs twice": {func(c *checker) {
 			c.requestRan(0, "r1", "app", "app", true)
 			c.requestRan(0, "r1", "app", "app", true)
 		}, nil},
-		"a flow is reset": {func(c *checker) { c.flowReset(20*second, "f", "u") }, []Promise{FlowLives}},
+		"a flow is reset": {func(c *checker) { c.flowReset(20*second, "f", "u") }, []Guarantee{FlowSurvives}},
 		"a flow is reset during a disturbance": {func(c *checker) {
 			c.beginDisturbance(19 * second)
 			c.flowReset(20*second, "f", "u")
@@ -44,7 +44,7 @@
 		"a flow is reset long after a disturbance": {func(c *checker) {
 			c.beginDisturbance(10 * second)(12 * second)
 			c.flowReset(20*second, "f", "u")
-		}, []Promise{FlowLives}},
+		}, []Guarantee{FlowSurvives}},
 		"a flow is reset during a stall of the run": {func(c *checker) {
 			c.tick(19 * second)
 			c.tick(19*second + 20*time.Millisecond)
@@ -62,14 +62,14 @@
 				c.tick(at)
 			}
 			c.flowReset(20*second, "f", "u")
-		}, []Promise{FlowLives}},
+		}, []Guarantee{FlowSurvives}},
 		"a flow is reset without a stall of the run": {func(c *checker) {
 			c.tick(19*second + 920*time.Millisecond)
 			c.flowReset(20*second, "f", "u")
-		}, []Promise{FlowLives}},
-		"a leaving upstream gets a flow after the time limit":        {func(c *checker) { c.openedAtLeaving(15*second, 10*second, "u") }, []Promise{Drained}},
+		}, []Guarantee{FlowSurvives}},
+		"a leaving upstream gets a flow after the time limit":        {func(c *checker) { c.openedAtLeaving(15*second, 10*second, "u") }, []Guarantee{NoFlowToLeaving}},
 		"a leaving upstream gets a flow within the time limit":       {func(c *checker) { c.openedAtLeaving(13*second, 10*second, "u") }, nil},
-		"an evacuated data centre gets a flow after the time limit":  {func(c *checker) { c.openedAtEvacuated(15*second, 10*second, "u", "east") }, []Promise{Evacuated}},
+		"an evacuated data centre gets a flow after the time limit":  {func(c *checker) { c.openedAtEvacuated(15*second, 10*second, "u", "east") }, []Guarantee{NoFlowToEvacuated}},
 		"an evacuated data centre gets a flow within the time limit": {func(c *checker) { c.openedAtEvacuated(13*second, 10*second, "u", "east") }, nil},
 		"an evacuated data centre gets a flow during a disturbance": {func(c *checker) {
 			c.beginDisturbance(11 * second)
@@ -79,7 +79,7 @@
 			for range 9 {
 				c.openedAtCold(20*second, "u", 2)
 			}
-		}, []Promise{Spared}},
+		}, []Guarantee{ColdLimit}},
 		"a cold upstream gets as many flows within two seconds": {func(c *checker) {
 			for i := range 9 {
 				c.openedAtCold(20*second+time.Duration(i)*second/4, "u", 2)
@@ -88,14 +88,14 @@
 		"a flow is reset during an overload": {func(c *checker) {
 			c.beginOverload(19 * second)
 			c.flowReset(20*second, "f", "u")
-		}, []Promise{FlowLives}},
-		"an added route refuses a flow after the time limit":  {func(c *checker) { c.routeProbed(15*second, probed(true, false)) }, []Promise{InForce}},
-		"a removed route accepts a flow after the time limit": {func(c *checker) { c.routeProbed(15*second, probed(false, true)) }, []Promise{InForce}},
+		}, []Guarantee{FlowSurvives}},
+		"an added route refuses a flow after the time limit":  {func(c *checker) { c.routeProbed(15*second, probed(true, false)) }, []Guarantee{ConfigApplied}},
+		"a removed route accepts a flow after the time limit": {func(c *checker) { c.routeProbed(15*second, probed(false, true)) }, []Guarantee{ConfigApplied}},
 		"an added route refuses a flow within the time limit": {func(c *checker) { c.routeProbed(12*second, probed(true, false)) }, nil},
 		"a route in force refuses a flow": {func(c *checker) {
 			c.versionApplied(11*second, "e#1", 4)
 			c.routeProbed(15*second, probed(true, false))
-		}, []Promise{Admits}},
+		}, []Guarantee{AdmitsFlows}},
 		"a route in force refuses a flow soon after an overload": {func(c *checker) {
 			c.versionApplied(11*second, "e#1", 4)
 			c.beginOverload(12 * second)(14 * second)
@@ -105,7 +105,7 @@
 			c.versionApplied(11*second, "e#1", 4)
 			c.beginOverload(12 * second)(14 * second)
 			c.routeProbed(17*second, probed(true, false))
-		}, []Promise{Admits}},
+		}, []Guarantee{AdmitsFlows}},
 		"a route in force refuses a flow while no upstream has room": {func(c *checker) {
 			c.versionApplied(11*second, "e#1", 4)
 			p := probed(true, false)
@@ -116,28 +116,28 @@
 			c.beginOverload(12 * second)
 			c.versionApplied(11*second, "e#1", 3)
 			c.routeProbed(15*second, probed(true, false))
-		}, []Promise{InForce}},
+		}, []Guarantee{ConfigApplied}},
 		"an entry process returns to an older configuration": {func(c *checker) {
 			c.versionApplied(0, "e#1", 5)
 			c.versionApplied(0, "e#1", 3)
-		}, []Promise{NeverBack}},
+		}, []Guarantee{ConfigNeverReverts}},
 		"an older configuration is in force at another process": {func(c *checker) {
 			c.versionApplied(0, "e#1", 5)
 			c.versionApplied(0, "e#2", 3)
 		}, nil},
-		"a request is not served": {func(c *checker) { c.requestDone(33*second, 30*second, "feed", false, false) }, []Promise{Recovers}},
+		"a request is not served": {func(c *checker) { c.requestDone(33*second, 30*second, "feed", false, false) }, []Guarantee{Recovers}},
 		"a request is not served soon after a disturbance": {func(c *checker) {
 			c.beginDisturbance(10 * second)(20 * second)
 			c.requestDone(33*second, 30*second, "feed", false, false)
 		}, nil},
-		"an entry exits": {func(c *checker) { c.entryExited(0, "e", "exit 1") }, []Promise{Runs}},
+		"an entry exits": {func(c *checker) { c.entryExited(0, "e", "exit 1") }, []Guarantee{EntryRuns}},
 	} {
 		c := newChecker(testLimits())
 		test.observe(c)
 		_, breaches := c.result()
-		var got []Promise
+		var got []Guarantee
 		for _, b := range breaches {
-			got = append(got, b.Promise)
+			got = append(got, b.Guarantee)
 		}
 		if len(got) != len(test.want) || len(got) > 0 && got[0] != test.want[0] {
 			t.Errorf("%s: %v, expected %v", name, got, test.want)
@@ -153,12 +153,12 @@
 // With SkipTimed, only the guarantees without a time limit are checked.
 func TestSkipTimed(t *testing.T) {
 	limits := testLimits()
-	limits.Untimed = true
+	limits.SkipTimed = true
 	c := newChecker(limits)
 	c.flowReset(20*second, "f", "u")
 	c.requestDone(33*second, 30*second, "feed", false, false)
 	c.gotAnswer(0, "r1", "r2")
-	if _, breaches := c.result(); len(breaches) != 1 || breaches[0].Promise != WholeAnswer {
+	if _, breaches := c.result(); len(breaches) != 1 || breaches[0].Guarantee != CorrectAnswer {
 		t.Error(breaches)
 	}
 }
@@ -179,7 +179,7 @@
 	if text(1) != text(1) || text(1) == text(2) || strings.Count(text(1), "\n") < 10 {
 		t.Error(text(1), text(2))
 	}
-	kinds := map[Kind]bool{}
+	kinds := map[StepKind]bool{}
 	for seed := range uint64(30) {
 		for _, s := range NewPlan(seed, time.Minute) {
 			kinds[s.Kind] = true
@@ -193,7 +193,7 @@
 // A report shows the steps before a breach, but not those after it.
 func TestReport(t *testing.T) {
 	var b strings.Builder
-	r := Result{Seed: 7, Steps: []Step{{At: second, Kind: Drain}, {At: 9 * second, Kind: Kill}}, Breaches: []Breach{{At: 5 * second, Promise: Drained, What: "x"}}}
+	r := Result{Seed: 7, Steps: []Step{{At: second, Kind: DrainUpstream}, {At: 9 * second, Kind: KillEntry}}, Breaches: []Breach{{At: 5 * second, Guarantee: NoFlowToLeaving, Description: "x"}}}
 	if err := Report(&b, r, false); err != nil || !strings.Contains(b.String(), "after   1.00 s drain") || strings.Contains(b.String(), "kill") {
 		t.Error(err, b.String())
 	}
--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -8,49 +8,49 @@
 	"time"
 )
 
-// Kind is a kind of step: planned work or a fault.
-type Kind string
+// StepKind is a kind of step: planned work or a fault.
+type StepKind string
 
 // The kinds of steps. All guarantees hold during planned work, which is the first group. Faults, the other
 // groups, suspend some of them.
 const (
-	Terminate Kind = "terminate" // An entry gets SIGTERM and is started again.
-	Rolling   Kind = "rolling"   // All entries get SIGTERM, one after the other, and are started again.
-	Drain     Kind = "drain"     // One upstream joins and another one of its service leaves.
-	Release   Kind = "release"   // Several upstreams are replaced, the oldest first, one after the other.
-	Routes    Kind = "routes"    // A route is added, or removed if it exists.
-	Storm     Kind = "storm"     // The configuration changes ten times within a second.
-	Settings  Kind = "settings"  // An entry's settings file changes, with or without SIGHUP.
-	Foreign   Kind = "foreign"   // Another writer overwrites an upstream's registration and adds one, both invalid.
-	Evacuate  Kind = "evacuate"  // A data centre is evacuated, and the evacuation is withdrawn later.
-	Queue     Kind = "queue"     // All upstreams answer slowly, as with a full queue.
+	TerminateEntry StepKind = "terminate" // An entry gets SIGTERM and is started again.
+	RollingRestart StepKind = "rolling"   // All entries get SIGTERM, one after the other, and are started again.
+	DrainUpstream  StepKind = "drain"     // One upstream joins and another one of its service leaves.
+	RollingRelease StepKind = "release"   // Several upstreams are replaced, the oldest first, one after the other.
+	ChangeRoute    StepKind = "routes"    // A route is added, or removed if it exists.
+	ConfigStorm    StepKind = "storm"     // The configuration changes ten times within a second.
+	ChangeSettings StepKind = "settings"  // An entry's settings file changes, with or without SIGHUP.
+	ForeignWrite   StepKind = "foreign"   // Another writer overwrites an upstream's registration and adds one, both invalid.
+	EvacuateCentre StepKind = "evacuate"  // A data centre is evacuated, and the evacuation is withdrawn later.
+	SlowUpstreams  StepKind = "queue"     // All upstreams answer slowly, as with a full queue.
 
-	Kill      Kind = "kill"    // An entry gets SIGKILL.
-	KillAll   Kind = "killall" // All entries get SIGKILL at once.
-	Freeze    Kind = "freeze"  // An entry gets SIGSTOP, and SIGCONT later.
-	Crash     Kind = "crash"   // An upstream dies, and the other service takes over its address.
-	Restart   Kind = "restart" // An upstream dies and restarts under its ID, soon or late, on the same or another port.
-	StoreDown Kind = "down"    // The store answers no request, and half of the registrations expire.
-	StoreSlow Kind = "slow"    // Each answer of the store takes 200 ms.
-	StoreLag  Kind = "lag"     // The store's replicas don't follow its writes.
-	StoreMute Kind = "mute"    // The store's watches report no changes.
-	Forget    Kind = "forget"  // The store drops its history of changes.
-	Refuse    Kind = "refuse"  // One entry's connections to the store are refused.
-	Silence   Kind = "silence" // One entry's open connections to the store and seeds carry no data; new ones do.
-	OneWay    Kind = "oneway"  // One entry receives no data from the store and seeds.
-	Lossy     Kind = "lossy"   // Datagrams are lost or duplicated, and the duplicates come late.
+	KillEntry          StepKind = "kill"    // An entry gets SIGKILL.
+	KillAllEntries     StepKind = "killall" // All entries get SIGKILL at once.
+	FreezeEntry        StepKind = "freeze"  // An entry gets SIGSTOP, and SIGCONT later.
+	CrashUpstream      StepKind = "crash"   // An upstream dies, and the other service takes over its address.
+	RestartUpstream    StepKind = "restart" // An upstream dies and restarts under its ID, soon or late, on the same or another port.
+	StoreDown          StepKind = "down"    // The store answers no request, and half of the registrations expire.
+	StoreSlow          StepKind = "slow"    // Each answer of the store takes 200 ms.
+	StoreLag           StepKind = "lag"     // The store's replicas don't follow its writes.
+	StoreSilentWatch   StepKind = "mute"    // The store's watches report no changes.
+	StoreCompact       StepKind = "forget"  // The store drops its history of changes.
+	RefuseConnections  StepKind = "refuse"  // One entry's connections to the store are refused.
+	SilenceConnections StepKind = "silence" // One entry's open connections to the store and seeds carry no data; new ones do.
+	OneWayLoss         StepKind = "oneway"  // One entry receives no data from the store and seeds.
+	PacketLoss         StepKind = "lossy"   // Datagrams are lost or duplicated, and the duplicates come late.
 
-	Restore Kind = "restore" // The store is down, then restored from a snapshot some seconds old.
+	StoreRestore StepKind = "restore" // The store is down, then restored from a snapshot some seconds old.
 )
 
 var (
-	plannedKinds     = []Kind{Terminate, Rolling, Drain, Release, Routes, Storm, Settings, Foreign}
-	overlappingKinds = []Kind{Evacuate, Queue} // planned work that runs concurrently with the other steps
-	disturbanceKinds = []Kind{Kill, KillAll, Freeze, Crash, Restart, StoreDown, StoreSlow, StoreLag, StoreMute, Forget, Refuse, Silence, OneWay, Lossy}
+	plannedKinds     = []StepKind{TerminateEntry, RollingRestart, DrainUpstream, RollingRelease, ChangeRoute, ConfigStorm, ChangeSettings, ForeignWrite}
+	overlappingKinds = []StepKind{EvacuateCentre, SlowUpstreams} // planned work that runs concurrently with the other steps
+	disturbanceKinds = []StepKind{KillEntry, KillAllEntries, FreezeEntry, CrashUpstream, RestartUpstream, StoreDown, StoreSlow, StoreLag, StoreSilentWatch, StoreCompact, RefuseConnections, SilenceConnections, OneWayLoss, PacketLoss}
 )
 
 // Planned reports whether the kind is planned work, during which all guarantees hold.
-func (k Kind) Planned() bool {
+func (k StepKind) Planned() bool {
 	return slices.Contains(plannedKinds, k) || slices.Contains(overlappingKinds, k)
 }
 
@@ -58,7 +58,7 @@
 type Step struct {
 	At     time.Duration // since the start of the run
 	For    time.Duration // how long the step lasts
-	Kind   Kind
+	Kind   StepKind
 	Target int // selects the entry, upstream, route or data centre, modulo the number of them
 }
 
@@ -112,7 +112,7 @@
 		steps = append(steps, Step{At: at, Kind: plannedKinds[rnd.IntN(len(plannedKinds))], Target: rnd.IntN(1000), For: duration()})
 	}
 	for at := 2 * warmUp; at < length-coolDown; at += restoreGap/2 + time.Duration(rnd.Int64N(int64(restoreGap))) {
-		steps = append(steps, Step{At: at, Kind: Restore, Target: rnd.IntN(1000), For: duration()})
+		steps = append(steps, Step{At: at, Kind: StoreRestore, Target: rnd.IntN(1000), For: duration()})
 	}
 	return addOverlapping(steps, seed, length)
 }
--- a/stoatsoak/planfile.go
+++ b/stoatsoak/planfile.go
@@ -56,7 +56,7 @@
 		return Step{}, false
 	}
 	d, err := time.ParseDuration(duration)
-	s.At, s.Kind, s.For = time.Duration(at*float64(time.Second)), Kind(kind), d
-	known := s.Kind.Planned() || slices.Contains(disturbanceKinds, s.Kind) || s.Kind == Restore
+	s.At, s.Kind, s.For = time.Duration(at*float64(time.Second)), StepKind(kind), d
+	known := s.Kind.Planned() || slices.Contains(disturbanceKinds, s.Kind) || s.Kind == StoreRestore
 	return s, err == nil && known && at >= 0 && d >= 0
 }
--- a/stoatsoak/report.go
+++ b/stoatsoak/report.go
@@ -8,17 +8,17 @@
 
 // jsonResult is the JSON form of a Result.
 type jsonResult struct {
-	Seed         uint64       `json:"seed"`
-	Steps        int          `json:"steps"`
-	Faults       map[Kind]int `json:"faults"`
-	Requests     int          `json:"asked"`
-	ServedInTime int          `json:"served"`
-	ServedLate   int          `json:"late"`
-	Failed       int          `json:"failed"`
-	FlowsOpened  int          `json:"flows"`
-	FlowsReset   int          `json:"resets"`
-	Stalls       int          `json:"stalls"`
-	Breaches     []string     `json:"breaches"`
+	Seed         uint64           `json:"seed"`
+	Steps        int              `json:"steps"`
+	Faults       map[StepKind]int `json:"faults"`
+	Requests     int              `json:"asked"`
+	ServedInTime int              `json:"served"`
+	ServedLate   int              `json:"late"`
+	Failed       int              `json:"failed"`
+	FlowsOpened  int              `json:"flows"`
+	FlowsReset   int              `json:"resets"`
+	Stalls       int              `json:"stalls"`
+	Breaches     []string         `json:"breaches"`
 }
 
 // Report writes the result of a run: a summary line, then each breach with the last steps before it. With
@@ -29,7 +29,7 @@
 	}
 	c := r.Counts
 	_, err := fmt.Fprintf(w, "seed %d: %d steps, %d requests: %d in time, %d late, %d failed; %d flows opened, %d reset; %d stalls of the run itself; %d breaches\n",
-		r.Seed, len(r.Steps), c.Asked, c.Served, c.Late, c.Failed, c.Flows, c.Resets, c.Stalls, len(r.Breaches))
+		r.Seed, len(r.Steps), c.Requests, c.ServedInTime, c.ServedLate, c.Failed, c.FlowsOpened, c.FlowsReset, c.Stalls, len(r.Breaches))
 	for _, b := range r.Breaches {
 		_, _ = fmt.Fprintln(w, "BREACH", b)
 		for _, s := range stepsBefore(r.Steps, b) {
@@ -53,8 +53,8 @@
 
 func toJSON(r Result) jsonResult {
 	out := jsonResult{
-		Seed: r.Seed, Steps: len(r.Steps), Faults: map[Kind]int{}, Requests: r.Counts.Asked, ServedInTime: r.Counts.Served, ServedLate: r.Counts.Late,
-		Failed: r.Counts.Failed, FlowsOpened: r.Counts.Flows, FlowsReset: r.Counts.Resets, Stalls: r.Counts.Stalls, Breaches: []string{},
+		Seed: r.Seed, Steps: len(r.Steps), Faults: map[StepKind]int{}, Requests: r.Counts.Requests, ServedInTime: r.Counts.ServedInTime, ServedLate: r.Counts.ServedLate,
+		Failed: r.Counts.Failed, FlowsOpened: r.Counts.FlowsOpened, FlowsReset: r.Counts.FlowsReset, Stalls: r.Counts.Stalls, Breaches: []string{},
 	}
 	for _, s := range r.Steps {
 		out.Faults[s.Kind]++
--- a/stoatsoak/run_breach.go
+++ b/stoatsoak/run_breach.go
@@ -16,37 +16,37 @@
 	if !platform.DecodeSegment(packet, &s) || h.now() < warmUp {
 		return false
 	}
-	switch h.cfg.Sabotage {
-	case RightService:
+	switch h.cfg.InjectBreach {
+	case CorrectService:
 		return f.tuple[1] == pledgeAddr && h.misdeliver(packet, func(u *upstream) bool { return u.service == "intake" })
-	case WholeAnswer:
+	case CorrectAnswer:
 		return h.alterRequestID(f, &s)
-	case Once:
+	case AtMostOnce:
 		if f.tuple[1] == pledgeAddr && len(s.Data) > 0 {
 			h.duplicateRequest(f, s)
 		}
-	case FlowLives:
+	case FlowSurvives:
 		return len(s.Data) > 0 && h.resetFlow(&s)
-	case Drained:
-		limit := h.cfg.Bounds.Apply + h.cfg.Bounds.Slack
+	case NoFlowToLeaving:
+		limit := h.cfg.Limits.ApplyDelay + h.cfg.Limits.Slack
 		return s.Opens && f.tuple[1] == pledgeAddr && h.misdeliver(packet, func(u *upstream) bool { return u.leftAt > 0 && h.now()-u.leftAt > limit })
-	case Evacuated:
-		limit := h.cfg.Bounds.Apply + h.cfg.Bounds.Slack
+	case NoFlowToEvacuated:
+		limit := h.cfg.Limits.ApplyDelay + h.cfg.Limits.Slack
 		return s.Opens && f.tuple[1] == pledgeAddr && h.misdeliver(packet, func(u *upstream) bool {
 			since := h.evacuatedSince(u.centre)
 			return since > 0 && h.now()-since > limit && u.service == "app"
 		})
-	case Spared:
+	case ColdLimit:
 		if s.Opens && f.tuple[1] == pledgeAddr {
 			h.floodCold(s)
 		}
-	case Admits:
+	case AdmitsFlows:
 		return s.Opens && f.entry != nil && h.resetFlow(&s)
-	case InForce:
+	case ConfigApplied:
 		return s.Opens && f.entry != nil && h.misdeliver(packet, func(u *upstream) bool { return u.service == "app" })
 	case Recovers:
 		return s.Opens
-	case Runs:
+	case EntryRuns:
 		h.entries[0].signal(syscall.SIGKILL, false)
 	}
 	return false
--- a/stoatsoak/run_entry.go
+++ b/stoatsoak/run_entry.go
@@ -126,7 +126,7 @@
 level = %s
 [stop]
 deadline = 6s
-`, e.name, e.centre(), e.at(e.h.port), e.at(readyPort), e.at(adminPort), strings.Join(seeds, ","), e.storeProxy.addr, e.h.cfg.Bounds.Apply, e.h.cfg.Bounds.Apply, level)
+`, e.name, e.centre(), e.at(e.h.port), e.at(readyPort), e.at(adminPort), strings.Join(seeds, ","), e.storeProxy.addr, e.h.cfg.Limits.ApplyDelay, e.h.cfg.Limits.ApplyDelay, level)
 	file := filepath.Join(e.h.cfg.Dir, e.name+".ini")
 	return file, os.WriteFile(file, []byte(text), 0o600)
 }
--- a/stoatsoak/run_fabric.go
+++ b/stoatsoak/run_fabric.go
@@ -18,7 +18,7 @@
 	if e == nil || h.dropsDatagram() {
 		return
 	}
-	if h.cfg.Sabotage != "" && h.injectBreach(f, packet) {
+	if h.cfg.InjectBreach != "" && h.injectBreach(f, packet) {
 		return
 	}
 	to := e.at(h.port)
@@ -69,7 +69,7 @@
 	}
 	for h.sleep(h.jitter(200 * time.Millisecond)) {
 		h.mu.Lock()
-		routes := map[string]routeChange{"never": {listen: netip.MustParseAddrPort("198.18.9.9:443"), ackedAt: h.cfg.Bounds.Stable + warmUp}}
+		routes := map[string]routeChange{"never": {listen: netip.MustParseAddrPort("198.18.9.9:443"), ackedAt: h.cfg.Limits.StableDelay + warmUp}}
 		for name, r := range h.routes {
 			routes[name] = r
 		}
--- a/stoatsoak/run_faults.go
+++ b/stoatsoak/run_faults.go
@@ -15,7 +15,7 @@
 	if h.ctx.Err() != nil {
 		return
 	}
-	_, _ = fmt.Fprintln(h.cfg.Out, s)
+	_, _ = fmt.Fprintln(h.cfg.Progress, s)
 	e := h.entries[s.Target%len(h.entries)]
 	if s.Kind.Planned() {
 		h.startPlanned(s, e)
@@ -32,31 +32,31 @@
 // startPlanned starts a step of planned work.
 func (h *harness) startPlanned(s Step, e *entry) {
 	switch s.Kind {
-	case Terminate:
+	case TerminateEntry:
 		e.signal(syscall.SIGTERM, true)
-	case Rolling:
+	case RollingRestart:
 		for i, e := range h.entries {
 			h.after(time.Duration(i)*s.For, func() { e.signal(syscall.SIGTERM, true) })
 		}
-	case Drain:
+	case DrainUpstream:
 		h.replaceUpstream(s.Target)
-	case Release:
+	case RollingRelease:
 		for i := range appUpstreams {
 			h.after(time.Duration(i)*time.Second, func() { h.replaceUpstream(0) })
 		}
-	case Routes:
+	case ChangeRoute:
 		h.changeRoutes(s.Target)
-	case Storm:
+	case ConfigStorm:
 		for i := range 10 {
 			h.after(time.Duration(i)*100*time.Millisecond, func() { h.changeRoutes(s.Target + i) })
 		}
-	case Foreign:
+	case ForeignWrite:
 		h.writeForeign(s)
-	case Evacuate:
+	case EvacuateCentre:
 		h.evacuateCentre(s)
-	case Queue:
+	case SlowUpstreams:
 		h.slowUpstreams(s)
-	case Settings:
+	case ChangeSettings:
 		e.mu.Lock()
 		e.levelChanges++
 		e.mu.Unlock()
@@ -123,7 +123,7 @@
 		return
 	}
 	u.startLeaving(h.now())
-	h.after(h.cfg.Bounds.Apply+extraServeTime, func() { h.stopWhenIdle(u, 10) })
+	h.after(h.cfg.Limits.ApplyDelay+extraServeTime, func() { h.stopWhenIdle(u, 10) })
 }
 
 // stopWhenIdle stops a leaving upstream once it has no open flows, or after the given number of attempts, which
@@ -168,19 +168,19 @@
 // startDisturbance starts a fault.
 func (h *harness) startDisturbance(s Step, e *entry) {
 	switch s.Kind {
-	case Kill:
+	case KillEntry:
 		e.signal(syscall.SIGKILL, true)
-	case KillAll:
+	case KillAllEntries:
 		for _, e := range h.entries {
 			e.signal(syscall.SIGKILL, true)
 		}
-	case Freeze:
+	case FreezeEntry:
 		e.signal(syscall.SIGSTOP, false)
-	case Crash:
+	case CrashUpstream:
 		h.crashUpstream(s.Target)
-	case Restart:
+	case RestartUpstream:
 		h.restartUpstream(s.Target)
-	case Restore:
+	case StoreRestore:
 		// The snapshot lacks these changes. They outnumber the writes that follow the restore, so that the
 		// store's revisions stay lower than before for a long time.
 		for i := range lostVersions {
@@ -195,21 +195,21 @@
 		h.store.SetFaults(stoatfake.Faults{Delay: 200 * time.Millisecond})
 	case StoreLag:
 		h.store.SetFaults(stoatfake.Faults{StaleReplicas: true})
-	case StoreMute:
+	case StoreSilentWatch:
 		h.store.SetFaults(stoatfake.Faults{SilentWatches: true})
-	case Forget:
+	case StoreCompact:
 		h.store.CompactHistory()
-	case Refuse:
+	case RefuseConnections:
 		e.storeProxy.setRefuse(true)
-	case Silence:
+	case SilenceConnections:
 		for _, p := range e.proxies() {
 			p.silence()
 		}
-	case OneWay:
+	case OneWayLoss:
 		for _, p := range e.proxies() {
 			p.setOneWay(true)
 		}
-	case Lossy:
+	case PacketLoss:
 		h.setLossy(true)
 	}
 }
@@ -217,22 +217,22 @@
 // endDisturbance ends a fault. Some faults, like a killed process, need no end.
 func (h *harness) endDisturbance(s Step, e *entry) {
 	switch s.Kind {
-	case Freeze:
+	case FreezeEntry:
 		e.signal(syscall.SIGCONT, false)
-	case Restore:
+	case StoreRestore:
 		h.after(storeDownDelay, func() { h.restoreStore(s) })
 	case StoreDown:
 		h.store.SetFaults(stoatfake.Faults{})
 		h.after(time.Second, h.registerAgain)
-	case StoreSlow, StoreLag, StoreMute:
+	case StoreSlow, StoreLag, StoreSilentWatch:
 		h.store.SetFaults(stoatfake.Faults{})
-	case Refuse:
+	case RefuseConnections:
 		e.storeProxy.setRefuse(false)
-	case OneWay:
+	case OneWayLoss:
 		for _, p := range e.proxies() {
 			p.setOneWay(false)
 		}
-	case Lossy:
+	case PacketLoss:
 		h.setLossy(false)
 	}
 }
--- a/stoatsoak/run_harness.go
+++ b/stoatsoak/run_harness.go
@@ -30,14 +30,14 @@
 	Seed    uint64
 	Length  time.Duration
 	Entries int
-	Bounds  Bounds
+	Limits  TimeLimits
 	Plan    []Step // nil means that the seed determines the steps
 	// Restores makes restores of the store the only faults of the plan that the seed determines.
 	Restores bool
-	// Sabotage makes the harness violate one guarantee, to test that the checker detects the breach. The run ends
+	// InjectBreach makes the harness violate one guarantee, to test that the checker detects the breach. The run ends
 	// once it has.
-	Sabotage Promise
-	Out      io.Writer // receives the steps and a summary every minute
+	InjectBreach Guarantee
+	Progress     io.Writer // receives the steps and a summary every minute
 }
 
 // Result is the result of a run.
@@ -117,12 +117,12 @@
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	h := &harness{
-		cfg: cfg, start: time.Now(), ctx: ctx, cancel: cancel, group: group, check: newChecker(cfg.Bounds), store: stoatfake.NewPlatform(),
+		cfg: cfg, start: time.Now(), ctx: ctx, cancel: cancel, group: group, check: newChecker(cfg.Limits), store: stoatfake.NewPlatform(),
 		port: firstPort + uint16(cfg.Seed%1000), rnd: rand.New(rand.NewPCG(cfg.Seed, 12)), routes: map[string]routeChange{},
 	}
-	if cfg.Sabotage != "" {
-		h.check.onBreach = func(g Promise) {
-			if g == cfg.Sabotage {
+	if cfg.InjectBreach != "" {
+		h.check.onBreach = func(g Guarantee) {
+			if g == cfg.InjectBreach {
 				cancel()
 			}
 		}
@@ -195,7 +195,7 @@
 	}
 	h.group.Go(h.probeRoutes)
 	// A run with an injected breach must detect it on a machine of any speed, so no stall may excuse it.
-	if h.cfg.Sabotage == "" {
+	if h.cfg.InjectBreach == "" {
 		h.group.Go(h.watchStalls)
 	}
 	h.group.Go(h.summarize)
@@ -212,7 +212,7 @@
 func (h *harness) summarize() error {
 	for h.sleep(time.Minute) {
 		c, breaches := h.check.result()
-		_, _ = fmt.Fprintf(h.cfg.Out, "%.0f s: %d requests, %d late, %d failed, %d breaches\n", h.now().Seconds(), c.Asked, c.Late, c.Failed, len(breaches))
+		_, _ = fmt.Fprintf(h.cfg.Progress, "%.0f s: %d requests, %d late, %d failed, %d breaches\n", h.now().Seconds(), c.Requests, c.ServedLate, c.Failed, len(breaches))
 	}
 	return nil
 }
@@ -374,8 +374,8 @@
 	return n
 }
 
-// Logs returns the directory and the names of its log files.
-func Logs(dir string) string {
+// LogFiles returns the directory and the names of its log files.
+func LogFiles(dir string) string {
 	list, err := os.ReadDir(dir)
 	if err != nil {
 		return dir
--- a/stoatsoak/run_restore.go
+++ b/stoatsoak/run_restore.go
@@ -46,7 +46,7 @@
 	h.store.SetFaults(stoatfake.Faults{})
 	h.after(rewriteDelay, h.rewriteAll)
 	h.after(removeDelay, h.removeStopped)
-	h.after(h.cfg.Bounds.Stable+h.cfg.Bounds.Slack, func() { h.changeRoutes(s.Target) })
+	h.after(h.cfg.Limits.StableDelay+h.cfg.Limits.Slack, func() { h.changeRoutes(s.Target) })
 }
 
 // rewriteAll makes operators and upstreams write their latest objects again.
