--- a/stoatnode/catalogue.go
+++ b/stoatnode/catalogue.go
@@ -22,7 +22,7 @@
 	EventMemberDead = stoatevent.Register(stoatevent.Definition{
 		Number: 1004, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "entry does not answer",
-		Text:  "No heartbeat arrived within the time that [peer] dead sets. Each flow of the entry gets the next entry in its hash order as its owner. If the entry was replaced, its successor joins by itself. If these events name all entries of a data centre, check the network.",
+		Text:  "No message arrived within the time that [peer] dead sets. Each flow of the entry gets the next entry in its hash order as its owner. If the entry was replaced, its successor joins by itself. If these events name all entries of a data centre, check the network.",
 	})
 	EventMemberBack = stoatevent.Register(stoatevent.Definition{
 		Number: 1005, Severity: stoatevent.Info, Since: "0.1",
@@ -82,7 +82,7 @@
 	EventProcessPaused = stoatevent.Register(stoatevent.Definition{
 		Number: 1013, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "entry was paused",
-		Text:  "The process did not run for a while, so no messages of peers could arrive. The entry considers no peer dead until each had time to send a heartbeat again. If this event repeats, the machine lacks processor time.",
+		Text:  "The process did not run for a while, so no messages of peers could arrive. The entry considers no peer dead until each has had time to send a heartbeat again. If this event repeats, the machine lacks processor time.",
 	})
 	EventCentrePartitioned = stoatevent.Register(stoatevent.Definition{
 		Number: 1014, Severity: stoatevent.Warning, Since: "0.1",
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -22,7 +22,7 @@
 // SeedRef is the reference of the object that contains the hash key of the cluster.
 var SeedRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
 
-const hashKeySize = 16
+const hashKeySize = 16 // in bytes
 
 // adopt stores and applies an object unless the same or a newer version was seen before, whatever its source.
 // A lagging replica, a peer after a long partition and a restored platform all offer old versions, and
@@ -133,7 +133,7 @@
 }
 
 func (n *Node) logInvalid(o stoatpaddle.Object, err error) {
-	cause := "it names another customer"
+	cause := "its value names another customer or instance"
 	if err != nil {
 		cause = err.Error()
 	}
--- a/stoatnode/status.go
+++ b/stoatnode/status.go
@@ -15,7 +15,7 @@
 	Role       stoatpaddle.InstanceRole
 	DataCentre stoatpaddle.DataCentreID
 	State      stoatpaddle.InstanceState
-	Admin      string
+	Admin      string // address of the administration API; empty unless the instance is an entry
 	Dead       bool
 	Connected  bool
 }
