--- a/stoatplatform/client.go
+++ b/stoatplatform/client.go
@@ -192,10 +192,10 @@
 	return stoatpaddle.Object{}, &stoatpaddle.ConflictError{Ref: o.Ref, Current: current}
 }
 
-func (c *Client) call(ctx context.Context, method, to string, body []byte) (platform.Response, error) {
+func (c *Client) call(ctx context.Context, method, target string, body []byte) (platform.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	res, err := c.store.Call(ctx, method, to, body)
+	res, err := c.store.Call(ctx, method, target, body)
 	if err == nil {
 		c.recordEra(res.Era)
 	}
--- a/stoatplatform/platform_test.go
+++ b/stoatplatform/platform_test.go
@@ -63,7 +63,7 @@
 
 // A write takes effect and its response is lost; then another operator's write follows. The first operator
 // repeats the write: it must be reported as accepted, since it did take effect, and must not be applied twice.
-func TestLostAnswer(t *testing.T) {
+func TestLostResponse(t *testing.T) {
 	ctx := context.Background()
 	p, c := start(t)
 	w := &stoatplatform.Writer{Platform: c, Rand: rand.New(rand.NewPCG(1, 1))}
@@ -91,7 +91,7 @@
 
 // The platform is down, then limits the rate of calls, then never answers a watch. Each failure has an error
 // type of its own and is reported within a time limit, and none looks like a rejected write.
-func TestTroubles(t *testing.T) {
+func TestPlatformFailures(t *testing.T) {
 	ctx := context.Background()
 	p, c := start(t)
 	var unavailable *stoatpaddle.UnavailableError
--- a/stoatplatform/retry.go
+++ b/stoatplatform/retry.go
@@ -81,7 +81,7 @@
 
 const defaultMaxAttempts = 4
 
-// Put writes o on top of the version that o names, or deletes it if o.Gone is set. If a retry conflicts with
+// Put writes o on top of the version that o names, or deletes it if o.Deleted is set. If a retry conflicts with
 // a version that the token own is part of, the earlier attempt took effect. So nothing is applied twice, and
 // no write that took effect is reported as rejected. Its errors are *stoatpaddle.ConflictError and
 // *UnknownOutcomeError.
