--- a/stoatstatus/status.go
+++ b/stoatstatus/status.go
@@ -44,7 +44,7 @@
 	Version uint64 `json:"version"` // of the configuration
 	AgeMS   int64  `json:"age"`     // ms since the upstreams were last known to be up to date; -1 if never
 	Routes  int    `json:"routes"`
-	Serving int    `json:"serving"` // number of upstreams, as are the fields below
+	Serving int    `json:"serving"` // number of upstreams in this state, as are the fields below
 	Leaving int    `json:"leaving"`
 	Missing int    `json:"missing"`
 	Gone    int    `json:"gone"`
