--- a/stoatentry/catalogue.go
+++ b/stoatentry/catalogue.go
@@ -12,7 +12,7 @@
 	EventHandover = stoatevent.Register(stoatevent.Definition{
 		Number: 1202, Severity: stoatevent.Info, Since: "0.1",
 		Title: "flow handover begins",
-		Text:  "The entry is stopping and sends its tracked flows to their next owners, at the rate that the control budget allows. Estimate is how long that should take.",
+		Text:  "The entry is stopping and sends its tracked flows to their next owners, at the rate that the control budget allows. The field estimate has the expected duration.",
 	})
 	EventWriteFailed = stoatevent.Register(stoatevent.Definition{
 		Number: 1203, Severity: stoatevent.Warning, Since: "0.1",
--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -25,7 +25,7 @@
 	// watchTimeout is how long a watch waits for a change. Each wait costs one call to the platform.
 	watchTimeout    = 30 * time.Second
 	advanceInterval = 100 * time.Millisecond
-	seedBytes       = 16
+	hashKeySize     = 16 // in bytes
 )
 
 func clock() time.Time { return time.Now() }
@@ -50,7 +50,7 @@
 	case stoatnode.Unregister:
 		e.unregister()
 	case stoatnode.MakeSeed:
-		e.runAfter(0, e.makeSeed)
+		e.runAfter(0, e.createHashKey)
 	case stoatnode.Dial:
 		e.transport.Dial(x.Addr)
 	case stoatnode.Disconnect:
@@ -72,10 +72,10 @@
 	}
 }
 
-// runAfter calls f in a goroutine of the group after a pause, unless the entry ends first.
-func (e *Entry) runAfter(after time.Duration, f func()) {
+// runAfter calls f in a goroutine of the group after a delay, unless the entry ends first.
+func (e *Entry) runAfter(delay time.Duration, f func()) {
 	e.group.Go(func() error {
-		if stoatplatform.Sleep(e.ctx, after) {
+		if stoatplatform.Sleep(e.ctx, delay) {
 			f()
 		}
 		return nil
@@ -188,9 +188,9 @@
 	_, _ = e.platform.Delete(ctx, current)
 }
 
-// makeSeed creates the cluster's hash key. If another entry has created one first, that one is used.
-func (e *Entry) makeSeed() {
-	raw := make([]byte, seedBytes)
+// createHashKey creates the cluster's hash key. If another entry has created one first, that one is used.
+func (e *Entry) createHashKey() {
+	raw := make([]byte, hashKeySize)
 	if _, err := rand.Read(raw); err != nil {
 		return
 	}
--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -11,7 +11,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattunnel"
 )
 
-// maxPacket is the room for the longest UDP datagram, bytes.
+// maxPacket is the size of the buffer for a packet in bytes. No UDP datagram is larger.
 const maxPacket = 65536
 
 // startWorkers starts the goroutines that read the UDP sockets, the timer, and one that closes the sockets when
