--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -93,7 +93,8 @@
 
 // A write takes effect and the platform's answer is lost: the operator must still get "accepted". If every
 // answer is lost, the operator gets "unknown" with a token, and repeating the change with that token once the
-// platform answers again must apply the change once. With the platform down, a change is refused unsent.
+// platform answers again must apply the change once. With the platform down, a change is refused and
+// not sent to it.
 func TestUnknownThenAccepted(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
@@ -128,7 +129,7 @@
 // An amendment removes an upstream that still has open flows. The stored contract must still name it, so that
 // an entry that starts later can forward those flows; an operator who gets the contract must not see it. Until
 // the upstream is forgotten, or declared again, no other customer can claim its address.
-func TestUpstreamTakenOutIsRetired(t *testing.T) {
+func TestRemovedUpstreamIsRetired(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
 	if _, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{}); err != nil {
--- a/stoatadmin/client.go
+++ b/stoatadmin/client.go
@@ -185,7 +185,7 @@
 	return c.change(ctx, http.MethodPut, "/v1/instances/"+string(id), body, nil)
 }
 
-// Evacuate begins the evacuation of a data centre, whose upstreams then get no new work.
+// Evacuate begins the evacuation of a data centre, whose upstreams then get no new flows or calls.
 func (c *Client) Evacuate(ctx context.Context, dc stoatpaddle.DataCentreID) (Response, error) {
 	return c.change(ctx, http.MethodPut, "/v1/evacuations/"+string(dc), nil, nil)
 }
--- a/stoatadmin/evacuation.go
+++ b/stoatadmin/evacuation.go
@@ -7,8 +7,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// evacuate begins the evacuation of a data centre, whose upstreams then get no new work. A second request for
-// the same data centre changes nothing.
+// evacuate begins the evacuation of a data centre, whose upstreams then get no new flows or calls. A second
+// request for the same data centre changes nothing.
 func (s *Server) evacuate(w http.ResponseWriter, r *http.Request) {
 	if !s.isKnownCentre(stoatpaddle.DataCentreID(r.PathValue("name"))) {
 		refuse(w, http.StatusNotFound, ProblemNotFound, Response{})
--- a/stoatadmin/server.go
+++ b/stoatadmin/server.go
@@ -29,7 +29,7 @@
 	Metrics  func(w io.Writer)
 	Report   func() stoatstatus.Report
 	Clock    func() time.Time
-	Rand     *rand.Rand // seeds the jitter of the pauses between retries of a write
+	Rand     *rand.Rand // seeds the jitter of the delays between retries of a write
 }
 
 // Server serves the administration API; it implements http.Handler.
@@ -172,7 +172,7 @@
 	s.applyContract(w, r, draft.Contract, base)
 }
 
-// applyContract checks the contract against all others and writes it. Upstreams that the change takes out stay
+// applyContract checks the contract against all others and writes it. Upstreams that the change removes stay
 // in the stored contract as retired, because flows may still be open on them.
 func (s *Server) applyContract(w http.ResponseWriter, r *http.Request, c stoatpaddle.Contract, base stoatpaddle.Version) {
 	listing, err := s.cfg.Platform.List(r.Context())
