--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -98,12 +98,12 @@
 func TestUnknownThenAccepted(t *testing.T) {
 	ctx := context.Background()
 	p, clients := twoEntries(t)
-	p.Set(stoatfake.Trouble{LoseWrites: 1})
+	p.SetFaults(stoatfake.Faults{DropWriteAnswers: 1})
 	a, err := clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{})
 	if err != nil || a.Version != 1 {
 		t.Fatal(a, err)
 	}
-	p.Set(stoatfake.Trouble{LoseWrites: 9})
+	p.SetFaults(stoatfake.Faults{DropWriteAnswers: 9})
 	amended := sampleContract(t)
 	amended.Limits.Flows = 5
 	change := stoatadmin.ChangeOptions{Base: 1, Token: "mine"}
@@ -114,12 +114,12 @@
 			t.Fatalf("%+v", r)
 		}
 	}
-	p.Set(stoatfake.Trouble{})
+	p.SetFaults(stoatfake.Faults{})
 	a, err = clients[1].Apply(ctx, "sawt", text(amended), change)
 	if err != nil || a.Version != 2 {
 		t.Fatal(a, err)
 	}
-	p.Set(stoatfake.Trouble{Down: true})
+	p.SetFaults(stoatfake.Faults{Down: true})
 	_, err = clients[0].Apply(ctx, "sawt", text(sampleContract(t)), stoatadmin.ChangeOptions{Base: 2})
 	if r := refusal(t, err); r.Response.Number != stoatadmin.ProblemPlatformUnavailable.Number.String() {
 		t.Errorf("%+v", r)
@@ -224,7 +224,7 @@
 	if again, err := clients[0].Evacuate(ctx, "ruwi"); err != nil || again.Version <= first.Version {
 		t.Error("second evacuation, after the end of the first:", again, err)
 	}
-	p.Set(stoatfake.Trouble{Down: true})
+	p.SetFaults(stoatfake.Faults{Down: true})
 	if err := errorOf(clients[0].EndEvacuation(ctx, "ruwi")); refusal(t, err).Response.Number != "SP2004" {
 		t.Error(err)
 	}
--- a/stoatcommand/run_entry.go
+++ b/stoatcommand/run_entry.go
@@ -73,7 +73,7 @@
 	}
 	if a.Spread {
 		return stoatmeasure.ReportSpread(c.ctx, stoatmeasure.SpreadConfig{
-			Entries: a.Entries, Upstreams: a.Upstreams, Slots: spreadSlots, Work: spreadRequestTime, Last: spreadDuration, Seed: a.Seed,
+			Entries: a.Entries, Upstreams: a.Upstreams, Slots: spreadSlots, ServiceTime: spreadRequestTime, Duration: spreadDuration, Seed: a.Seed,
 		}, a.JSON, c.out)
 	}
 	if a.Silence {
@@ -82,13 +82,13 @@
 	if a.Overload {
 		return stoatmeasure.ReportOverload(c.ctx, a.Seed, a.Parallel, a.JSON, c.out)
 	}
-	plan := stoatmeasure.Plan{Only: a.Only, Parallel: a.Parallel, Config: stoatmeasure.Config{
-		Entries: a.Entries, Upstreams: a.Upstreams, Flows: a.Flows, Opens: a.Opens, Lean: lean, Gain: a.Gain, Seed: a.Seed,
+	plan := stoatmeasure.Plan{NamePrefix: a.Only, Parallel: a.Parallel, Config: stoatmeasure.Config{
+		Entries: a.Entries, Upstreams: a.Upstreams, Flows: a.Flows, OpenRate: a.Opens, Lean: lean, Gain: a.Gain, Seed: a.Seed,
 	}}
 	if a.Curve {
-		return stoatmeasure.RunCurve(c.ctx, plan, a.JSON, c.out)
+		return stoatmeasure.ReportCurve(c.ctx, plan, a.JSON, c.out)
 	}
-	return stoatmeasure.RunAll(c.ctx, plan, a.JSON, c.out)
+	return stoatmeasure.ReportExperiments(c.ctx, plan, a.JSON, c.out)
 }
 
 type demoArgs struct {
--- a/stoatcommand/soak.go
+++ b/stoatcommand/soak.go
@@ -24,12 +24,12 @@
 // BreachError reports that a soak violated guarantees of the system.
 type BreachError struct {
 	Breaches int
-	Logs     string
+	LogDir   string
 }
 
 // Error gives the number of violations and the directory of the logs.
 func (e *BreachError) Error() string {
-	return fmt.Sprintf("%d guarantees were violated; logs are in %s", e.Breaches, e.Logs)
+	return fmt.Sprintf("%d guarantees were violated; logs are in %s", e.Breaches, e.LogDir)
 }
 
 // The time limits of a soak.
@@ -88,8 +88,8 @@
 			return err
 		}
 		result, err := stoatsoak.Run(c.ctx, stoatsoak.Config{
-			Program: program, Dir: dir, Seed: seed, Length: a.Length, Entries: a.Entries, Plan: plan, Restores: a.Restores, Out: progress,
-			Bounds: stoatsoak.Bounds{Apply: soakApplyDelay, Stable: soakStableDelay, Slack: soakSlack, Back: soakRecovery},
+			Program: program, Dir: dir, Seed: seed, Length: a.Length, Entries: a.Entries, Plan: plan, Restores: a.Restores, Progress: progress,
+			Limits: stoatsoak.TimeLimits{ApplyDelay: soakApplyDelay, StableDelay: soakStableDelay, Slack: soakSlack, RecoveryTime: soakRecovery},
 		})
 		if err != nil {
 			return err
@@ -103,7 +103,7 @@
 		}
 	}
 	if breaches > 0 {
-		return &BreachError{Breaches: breaches, Logs: a.Dir}
+		return &BreachError{Breaches: breaches, LogDir: a.Dir}
 	}
 	return nil
 }
--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -24,13 +24,13 @@
 // inForceWithin is the promise about an accepted contract.
 const inForceWithin = 4 * time.Second
 
-// BrokenError reports promises that the demo saw broken.
-type BrokenError struct{ Promises []string }
+// GuaranteeError reports promises that the demo saw broken.
+type GuaranteeError struct{ Violations []string }
 
 // Error lists the promises.
-func (e *BrokenError) Error() string {
+func (e *GuaranteeError) Error() string {
 	text := "promises broken:"
-	for _, p := range e.Promises {
+	for _, p := range e.Violations {
 		text += "\n  " + p
 	}
 	return text
@@ -91,7 +91,7 @@
 		broken = append(broken, "a new flow reached the leaving upstream later than "+leavingWithin.String())
 	}
 	if len(broken) > 0 {
-		return &BrokenError{Promises: broken}
+		return &GuaranteeError{Violations: broken}
 	}
 	t.end(w.platform.Calls(), len(w.sets))
 	return nil
@@ -235,7 +235,7 @@
 	last := u.LastOpened()
 	w.wait(2 * time.Second)
 	w.drained = func() bool { return u.LastOpened().Sub(marked) < leavingWithin }
-	return fmt.Sprintf("last new flow there after %d ms; %d flows still live on it", max(0, last.Sub(marked).Milliseconds()), u.Open()), nil
+	return fmt.Sprintf("last new flow there after %d ms; %d flows still live on it", max(0, last.Sub(marked).Milliseconds()), u.OpenFlows()), nil
 }
 
 // grow adds an upstream to the contract of the other customer.
@@ -333,12 +333,12 @@
 }
 
 func (w *world) platformDown() (string, error) {
-	w.platform.Set(trouble{Down: true})
+	w.platform.SetFaults(trouble{Down: true})
 	return "", nil
 }
 
 func (w *world) platformUp() (string, error) {
-	w.platform.Set(trouble{})
+	w.platform.SetFaults(trouble{})
 	return "", nil
 }
 
--- a/stoatdemo/run_world.go
+++ b/stoatdemo/run_world.go
@@ -113,7 +113,7 @@
 		services = append(services, netip.AddrPortFrom(c.addr, servicePort))
 	}
 	w.callers, err = stoatfake.NewCallers(w.group, w.fabric, stoatfake.CallersConfig{
-		Services: services, Flows: w.cfg.Flows, Every: segmentEvery, Churn: churn, Seed: w.cfg.Seed,
+		Services: services, Flows: w.cfg.Flows, SegmentInterval: segmentEvery, ChurnRate: churn, Seed: w.cfg.Seed,
 	})
 	return err
 }
@@ -185,7 +185,7 @@
 	for _, s := range w.sets {
 		list = append(list, s.TunnelAddr)
 	}
-	w.fabric.Set(list)
+	w.fabric.SetEntries(list)
 }
 
 // forget takes entry i out of the world's lists.
--- a/stoatdemo/table.go
+++ b/stoatdemo/table.go
@@ -9,7 +9,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatfake"
 )
 
-type trouble = stoatfake.Trouble
+type trouble = stoatfake.Faults
 
 const (
 	// leavingWithin is the promise about an upstream that leaves.
@@ -21,7 +21,7 @@
 // reading is what was counted up to one moment.
 type reading struct {
 	at      time.Time
-	flows   stoatfake.Counts
+	flows   stoatfake.FlowCounts
 	calls   callCounts
 	control int64
 	entries int
@@ -35,7 +35,7 @@
 		if u.ID == skip {
 			continue
 		}
-		open := w.upstreams[u.ID].Open()
+		open := w.upstreams[u.ID].OpenFlows()
 		most = max(most, open)
 		sum += open
 		n++
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -84,7 +84,7 @@
 		return
 	}
 	v := e.filter.CheckNewFlow(c.now, t, c.route, u, h.coldLoad(c.now, u))
-	if v > stoatfilter.Spare {
+	if v > stoatfilter.ColdEligible {
 		excluded[v]++
 		return
 	}
@@ -97,7 +97,7 @@
 	switch own := u.DataCentre == e.cfg.DataCentre; {
 	case h.isEjected(c.now) || u.Key == c.except:
 		o.lastResort.offer(u, h, cost)
-	case v == stoatfilter.Spare:
+	case v == stoatfilter.ColdEligible:
 		o.ownSpare.offer(u, h, cost)
 	case own && full:
 		o.ownFull.offer(u, h, cost)
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -192,7 +192,7 @@
 		h := e.healthOf(f.Upstream)
 		// An upstream that has just started is slow, as its registration says: for a while its requests are
 		// answered late, in each release at a third of a service's upstreams.
-		if f.Upstream.StartedCold && now.Before(f.Upstream.WarmAt.Add(failureWindow)) {
+		if f.Upstream.WasCold && now.Before(f.Upstream.WarmAt.Add(failureWindow)) {
 			continue
 		}
 		// The counts still include what entries saw before the upstream restarted.
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -113,7 +113,7 @@
 	w.declareRegions("north")
 	a := w.caller(idempotentAddr).syn(0)
 	wantReset(t, a, stoatpacket.DropNoUpstream)
-	if a.Excluded[stoatfilter.Outside] != 3 {
+	if a.Excluded[stoatfilter.OutsideRegions] != 3 {
 		t.Errorf("%v", a.Excluded)
 	}
 }
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -186,7 +186,7 @@
 	if !r.EverUsed("before") || !r.EverUsed("app") || r.EverUsed("other") {
 		t.Error("the former services of the route are not known")
 	}
-	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declaration == nil || len(body.Declaration.Routes) != 1 || len(body.Declaration.Routes[0].Earlier) != 1 {
+	if body := stoatrelay.EncodeBody(s.now, s.table, child); body == nil || body.Declaration == nil || len(body.Declaration.Routes) != 1 || len(body.Declaration.Routes[0].FormerServices) != 1 {
 		t.Errorf("children get no update: %+v", body)
 	}
 }
@@ -476,7 +476,7 @@
 		"nameless": {unreadable("", 0), stoatroute.Missing},
 	} {
 		s := newRunningSession(t)
-		s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+		s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 		s.end(upstreams, stoatfeed.Result{AsOf: position(12), More: true, Last: "i-1", Changes: 1}, c.object)
 		s.answer(upstreams, 12, registered("i-2", 2, 7))
 		if got := s.table.Upstream(stoatroute.KeyOf(1)); got == nil || got.State != c.want {
--- a/stoatedge/edge_test.go
+++ b/stoatedge/edge_test.go
@@ -269,7 +269,7 @@
 	r := newRig(t)
 	_, setA, _ := r.start("127.0.0.11")
 	r.wait("the first is ready", func() bool { return isReady(setA) })
-	r.store.Set(stoatfake.Trouble{Down: true})
+	r.store.SetFaults(stoatfake.Faults{Down: true})
 	b, setB, l := r.start("127.0.0.12", setA.AdminAddr)
 	r.wait("the second is ready", func() bool { return isReady(setB) })
 	if !l.has(`"event":"SP1417"`) {
@@ -277,7 +277,7 @@
 	}
 	r.send(setB, packet(flagSYN, 40001, 443, 0))
 	r.receiveAtUpstream()
-	r.store.Set(stoatfake.Trouble{})
+	r.store.SetFaults(stoatfake.Faults{})
 	r.configure(2, "app")
 	r.wait("the second follows the platform", func() bool {
 		age := b.ViewAge(time.Now())
@@ -450,11 +450,11 @@
 	r := newRig(t)
 	e, set, _ := r.start("127.0.0.11")
 	r.wait("it is ready", func() bool { return isReady(set) })
-	r.store.Set(stoatfake.Trouble{SilentWatch: true})
+	r.store.SetFaults(stoatfake.Faults{SilentWatches: true})
 	r.configure(2, "app")
 	r.register(0, "draining")
-	r.store.Forget()
-	r.store.Set(stoatfake.Trouble{})
+	r.store.CompactHistory()
+	r.store.SetFaults(stoatfake.Faults{})
 	r.wait("both are known", func() bool { return e.Table().Declaration.Version == 2 && len(e.Table().Candidates("app")) == 1 })
 }
 
@@ -463,7 +463,7 @@
 	r := newRig(t)
 	e, set, _ := r.start("127.0.0.11")
 	r.wait("it is ready", func() bool { return isReady(set) })
-	r.store.Set(stoatfake.Trouble{Lagging: true})
+	r.store.SetFaults(stoatfake.Faults{StaleReplicas: true})
 	r.register(0, "draining")
 	r.wait("the leaving upstream is known", func() bool { return len(e.Table().Candidates("app")) == 1 })
 }
--- a/stoatedge/evacuation_test.go
+++ b/stoatedge/evacuation_test.go
@@ -106,7 +106,7 @@
 func TestEvacuationAndForgottenHistory(t *testing.T) {
 	s := newEvacuationSession(t, false, false).answerFirstLists()
 	s.answer(evacuations, 15, evacuated("here", 15))
-	s.end(evacuations, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+	s.end(evacuations, stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 	s.answer(evacuations, 12)
 	s.wantEvacuated("a list of a replica that is behind", true)
 	s.answer(evacuations, 15, evacuated("here", 15))
@@ -119,10 +119,10 @@
 // evacuation. No data centre gets flows back because of it; the next valid list decides.
 func TestEvacuationListWithoutAName(t *testing.T) {
 	s := newEvacuationSession(t, false, false).answerFirstLists(evacuated("here", 8))
-	s.end(evacuations, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+	s.end(evacuations, stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 	s.answer(evacuations, 15, unreadable("", 12))
 	s.wantEvacuated("a list with an object that has no name", true)
-	s.end(evacuations, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+	s.end(evacuations, stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 	s.answer(evacuations, 16)
 	s.wantEvacuated("an empty list", false)
 }
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -242,7 +242,7 @@
 	s := newFollowerSession(t)
 	s.advance(2500 * ms)
 	s.answer(declarations, 30)
-	s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+	s.end(upstreams, stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 	s.end(upstreams, stoatfeed.Result{AsOf: position(30), More: true, Last: "i-1"})
 	s.answer(upstreams, 30, registered("i-2", 2, 7))
 	if u, _ := s.ctl.state.Lookup("i-1"); u.State != stoatroute.Missing {
--- a/stoatedge/restore_test.go
+++ b/stoatedge/restore_test.go
@@ -16,15 +16,15 @@
 	seed, set, _ := r.start("127.0.0.11")
 	follower, second, _ := r.start("127.0.0.12", set.AdminAddr)
 	r.wait("both are ready", func() bool { return isReady(set) && isReady(second) })
-	copied := r.store.Save()
+	copied := r.store.Snapshot()
 	for version := 2; version <= 9; version++ {
 		r.configure(version, "app")
 	}
 	r.wait("the last version is in force", func() bool { return seed.Table().Declaration.Version == 9 && follower.Table().Declaration.Version == 9 })
 
-	r.store.Set(stoatfake.Trouble{Down: true})
+	r.store.SetFaults(stoatfake.Faults{Down: true})
 	r.store.Restore(copied)
-	r.store.Set(stoatfake.Trouble{})
+	r.store.SetFaults(stoatfake.Faults{})
 	r.configure(10, "app")
 
 	r.wait("a version that was confirmed after the restore is in force", func() bool {
--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -125,7 +125,7 @@
 	case err == nil:
 		return stoatfeed.Answered
 	case errors.As(err, &history):
-		return stoatfeed.Forgotten
+		return stoatfeed.HistoryGone
 	case errors.As(err, &rate):
 		return stoatfeed.Refused
 	default:
--- a/stoatentry/entry_test.go
+++ b/stoatentry/entry_test.go
@@ -89,7 +89,7 @@
 	defer fabric.Close()
 	vip := netip.MustParseAddrPort("203.0.113.10:443")
 	callers, err := stoatfake.NewCallers(&group, fabric, stoatfake.CallersConfig{
-		Services: []netip.AddrPort{vip}, Flows: 60, Every: 100 * time.Millisecond, Seed: 1,
+		Services: []netip.AddrPort{vip}, Flows: 60, SegmentInterval: 100 * time.Millisecond, Seed: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -119,20 +119,20 @@
 		t.Fatal(err)
 	}
 	until(func() bool { return ready(a, 1, 2) && ready(b, 1, 2) })
-	fabric.Set([]netip.AddrPort{setA.TunnelAddr, setB.TunnelAddr})
+	fabric.SetEntries([]netip.AddrPort{setA.TunnelAddr, setB.TunnelAddr})
 	callers.Start(&group)
 	until(func() bool { return callers.Counts().Open == 60 })
 
-	platform.Set(stoatfake.Trouble{Down: true})
+	platform.SetFaults(stoatfake.Faults{Down: true})
 	third, setC := startEntry(t, "e3", platformAddr, callers.Addr(), setB.PeerAddr)
 	until(func() bool { return ready(third, 1, 3) })
-	fabric.Set([]netip.AddrPort{setA.TunnelAddr, setB.TunnelAddr, setC.TunnelAddr})
+	fabric.SetEntries([]netip.AddrPort{setA.TunnelAddr, setB.TunnelAddr, setC.TunnelAddr})
 	a.Stop()
 	until(func() bool {
 		st, err := third.Status()
 		return err == nil && len(st.Instances) == 3 && st.Instances[0].State == stoatpaddle.StateLeaving
 	})
-	fabric.Set([]netip.AddrPort{setB.TunnelAddr, setC.TunnelAddr})
+	fabric.SetEntries([]netip.AddrPort{setB.TunnelAddr, setC.TunnelAddr})
 	a.Wait()
 	before := callers.Counts()
 	until(func() bool { return third.Engine().Stats().Relayed.Load()+b.Engine().Stats().Relayed.Load() > 100 })
--- a/stoatentry/restore_test.go
+++ b/stoatentry/restore_test.go
@@ -52,7 +52,7 @@
 		return 0, 0
 	}
 	first := apply(100, 0)
-	backup := platform.Save()
+	backup := platform.Snapshot()
 	second := apply(200, first)
 	inForce := func(version stoatpaddle.Version) func() bool {
 		return func() bool { return hasVersion(a, version) && hasVersion(b, version) }
--- a/stoatfake/caller.go
+++ b/stoatfake/caller.go
@@ -16,15 +16,15 @@
 
 // CallersConfig configures Callers.
 type CallersConfig struct {
-	Services []netip.AddrPort // flows are spread over them
-	Flows    int              // kept open
-	Every    time.Duration    // between segments of a flow
-	Churn    float64          // flows closed and opened anew, a second, of all
-	Seed     uint64
+	Services        []netip.AddrPort // flows are spread over them
+	Flows           int              // kept open
+	SegmentInterval time.Duration    // between segments of a flow
+	ChurnRate       float64          // flows closed and opened anew, a second, of all
+	Seed            uint64
 }
 
-// Counts tells what callers saw.
-type Counts struct {
+// FlowCounts tells what callers saw.
+type FlowCounts struct {
 	Open    int
 	Opened  int
 	Broken  int // reset after it was open
@@ -54,7 +54,7 @@
 	flows  map[stoatpacket.Tuple]*callerFlow
 	order  []*callerFlow
 	next   uint32
-	counts Counts
+	counts FlowCounts
 	done   chan struct{}
 }
 
@@ -92,7 +92,7 @@
 }
 
 // Counts returns what the callers saw so far.
-func (c *Callers) Counts() Counts {
+func (c *Callers) Counts() FlowCounts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := c.counts
@@ -141,7 +141,7 @@
 		c.order = append(c.order, c.newFlow())
 	}
 	c.mu.Unlock()
-	parts := max(1, int(c.cfg.Every/callerTick))
+	parts := max(1, int(c.cfg.SegmentInterval/callerTick))
 	for n := 0; ; n++ {
 		select {
 		case <-c.done:
@@ -169,7 +169,7 @@
 	switch {
 	case !f.open:
 		s.SYN = true
-	case f.closing || c.rnd.Float64() < c.cfg.Churn*c.cfg.Every.Seconds():
+	case f.closing || c.rnd.Float64() < c.cfg.ChurnRate*c.cfg.SegmentInterval.Seconds():
 		f.closing = true
 		s.FIN, s.ACK = true, true
 	default:
--- a/stoatfake/fabric.go
+++ b/stoatfake/fabric.go
@@ -25,8 +25,8 @@
 	return &Fabric{conn: conn, rnd: rand.New(rand.NewPCG(seed, 6))}, nil
 }
 
-// Set replaces the entries that packets are handed to.
-func (f *Fabric) Set(entries []netip.AddrPort) {
+// SetEntries replaces the entries that packets are handed to.
+func (f *Fabric) SetEntries(entries []netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries = append([]netip.AddrPort(nil), entries...)
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -17,15 +17,15 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatplatform"
 )
 
-// Trouble is what a platform stand-in is told to do wrong.
-type Trouble struct {
-	Down        bool          // answers nothing
-	Slow        time.Duration // before each answer
-	LoseWrites  int           // so many writes take effect and get no answer
-	Lagging     bool          // replicas show what stood when this was set
-	SilentWatch bool          // watches never tell anything
-	Writes      int           // a second; more are refused; 0: no limit
-	Reads       int           // a second; more are refused; a waiting watch is one
+// Faults is what a platform stand-in is told to do wrong.
+type Faults struct {
+	Down             bool          // answers nothing
+	Delay            time.Duration // before each answer
+	DropWriteAnswers int           // so many writes take effect and get no answer
+	StaleReplicas    bool          // replicas show what stood when this was set
+	SilentWatches    bool          // watches never tell anything
+	WriteLimit       int           // a second; more are refused; 0: no limit
+	ReadLimit        int           // a second; more are refused; a waiting watch is one
 }
 
 // pageItems is how many objects a page of a list holds.
@@ -43,7 +43,7 @@
 // protocol; it is an http.Handler.
 type Platform struct {
 	mu       sync.Mutex
-	trouble  Trouble
+	trouble  Faults
 	objects  map[key]platform.Object
 	history  []change
 	revision uint64
@@ -62,24 +62,24 @@
 	return &Platform{objects: map[key]platform.Object{}, changed: make(chan struct{})}
 }
 
-// Copy is what a platform held at one moment.
-type Copy struct {
+// Snapshot is what a platform held at one moment.
+type Snapshot struct {
 	objects  map[key]platform.Object
 	history  []change
 	revision uint64
 	from     uint64
 }
 
-// Save copies what the platform holds.
-func (p *Platform) Save() Copy {
+// Snapshot copies what the platform holds.
+func (p *Platform) Snapshot() Snapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return Copy{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, from: p.from}
+	return Snapshot{objects: maps.Clone(p.objects), history: slices.Clone(p.history), revision: p.revision, from: p.from}
 }
 
 // Restore makes a copy what the platform holds. What was written since the copy was made is lost, and
 // its revisions are given out again.
-func (p *Platform) Restore(c Copy) {
+func (p *Platform) Restore(c Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.objects, p.history, p.revision, p.from = maps.Clone(c.objects), slices.Clone(c.history), c.revision, c.from
@@ -88,16 +88,16 @@
 	p.wake()
 }
 
-// Set replaces the trouble.
-func (p *Platform) Set(t Trouble) {
+// SetFaults replaces the trouble.
+func (p *Platform) SetFaults(t Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.trouble, p.lag = t, p.revision
 	p.wake()
 }
 
-// Forget drops the history: watches from before now are answered with 410.
-func (p *Platform) Forget() {
+// CompactHistory drops the history: watches from before now are answered with 410.
+func (p *Platform) CompactHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.history, p.from = nil, p.revision
@@ -196,8 +196,8 @@
 	p.mu.Unlock()
 	write := r.Method != http.MethodGet
 	t, allowed := p.admit(write, r.URL.Query().Get("allow_stale") == "1")
-	if t.Slow > 0 {
-		time.Sleep(t.Slow)
+	if t.Delay > 0 {
+		time.Sleep(t.Delay)
 	}
 	if t.Down {
 		hangUp(w)
@@ -220,16 +220,16 @@
 	}
 }
 
-func (p *Platform) admit(write, replica bool) (Trouble, bool) {
+func (p *Platform) admit(write, replica bool) (Faults, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.calls++
 	if now := time.Now().Unix(); now != p.second {
 		p.second, p.writes, p.reads = now, 0, 0
 	}
-	count, limit := &p.reads, p.trouble.Reads
+	count, limit := &p.reads, p.trouble.ReadLimit
 	if write {
-		count, limit = &p.writes, p.trouble.Writes
+		count, limit = &p.writes, p.trouble.WriteLimit
 	}
 	if replica {
 		return p.trouble, true
@@ -294,9 +294,9 @@
 		return
 	}
 	o := p.put(k, sent.Spec)
-	lose := p.trouble.LoseWrites > 0
+	lose := p.trouble.DropWriteAnswers > 0
 	if lose {
-		p.trouble.LoseWrites--
+		p.trouble.DropWriteAnswers--
 	}
 	p.mu.Unlock()
 	if lose {
@@ -341,7 +341,7 @@
 	for {
 		p.mu.Lock()
 		t, seen, changed, kept, whole := p.trouble, p.revision, p.changed, p.from, p.revision
-		if t.Lagging && replica {
+		if t.StaleReplicas && replica {
 			seen = min(seen, p.lag)
 		}
 		events := p.since(kind, from, seen)
@@ -353,7 +353,7 @@
 		case from < kept || from > whole:
 			w.WriteHeader(http.StatusGone)
 			return
-		case len(events) > 0 && !t.SilentWatch:
+		case len(events) > 0 && !t.SilentWatches:
 			answer(w, http.StatusOK, platform.ReadResult{Events: events, AsOf: seen})
 			return
 		}
@@ -362,7 +362,7 @@
 		case <-r.Context().Done():
 			return
 		case <-timer.C:
-			if !t.SilentWatch {
+			if !t.SilentWatches {
 				answer(w, http.StatusOK, platform.ReadResult{Events: events, AsOf: seen})
 				return
 			}
--- a/stoatfake/server.go
+++ b/stoatfake/server.go
@@ -44,8 +44,8 @@
 // Addr is where the server listens.
 func (s *Server) Addr() netip.AddrPort { return s.ln.Addr().(*net.TCPAddr).AddrPort() }
 
-// Ran returns how many calls ran, and how many were refused.
-func (s *Server) Ran() (ran, shed int64) { return s.ran.Load(), s.shed.Load() }
+// Counts returns how many calls ran, and how many were refused.
+func (s *Server) Counts() (ran, shed int64) { return s.ran.Load(), s.shed.Load() }
 
 // Close ends the server at once.
 func (s *Server) Close() { _ = s.srv.Close() }
--- a/stoatfake/upstream.go
+++ b/stoatfake/upstream.go
@@ -41,8 +41,8 @@
 // Addr is where entries send packets to.
 func (u *Upstream) Addr() netip.AddrPort { return u.conn.LocalAddr().(*net.UDPAddr).AddrPort() }
 
-// Open returns the number of open flows.
-func (u *Upstream) Open() int {
+// OpenFlows returns the number of open flows.
+func (u *Upstream) OpenFlows() int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.flows)
--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -74,7 +74,7 @@
 // The outcomes of a call.
 const (
 	Answered    Outcome = iota
-	Forgotten           // the platform no longer has the history from that revision on
+	HistoryGone         // the platform no longer has the history from that revision on
 	Refused             // the platform refused the call by rate
 	Failed              // there was no usable answer
 	Interrupted         // the caller cancelled the call in order to make a new one
@@ -279,7 +279,7 @@
 		r.AsOf.Era = f.era
 	}
 	switch r.Outcome {
-	case Forgotten:
+	case HistoryGone:
 		f.forgottenInRow++
 		if !f.BeginEra(r.AsOf.Era) {
 			f.relist()
--- a/stoatfeed/feed_test.go
+++ b/stoatfeed/feed_test.go
@@ -65,7 +65,7 @@
 // list must follow at once.
 func TestForgottenHistory(t *testing.T) {
 	f := listed(t, false)
-	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten}); v.Apply || v.OutageBegan {
+	if v := f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.HistoryGone}); v.Apply || v.OutageBegan {
 		t.Errorf("%+v", v)
 	}
 	if c := f.Next(); !c.List || c.Pause != 0 {
@@ -197,7 +197,7 @@
 // list and must not be taken for ended.
 func TestOldListOfAReplica(t *testing.T) {
 	f := listed(t, false)
-	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Refused})
 	c := f.Next()
 	if v := f.Done(start, start, c, stoatfeed.Result{AsOf: revision(8)}); !c.AllowStale || v.Complete {
@@ -272,7 +272,7 @@
 		t.Fatalf("%+v", c)
 	}
 	f.Done(start, start, c, stoatfeed.Result{AsOf: revision(10)})
-	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+	f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 	if c = f.Next(); !c.List || c.AllowStale {
 		t.Errorf("%+v", c)
 	}
--- a/stoatfeed/restore_test.go
+++ b/stoatfeed/restore_test.go
@@ -31,7 +31,7 @@
 func TestWatchOverARestore(t *testing.T) {
 	for name, r := range map[string]stoatfeed.Result{
 		"answered":  {AsOf: position(2, 14), Changes: 2},
-		"forgotten": {Outcome: stoatfeed.Forgotten, AsOf: position(2, 0)},
+		"forgotten": {Outcome: stoatfeed.HistoryGone, AsOf: position(2, 0)},
 	} {
 		f := inEra(t, true)
 		if v := f.Done(start, start, f.Next(), r); v.Apply || v.Current {
@@ -108,7 +108,7 @@
 	for name, list := range map[string]bool{"lists": true, "watches": false} {
 		f := inEra(t, true)
 		if list {
-			f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.Forgotten})
+			f.Done(start, start, f.Next(), stoatfeed.Result{Outcome: stoatfeed.HistoryGone})
 		}
 		var passed time.Duration
 		for n := range 30 {
@@ -147,7 +147,7 @@
 			lists++
 			f.Done(start, start, c, stoatfeed.Result{AsOf: position(1, 10)})
 		case c.AllowStale:
-			f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.Forgotten, AsOf: position(1, 0)})
+			f.Done(start, start, c, stoatfeed.Result{Outcome: stoatfeed.HistoryGone, AsOf: position(1, 0)})
 		case lists != 2:
 			t.Fatalf("the platform itself is watched after %d lists, call %d", lists, n)
 		default:
--- a/stoatfilter/filter.go
+++ b/stoatfilter/filter.go
@@ -13,11 +13,11 @@
 
 // The verdicts.
 const (
-	Eligible  Verdict = iota
-	Spare             // the upstream is cold and can take one more flow now; warm upstreams are preferred
-	Evacuated         // the upstream's data centre is evacuated
-	Outside           // the upstream is in none of the regions that the route allows
-	Cold              // the upstream is cold and can take no more flows now
+	Eligible       Verdict = iota
+	ColdEligible           // the upstream is cold and can take one more flow now; warm upstreams are preferred
+	Evacuated              // the upstream's data centre is evacuated
+	OutsideRegions         // the upstream is in none of the regions that the route allows
+	Cold                   // the upstream is cold and can take no more flows now
 	VerdictCount
 )
 
@@ -48,7 +48,7 @@
 	if u.DataCentre != f.DataCentre || !f.EntryRank.hasTurn(now, u, load) {
 		return Cold
 	}
-	return Spare
+	return ColdEligible
 }
 
 // CheckPolicy decides by the operators' settings alone: evacuations and the regions of the route. It also
@@ -58,7 +58,7 @@
 	case t.Evacuated(u.DataCentre):
 		return Evacuated
 	case len(r.Regions) > 0 && !slices.Contains(r.Regions, f.Regions[u.DataCentre]):
-		return Outside
+		return OutsideRegions
 	}
 	return Eligible
 }
--- a/stoatfilter/filter_test.go
+++ b/stoatfilter/filter_test.go
@@ -42,8 +42,8 @@
 		"evacuated":                   {centre: "left", want: stoatfilter.Evacuated},
 		"evacuated, in its region":    {centre: "left", regions: []stoatpaddle.RegionID{"north"}, want: stoatfilter.Evacuated},
 		"in its region":               {centre: "there", regions: []stoatpaddle.RegionID{"east", "north"}, want: stoatfilter.Eligible},
-		"outside":                     {centre: "here", regions: []stoatpaddle.RegionID{"north"}, want: stoatfilter.Outside},
-		"of no known region":          {centre: "lost", regions: []stoatpaddle.RegionID{"north"}, want: stoatfilter.Outside},
+		"outside":                     {centre: "here", regions: []stoatpaddle.RegionID{"north"}, want: stoatfilter.OutsideRegions},
+		"of no known region":          {centre: "lost", regions: []stoatpaddle.RegionID{"north"}, want: stoatfilter.OutsideRegions},
 		"cold without a limit":        {centre: "here", cold: time.Second, want: stoatfilter.Eligible},
 		"warm with a limit":           {centre: "here", rate: 3, want: stoatfilter.Eligible},
 		"cold, place not known":       {centre: "here", rate: 3, cold: time.Second, want: stoatfilter.Cold},
@@ -70,7 +70,7 @@
 	for at := time.Duration(0); at < 4*time.Second; at += 10 * time.Millisecond {
 		got[f.CheckNewFlow(start.Add(at), table, &stoatroute.Route{}, u, stoatfilter.ColdLoad{})]++
 	}
-	if got[stoatfilter.Spare] < 150 || got[stoatfilter.Cold] < 150 {
+	if got[stoatfilter.ColdEligible] < 150 || got[stoatfilter.Cold] < 150 {
 		t.Error(got)
 	}
 }
@@ -97,7 +97,7 @@
 				x := *u
 				x.WarmAt = own.Add(time.Second)
 				load := stoatfilter.ColdLoad{RequestsPerFlow: requests, LastSent: taken[[2]int{i, j}]}
-				if f.CheckNewFlow(own, table, route, &x, load) == stoatfilter.Spare {
+				if f.CheckNewFlow(own, table, route, &x, load) == stoatfilter.ColdEligible {
 					taken[[2]int{i, j}] = own
 					got[j] = append(got[j], now)
 					all++
@@ -180,6 +180,6 @@
 }
 
 func ExampleVerdict() {
-	fmt.Println(stoatfilter.Evacuated, stoatfilter.Outside, stoatfilter.Cold)
+	fmt.Println(stoatfilter.Evacuated, stoatfilter.OutsideRegions, stoatfilter.Cold)
 	// Output: evacuated outside cold
 }
--- a/stoatflow/session_test.go
+++ b/stoatflow/session_test.go
@@ -45,7 +45,7 @@
 			dead: map[stoatpaddle.InstanceID]bool{}, leaving: map[stoatpaddle.InstanceID]bool{},
 		}
 		write := func(line string) { fmt.Fprintln(&s.out, line) }
-		stoatgolden.Each(t, text, write, func(at time.Duration, words []string) {
+		stoatgolden.ForEachEvent(t, text, write, func(at time.Duration, words []string) {
 			s.now = at
 			s.apply(words)
 		})
--- a/stoatgolden/golden.go
+++ b/stoatgolden/golden.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// Each calls event for each line "@TIME words" of a session, and copies every line but
+// ForEachEvent calls event for each line "@TIME words" of a session, and copies every line but
 // the results of an earlier run, which event writes anew.
-func Each(t *testing.T, text string, write func(line string), event func(at time.Duration, words []string)) {
+func ForEachEvent(t *testing.T, text string, write func(line string), event func(at time.Duration, words []string)) {
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		if strings.HasPrefix(line, resultMark) {
 			continue
--- a/stoatmeasure/fleet.go
+++ b/stoatmeasure/fleet.go
@@ -16,16 +16,16 @@
 
 // Config configures one experiment.
 type Config struct {
-	Entries   int
-	Upstreams int
-	Flows     int     // open in the steady state
-	Opens     float64 // flows opened a second, over all entries
-	Lean      stoatpaddle.Preference
-	Gain      float64       // 0: the engine's default
-	Budget    int           // 0: the engine's default
-	LoadAge   time.Duration // added to the delay of load reports
-	LoadLoss  float64       // part of the load reports that are lost
-	Seed      uint64
+	Entries         int
+	Upstreams       int
+	Flows           int     // open in the steady state
+	OpenRate        float64 // flows opened a second, over all entries
+	Lean            stoatpaddle.Preference
+	Gain            float64       // 0: the engine's default
+	ControlBudget   int           // 0: the engine's default
+	LoadReportDelay time.Duration // added to the delay of load reports
+	LoadReportLoss  float64       // part of the load reports that are lost
+	Seed            uint64
 }
 
 const (
@@ -153,7 +153,7 @@
 // boot starts an entry that knows everything declared so far.
 func (f *fleet) boot(e *entry) {
 	e.engine = stoatflow.New(stoatflow.Config{
-		Self: e.inst.ID, Start: epoch, Gain: f.cfg.Gain, ControlBudget: f.cfg.Budget, Seed: f.rnd.Uint64(),
+		Self: e.inst.ID, Start: epoch, Gain: f.cfg.Gain, ControlBudget: f.cfg.ControlBudget, Seed: f.rnd.Uint64(),
 	})
 	e.input = stoatview.Input{
 		Self: e.inst.ID, Seed: stoatpacket.Seed{K0: f.cfg.Seed, K1: 1}, Contracts: []stoatpaddle.Contract{f.contract},
@@ -235,7 +235,7 @@
 	if f.counting {
 		frame, err := stoatpeer.Encode(&stoatmessage.Flows{Batch: b})
 		if err == nil {
-			f.result.Bytes += len(frame)
+			f.result.ControlBytes += len(frame)
 		}
 	}
 	loads := b.Loads
@@ -245,10 +245,10 @@
 			to.engine.Receive(f.now(), to.view, from.inst.ID, b)
 		}
 	})
-	if len(loads) == 0 || f.rnd.Float64() < f.cfg.LoadLoss {
+	if len(loads) == 0 || f.rnd.Float64() < f.cfg.LoadReportLoss {
 		return
 	}
-	f.q.after(f.delay(from, to)+f.cfg.LoadAge, func() {
+	f.q.after(f.delay(from, to)+f.cfg.LoadReportDelay, func() {
 		if to.alive && f.reach(from, to) {
 			to.engine.Receive(f.now(), to.view, from.inst.ID, stoatflow.Batch{Loads: loads})
 		}
--- a/stoatmeasure/long_flows_test.go
+++ b/stoatmeasure/long_flows_test.go
@@ -8,7 +8,7 @@
 // Guards against an overload of long flows in which the kind that is worth most is served as badly as the others:
 // two and a half times what upstreams of two slots can do, a fifth of which hang.
 func TestUrgentRequestsGoFirst(t *testing.T) {
-	fleet := OverloadConfig{Entries: 20, Upstreams: 40, Long: true, Hanging: 0.2}
+	fleet := OverloadConfig{Entries: 20, Upstreams: 40, LongFlows: true, HangingShare: 0.2}
 	o := play(t, fleet, 500*time.Millisecond, 3, Stage{0.6, 2 * time.Second}, Stage{2.5, 4 * time.Second})
 	usual, urgent := o.Stages[1][0], o.Stages[1][1]
 	served := func(x Outcomes) float64 { return x.share(x.InTime + x.Late) }
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -43,8 +43,8 @@
 
 // Stage is a part of a load: so many times what the upstreams can do, for a while.
 type Stage struct {
-	Load float64
-	For  time.Duration
+	Load     float64
+	Duration time.Duration
 }
 
 // OverloadConfig configures RunOverload.
@@ -54,10 +54,10 @@
 	// Objective is how soon an answer has to come, as entries know it; 0: they refuse nobody for being late.
 	Objective time.Duration
 	Seed      uint64
-	// Long has callers keep flows for many requests, before upstreams of two slots and a queue of eight.
-	Long bool
-	// Hanging is the part of the upstreams that never answer six of ten requests.
-	Hanging float64
+	// LongFlows has callers keep flows for many requests, before upstreams of two slots and a queue of eight.
+	LongFlows bool
+	// HangingShare is the part of the upstreams that never answer six of ten requests.
+	HangingShare float64
 }
 
 // capacity is how many requests a second the upstreams can do.
@@ -66,14 +66,14 @@
 }
 
 func (c OverloadConfig) slots() int {
-	if c.Long {
+	if c.LongFlows {
 		return longSlots
 	}
 	return overloadSlots
 }
 
 func (c OverloadConfig) queue() int {
-	if c.Long {
+	if c.LongFlows {
 		return longQueue
 	}
 	return overloadQueue
@@ -89,8 +89,8 @@
 	o.Refused += x.Refused
 }
 
-// Overload is what a load came to.
-type Overload struct {
+// OverloadResult is what a load came to.
+type OverloadResult struct {
 	Usual, Urgent Outcomes
 	// Bound is the worth that the slots can yield in time, with the urgent ones first.
 	Bound float64
@@ -98,8 +98,8 @@
 	Stages [][2]Outcomes
 }
 
-// Worth is what was answered in time.
-func (o *Overload) Worth() float64 {
+// Goodput is what was answered in time.
+func (o *OverloadResult) Goodput() float64 {
 	return float64(o.Usual.InTime) + urgentWorth*float64(o.Urgent.InTime)
 }
 
@@ -108,7 +108,7 @@
 func (c OverloadConfig) bound(stages [][2]Outcomes) float64 {
 	sum := 0.0
 	for i, s := range c.Stages {
-		can := c.capacity() * (s.For + overloadObjective).Seconds()
+		can := c.capacity() * (s.Duration + overloadObjective).Seconds()
 		urgent := min(can, float64(stages[i][1].Asked))
 		sum += urgentWorth*urgent + min(can-urgent, float64(stages[i][0].Asked))
 	}
@@ -125,7 +125,7 @@
 	servers map[stoatpaddle.UpstreamID]*overloadServer
 	port    int
 	idle    map[netip.AddrPort][]*longFlow // open flows without a request
-	out     Overload
+	out     OverloadResult
 }
 
 type overloadServer struct {
@@ -147,7 +147,7 @@
 	names := map[stoatpaddle.UpstreamID]bool{}
 	for i := range cfg.Upstreams {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
-		m.servers[id], names[id] = &overloadServer{hangs: float64(i) < cfg.Hanging*float64(cfg.Upstreams)}, true
+		m.servers[id], names[id] = &overloadServer{hangs: float64(i) < cfg.HangingShare*float64(cfg.Upstreams)}, true
 		m.book.Register(overloadEpoch, stoatpaddle.Registration{
 			ID: id, Target: stoatpaddle.TargetID(i + 1), Service: "app", DataCentre: "here", Slots: cfg.slots(), CreateRevision: stoatpaddle.Version(i + 2),
 		}, stoatpaddle.Version(i+2))
@@ -162,17 +162,17 @@
 }
 
 // RunOverload plays a load, and returns what became of its requests.
-func RunOverload(ctx context.Context, cfg OverloadConfig) (Overload, error) {
+func RunOverload(ctx context.Context, cfg OverloadConfig) (OverloadResult, error) {
 	m := newOverloadModel(cfg)
 	m.out.Stages = make([][2]Outcomes, len(cfg.Stages))
 	at := time.Duration(0)
 	for i, s := range cfg.Stages {
 		m.offer(i, at, s)
-		at += s.For
+		at += s.Duration
 	}
 	for len(m.q.list) > 0 {
 		if err := ctx.Err(); err != nil {
-			return Overload{}, err
+			return OverloadResult{}, err
 		}
 		m.q.run(m.q.list[0].at)
 	}
@@ -192,7 +192,7 @@
 	if rate <= 0 {
 		return
 	}
-	for at := from; at < from+s.For; at += time.Duration(m.rnd.ExpFloat64() / rate * float64(time.Second)) {
+	for at := from; at < from+s.Duration; at += time.Duration(m.rnd.ExpFloat64() / rate * float64(time.Second)) {
 		urgent := m.rnd.Float64() < urgentPart
 		m.q.after(at, func() {
 			out, listen := &m.out.Stages[stage][0], usualListen
@@ -200,7 +200,7 @@
 				out, listen = &m.out.Stages[stage][1], urgentListen
 			}
 			out.Asked++
-			if m.cfg.Long {
+			if m.cfg.LongFlows {
 				m.ask(listen, out, m.q.now)
 				return
 			}
--- a/stoatmeasure/overload_report.go
+++ b/stoatmeasure/overload_report.go
@@ -63,9 +63,9 @@
 	for i := range rows {
 		group.Go(func() error {
 			o, err := RunOverload(ctx, runs[i])
-			rows[i].Worth, rows[i].Bound, rows[i].Usual, rows[i].Urgent = o.Worth(), o.Bound, o.Usual, o.Urgent
+			rows[i].Worth, rows[i].Bound, rows[i].Usual, rows[i].Urgent = o.Goodput(), o.Bound, o.Usual, o.Urgent
 			if o.Bound > 0 {
-				rows[i].Share = o.Worth() / o.Bound
+				rows[i].Share = o.Goodput() / o.Bound
 			}
 			return err
 		})
--- a/stoatmeasure/overload_test.go
+++ b/stoatmeasure/overload_test.go
@@ -9,9 +9,9 @@
 var smallFleet, largeFleet = OverloadConfig{Entries: 3, Upstreams: 4}, OverloadConfig{Entries: 30, Upstreams: 40}
 
 // play plays stages with the first seeds, summed up. Without an objective nothing is refused for being late.
-func play(t *testing.T, fleet OverloadConfig, objective time.Duration, seeds uint64, stages ...Stage) Overload {
+func play(t *testing.T, fleet OverloadConfig, objective time.Duration, seeds uint64, stages ...Stage) OverloadResult {
 	t.Helper()
-	sum := Overload{Stages: make([][2]Outcomes, len(stages))}
+	sum := OverloadResult{Stages: make([][2]Outcomes, len(stages))}
 	for seed := range seeds {
 		fleet.Stages, fleet.Objective, fleet.Seed = stages, objective, seed
 		o, err := RunOverload(context.Background(), fleet)
@@ -26,7 +26,7 @@
 			sum.Stages[i][1].add(o.Stages[i][1])
 		}
 	}
-	t.Logf("%+v, objective %s: usual %+v, urgent %+v, %.2f of the bound", stages, objective, sum.Usual, sum.Urgent, sum.Worth()/sum.Bound)
+	t.Logf("%+v, objective %s: usual %+v, urgent %+v, %.2f of the bound", stages, objective, sum.Usual, sum.Urgent, sum.Goodput()/sum.Bound)
 	return sum
 }
 
@@ -118,8 +118,8 @@
 func TestBound(t *testing.T) {
 	for _, p := range loadPatterns {
 		for _, objective := range []time.Duration{0, overloadObjective} {
-			if o := play(t, smallFleet, objective, 2, p.stages...); o.Worth() > o.Bound {
-				t.Errorf("%s: worth %.0f, bound %.0f", p.name, o.Worth(), o.Bound)
+			if o := play(t, smallFleet, objective, 2, p.stages...); o.Goodput() > o.Bound {
+				t.Errorf("%s: worth %.0f, bound %.0f", p.name, o.Goodput(), o.Bound)
 			}
 		}
 	}
--- a/stoatmeasure/report.go
+++ b/stoatmeasure/report.go
@@ -15,8 +15,8 @@
 // Plan is what RunAll measures.
 type Plan struct {
 	Config
-	Only     string // the first characters of the experiments' names; empty for all
-	Parallel int    // experiments at once
+	NamePrefix string // the first characters of the experiments' names; empty for all
+	Parallel   int    // experiments at once
 }
 
 // curveAges are the ages of load reports for which the curve is measured.
@@ -81,11 +81,11 @@
 
 // selected tells whether the plan asks for the experiment.
 func (p Plan) selected(name string) bool {
-	return len(name) >= len(p.Only) && name[:len(p.Only)] == p.Only
+	return len(name) >= len(p.NamePrefix) && name[:len(p.NamePrefix)] == p.NamePrefix
 }
 
-// RunAll runs the experiments and writes a table, or JSON.
-func RunAll(ctx context.Context, p Plan, asJSON bool, w io.Writer) error {
+// ReportExperiments runs the experiments and writes a table, or JSON.
+func ReportExperiments(ctx context.Context, p Plan, asJSON bool, w io.Writer) error {
 	var jobs []func() row
 	for _, x := range Experiments() {
 		if !p.selected(x.Name) {
@@ -96,9 +96,9 @@
 	return report(ctx, p.Parallel, jobs, asJSON, w)
 }
 
-// RunCurve measures imbalance against the tracked share: gains and ages of load reports,
+// ReportCurve measures imbalance against the tracked share: gains and ages of load reports,
 // for both leanings.
-func RunCurve(ctx context.Context, p Plan, asJSON bool, w io.Writer) error {
+func ReportCurve(ctx context.Context, p Plan, asJSON bool, w io.Writer) error {
 	var jobs []func() row
 	steady := Experiments()[0]
 	add := func(cfg Config, name string) {
@@ -111,12 +111,12 @@
 	for _, age := range curveAges {
 		for _, gain := range curveGains {
 			cfg := p.Config
-			cfg.Gain, cfg.LoadAge = gain, age
+			cfg.Gain, cfg.LoadReportDelay = gain, age
 			add(cfg, fmt.Sprintf("gain %g, loads %s late", gain, age))
 		}
 	}
 	lossy := p.Config
-	lossy.LoadLoss = 0.3
+	lossy.LoadReportLoss = 0.3
 	add(lossy, "30% of the load reports lost")
 	for _, lean := range []stoatpaddle.Preference{stoatpaddle.PreferFewTracked, stoatpaddle.PreferBalance} {
 		cfg := p.Config
@@ -132,8 +132,8 @@
 	for _, r := range rows {
 		x := r.result
 		_, _ = fmt.Fprintf(w, "%-30s %9d %7d %8d %7d %8.4f%% %6d %6d %7.2f%% %9.4f %9.4f %8.0f %7.2f\n",
-			x.Name, r.cfg.Upstreams, x.Flows, x.Opened, x.Broken, x.share(), x.Roamed, x.NaiveBroken, 100*x.Tracked,
-			x.Worst, x.Mean, x.PerEntry, x.LateOpens.Seconds())
+			x.Name, r.cfg.Upstreams, x.Flows, x.Opened, x.Broken, x.share(), x.BrokenByRoaming, x.NaiveBroken, 100*x.TrackedShare,
+			x.MaxImbalance, x.MeanImbalance, x.ControlRate, x.LateOpenDelay.Seconds())
 	}
 }
 
@@ -146,8 +146,8 @@
 		x := r.result
 		out = append(out, wireResult{
 			Name: x.Name, Upstreams: r.cfg.Upstreams, Lean: string(r.cfg.Lean), Seed: x.Seed, Flows: x.Flows, Opened: x.Opened,
-			Broken: x.Broken, Parted: x.Parted, Roamed: x.Roamed, Naive: x.NaiveBroken, Tracked: x.Tracked,
-			Worst: x.Worst, Mean: x.Mean, Control: x.PerEntry, Late: x.LateOpens.Seconds(),
+			Broken: x.Broken, Parted: x.BrokenByPartition, Roamed: x.BrokenByRoaming, Naive: x.NaiveBroken, Tracked: x.TrackedShare,
+			Worst: x.MaxImbalance, Mean: x.MeanImbalance, Control: x.ControlRate, Late: x.LateOpenDelay.Seconds(),
 		})
 	}
 	return encodeJSON(w, out)
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -15,32 +15,32 @@
 // SilenceConfig configures the experiment on how soon a data centre notices upstreams that answer
 // nobody, on a fabric that brings cookies back.
 type SilenceConfig struct {
-	Entries   int
-	Upstreams int
-	Rate      float64 // requests a second and upstream
-	Share     float64 // of the upstreams that fail
-	Seed      uint64
+	Entries      int
+	Upstreams    int
+	RequestRate  float64 // requests a second and upstream
+	FailingShare float64 // of the upstreams that fail
+	Seed         uint64
 }
 
-// Way is what the entries of the data centre tell each other.
-type Way string
+// Sharing is what the entries of the data centre tell each other.
+type Sharing string
 
 // The ways that are compared.
 const (
-	Alone  Way = "each for itself"
-	Pooled Way = "product: along the relay tree"
-	AtOnce Way = "known at once" // the bound: the same decisions without any delay
+	Isolated   Sharing = "each for itself"
+	Aggregated Sharing = "product: along the relay tree"
+	Instant    Sharing = "known at once" // the bound: the same decisions without any delay
 )
 
-// Trouble is what happens in the experiment.
-type Trouble string
+// Fault is what happens in the experiment.
+type Fault string
 
 // The troubles.
 const (
-	Silenced Trouble = "silent"    // a share of the upstreams answers nothing
-	Refusing Trouble = "refuse"    // the same, and their machines refuse towards callers
-	Lossy    Trouble = "lossy"     // every thirtieth packet is lost, and no upstream fails
-	CutEntry Trouble = "entry cut" // nothing that one entry sends reaches an upstream
+	Silenced    Fault = "silent"    // a share of the upstreams answers nothing
+	Refusing    Fault = "refuse"    // the same, and their machines refuse towards callers
+	Lossy       Fault = "lossy"     // every thirtieth packet is lost, and no upstream fails
+	EntryCutOff Fault = "entry cut" // nothing that one entry sends reaches an upstream
 )
 
 const (
@@ -60,29 +60,29 @@
 	probeEvery   = 20 * time.Millisecond // how often it is looked who avoids whom
 )
 
-// Silence is what one way gave under one trouble.
-type Silence struct {
-	Way     Way
-	Trouble Trouble
-	Asked   int
-	Late    int
-	// Bound counts those of Late on flows that were open before: an open flow stays at its upstream,
+// SilenceResult is what one way gave under one trouble.
+type SilenceResult struct {
+	Sharing  Sharing
+	Fault    Fault
+	Requests int
+	Late     int
+	// LateOnOpenFlows counts those of Late on flows that were open before: an open flow stays at its upstream,
 	// whatever entries know.
-	Bound  int
-	Failed int
-	// Wrongly counts ejections of upstreams that were well, one for each entry that ejects.
-	Wrongly int
-	// Known is how long after the trouble began nine of ten entries avoided a failing upstream, as
+	LateOnOpenFlows int
+	Failed          int
+	// WrongEjections counts ejections of upstreams that were well, one for each entry that ejects.
+	WrongEjections int
+	// DetectionTime is how long after the trouble began nine of ten entries avoided a failing upstream, as
 	// a mean over these; one that was never avoided so counts with all of the time.
-	Known time.Duration
-	Bytes float64 // of reports and sums, sent a second and entry
+	DetectionTime time.Duration
+	ByteRate      float64 // of reports and sums, sent a second and entry
 }
 
 // silenceModel is one data centre in virtual time.
 type silenceModel struct {
 	cfg     SilenceConfig
-	way     Way
-	trouble Trouble
+	way     Sharing
+	trouble Fault
 	q       queue
 	rnd     *rand.Rand
 	book    *stoatroute.Builder
@@ -92,7 +92,7 @@
 	port    int
 	bytes   int
 	known   map[int]time.Duration // by upstream
-	out     Silence
+	out     SilenceResult
 }
 
 // silenceEpoch is the model's time zero.
@@ -113,12 +113,12 @@
 var silenceListen = [2]netip.AddrPort{netip.MustParseAddrPort("198.18.0.1:8443"), netip.MustParseAddrPort("198.18.0.1:8080")}
 
 // RunSilence runs one way under one trouble.
-func RunSilence(ctx context.Context, cfg SilenceConfig, way Way, trouble Trouble) (Silence, error) {
+func RunSilence(ctx context.Context, cfg SilenceConfig, way Sharing, trouble Fault) (SilenceResult, error) {
 	m := &silenceModel{
 		cfg: cfg, way: way, trouble: trouble, rnd: rand.New(rand.NewPCG(cfg.Seed, 11)),
 		book:  stoatroute.NewBuilder(stoatroute.Config{}),
 		flows: map[stoatpacket.Tuple]*silentFlow{}, known: map[int]time.Duration{},
-		out: Silence{Way: way, Trouble: trouble},
+		out: SilenceResult{Sharing: way, Fault: trouble},
 	}
 	m.declare()
 	for i := range cfg.Entries {
@@ -128,7 +128,7 @@
 	m.q.after(silenceFrom, m.probe)
 	for at := silenceLast / 10; at <= silenceFrom+silenceLast+silenceAfter+silenceLimit; at += silenceLast / 10 {
 		if err := ctx.Err(); err != nil {
-			return Silence{}, err
+			return SilenceResult{}, err
 		}
 		m.q.run(at)
 	}
@@ -143,7 +143,7 @@
 		{Listen: silenceListen[1], Backends: to, TargetLatency: silenceGoal, Priority: 1},
 	}}, 1)
 	names := map[stoatpaddle.UpstreamID]bool{}
-	failing := int(m.cfg.Share * float64(m.cfg.Upstreams))
+	failing := int(m.cfg.FailingShare * float64(m.cfg.Upstreams))
 	for i := range m.cfg.Upstreams {
 		id := stoatpaddle.UpstreamID(fmt.Sprintf("i-%d", i+1))
 		names[id] = true
@@ -181,7 +181,7 @@
 	m.q.after(probeEvery, m.probe)
 }
 
-func (m *silenceModel) finish() Silence {
+func (m *silenceModel) finish() SilenceResult {
 	failing := 0
 	for i, u := range m.ups {
 		if !u.fails || m.trouble != Silenced && m.trouble != Refusing {
@@ -189,15 +189,15 @@
 		}
 		failing++
 		if d, ok := m.known[i]; ok {
-			m.out.Known += d
+			m.out.DetectionTime += d
 		} else {
-			m.out.Known += silenceLast
+			m.out.DetectionTime += silenceLast
 		}
 	}
 	if failing > 0 {
-		m.out.Known /= time.Duration(failing)
+		m.out.DetectionTime /= time.Duration(failing)
 	}
-	m.out.Bytes = float64(m.bytes) / m.q.now.Seconds() / float64(len(m.entries))
+	m.out.ByteRate = float64(m.bytes) / m.q.now.Seconds() / float64(len(m.entries))
 	return m.out
 }
 
@@ -207,6 +207,6 @@
 	failing := m.ups[i].fails && (m.trouble == Silenced || m.trouble == Refusing)
 	// Whoever is back has to be heard of first.
 	if !failing || m.q.now < silenceFrom || m.q.now > silenceFrom+silenceLast+backAfter {
-		m.out.Wrongly++
+		m.out.WrongEjections++
 	}
 }
--- a/stoatmeasure/silence_report.go
+++ b/stoatmeasure/silence_report.go
@@ -38,8 +38,8 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(max(1, parallel))
 	for _, fleet := range silenceFleets {
-		for _, trouble := range []Trouble{Silenced, Refusing, Lossy, CutEntry} {
-			for _, way := range []Way{Alone, Pooled, AtOnce} {
+		for _, trouble := range []Fault{Silenced, Refusing, Lossy, EntryCutOff} {
+			for _, way := range []Sharing{Isolated, Aggregated, Instant} {
 				rows = append(rows, wireSilence{Trouble: string(trouble), Way: string(way), Entries: fleet.Entries, Upstreams: fleet.Upstreams})
 			}
 		}
@@ -62,12 +62,12 @@
 }
 
 func (r *wireSilence) measure(ctx context.Context, seed uint64) error {
-	cfg := SilenceConfig{Entries: r.Entries, Upstreams: r.Upstreams, Rate: silenceRate, Share: silenceShare, Seed: seed}
-	s, err := RunSilence(ctx, cfg, Way(r.Way), Trouble(r.Trouble))
+	cfg := SilenceConfig{Entries: r.Entries, Upstreams: r.Upstreams, RequestRate: silenceRate, FailingShare: silenceShare, Seed: seed}
+	s, err := RunSilence(ctx, cfg, Sharing(r.Way), Fault(r.Trouble))
 	if err != nil {
 		return err
 	}
-	r.Asked, r.Late, r.Failed, r.Wrongly, r.Bytes = s.Asked, s.Late, s.Failed, s.Wrongly, s.Bytes
-	r.Known = float64(s.Known.Microseconds()) / 1000
+	r.Asked, r.Late, r.Failed, r.Wrongly, r.Bytes = s.Requests, s.Late, s.Failed, s.WrongEjections, s.ByteRate
+	r.Known = float64(s.DetectionTime.Microseconds()) / 1000
 	return nil
 }
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -74,12 +74,12 @@
 
 // notice has the entry take a turn soon.
 func (e *silentEntry) notice() {
-	if e.due || e.m.way == Alone {
+	if e.due || e.m.way == Isolated {
 		return
 	}
 	e.due = true
 	wait := time.Duration(0)
-	if e.m.way == Pooled {
+	if e.m.way == Aggregated {
 		wait = max(0, e.next-e.m.q.now)
 	}
 	e.m.q.after(wait, e.turn)
@@ -87,7 +87,7 @@
 
 // hop is how long a message takes to the next entry.
 func (e *silentEntry) hop() time.Duration {
-	if e.m.way == AtOnce {
+	if e.m.way == Instant {
 		return 0
 	}
 	return treeHop
--- a/stoatmeasure/silence_world.go
+++ b/stoatmeasure/silence_world.go
@@ -37,7 +37,7 @@
 
 // offer lets callers come: those with a long flow, and those with a flow a request.
 func (m *silenceModel) offer() {
-	rate := m.cfg.Rate * float64(m.cfg.Upstreams)
+	rate := m.cfg.RequestRate * float64(m.cfg.Upstreams)
 	for range int(longShare * rate * longPause.Seconds()) {
 		m.q.after(time.Duration(m.rnd.Float64()*float64(longPause)), func() { m.try(true, m.q.now, 1, false) })
 	}
@@ -66,7 +66,7 @@
 // that was open.
 func (m *silenceModel) try(long bool, first time.Duration, n int, bound bool) {
 	if n == 1 && counted(first) {
-		m.out.Asked++
+		m.out.Requests++
 	}
 	m.port++
 	f := &silentFlow{long: long, bound: bound, first: first, tries: n, entry: m.entries[m.rnd.IntN(len(m.entries))]}
@@ -137,7 +137,7 @@
 		switch {
 		case a.Verdict == stoatecho.Reset:
 			m.q.after(silenceTrip, func() { m.again(f) })
-		case a.Verdict != stoatecho.Forward || m.lost() || m.trouble == CutEntry && f.entry.index == 0 && m.troubled():
+		case a.Verdict != stoatecho.Forward || m.lost() || m.trouble == EntryCutOff && f.entry.index == 0 && m.troubled():
 		default:
 			up := int(a.Upstream.Target) - 1
 			m.q.after(silenceTrip, func() { m.arrive(f, up, a.Upstream.Key, &p) })
@@ -241,7 +241,7 @@
 	if counted(f.first) && m.q.now-f.first > silenceGoal {
 		m.out.Late++
 		if f.bound {
-			m.out.Bound++
+			m.out.LateOnOpenFlows++
 		}
 	}
 	m.send(f, stoatpacket.Packet{Seq: f.seq + 100, Ack: f.ack, Ends: !f.long})
@@ -256,7 +256,7 @@
 		}
 		f.first, f.tries, f.bound = m.q.now, 1, true
 		if counted(f.first) {
-			m.out.Asked++
+			m.out.Requests++
 		}
 		m.ask(f)
 	})
--- a/stoatmeasure/spread.go
+++ b/stoatmeasure/spread.go
@@ -21,13 +21,13 @@
 // SpreadConfig configures the experiment on how entries choose upstreams on a fabric that
 // brings cookies back: one data centre, a request a flow.
 type SpreadConfig struct {
-	Entries   int
-	Upstreams int
-	Slots     int           // requests that an upstream runs at once
-	Load      float64       // the part of all slots that is asked for
-	Work      time.Duration // of a request, mean; uniform from a half to one and a half of it
-	Last      time.Duration
-	Seed      uint64
+	Entries     int
+	Upstreams   int
+	Slots       int           // requests that an upstream runs at once
+	Load        float64       // the part of all slots that is asked for
+	ServiceTime time.Duration // of a request, mean; uniform from a half to one and a half of it
+	Duration    time.Duration
+	Seed        uint64
 }
 
 const (
@@ -36,14 +36,14 @@
 	subsetSize  = 8                    // upstreams of an entry that uses few
 )
 
-// Spread is what one way of choosing gave.
-type Spread struct {
-	Way      string
-	Load     float64
-	Asked    int
-	Turned   int // away by a full upstream
-	P50, P99 time.Duration
-	Busiest  float64 // most requests at an upstream over the mean
+// SpreadResult is what one way of choosing gave.
+type SpreadResult struct {
+	Policy    string
+	Load      float64
+	Requests  int
+	Rejected  int // away by a full upstream
+	P50, P99  time.Duration
+	Imbalance float64 // most requests at an upstream over the mean
 }
 
 // spreadModel is a data centre.
@@ -121,8 +121,8 @@
 }
 
 // RunSpread returns what each way of choosing gives.
-func RunSpread(ctx context.Context, cfg SpreadConfig) ([]Spread, error) {
-	var out []Spread
+func RunSpread(ctx context.Context, cfg SpreadConfig) ([]SpreadResult, error) {
+	var out []SpreadResult
 	for _, w := range ways() {
 		if err := ctx.Err(); err != nil {
 			return nil, err
@@ -132,7 +132,7 @@
 	return out, nil
 }
 
-func runWay(cfg SpreadConfig, w way) Spread {
+func runWay(cfg SpreadConfig, w way) SpreadResult {
 	m := &spreadModel{
 		cfg: cfg, rnd: rand.New(rand.NewPCG(cfg.Seed, 1)), running: make([]int, cfg.Upstreams),
 		waiting: make([][]func(), cfg.Upstreams), served: make([]int, cfg.Upstreams), shared: make([]int, cfg.Upstreams),
@@ -144,11 +144,11 @@
 		m.share(w.age)
 	}
 	offer := m.offerTo(w)
-	rate := cfg.Load * float64(cfg.Upstreams*cfg.Slots) / cfg.Work.Seconds()
+	rate := cfg.Load * float64(cfg.Upstreams*cfg.Slots) / cfg.ServiceTime.Seconds()
 	asked := 0
 	var arrive func()
 	arrive = func() {
-		if m.q.now >= cfg.Last {
+		if m.q.now >= cfg.Duration {
 			return
 		}
 		asked++
@@ -156,15 +156,15 @@
 		m.q.after(time.Duration(m.rnd.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	arrive()
-	m.q.run(cfg.Last + 10*time.Second)
+	m.q.run(cfg.Duration + 10*time.Second)
 	slices.Sort(m.took)
 	sum := 0
 	for _, n := range m.served {
 		sum += n
 	}
-	return Spread{
-		Way: w.name, Load: cfg.Load, Asked: asked, Turned: m.turned, P50: m.took[len(m.took)/2], P99: m.took[len(m.took)*99/100],
-		Busiest: float64(slices.Max(m.served)) * float64(cfg.Upstreams) / float64(max(1, sum)),
+	return SpreadResult{
+		Policy: w.name, Load: cfg.Load, Requests: asked, Rejected: m.turned, P50: m.took[len(m.took)/2], P99: m.took[len(m.took)*99/100],
+		Imbalance: float64(slices.Max(m.served)) * float64(cfg.Upstreams) / float64(max(1, sum)),
 	}
 }
 
@@ -176,7 +176,7 @@
 			m.shared[i] += n
 		}
 	}
-	if m.q.now < m.cfg.Last {
+	if m.q.now < m.cfg.Duration {
 		m.q.after(age, func() { m.share(age) })
 	}
 }
@@ -213,7 +213,7 @@
 	begin = func() {
 		m.running[i]++
 		m.served[i]++
-		m.q.after(time.Duration(float64(m.cfg.Work)*(0.5+m.rnd.Float64())), func() {
+		m.q.after(time.Duration(float64(m.cfg.ServiceTime)*(0.5+m.rnd.Float64())), func() {
 			m.running[i]--
 			if len(m.waiting[i]) > 0 {
 				next := m.waiting[i][0]
@@ -305,7 +305,7 @@
 		}
 		for _, s := range list {
 			rows = append(rows, wireSpread{
-				Way: s.Way, Load: s.Load, Asked: s.Asked, Turned: s.Turned, Busiest: s.Busiest,
+				Way: s.Policy, Load: s.Load, Asked: s.Requests, Turned: s.Rejected, Busiest: s.Imbalance,
 				P50: float64(s.P50.Microseconds()) / 1000, P99: float64(s.P99.Microseconds()) / 1000,
 			})
 		}
--- a/stoatmeasure/spread_test.go
+++ b/stoatmeasure/spread_test.go
@@ -12,17 +12,17 @@
 func TestSpread(t *testing.T) {
 	for _, load := range []float64{0.35, 0.7} {
 		list, err := RunSpread(context.Background(), SpreadConfig{
-			Entries: 22, Upstreams: 40, Slots: 2, Load: load, Work: 45 * time.Millisecond, Last: 10 * time.Second, Seed: 3,
+			Entries: 22, Upstreams: 40, Slots: 2, Load: load, ServiceTime: 45 * time.Millisecond, Duration: 10 * time.Second, Seed: 3,
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		got := map[string]Spread{}
+		got := map[string]SpreadResult{}
 		for _, s := range list {
-			got[s.Way] = s
+			got[s.Policy] = s
 		}
 		product, chance, best := got["product: own requests and times"], got["random"], got["all requests, at once"]
-		if product.Asked < 1000 || product.P99 >= chance.P99 || product.P99 > 3*best.P99 {
+		if product.Requests < 1000 || product.P99 >= chance.P99 || product.P99 > 3*best.P99 {
 			t.Errorf("load %g: p99 %s, by chance %s, with all counts %s", load, product.P99, chance.P99, best.P99)
 		}
 	}
--- a/stoatmeasure/traffic.go
+++ b/stoatmeasure/traffic.go
@@ -12,8 +12,8 @@
 
 // arrive opens flows at random moments for as long as the experiment runs.
 func (f *fleet) arrive() {
-	f.q.after(time.Duration(f.rnd.ExpFloat64()/f.cfg.Opens*float64(time.Second)), func() {
-		life := time.Duration(f.rnd.ExpFloat64() * float64(f.cfg.Flows) / f.cfg.Opens * float64(time.Second))
+	f.q.after(time.Duration(f.rnd.ExpFloat64()/f.cfg.OpenRate*float64(time.Second)), func() {
+		life := time.Duration(f.rnd.ExpFloat64() * float64(f.cfg.Flows) / f.cfg.OpenRate * float64(time.Second))
 		f.openFlow(life)
 		f.arrive()
 	})
@@ -157,7 +157,7 @@
 		f.tell(e, a, e.view.Seed.Hash(c.tuple))
 	case stoatflow.Relay:
 		to := f.byRelay[a.To]
-		f.result.Relays++
+		f.result.Relayed++
 		f.q.after(f.delay(e, to), func() {
 			if to.alive && f.reach(e, to) {
 				f.handle(to, c, p, a.Header, e.inst.Relay)
@@ -203,7 +203,7 @@
 			f.result.Opened++
 		}
 		if _, leaving := f.instance[stoatpaddle.InstanceID(u.ID)]; leaving {
-			f.result.LateOpens = max(f.result.LateOpens, f.q.now-f.leftAt(u.ID))
+			f.result.LateOpenDelay = max(f.result.LateOpenDelay, f.q.now-f.leftAt(u.ID))
 		}
 	case c.upstream != u.Key && !c.broken:
 		f.breakFlow(c)
@@ -232,9 +232,9 @@
 	c.broken = true
 	switch {
 	case f.parted(c):
-		f.result.Parted++
+		f.result.BrokenByPartition++
 	case c.roams:
-		f.result.Roamed++
+		f.result.BrokenByRoaming++
 	default:
 		f.result.Broken++
 	}
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -37,7 +37,7 @@
 	var out strings.Builder
 	var now time.Duration
 	write := func(line string) { fmt.Fprintln(&out, line) }
-	stoatgolden.Each(t, text, write, func(until time.Duration, words []string) {
+	stoatgolden.ForEachEvent(t, text, write, func(until time.Duration, words []string) {
 		if words[0] == "ticks" {
 			for now+TickInterval <= until {
 				now += TickInterval
--- a/stoatplatform/platform_test.go
+++ b/stoatplatform/platform_test.go
@@ -67,7 +67,7 @@
 	ctx := context.Background()
 	p, c := start(t)
 	w := &stoatplatform.Writer{Platform: c, Rand: rand.New(rand.NewPCG(1, 1))}
-	p.Set(stoatfake.Trouble{LoseWrites: 1})
+	p.SetFaults(stoatfake.Faults{DropWriteAnswers: 1})
 	done, err := w.Put(ctx, object(0, "a", `1`), "a")
 	if err != nil || done.Version != 1 {
 		t.Fatal(done.Version, err)
@@ -97,7 +97,7 @@
 	var unavailable *stoatpaddle.UnavailableError
 	var unknown *stoatplatform.UnknownOutcomeError
 	var rate *stoatpaddle.RateLimitError
-	p.Set(stoatfake.Trouble{Down: true})
+	p.SetFaults(stoatfake.Faults{Down: true})
 	if _, err := c.List(ctx); !errors.As(err, &unavailable) {
 		t.Error("down:", err)
 	}
@@ -105,17 +105,17 @@
 	if _, err := w.Put(ctx, object(0, "a", `1`), "a"); !errors.As(err, &unknown) || unknown.Token != "a" {
 		t.Error("write while down:", err)
 	}
-	p.Set(stoatfake.Trouble{Reads: 1})
+	p.SetFaults(stoatfake.Faults{ReadLimit: 1})
 	_, _ = c.List(ctx)
 	_, _ = c.List(ctx)
 	if _, err := c.List(ctx); !errors.As(err, &rate) || rate.RetryAfter != time.Second {
 		t.Error("rate:", err)
 	}
-	p.Set(stoatfake.Trouble{SilentWatch: true})
+	p.SetFaults(stoatfake.Faults{SilentWatches: true})
 	if _, err := c.Watch(ctx, 0, 50*time.Millisecond); !errors.As(err, &unavailable) {
 		t.Error("silent watch:", err)
 	}
-	p.Set(stoatfake.Trouble{Slow: time.Second})
+	p.SetFaults(stoatfake.Faults{Delay: time.Second})
 	if _, err := c.Get(ctx, ref); !errors.As(err, &unavailable) {
 		t.Error("slow:", err)
 	}
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	copied := p.Save()
+	copied := p.Snapshot()
 	read, err := c.Put(ctx, object(made.Version, "b,a", `2`))
 	if err != nil {
 		t.Fatal(err)
--- a/stoatrelay/compat.go
+++ b/stoatrelay/compat.go
@@ -40,7 +40,7 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *wireRoute) DecodeMsgpack(dec *msgpack.Decoder) error {
-	return decodeFields(dec, &r.Listen, &r.Backends, &r.Earlier, &r.Idempotent, &r.ObjectiveMS, &r.Priority, &r.Regions)
+	return decodeFields(dec, &r.Listen, &r.Backends, &r.FormerServices, &r.Idempotent, &r.ObjectiveMS, &r.Priority, &r.Regions)
 }
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -137,7 +137,7 @@
 		for _, b := range wire.Backends {
 			route.Backends = append(route.Backends, stoatpaddle.Backend{Service: stoatpaddle.ServiceID(r.name(b.Service)), Weight: stoatpaddle.Weight(b.Weight)})
 		}
-		for _, index := range wire.Earlier {
+		for _, index := range wire.FormerServices {
 			route.FormerServices = append(route.FormerServices, stoatpaddle.ServiceID(r.name(index)))
 		}
 		delta.Declaration.Routes = append(delta.Declaration.Routes, route)
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -111,7 +111,7 @@
 		}
 		if current := t.Route(r.Listen); current != nil {
 			for _, s := range current.FormerServices() {
-				out.Earlier = append(out.Earlier, names.indexOf(string(s)))
+				out.FormerServices = append(out.FormerServices, names.indexOf(string(s)))
 			}
 		}
 		w.Routes = append(w.Routes, out)
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -52,14 +52,14 @@
 
 // wireRoute is one route of a declaration.
 type wireRoute struct {
-	_msgpack    struct{} `msgpack:",as_array"`
-	Listen      []byte   // address and port in binary: 6 bytes instead of 17 in text
-	Backends    []wireBackend
-	Earlier     []int // indexes of the names of services that it sent flows to before
-	Idempotent  bool  // its requests may run twice
-	ObjectiveMS int64 // an answer later than this is late
-	Priority    int
-	Regions     []int // indexes of the names of the regions that its flows may go to
+	_msgpack       struct{} `msgpack:",as_array"`
+	Listen         []byte   // address and port in binary: 6 bytes instead of 17 in text
+	Backends       []wireBackend
+	FormerServices []int // indexes of the names of services that it sent flows to before
+	Idempotent     bool  // its requests may run twice
+	ObjectiveMS    int64 // an answer later than this is late
+	Priority       int
+	Regions        []int // indexes of the names of the regions that its flows may go to
 }
 
 // wireBackend is a service that a route sends flows to, with its weight.
--- a/stoatroute/builder.go
+++ b/stoatroute/builder.go
@@ -10,7 +10,7 @@
 )
 
 func newRecord(now time.Time, r *stoatpaddle.Registration) *record {
-	return &record{up: &Upstream{Key: KeyOf(r.Target), WarmAt: now.Add(r.ColdRemaining), StartedCold: r.ColdRemaining > 0}}
+	return &record{up: &Upstream{Key: KeyOf(r.Target), WarmAt: now.Add(r.ColdRemaining), WasCold: r.ColdRemaining > 0}}
 }
 
 // setCold records for how much longer the upstream is cold, as it reports. An upstream may also become cold
@@ -18,7 +18,7 @@
 func (rec *record) setCold(now time.Time, cold time.Duration) {
 	u := rec.edit()
 	u.WarmAt = now.Add(cold)
-	u.StartedCold = u.StartedCold || cold > 0
+	u.WasCold = u.WasCold || cold > 0
 }
 
 // Config configures a Book; zero values take the defaults.
--- a/stoatroute/register_test.go
+++ b/stoatroute/register_test.go
@@ -70,8 +70,8 @@
 			if u.Registration != c.want || u.State != c.state {
 				t.Errorf("%+v", u)
 			}
-			if isCold := now.Before(u.WarmAt); isCold != (c.want.ColdRemaining > 0) || u.StartedCold != isCold {
-				t.Error("cold:", isCold, u.StartedCold)
+			if isCold := now.Before(u.WarmAt); isCold != (c.want.ColdRemaining > 0) || u.WasCold != isCold {
+				t.Error("cold:", isCold, u.WasCold)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 			t.Error(name, got)
 		}
 		u, _ := b.Lookup("i-1")
-		if u.State != stoatroute.Serving || !u.EndedAt.IsZero() || !u.StartedCold {
+		if u.State != stoatroute.Serving || !u.EndedAt.IsZero() || !u.WasCold {
 			t.Errorf("%s: %+v", name, u)
 		}
 	}
@@ -141,7 +141,7 @@
 		t.Error(got)
 	}
 	u, _ := b.Lookup("i-1")
-	if u.Incarnation != 6 || !u.StartedCold || !u.WarmAt.Equal(start.Add(time.Minute+3*time.Second)) {
+	if u.Incarnation != 6 || !u.WasCold || !u.WarmAt.Equal(start.Add(time.Minute+3*time.Second)) {
 		t.Errorf("%+v", u)
 	}
 	if got := say(incarnation(5, leaving), 9); len(got) != 0 {
--- a/stoatroute/table.go
+++ b/stoatroute/table.go
@@ -33,7 +33,7 @@
 	MaxFlows    int       // maximum number of flows; 0: no limit
 	ColdRate    float64   // requests a second that it can handle while it is cold; 0: no limit
 	WarmAt      time.Time // when its slow start ends
-	StartedCold bool      // it was cold when this entry first learned of it, or has become cold since
+	WasCold     bool      // it was cold when this entry first learned of it, or has become cold since
 	ChangeSeq   uint64    // the builder's change sequence number at its last change
 	EndedAt     time.Time // Gone: when it ended
 	RestartedAt time.Time // when this entry learned that it restarted under its id; zero: it did not
--- a/stoatsoak/run_restore.go
+++ b/stoatsoak/run_restore.go
@@ -23,7 +23,7 @@
 // copyStore keeps copies of the store, of which the oldest is some seconds old.
 func (w *world) copyStore() error {
 	for w.pause(copyEvery) {
-		c := w.store.Save()
+		c := w.store.Snapshot()
 		w.mu.Lock()
 		w.copies = append(w.copies, c)
 		w.copies = w.copies[max(0, len(w.copies)-copiesKept):]
@@ -42,10 +42,10 @@
 	if len(copies) > 0 {
 		w.store.Restore(copies[0])
 	}
-	w.store.Set(stoatfake.Trouble{})
+	w.store.SetFaults(stoatfake.Faults{})
 	w.after(writeAgainAfter, w.writeAgain)
 	w.after(endAgainAfter, w.endAgain)
-	w.after(w.cfg.Bounds.Stable+w.cfg.Bounds.Slack, func() { w.changeRoutes(s.Target) })
+	w.after(w.cfg.Limits.StableDelay+w.cfg.Limits.Slack, func() { w.changeRoutes(s.Target) })
 }
 
 // writeAgain has operators and upstreams write what they wrote last.
