--- a/stoatgolden/golden.go
+++ b/stoatgolden/golden.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// ForEachEvent calls event for each line "@TIME words" of a session. It copies every line except the results of an
-// earlier run, which event writes anew.
+// ForEachEvent calls event for each line "@TIME words" of a session. It passes every line to write first, except
+// the results of an earlier run, which event writes anew.
 func ForEachEvent(t *testing.T, text string, write func(line string), event func(at time.Duration, words []string)) {
 	for _, line := range strings.Split(strings.TrimSuffix(text, "\n"), "\n") {
 		if strings.HasPrefix(line, resultPrefix) {
