--- a/stoatfake/caller.go
+++ b/stoatfake/caller.go
@@ -43,7 +43,7 @@
 	// last sent.
 	firstSent time.Time
 	lastSent  time.Time
-	payload   []byte
+	payload   []byte // of each segment
 }
 
 // Callers is a stand-in for callers that keep flows open. A flow that is reset is replaced by a new one.
@@ -60,10 +60,9 @@
 	done    chan struct{}
 }
 
-// tickInterval is how often the callers process a part of their flows.
 const (
-	tickInterval    = 10 * time.Millisecond
-	retransmitDelay = time.Second // after which a segment without an answer is sent again
+	tickInterval    = 10 * time.Millisecond // between two parts of the flows that the callers process
+	retransmitDelay = time.Second           // after which a segment without an answer is sent again
 )
 
 // NewCallers opens the callers' socket, at which answers arrive.
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -21,7 +21,7 @@
 type Faults struct {
 	Down             bool          // answers nothing
 	Delay            time.Duration // before each answer
-	DropWriteAnswers int           // so many writes take effect without an answer
+	DropWriteAnswers int           // number of further writes that take effect but get no answer
 	StaleReplicas    bool          // replicas show the state of when this was set
 	SilentWatches    bool          // watches are never answered
 	WriteLimit       int           // per second; more are refused; 0: no limit
@@ -51,7 +51,7 @@
 	replicaRevision uint64        // the revision that replicas show while they are stale
 	era             uint64        // how often a snapshot was restored
 	changed         chan struct{} // closed and replaced with each change
-	second          int64         // the second to which writes and reads refer
+	second          int64         // the Unix second in which writes and reads were counted
 	writes          int
 	reads           int
 	calls           int64
@@ -79,20 +79,20 @@
 
 // Restore replaces what the platform holds by a snapshot. What was written since the snapshot is lost, its
 // revisions are assigned again, and a new era begins.
-func (p *Platform) Restore(c Snapshot) {
+func (p *Platform) Restore(snapshot Snapshot) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.objects, p.history, p.revision, p.compacted = maps.Clone(c.objects), slices.Clone(c.history), c.revision, c.compacted
+	p.objects, p.history, p.revision, p.compacted = maps.Clone(snapshot.objects), slices.Clone(snapshot.history), snapshot.revision, snapshot.compacted
 	p.replicaRevision = min(p.replicaRevision, p.revision)
 	p.era++
 	p.wakeWatches()
 }
 
 // SetFaults replaces the faults.
-func (p *Platform) SetFaults(t Faults) {
+func (p *Platform) SetFaults(faults Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faults, p.replicaRevision = t, p.revision
+	p.faults, p.replicaRevision = faults, p.revision
 	p.wakeWatches()
 }
 
@@ -104,7 +104,7 @@
 	p.wakeWatches()
 }
 
-// wakeWatches makes the waiting watches look again.
+// wakeWatches makes the waiting watches look again. p.mu must be held.
 func (p *Platform) wakeWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -198,11 +198,11 @@
 	w.Header().Set("Store-Era", strconv.FormatUint(p.era, 10))
 	p.mu.Unlock()
 	write := r.Method != http.MethodGet
-	t, allowed := p.admit(write, r.URL.Query().Get("allow_stale") == "1")
-	if t.Delay > 0 {
-		time.Sleep(t.Delay)
+	faults, allowed := p.admit(write, r.URL.Query().Get("allow_stale") == "1")
+	if faults.Delay > 0 {
+		time.Sleep(faults.Delay)
 	}
-	if t.Down {
+	if faults.Down {
 		closeConn(w)
 		return
 	}
@@ -223,7 +223,8 @@
 	}
 }
 
-// admit counts a request, and returns the faults and whether the request is within the limits.
+// admit counts a request, and returns the faults and whether the request is within the limits. Reads from
+// replicas are not limited.
 func (p *Platform) admit(write, replica bool) (Faults, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -298,12 +299,12 @@
 		return
 	}
 	o := p.put(k, sent.Spec)
-	lose := p.faults.DropWriteAnswers > 0
-	if lose {
+	dropAnswer := p.faults.DropWriteAnswers > 0
+	if dropAnswer {
 		p.faults.DropWriteAnswers--
 	}
 	p.mu.Unlock()
-	if lose {
+	if dropAnswer {
 		closeConn(w)
 		return
 	}
@@ -325,11 +326,11 @@
 	return 0
 }
 
-// eventsAfter returns the changes of a kind after one revision and up to another.
-func (p *Platform) eventsAfter(kind string, from, seen uint64) []platform.Event {
+// eventsAfter returns the changes of a kind after one revision and up to another. p.mu must be held.
+func (p *Platform) eventsAfter(kind string, from, upTo uint64) []platform.Event {
 	events := []platform.Event{}
 	for _, c := range p.history {
-		if rev := c.ev.Object.Meta.Revision; c.key.kind == kind && rev > from && rev <= seen {
+		if rev := c.ev.Object.Meta.Revision; c.key.kind == kind && rev > from && rev <= upTo {
 			events = append(events, c.ev)
 		}
 	}
@@ -344,20 +345,20 @@
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
-		t, seen, changed, compacted, revision := p.faults, p.revision, p.changed, p.compacted, p.revision
-		if t.StaleReplicas && replica {
+		faults, seen, changed, compacted, revision := p.faults, p.revision, p.changed, p.compacted, p.revision
+		if faults.StaleReplicas && replica {
 			seen = min(seen, p.replicaRevision)
 		}
 		events := p.eventsAfter(kind, from, seen)
 		p.mu.Unlock()
 		switch {
-		case t.Down:
+		case faults.Down:
 			closeConn(w)
 			return
 		case from < compacted || from > revision:
 			w.WriteHeader(http.StatusGone)
 			return
-		case len(events) > 0 && !t.SilentWatches:
+		case len(events) > 0 && !faults.SilentWatches:
 			respond(w, http.StatusOK, platform.ReadResult{Events: events, AsOf: seen})
 			return
 		}
@@ -366,7 +367,7 @@
 		case <-r.Context().Done():
 			return
 		case <-timer.C:
-			if !t.SilentWatches {
+			if !faults.SilentWatches {
 				respond(w, http.StatusOK, platform.ReadResult{Events: events, AsOf: seen})
 				return
 			}
