--- a/stoatdemo/contract.go
+++ b/stoatdemo/contract.go
@@ -11,21 +11,21 @@
 
 // customer is one customer of the demo, with its services and their addresses.
 type customer struct {
-	id   stoatpaddle.CustomerID
-	lean stoatpaddle.Preference
-	flow stoatpaddle.ServiceID
-	call stoatpaddle.ServiceID
-	addr netip.Addr
-	host string
+	id         stoatpaddle.CustomerID
+	preference stoatpaddle.Preference
+	flow       stoatpaddle.ServiceID
+	call       stoatpaddle.ServiceID
+	addr       netip.Addr
+	host       string
 }
 
 var customers = []customer{
 	{
-		id: "sawt", lean: stoatpaddle.PreferBalance, flow: "giving-app", call: "ledger-intake",
+		id: "sawt", preference: stoatpaddle.PreferBalance, flow: "giving-app", call: "ledger-intake",
 		addr: netip.AddrFrom4([4]byte{203, 0, 113, 10}), host: "ledger.sawt.example",
 	},
 	{
-		id: "barrilete", lean: stoatpaddle.PreferFewTracked, flow: "ruta", call: "evidencia",
+		id: "barrilete", preference: stoatpaddle.PreferFewTracked, flow: "ruta", call: "evidencia",
 		addr: netip.AddrFrom4([4]byte{203, 0, 113, 20}), host: "evidencia.barrilete.example",
 	},
 }
@@ -43,7 +43,7 @@
 func (c customer) contract(flows, calls []stoatpaddle.Upstream) stoatpaddle.Contract {
 	return stoatpaddle.Contract{
 		Customer:   c.id,
-		Preference: c.lean,
+		Preference: c.preference,
 		Limits:     stoatpaddle.Limits{Flows: 200_000, OpenRate: 50_000, Calls: 900, CallRate: 9_000},
 		Services: []stoatpaddle.Service{
 			{
--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -87,7 +87,7 @@
 		violations = append(violations, violationsOf(p, before, after)...)
 	}
 	violations = append(violations, env.violations...)
-	if env.drainKept != nil && !env.drainKept() {
+	if env.drainedInTime != nil && !env.drainedInTime() {
 		violations = append(violations, "a new flow reached the leaving upstream later than "+maxDrainDelay.String())
 	}
 	if len(violations) > 0 {
@@ -240,7 +240,7 @@
 	env.sleep(time.Second)
 	last := u.LastOpened()
 	env.sleep(2 * time.Second)
-	env.drainKept = func() bool { return u.LastOpened().Sub(marked) < maxDrainDelay }
+	env.drainedInTime = func() bool { return u.LastOpened().Sub(marked) < maxDrainDelay }
 	return fmt.Sprintf("last new flow there after %d ms; %d flows still live on it", max(0, last.Sub(marked).Milliseconds()), u.OpenFlows()), nil
 }
 
@@ -353,9 +353,9 @@
 
 // measure reads all counters.
 func (env *environment) measure() reading {
-	r := reading{at: time.Now(), flows: env.callers.Counts(), calls: env.calls(), control: env.controlBytes(), entries: len(env.entries)}
+	r := reading{at: time.Now(), flows: env.callers.Counts(), calls: env.calls(), controlBytes: env.controlBytes(), entries: len(env.entries)}
 	skip := stoatpaddle.UpstreamID("")
-	if env.drainKept != nil {
+	if env.drainedInTime != nil {
 		skip = stoatpaddle.UpstreamID(string(customers[0].flow) + "-a")
 	}
 	for _, c := range customers {
--- a/stoatdemo/run_environment.go
+++ b/stoatdemo/run_environment.go
@@ -32,21 +32,21 @@
 
 // environment is everything that runs in the demo.
 type environment struct {
-	cfg        Config
-	ctx        context.Context
-	cancel     context.CancelFunc
-	group      *errgroup.Group
-	platform   *stoatfake.Platform
-	server     *http.Server
-	addr       netip.AddrPort // of the platform
-	fabric     *stoatfake.Fabric
-	callers    *stoatfake.Callers
-	upstreams  map[stoatpaddle.UpstreamID]*stoatfake.Upstream
-	servers    []*stoatfake.Server
-	contracts  map[stoatpaddle.CustomerID]stoatpaddle.Contract
-	clients    []*client
-	drainKept  func() bool // whether the leaving upstream got its last new flow in time
-	violations []string    // guarantees that a phase found violated
+	cfg           Config
+	ctx           context.Context
+	cancel        context.CancelFunc
+	group         *errgroup.Group
+	platform      *stoatfake.Platform
+	server        *http.Server
+	addr          netip.AddrPort // of the platform
+	fabric        *stoatfake.Fabric
+	callers       *stoatfake.Callers
+	upstreams     map[stoatpaddle.UpstreamID]*stoatfake.Upstream
+	servers       []*stoatfake.Server
+	contracts     map[stoatpaddle.CustomerID]stoatpaddle.Contract
+	clients       []*client
+	drainedInTime func() bool // whether the leaving upstream got its last new flow in time
+	violations    []string    // guarantees that a phase found violated
 
 	mu           sync.Mutex
 	entries      []*stoatentry.Entry
@@ -265,7 +265,8 @@
 	counts callCounts
 }
 
-// callCounts counts how calls ended.
+// callCounts counts how calls ended. A call is unknown if the entry answered with a status that does not tell
+// whether the call ran, cut if its connection failed or timed out, and unreached if no connection was made.
 type callCounts struct {
 	answered, refused, unknown, cut, unreached int
 }
--- a/stoatdemo/table.go
+++ b/stoatdemo/table.go
@@ -23,7 +23,7 @@
 	at           time.Time
 	flows        stoatfake.FlowCounts
 	calls        callCounts
-	control      int64
+	controlBytes int64
 	entries      int
 	maxImbalance float64 // highest load over the mean load, the greater of the two services
 }
@@ -56,7 +56,7 @@
 
 func (t *table) printRow(name string, before, after reading, note string) {
 	seconds := after.at.Sub(before.at).Seconds()
-	control := float64(after.control-before.control) / seconds / float64(max(1, after.entries))
+	control := float64(after.controlBytes-before.controlBytes) / seconds / float64(max(1, after.entries))
 	_, _ = fmt.Fprintf(t.out, "%-28s %6d %6d %8.3f %8d %8d %7d %5d %8.0f  %s\n",
 		name, after.flows.Open, after.flows.Broken-before.flows.Broken, after.maxImbalance, after.calls.answered-before.calls.answered,
 		after.calls.refused-before.calls.refused, after.calls.unknown-before.calls.unknown, after.calls.cut-before.calls.cut, control, note)
