--- a/stoatmeasure/change.go
+++ b/stoatmeasure/change.go
@@ -8,7 +8,8 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// propagate changes what each running entry but one knows, each after a random delay from base to base + spread.
+// propagate changes what each running entry except one knows, after a random delay for each from base to
+// base + spread. A nil exception leaves no entry out.
 func (f *fleet) propagate(except *entry, base, spread time.Duration, change func(e *entry)) {
 	for _, e := range f.entries {
 		if e == except {
--- a/stoatmeasure/experiment.go
+++ b/stoatmeasure/experiment.go
@@ -23,7 +23,7 @@
 	Relayed           int
 	Dropped           int           // packets
 	Notices           int           // datagrams that told an owner the upstream of a flow
-	TrackedShare      float64       // share of the opened flows that were placed on another upstream than their first choice
+	TrackedShare      float64       // share of the opened flows that were placed on an upstream other than their first choice
 	MaxImbalance      float64       // greatest ratio of the highest to the mean load, over all samples
 	MeanImbalance     float64       // mean of that ratio over all samples
 	ControlBytes      int           // of control frames about flows, over all entries
@@ -87,8 +87,8 @@
 	f := newFleet(cfg)
 	for range cfg.Flows {
 		at := time.Duration(f.rnd.Int64N(int64(warmUp / 2)))
-		life := warmUp + time.Duration(f.rnd.ExpFloat64()*float64(cfg.Flows)/cfg.OpenRate*float64(time.Second))
-		f.q.after(at, func() { f.openFlow(life) })
+		lifetime := warmUp + time.Duration(f.rnd.ExpFloat64()*float64(cfg.Flows)/cfg.OpenRate*float64(time.Second))
+		f.q.after(at, func() { f.openFlow(lifetime) })
 	}
 	f.q.runUntil(warmUp)
 	f.scheduleArrivals()
@@ -112,7 +112,7 @@
 }
 
 // finishResult completes the result from the counts at the start of counting and those of now.
-func (f *fleet) finishResult(opened, tracked int64, last time.Duration) Result {
+func (f *fleet) finishResult(opened, tracked int64, duration time.Duration) Result {
 	r := f.result
 	o, t := f.stats()
 	if o > opened {
@@ -122,7 +122,7 @@
 		r.MaxImbalance = max(r.MaxImbalance, w)
 		r.MeanImbalance += w / float64(len(f.imbalances))
 	}
-	r.ControlRate = float64(r.ControlBytes)/last.Seconds()/float64(f.cfg.Entries) + heartbeatBytes(f.cfg.Entries)
+	r.ControlRate = float64(r.ControlBytes)/duration.Seconds()/float64(f.cfg.Entries) + heartbeatBytes(f.cfg.Entries)
 	return r
 }
 
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -51,7 +51,7 @@
 type OverloadConfig struct {
 	Entries, Upstreams int
 	Stages             []Stage
-	// Objective is the latency objective of the routes; 0: entries refuse no flow for being late.
+	// Objective is the latency objective of the routes; 0: entries refuse no flow because of it.
 	Objective time.Duration
 	Seed      uint64
 	// LongFlows makes callers keep flows for many requests, to upstreams with two slots and a queue of eight.
@@ -79,7 +79,7 @@
 	return overloadQueue
 }
 
-// Outcomes counts the requests of one route.
+// Outcomes counts the requests of one route. The names of its fields are part of the JSON output.
 type Outcomes struct{ Asked, InTime, Late, Refused int }
 
 func (o *Outcomes) add(x Outcomes) {
--- a/stoatmeasure/overload_report.go
+++ b/stoatmeasure/overload_report.go
@@ -30,15 +30,15 @@
 
 // overloadRow is a row of the table and of the JSON output.
 type overloadRow struct {
-	Load      string   `json:"load"`
-	Admission bool     `json:"admission"`
-	Entries   int      `json:"entries"`
-	Upstreams int      `json:"upstreams"`
-	Share     float64  `json:"share"` // of the bound
-	Worth     float64  `json:"worth"`
-	Bound     float64  `json:"bound"`
-	Usual     Outcomes `json:"usual"`
-	Urgent    Outcomes `json:"urgent"`
+	Load       string   `json:"load"`
+	Admission  bool     `json:"admission"`
+	Entries    int      `json:"entries"`
+	Upstreams  int      `json:"upstreams"`
+	BoundShare float64  `json:"share"` // Goodput in relation to Bound
+	Goodput    float64  `json:"worth"`
+	Bound      float64  `json:"bound"`
+	Usual      Outcomes `json:"usual"`
+	Urgent     Outcomes `json:"urgent"`
 }
 
 // ReportOverload simulates each load at each size, with entries that refuse new flows and with entries that
@@ -63,9 +63,9 @@
 	for i := range rows {
 		group.Go(func() error {
 			o, err := RunOverload(ctx, runs[i])
-			rows[i].Worth, rows[i].Bound, rows[i].Usual, rows[i].Urgent = o.Goodput(), o.Bound, o.Usual, o.Urgent
+			rows[i].Goodput, rows[i].Bound, rows[i].Usual, rows[i].Urgent = o.Goodput(), o.Bound, o.Usual, o.Urgent
 			if o.Bound > 0 {
-				rows[i].Share = o.Goodput() / o.Bound
+				rows[i].BoundShare = o.Goodput() / o.Bound
 			}
 			return err
 		})
@@ -79,7 +79,7 @@
 	_, _ = fmt.Fprintf(w, "%7s %9s  %-11s %-9s %5s  %28s  %28s\n", "entries", "upstreams", "load", "admission", "share",
 		"usual: asked in time late ref", "urgent: asked in time late ref")
 	for _, r := range rows {
-		_, _ = fmt.Fprintf(w, "%7d %9d  %-11s %-9t %5.2f  %8d %7d %6d %5d  %8d %7d %6d %5d\n", r.Entries, r.Upstreams, r.Load, r.Admission, r.Share,
+		_, _ = fmt.Fprintf(w, "%7d %9d  %-11s %-9t %5.2f  %8d %7d %6d %5d  %8d %7d %6d %5d\n", r.Entries, r.Upstreams, r.Load, r.Admission, r.BoundShare,
 			r.Usual.Asked, r.Usual.InTime, r.Usual.Late, r.Usual.Refused, r.Urgent.Asked, r.Urgent.InTime, r.Urgent.Late, r.Urgent.Refused)
 	}
 	return nil
--- a/stoatmeasure/overload_test.go
+++ b/stoatmeasure/overload_test.go
@@ -8,8 +8,8 @@
 
 var smallFleet, largeFleet = OverloadConfig{Entries: 3, Upstreams: 4}, OverloadConfig{Entries: 30, Upstreams: 40}
 
-// runStages runs the stages with the first seeds and adds the outcomes up. Without an objective no flow is
-// refused for being late.
+// runStages runs the stages with the first seeds and adds the outcomes up. Without an objective entries
+// refuse no flow because its answer would be late.
 func runStages(t *testing.T, fleet OverloadConfig, objective time.Duration, seeds uint64, stages ...Stage) OverloadResult {
 	t.Helper()
 	sum := OverloadResult{Stages: make([][2]Outcomes, len(stages))}
--- a/stoatmeasure/report.go
+++ b/stoatmeasure/report.go
@@ -27,21 +27,21 @@
 
 // wireResult is a row of the JSON output.
 type wireResult struct {
-	Name      string  `json:"name"`
-	Upstreams int     `json:"upstreams"`
-	Lean      string  `json:"lean"`
-	Seed      uint64  `json:"seed"`
-	Flows     int     `json:"flows"`
-	Opened    int     `json:"opened"`
-	Broken    int     `json:"broken"`
-	Parted    int     `json:"parted"`
-	Roamed    int     `json:"roamed"`
-	Naive     int     `json:"naive"`
-	Tracked   float64 `json:"tracked"`
-	Worst     float64 `json:"worst"`
-	Mean      float64 `json:"mean"`
-	Control   float64 `json:"control"`
-	Late      float64 `json:"late"`
+	Name              string  `json:"name"`
+	Upstreams         int     `json:"upstreams"`
+	Preference        string  `json:"lean"`
+	Seed              uint64  `json:"seed"`
+	Flows             int     `json:"flows"`
+	Opened            int     `json:"opened"`
+	Broken            int     `json:"broken"`
+	BrokenByPartition int     `json:"parted"`
+	BrokenByRoaming   int     `json:"roamed"`
+	NaiveBroken       int     `json:"naive"`
+	TrackedShare      float64 `json:"tracked"`
+	MaxImbalance      float64 `json:"worst"`
+	MeanImbalance     float64 `json:"mean"`
+	ControlRate       float64 `json:"control"` // bytes per second and entry
+	LateOpenDelay     float64 `json:"late"`    // s
 }
 
 // row is a result with its configuration.
@@ -97,7 +97,7 @@
 }
 
 // ReportCurve measures how the imbalance and the share of tracked flows depend on each other, for several gains and
-// delays of load reports, with lost load reports, and with each value of Config.Lean. It writes a table or JSON.
+// delays of load reports, with lost load reports, and with each value of Config.Preference. It writes a table or JSON.
 func ReportCurve(ctx context.Context, p Plan, asJSON bool, w io.Writer) error {
 	var jobs []func() row
 	steady := Experiments()[0]
@@ -108,11 +108,11 @@
 			return row{cfg, r}
 		})
 	}
-	for _, age := range curveDelays {
+	for _, delay := range curveDelays {
 		for _, gain := range curveGains {
 			cfg := p.Config
-			cfg.Gain, cfg.LoadReportDelay = gain, age
-			add(cfg, fmt.Sprintf("gain %g, loads %s late", gain, age))
+			cfg.Gain, cfg.LoadReportDelay = gain, delay
+			add(cfg, fmt.Sprintf("gain %g, loads %s late", gain, delay))
 		}
 	}
 	lossy := p.Config
@@ -145,9 +145,10 @@
 	for _, r := range rows {
 		x := r.result
 		out = append(out, wireResult{
-			Name: x.Name, Upstreams: r.cfg.Upstreams, Lean: string(r.cfg.Lean), Seed: x.Seed, Flows: x.Flows, Opened: x.Opened,
-			Broken: x.Broken, Parted: x.BrokenByPartition, Roamed: x.BrokenByRoaming, Naive: x.NaiveBroken, Tracked: x.TrackedShare,
-			Worst: x.MaxImbalance, Mean: x.MeanImbalance, Control: x.ControlRate, Late: x.LateOpenDelay.Seconds(),
+			Name: x.Name, Upstreams: r.cfg.Upstreams, Preference: string(r.cfg.Lean), Seed: x.Seed, Flows: x.Flows, Opened: x.Opened,
+			Broken: x.Broken, BrokenByPartition: x.BrokenByPartition, BrokenByRoaming: x.BrokenByRoaming, NaiveBroken: x.NaiveBroken,
+			TrackedShare: x.TrackedShare, MaxImbalance: x.MaxImbalance, MeanImbalance: x.MeanImbalance,
+			ControlRate: x.ControlRate, LateOpenDelay: x.LateOpenDelay.Seconds(),
 		})
 	}
 	return encodeJSON(w, out)
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -54,8 +54,8 @@
 	silenceObjective   = 300 * time.Millisecond  // the latency objective of the routes
 	silenceTimeout     = 2500 * time.Millisecond // after which a caller gives a request up
 	silenceLossRate    = 1.0 / 30
-	longFlowShare      = 0.73 // of the requests come on long flows, each of the others on its own flow
-	longFlowPause      = time.Second
+	longFlowShare      = 0.73                  // of the requests come on long flows, each of the others on its own flow
+	longFlowPause      = time.Second           // mean, from an answer on a long flow to its next request
 	recoveryGrace      = time.Second           // how long an upstream that has recovered may still be taken for silent
 	probeInterval      = 20 * time.Millisecond // between checks of which entries avoid which upstreams
 )
@@ -65,7 +65,7 @@
 	Sharing  Sharing
 	Fault    Fault
 	Requests int
-	Late     int
+	Late     int // answered after the latency objective
 	// LateOnOpenFlows counts those of Late on flows that were already open: an open flow stays at its upstream whatever
 	// the entries know.
 	LateOnOpenFlows int
--- a/stoatmeasure/silence_report.go
+++ b/stoatmeasure/silence_report.go
@@ -20,16 +20,16 @@
 
 // wireSilence is a row of the JSON output.
 type wireSilence struct {
-	Trouble   string  `json:"trouble"`
-	Way       string  `json:"way"`
-	Entries   int     `json:"entries"`
-	Upstreams int     `json:"upstreams"`
-	Asked     int     `json:"asked"`
-	Late      int     `json:"late"`
-	Failed    int     `json:"failed"`
-	Wrongly   int     `json:"wrongly"`
-	Known     float64 `json:"known"` // ms
-	Bytes     float64 `json:"bytes"`
+	Fault          string  `json:"trouble"`
+	Sharing        string  `json:"way"`
+	Entries        int     `json:"entries"`
+	Upstreams      int     `json:"upstreams"`
+	Requests       int     `json:"asked"`
+	Late           int     `json:"late"`
+	Failed         int     `json:"failed"`
+	WrongEjections int     `json:"wrongly"`
+	DetectionTime  float64 `json:"known"` // ms
+	ByteRate       float64 `json:"bytes"` // bytes per second and entry
 }
 
 // ReportSilence measures each kind of sharing under each fault at each size, and writes a table or JSON.
@@ -40,7 +40,7 @@
 	for _, fleet := range silenceFleets {
 		for _, fault := range []Fault{Silenced, Refusing, Lossy, EntryCutOff} {
 			for _, sharing := range []Sharing{Isolated, Aggregated, Instant} {
-				rows = append(rows, wireSilence{Trouble: string(fault), Way: string(sharing), Entries: fleet.Entries, Upstreams: fleet.Upstreams})
+				rows = append(rows, wireSilence{Fault: string(fault), Sharing: string(sharing), Entries: fleet.Entries, Upstreams: fleet.Upstreams})
 			}
 		}
 	}
@@ -56,7 +56,7 @@
 	_, _ = fmt.Fprintf(w, "%7s %9s  %-9s  %-30s %6s %5s %6s %7s %8s %10s\n", "entries", "upstreams", "trouble", "way", "asked", "late", "failed", "wrongly", "known ms", "B/s, entry")
 	for _, r := range rows {
 		_, _ = fmt.Fprintf(w, "%7d %9d  %-9s  %-30s %6d %5d %6d %7d %8.0f %10.0f\n",
-			r.Entries, r.Upstreams, r.Trouble, r.Way, r.Asked, r.Late, r.Failed, r.Wrongly, r.Known, r.Bytes)
+			r.Entries, r.Upstreams, r.Fault, r.Sharing, r.Requests, r.Late, r.Failed, r.WrongEjections, r.DetectionTime, r.ByteRate)
 	}
 	return nil
 }
@@ -64,11 +64,11 @@
 // measure runs the experiment of a row and fills the row in.
 func (r *wireSilence) measure(ctx context.Context, seed uint64) error {
 	cfg := SilenceConfig{Entries: r.Entries, Upstreams: r.Upstreams, RequestRate: silenceRate, FailingShare: silenceShare, Seed: seed}
-	s, err := RunSilence(ctx, cfg, Sharing(r.Way), Fault(r.Trouble))
+	s, err := RunSilence(ctx, cfg, Sharing(r.Sharing), Fault(r.Fault))
 	if err != nil {
 		return err
 	}
-	r.Asked, r.Late, r.Failed, r.Wrongly, r.Bytes = s.Requests, s.Late, s.Failed, s.WrongEjections, s.ByteRate
-	r.Known = float64(s.DetectionTime.Microseconds()) / 1000
+	r.Requests, r.Late, r.Failed, r.WrongEjections, r.ByteRate = s.Requests, s.Late, s.Failed, s.WrongEjections, s.ByteRate
+	r.DetectionTime = float64(s.DetectionTime.Microseconds()) / 1000
 	return nil
 }
--- a/stoatmeasure/silence_traffic.go
+++ b/stoatmeasure/silence_traffic.go
@@ -64,7 +64,7 @@
 )
 
 // openFlow opens a flow for the n-th try of a request that was first tried at the given time. onOpenFlow tells
-// that the first try was on a flow that was already open.
+// whether the first try was on a flow that was already open.
 func (m *silenceModel) openFlow(long bool, first time.Duration, n int, onOpenFlow bool) {
 	if n == 1 && counted(first) {
 		m.result.Requests++
@@ -80,14 +80,14 @@
 		Dst: listen, Protocol: stoatpaddle.ProtocolTCP,
 	}
 	m.flows[f.tuple] = f
-	for copies := range 3 {
+	for retransmits := range 3 {
 		wait := time.Duration(0)
-		if copies > 0 {
-			wait = openingRetransmits[copies-1]
+		if retransmits > 0 {
+			wait = openingRetransmits[retransmits-1]
 		}
 		m.q.after(wait, func() {
 			if !f.open && !f.ended {
-				m.send(f, stoatpacket.Packet{Opens: true, Retransmits: copies})
+				m.send(f, stoatpacket.Packet{Opens: true, Retransmits: retransmits})
 			}
 		})
 	}
@@ -178,8 +178,8 @@
 	}
 }
 
-// run runs a request now or from the queue. A request that does not fit is dropped, and finds room when its
-// caller repeats it.
+// run runs a request now or from the queue. A request that does not fit is dropped and never answered, since
+// receive ignores the caller's repeats of it.
 func (u *silenceUpstream) run(done func()) {
 	if u.running >= silenceSlots {
 		if len(u.queue) < silenceQueue {
--- a/stoatmeasure/silence_tree.go
+++ b/stoatmeasure/silence_tree.go
@@ -16,7 +16,7 @@
 	treeHopDelay    = 3 * time.Millisecond    // from one entry to the next, including the time to read and write
 	refreshInterval = 2 * time.Second         // after which a parent sends an update at the latest
 	messageOverhead = 160                     // bytes of a message besides the reports
-	judgeInterval   = stoatecho.CheckInterval // the interval of a real entry
+	checkInterval   = stoatecho.CheckInterval // as in a real entry
 	maxStartDelay   = 250 * time.Millisecond  // each entry runs its first round at a random time within this
 )
 
@@ -70,7 +70,7 @@
 // tick schedules a round in each interval, as a real entry does even if nothing has changed.
 func (e *silenceEntry) tick() {
 	e.scheduleRound()
-	e.m.q.after(judgeInterval, e.tick)
+	e.m.q.after(checkInterval, e.tick)
 }
 
 // scheduleRound schedules a round as soon as one may run. Entries that share nothing run none.
@@ -94,8 +94,8 @@
 	return treeHopDelay
 }
 
-// runRound aggregates the reports, ejects upstreams and sends updates, as the share goroutine of a real entry
-// does.
+// runRound aggregates the reports, ejects upstreams and sends updates, as checkUpstreams of stoatedge does in a
+// real entry.
 func (e *silenceEntry) runRound() {
 	now := e.m.now()
 	e.roundDue, e.nextRound = false, e.m.q.now+e.pacer.RecordRound(now)
--- a/stoatmeasure/spread.go
+++ b/stoatmeasure/spread.go
@@ -144,7 +144,7 @@
 	if p.age > 0 {
 		m.shareCounts(p.age)
 	}
-	offer := m.handler(p)
+	handle := m.handler(p)
 	rate := cfg.Load * float64(cfg.Upstreams*cfg.Slots) / cfg.ServiceTime.Seconds()
 	asked := 0
 	var arrive func()
@@ -153,7 +153,7 @@
 			return
 		}
 		asked++
-		offer(m.rnd.IntN(cfg.Entries))
+		handle(m.rnd.IntN(cfg.Entries))
 		m.q.after(time.Duration(m.rnd.ExpFloat64()/rate*float64(time.Second)), arrive)
 	}
 	arrive()
@@ -287,13 +287,13 @@
 
 // wireSpread is a row of the JSON output.
 type wireSpread struct {
-	Way     string  `json:"way"`
-	Load    float64 `json:"load"`
-	Asked   int     `json:"asked"`
-	Turned  int     `json:"turned"`
-	P50     float64 `json:"p50"` // ms
-	P99     float64 `json:"p99"` // ms
-	Busiest float64 `json:"busiest"`
+	Policy    string  `json:"way"`
+	Load      float64 `json:"load"`
+	Requests  int     `json:"asked"`
+	Rejected  int     `json:"turned"`
+	P50       float64 `json:"p50"` // ms
+	P99       float64 `json:"p99"` // ms
+	Imbalance float64 `json:"busiest"`
 }
 
 // ReportSpread measures each policy under each load, and writes a table or JSON.
@@ -307,7 +307,7 @@
 		}
 		for _, s := range list {
 			rows = append(rows, wireSpread{
-				Way: s.Policy, Load: s.Load, Asked: s.Requests, Turned: s.Rejected, Busiest: s.Imbalance,
+				Policy: s.Policy, Load: s.Load, Requests: s.Requests, Rejected: s.Rejected, Imbalance: s.Imbalance,
 				P50: float64(s.P50.Microseconds()) / 1000, P99: float64(s.P99.Microseconds()) / 1000,
 			})
 		}
@@ -317,7 +317,7 @@
 	}
 	_, _ = fmt.Fprintf(w, "%-34s %6s %8s %8s %8s %8s %8s\n", "way of choosing", "load", "asked", "turned", "p50 ms", "p99 ms", "busiest")
 	for _, r := range rows {
-		_, _ = fmt.Fprintf(w, "%-34s %6.2f %8d %8d %8.1f %8.1f %8.3f\n", r.Way, r.Load, r.Asked, r.Turned, r.P50, r.P99, r.Busiest)
+		_, _ = fmt.Fprintf(w, "%-34s %6.2f %8d %8d %8.1f %8.1f %8.3f\n", r.Policy, r.Load, r.Requests, r.Rejected, r.P50, r.P99, r.Imbalance)
 	}
 	return nil
 }
--- a/stoatmeasure/traffic.go
+++ b/stoatmeasure/traffic.go
@@ -13,20 +13,20 @@
 // scheduleArrivals opens flows at random times for as long as the experiment runs.
 func (f *fleet) scheduleArrivals() {
 	f.q.after(time.Duration(f.rnd.ExpFloat64()/f.cfg.OpenRate*float64(time.Second)), func() {
-		life := time.Duration(f.rnd.ExpFloat64() * float64(f.cfg.Flows) / f.cfg.OpenRate * float64(time.Second))
-		f.openFlow(life)
+		lifetime := time.Duration(f.rnd.ExpFloat64() * float64(f.cfg.Flows) / f.cfg.OpenRate * float64(time.Second))
+		f.openFlow(lifetime)
 		f.scheduleArrivals()
 	})
 }
 
-// openFlow opens a flow that its caller ends after a time.
-func (f *fleet) openFlow(life time.Duration) {
+// openFlow opens a flow that its caller ends after the given lifetime.
+func (f *fleet) openFlow(lifetime time.Duration) {
 	f.lastConnID++
 	n := f.lastConnID
 	src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 22), byte(n >> 14), byte(n >> 6)}), uint16(1024+n&63))
 	c := &conn{
 		id: n, tuple: stoatpacket.Tuple{Src: src, Dst: vip, Protocol: stoatpaddle.ProtocolTCP},
-		seq: f.rnd.Uint32(), end: f.q.now + life,
+		seq: f.rnd.Uint32(), end: f.q.now + lifetime,
 	}
 	if f.viewsMayDiffer() {
 		f.assignSide(c)
