--- a/stoatcommand/soak.go
+++ b/stoatcommand/soak.go
@@ -88,8 +88,8 @@
 			return err
 		}
 		result, err := stoatsoak.Run(c.ctx, stoatsoak.Config{
-			Program: program, Dir: dir, Seed: seed, Length: a.Length, Entries: a.Entries, Plan: plan, Restores: a.Restores, Out: progress,
-			Bounds: stoatsoak.Bounds{Apply: soakApplyDelay, Stable: soakStableDelay, Slack: soakSlack, Back: soakRecovery},
+			Program: program, Dir: dir, Seed: seed, Length: a.Length, Entries: a.Entries, Plan: plan, Restores: a.Restores, Progress: progress,
+			Limits: stoatsoak.TimeLimits{ApplyDelay: soakApplyDelay, StableDelay: soakStableDelay, Slack: soakSlack, RecoveryTime: soakRecovery},
 		})
 		if err != nil {
 			return err
--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Promise is one thing that must hold.
-type Promise string
+// Guarantee is one thing that must hold.
+type Guarantee string
 
 // The promises.
 const (
-	RightService Promise = "route"    // a request is run by a service that its route has or had
-	WholeAnswer  Promise = "mixed"    // an answer belongs to its request and is whole
-	Once         Promise = "twice"    // a request that may not be repeated runs once at most
-	FlowLives    Promise = "flow"     // no open flow is reset while its upstream lives
-	Evacuated    Promise = "evacuate" // an evacuated data centre gets no new flows after the bound
-	Spared       Promise = "cold"     // a cold upstream gets no more new flows than it bears
-	Drained      Promise = "drain"    // a leaving upstream gets no new flows after the bound
-	InForce      Promise = "config"   // a configuration is in force after the bound
-	Admits       Promise = "admit"    // a route that is in force refuses nobody while upstreams have room
-	NeverBack    Promise = "back"     // what is in force never goes back
-	Recovers     Promise = "recover"  // requests are served some time after a disturbance
-	Runs         Promise = "runs"     // an entry does not end by itself
+	CorrectService     Guarantee = "route"    // a request is run by a service that its route has or had
+	CorrectAnswer      Guarantee = "mixed"    // an answer belongs to its request and is whole
+	AtMostOnce         Guarantee = "twice"    // a request that may not be repeated runs once at most
+	FlowSurvives       Guarantee = "flow"     // no open flow is reset while its upstream lives
+	NoFlowToEvacuated  Guarantee = "evacuate" // an evacuated data centre gets no new flows after the bound
+	ColdLimit          Guarantee = "cold"     // a cold upstream gets no more new flows than it bears
+	NoFlowToLeaving    Guarantee = "drain"    // a leaving upstream gets no new flows after the bound
+	ConfigApplied      Guarantee = "config"   // a configuration is in force after the bound
+	AdmitsFlows        Guarantee = "admit"    // a route that is in force refuses nobody while upstreams have room
+	ConfigNeverReverts Guarantee = "back"     // what is in force never goes back
+	Recovers           Guarantee = "recover"  // requests are served some time after a disturbance
+	EntryRuns          Guarantee = "runs"     // an entry does not end by itself
 )
 
 // timed tells whether a promise speaks of time: a machine that is slow enough breaks it.
-func (p Promise) timed() bool {
-	return p == FlowLives || p == Evacuated || p == Spared || p == Drained || p == InForce || p == Admits || p == Recovers
+func (p Guarantee) timed() bool {
+	return p == FlowSurvives || p == NoFlowToEvacuated || p == ColdLimit || p == NoFlowToLeaving || p == ConfigApplied || p == AdmitsFlows || p == Recovers
 }
 
 // Breach is a promise that was broken.
 type Breach struct {
-	At      time.Duration
-	Promise Promise
-	What    string
+	At          time.Duration
+	Guarantee   Guarantee
+	Description string
 }
 
 // String says what was broken when.
 func (b Breach) String() string {
-	return fmt.Sprintf("%6.2f s %s: %s", b.At.Seconds(), b.Promise, b.What)
+	return fmt.Sprintf("%6.2f s %s: %s", b.At.Seconds(), b.Guarantee, b.Description)
 }
 
 // span is a disturbance; to is 0 while it goes on.
@@ -51,7 +51,7 @@
 // checker gathers what callers and upstreams see. Times count from the start of the run.
 type checker struct {
 	mu       sync.Mutex
-	bounds   Bounds
+	bounds   TimeLimits
 	troubles []*span
 	tick     time.Duration              // when the run last noted that it goes on; 0: it is not watched
 	runs     map[string]int             // of requests that may not be repeated, by id
@@ -60,35 +60,35 @@
 	full     time.Duration              // when no upstream last had room; 0: always one did
 	breaches []Breach
 	counts   Counts
-	noticed  func(p Promise) // called at each breach, or nil
+	noticed  func(p Guarantee) // called at each breach, or nil
 }
 
-// Bounds are what the promises with a time say.
-type Bounds struct {
-	Apply  time.Duration // of a configuration, and of a leaving upstream
-	Stable time.Duration // how long after a disturbance the promises hold again
-	Slack  time.Duration // for the machine that the run is on
-	Back   time.Duration // how long after a disturbance requests are served again
-	// Untimed leaves out the promises that speak of time, on a machine whose speed is not known.
-	Untimed bool
+// TimeLimits are what the promises with a time say.
+type TimeLimits struct {
+	ApplyDelay   time.Duration // of a configuration, and of a leaving upstream
+	StableDelay  time.Duration // how long after a disturbance the promises hold again
+	Slack        time.Duration // for the machine that the run is on
+	RecoveryTime time.Duration // how long after a disturbance requests are served again
+	// SkipTimed leaves out the promises that speak of time, on a machine whose speed is not known.
+	SkipTimed bool
 }
 
 // Counts are what a run did.
 type Counts struct {
-	Asked, Served, Late, Failed int
-	Flows, Resets               int
-	Stalls                      int // the run's own process stood still
+	Requests, ServedInTime, ServedLate, Failed int
+	FlowsOpened, FlowsReset                    int
+	Stalls                                     int // the run's own process stood still
 }
 
-func newChecker(b Bounds) *checker {
+func newChecker(b TimeLimits) *checker {
 	return &checker{bounds: b, runs: map[string]int{}, versions: map[string]int{}, colds: map[string][]time.Duration{}}
 }
 
-func (c *checker) breach(now time.Duration, p Promise, format string, args ...any) {
-	if c.bounds.Untimed && p.timed() {
+func (c *checker) breach(now time.Duration, p Guarantee, format string, args ...any) {
+	if c.bounds.SkipTimed && p.timed() {
 		return
 	}
-	c.breaches = append(c.breaches, Breach{At: now, Promise: p, What: fmt.Sprintf(format, args...)})
+	c.breaches = append(c.breaches, Breach{At: now, Guarantee: p, Description: fmt.Sprintf(format, args...)})
 	if c.noticed != nil {
 		c.noticed(p)
 	}
@@ -121,7 +121,7 @@
 		return false
 	}
 	for _, s := range c.troubles {
-		if !s.load && s.from <= now && (s.to == 0 || s.to+c.bounds.Stable >= since) {
+		if !s.load && s.from <= now && (s.to == 0 || s.to+c.bounds.StableDelay >= since) {
 			return false
 		}
 	}
@@ -133,13 +133,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if service != wanted {
-		c.breach(now, RightService, "request %s for %s was run by %s", id, wanted, service)
+		c.breach(now, CorrectService, "request %s for %s was run by %s", id, wanted, service)
 	}
 	if repeatable {
 		return
 	}
 	if c.runs[id]++; c.runs[id] == 2 {
-		c.breach(now, Once, "request %s ran twice", id)
+		c.breach(now, AtMostOnce, "request %s ran twice", id)
 	}
 }
 
@@ -148,7 +148,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if id != got {
-		c.breach(now, WholeAnswer, "request %s got the answer %q", id, got)
+		c.breach(now, CorrectAnswer, "request %s got the answer %q", id, got)
 	}
 }
 
@@ -156,9 +156,9 @@
 func (c *checker) wasReset(now time.Duration, flow, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts.Resets++
+	c.counts.FlowsReset++
 	if c.calm(now, now) {
-		c.breach(now, FlowLives, "flow %s was reset while %s lives", flow, upstream)
+		c.breach(now, FlowSurvives, "flow %s was reset while %s lives", flow, upstream)
 	}
 }
 
@@ -166,8 +166,8 @@
 func (c *checker) openedAt(now, left time.Duration, upstream string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if late := now - left; late > c.bounds.Apply+c.bounds.Slack && c.calm(left, now) {
-		c.breach(now, Drained, "%s got a new flow %s after it was marked as leaving", upstream, late)
+	if late := now - left; late > c.bounds.ApplyDelay+c.bounds.Slack && c.calm(left, now) {
+		c.breach(now, NoFlowToLeaving, "%s got a new flow %s after it was marked as leaving", upstream, late)
 	}
 }
 
@@ -175,8 +175,8 @@
 func (c *checker) openedThere(now, since time.Duration, upstream, centre string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if late := now - since; late > c.bounds.Apply+c.bounds.Slack && c.calm(since, now) {
-		c.breach(now, Evacuated, "%s got a new flow %s after %s was evacuated", upstream, late, centre)
+	if late := now - since; late > c.bounds.ApplyDelay+c.bounds.Slack && c.calm(since, now) {
+		c.breach(now, NoFlowToEvacuated, "%s got a new flow %s after %s was evacuated", upstream, late, centre)
 	}
 }
 
@@ -199,7 +199,7 @@
 	}
 	c.colds[upstream] = recent
 	if most := coldOver*rate + coldSlack; float64(len(recent)) > most && !c.stalled(now) {
-		c.breach(now, Spared, "%s is cold and got %d new flows within a second, %g are allowed", upstream, len(recent), most)
+		c.breach(now, ColdLimit, "%s is cold and got %d new flows within a second, %g are allowed", upstream, len(recent), most)
 	}
 }
 
@@ -225,16 +225,16 @@
 	if !l.room {
 		c.full = max(1, now)
 	}
-	if now-l.acked <= c.bounds.Apply+c.bounds.Slack || !c.calm(l.acked, now) || l.allowed == l.opened {
+	if now-l.acked <= c.bounds.ApplyDelay+c.bounds.Slack || !c.calm(l.acked, now) || l.allowed == l.opened {
 		return
 	}
 	if l.allowed && c.versions[l.life] >= l.version {
 		if !c.loaded(now) {
-			c.breach(now, Admits, "%s: route %s is in force and refuses a flow, with room at upstreams", l.entry, l.route)
+			c.breach(now, AdmitsFlows, "%s: route %s is in force and refuses a flow, with room at upstreams", l.entry, l.route)
 		}
 		return
 	}
-	c.breach(now, InForce, "%s: route %s: allowed %t, opened %t, %s after the change", l.entry, l.route, l.allowed, l.opened, now-l.acked)
+	c.breach(now, ConfigApplied, "%s: route %s: allowed %t, opened %t, %s after the change", l.entry, l.route, l.allowed, l.opened, now-l.acked)
 }
 
 // loaded tells whether upstreams are loaded, or were a moment ago.
@@ -255,7 +255,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if version < c.versions[life] {
-		c.breach(now, NeverBack, "%s went back from version %d to %d", life, c.versions[life], version)
+		c.breach(now, ConfigNeverReverts, "%s went back from version %d to %d", life, c.versions[life], version)
 	}
 	c.versions[life] = max(c.versions[life], version)
 }
@@ -264,19 +264,19 @@
 func (c *checker) ended(now time.Duration, entry, how string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.breach(now, Runs, "%s ended by itself: %s", entry, how)
+	c.breach(now, EntryRuns, "%s ended by itself: %s", entry, how)
 }
 
 // tried counts a request, and checks that it was served if it may be expected.
 func (c *checker) tried(now, began time.Duration, route string, served, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts.Asked++
+	c.counts.Requests++
 	switch {
 	case served && late:
-		c.counts.Late++
+		c.counts.ServedLate++
 	case served:
-		c.counts.Served++
+		c.counts.ServedInTime++
 	default:
 		c.counts.Failed++
 		if c.quiet(began, now) {
@@ -289,7 +289,7 @@
 // recovery may take.
 func (c *checker) quiet(since, now time.Duration) bool {
 	for _, s := range c.troubles {
-		if s.from <= now && (s.to == 0 || s.to+c.bounds.Back >= since) {
+		if s.from <= now && (s.to == 0 || s.to+c.bounds.RecoveryTime >= since) {
 			return false
 		}
 	}
@@ -299,7 +299,7 @@
 func (c *checker) opened() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.counts.Flows++
+	c.counts.FlowsOpened++
 }
 
 func (c *checker) result() (Counts, []Breach) {
--- a/stoatsoak/checker_test.go
+++ b/stoatsoak/checker_test.go
@@ -9,29 +9,29 @@
 
 const second = time.Second
 
-func testBounds() Bounds {
-	return Bounds{Apply: 3 * second, Stable: 4 * second, Slack: second, Back: 12 * second}
+func testBounds() TimeLimits {
+	return TimeLimits{ApplyDelay: 3 * second, StableDelay: 4 * second, Slack: second, RecoveryTime: 12 * second}
 }
 
 // Each promise: what breaks it, what does not, and what a disturbance excuses.
 func TestPromises(t *testing.T) {
 	for name, try := range map[string]struct {
 		see  func(c *checker)
-		want []Promise
+		want []Guarantee
 	}{
-		"another service runs a request": {func(c *checker) { c.ran(0, "r1", "intake", "app", true) }, []Promise{RightService}},
+		"another service runs a request": {func(c *checker) { c.ran(0, "r1", "intake", "app", true) }, []Guarantee{CorrectService}},
 		"its own service does":           {func(c *checker) { c.ran(0, "r1", "app", "app", true) }, nil},
-		"an answer to another request":   {func(c *checker) { c.answered(0, "r1", "r2") }, []Promise{WholeAnswer}},
+		"an answer to another request":   {func(c *checker) { c.answered(0, "r1", "r2") }, []Guarantee{CorrectAnswer}},
 		"its own answer":                 {func(c *checker) { c.answered(0, "r1", "r1") }, nil},
 		"a pledge runs twice": {func(c *checker) {
 			c.ran(0, "r1", "app", "app", false)
 			c.ran(0, "r1", "app", "app", false)
-		}, []Promise{Once}},
+		}, []Guarantee{AtMostOnce}},
 		"a feed request runs twice": {func(c *checker) {
 			c.ran(0, "r1", "app", "app", true)
 			c.ran(0, "r1", "app", "app", true)
 		}, nil},
-		"a flow is reset": {func(c *checker) { c.wasReset(20*second, "f", "u") }, []Promise{FlowLives}},
+		"a flow is reset": {func(c *checker) { c.wasReset(20*second, "f", "u") }, []Guarantee{FlowSurvives}},
 		"a flow is reset in a disturbance": {func(c *checker) {
 			c.begin(19 * second)
 			c.wasReset(20*second, "f", "u")
@@ -43,7 +43,7 @@
 		"a flow is reset long after one": {func(c *checker) {
 			c.begin(10 * second)(12 * second)
 			c.wasReset(20*second, "f", "u")
-		}, []Promise{FlowLives}},
+		}, []Guarantee{FlowSurvives}},
 		"a flow is reset while the run stands still": {func(c *checker) {
 			c.ticked(19 * second)
 			c.ticked(19*second + 20*time.Millisecond)
@@ -61,14 +61,14 @@
 				c.ticked(at)
 			}
 			c.wasReset(20*second, "f", "u")
-		}, []Promise{FlowLives}},
+		}, []Guarantee{FlowSurvives}},
 		"a flow is reset while the run goes on": {func(c *checker) {
 			c.ticked(19*second + 920*time.Millisecond)
 			c.wasReset(20*second, "f", "u")
-		}, []Promise{FlowLives}},
-		"a leaving upstream gets a flow":             {func(c *checker) { c.openedAt(15*second, 10*second, "u") }, []Promise{Drained}},
+		}, []Guarantee{FlowSurvives}},
+		"a leaving upstream gets a flow":             {func(c *checker) { c.openedAt(15*second, 10*second, "u") }, []Guarantee{NoFlowToLeaving}},
 		"a leaving upstream gets one at first":       {func(c *checker) { c.openedAt(13*second, 10*second, "u") }, nil},
-		"an evacuated data centre gets a flow":       {func(c *checker) { c.openedThere(15*second, 10*second, "u", "east") }, []Promise{Evacuated}},
+		"an evacuated data centre gets a flow":       {func(c *checker) { c.openedThere(15*second, 10*second, "u", "east") }, []Guarantee{NoFlowToEvacuated}},
 		"an evacuated data centre gets one at first": {func(c *checker) { c.openedThere(13*second, 10*second, "u", "east") }, nil},
 		"an evacuated one gets a flow in an outage": {func(c *checker) {
 			c.begin(11 * second)
@@ -78,7 +78,7 @@
 			for range 9 {
 				c.openedCold(20*second, "u", 2)
 			}
-		}, []Promise{Spared}},
+		}, []Guarantee{ColdLimit}},
 		"a cold upstream gets as many over a while": {func(c *checker) {
 			for i := range 9 {
 				c.openedCold(20*second+time.Duration(i)*second/4, "u", 2)
@@ -87,14 +87,14 @@
 		"a flow is reset while upstreams are full": {func(c *checker) {
 			c.load(19 * second)
 			c.wasReset(20*second, "f", "u")
-		}, []Promise{FlowLives}},
-		"a new route is refused":          {func(c *checker) { c.looked(15*second, seen(true, false)) }, []Promise{InForce}},
-		"an old route opens":              {func(c *checker) { c.looked(15*second, seen(false, true)) }, []Promise{InForce}},
+		}, []Guarantee{FlowSurvives}},
+		"a new route is refused":          {func(c *checker) { c.looked(15*second, seen(true, false)) }, []Guarantee{ConfigApplied}},
+		"an old route opens":              {func(c *checker) { c.looked(15*second, seen(false, true)) }, []Guarantee{ConfigApplied}},
 		"a new route is refused at first": {func(c *checker) { c.looked(12*second, seen(true, false)) }, nil},
 		"a route in force refuses a flow": {func(c *checker) {
 			c.inForce(11*second, "e#1", 4)
 			c.looked(15*second, seen(true, false))
-		}, []Promise{Admits}},
+		}, []Guarantee{AdmitsFlows}},
 		"a route in force refuses a flow soon after a load": {func(c *checker) {
 			c.inForce(11*second, "e#1", 4)
 			c.load(12 * second)(14 * second)
@@ -104,7 +104,7 @@
 			c.inForce(11*second, "e#1", 4)
 			c.load(12 * second)(14 * second)
 			c.looked(17*second, seen(true, false))
-		}, []Promise{Admits}},
+		}, []Guarantee{AdmitsFlows}},
 		"a route in force refuses a flow, and all upstreams are cold": {func(c *checker) {
 			c.inForce(11*second, "e#1", 4)
 			l := seen(true, false)
@@ -115,28 +115,28 @@
 			c.load(12 * second)
 			c.inForce(11*second, "e#1", 3)
 			c.looked(15*second, seen(true, false))
-		}, []Promise{InForce}},
+		}, []Guarantee{ConfigApplied}},
 		"a configuration goes back": {func(c *checker) {
 			c.inForce(0, "e#1", 5)
 			c.inForce(0, "e#1", 3)
-		}, []Promise{NeverBack}},
+		}, []Guarantee{ConfigNeverReverts}},
 		"another life starts earlier": {func(c *checker) {
 			c.inForce(0, "e#1", 5)
 			c.inForce(0, "e#2", 3)
 		}, nil},
-		"nobody serves": {func(c *checker) { c.tried(33*second, 30*second, "feed", false, false) }, []Promise{Recovers}},
+		"nobody serves": {func(c *checker) { c.tried(33*second, 30*second, "feed", false, false) }, []Guarantee{Recovers}},
 		"nobody serves soon after a disturbance": {func(c *checker) {
 			c.begin(10 * second)(20 * second)
 			c.tried(33*second, 30*second, "feed", false, false)
 		}, nil},
-		"an entry ends": {func(c *checker) { c.ended(0, "e", "exit 1") }, []Promise{Runs}},
+		"an entry ends": {func(c *checker) { c.ended(0, "e", "exit 1") }, []Guarantee{EntryRuns}},
 	} {
 		c := newChecker(testBounds())
 		try.see(c)
 		_, breaches := c.result()
-		var got []Promise
+		var got []Guarantee
 		for _, b := range breaches {
-			got = append(got, b.Promise)
+			got = append(got, b.Guarantee)
 		}
 		if len(got) != len(try.want) || len(got) > 0 && got[0] != try.want[0] {
 			t.Errorf("%s: %v, expected %v", name, got, try.want)
@@ -152,12 +152,12 @@
 // On a machine of unknown speed promises with a time are left out, the others are not.
 func TestUntimed(t *testing.T) {
 	bounds := testBounds()
-	bounds.Untimed = true
+	bounds.SkipTimed = true
 	c := newChecker(bounds)
 	c.wasReset(20*second, "f", "u")
 	c.tried(33*second, 30*second, "feed", false, false)
 	c.answered(0, "r1", "r2")
-	if _, breaches := c.result(); len(breaches) != 1 || breaches[0].Promise != WholeAnswer {
+	if _, breaches := c.result(); len(breaches) != 1 || breaches[0].Guarantee != CorrectAnswer {
 		t.Error(breaches)
 	}
 }
@@ -177,7 +177,7 @@
 	if text(1) != text(1) || text(1) == text(2) || strings.Count(text(1), "\n") < 10 {
 		t.Error(text(1), text(2))
 	}
-	kinds := map[Kind]bool{}
+	kinds := map[StepKind]bool{}
 	for seed := range uint64(30) {
 		for _, s := range NewPlan(seed, time.Minute) {
 			kinds[s.Kind] = true
@@ -191,7 +191,7 @@
 // What led to a breach is shown with it.
 func TestReport(t *testing.T) {
 	var b strings.Builder
-	r := Result{Seed: 7, Steps: []Step{{At: second, Kind: Drain}, {At: 9 * second, Kind: Kill}}, Breaches: []Breach{{At: 5 * second, Promise: Drained, What: "x"}}}
+	r := Result{Seed: 7, Steps: []Step{{At: second, Kind: DrainUpstream}, {At: 9 * second, Kind: KillEntry}}, Breaches: []Breach{{At: 5 * second, Guarantee: NoFlowToLeaving, Description: "x"}}}
 	if err := Report(&b, r, false); err != nil || !strings.Contains(b.String(), "after   1.00 s drain") || strings.Contains(b.String(), "kill") {
 		t.Error(err, b.String())
 	}
--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -8,55 +8,55 @@
 	"time"
 )
 
-// Kind is one kind of fault or change.
-type Kind string
+// StepKind is one kind of fault or change.
+type StepKind string
 
 // The kinds. The first ones are planned work, under which every promise holds; the others
 // are disturbances.
 const (
-	Terminate Kind = "terminate" // SIGTERM to an entry, which starts again
-	Rolling   Kind = "rolling"   // the same for all, in turn
-	Drain     Kind = "drain"     // an upstream leaves, and another one joins
-	Release   Kind = "release"   // all upstreams of a service are replaced in turn
-	Routes    Kind = "routes"    // a route is added, the one added before is removed
-	Storm     Kind = "storm"     // ten configurations within a second
-	Settings  Kind = "settings"  // the settings file changes, with or without a signal
-	Foreign   Kind = "foreign"   // another writer writes over an upstream's entry, and adds one
-	Evacuate  Kind = "evacuate"  // a data centre is evacuated, and taken back
-	Queue     Kind = "queue"     // upstreams answer late, as through a full queue
+	TerminateEntry StepKind = "terminate" // SIGTERM to an entry, which starts again
+	RollingRestart StepKind = "rolling"   // the same for all, in turn
+	DrainUpstream  StepKind = "drain"     // an upstream leaves, and another one joins
+	RollingRelease StepKind = "release"   // all upstreams of a service are replaced in turn
+	ChangeRoute    StepKind = "routes"    // a route is added, the one added before is removed
+	ConfigStorm    StepKind = "storm"     // ten configurations within a second
+	ChangeSettings StepKind = "settings"  // the settings file changes, with or without a signal
+	ForeignWrite   StepKind = "foreign"   // another writer writes over an upstream's entry, and adds one
+	EvacuateCentre StepKind = "evacuate"  // a data centre is evacuated, and taken back
+	SlowUpstreams  StepKind = "queue"     // upstreams answer late, as through a full queue
 
-	Kill      Kind = "kill"    // SIGKILL to an entry
-	KillAll   Kind = "killall" // SIGKILL to all entries at once
-	Freeze    Kind = "freeze"  // SIGSTOP for a while
-	Crash     Kind = "crash"   // an upstream dies; its address goes to the other service
-	Restart   Kind = "restart" // an upstream dies and starts again under its id, soon or late, there or elsewhere
-	StoreDown Kind = "down"    // the store answers nothing; registrations lapse meanwhile
-	StoreSlow Kind = "slow"    // its answers take 200 ms
-	StoreLag  Kind = "lag"     // its replicas stand still
-	StoreMute Kind = "mute"    // its watches tell nothing
-	Forget    Kind = "forget"  // its history is gone
-	Refuse    Kind = "refuse"  // the store refuses one entry
-	Silence   Kind = "silence" // one entry's connections to store and seeds go silent; new ones work
-	OneWay    Kind = "oneway"  // nothing comes back to one entry from store and seeds
-	Lossy     Kind = "lossy"   // datagrams are lost, doubled and late
+	KillEntry          StepKind = "kill"    // SIGKILL to an entry
+	KillAllEntries     StepKind = "killall" // SIGKILL to all entries at once
+	FreezeEntry        StepKind = "freeze"  // SIGSTOP for a while
+	CrashUpstream      StepKind = "crash"   // an upstream dies; its address goes to the other service
+	RestartUpstream    StepKind = "restart" // an upstream dies and starts again under its id, soon or late, there or elsewhere
+	StoreDown          StepKind = "down"    // the store answers nothing; registrations lapse meanwhile
+	StoreSlow          StepKind = "slow"    // its answers take 200 ms
+	StoreLag           StepKind = "lag"     // its replicas stand still
+	StoreSilentWatch   StepKind = "mute"    // its watches tell nothing
+	StoreCompact       StepKind = "forget"  // its history is gone
+	RefuseConnections  StepKind = "refuse"  // the store refuses one entry
+	SilenceConnections StepKind = "silence" // one entry's connections to store and seeds go silent; new ones work
+	OneWayLoss         StepKind = "oneway"  // nothing comes back to one entry from store and seeds
+	PacketLoss         StepKind = "lossy"   // datagrams are lost, doubled and late
 
-	Restore Kind = "restore" // the store answers nothing, and comes back from a copy some seconds old
+	StoreRestore StepKind = "restore" // the store answers nothing, and comes back from a copy some seconds old
 )
 
 var (
-	planned      = []Kind{Terminate, Rolling, Drain, Release, Routes, Storm, Settings, Foreign}
-	beside       = []Kind{Evacuate, Queue} // come beside the others
-	disturbances = []Kind{Kill, KillAll, Freeze, Crash, Restart, StoreDown, StoreSlow, StoreLag, StoreMute, Forget, Refuse, Silence, OneWay, Lossy}
+	planned      = []StepKind{TerminateEntry, RollingRestart, DrainUpstream, RollingRelease, ChangeRoute, ConfigStorm, ChangeSettings, ForeignWrite}
+	beside       = []StepKind{EvacuateCentre, SlowUpstreams} // come beside the others
+	disturbances = []StepKind{KillEntry, KillAllEntries, FreezeEntry, CrashUpstream, RestartUpstream, StoreDown, StoreSlow, StoreLag, StoreSilentWatch, StoreCompact, RefuseConnections, SilenceConnections, OneWayLoss, PacketLoss}
 )
 
 // Planned tells whether every promise holds while it goes on.
-func (k Kind) Planned() bool { return slices.Contains(planned, k) || slices.Contains(beside, k) }
+func (k StepKind) Planned() bool { return slices.Contains(planned, k) || slices.Contains(beside, k) }
 
 // Step is one fault or change of a plan.
 type Step struct {
 	At     time.Duration
 	For    time.Duration
-	Kind   Kind
+	Kind   StepKind
 	Target int // which entry, upstream or service, modulo their number
 }
 
@@ -110,7 +110,7 @@
 		steps = append(steps, Step{At: at, Kind: planned[rnd.IntN(len(planned))], Target: rnd.IntN(1000), For: duration()})
 	}
 	for at := 2 * warmUp; at < length-coolDown; at += restoreGap/2 + time.Duration(rnd.Int64N(int64(restoreGap))) {
-		steps = append(steps, Step{At: at, Kind: Restore, Target: rnd.IntN(1000), For: duration()})
+		steps = append(steps, Step{At: at, Kind: StoreRestore, Target: rnd.IntN(1000), For: duration()})
 	}
 	return mix(steps, seed, length)
 }
--- a/stoatsoak/planfile.go
+++ b/stoatsoak/planfile.go
@@ -56,7 +56,7 @@
 		return Step{}, false
 	}
 	d, err := time.ParseDuration(lasts)
-	s.At, s.Kind, s.For = time.Duration(at*float64(time.Second)), Kind(kind), d
-	known := s.Kind.Planned() || slices.Contains(disturbances, s.Kind) || s.Kind == Restore
+	s.At, s.Kind, s.For = time.Duration(at*float64(time.Second)), StepKind(kind), d
+	known := s.Kind.Planned() || slices.Contains(disturbances, s.Kind) || s.Kind == StoreRestore
 	return s, err == nil && known && at >= 0 && d >= 0
 }
--- a/stoatsoak/report.go
+++ b/stoatsoak/report.go
@@ -8,17 +8,17 @@
 
 // wireResult is a run in JSON.
 type wireResult struct {
-	Seed     uint64       `json:"seed"`
-	Steps    int          `json:"steps"`
-	Faults   map[Kind]int `json:"faults"`
-	Asked    int          `json:"asked"`
-	Served   int          `json:"served"`
-	Late     int          `json:"late"`
-	Failed   int          `json:"failed"`
-	Flows    int          `json:"flows"`
-	Resets   int          `json:"resets"`
-	Stalls   int          `json:"stalls"`
-	Breaches []string     `json:"breaches"`
+	Seed     uint64           `json:"seed"`
+	Steps    int              `json:"steps"`
+	Faults   map[StepKind]int `json:"faults"`
+	Asked    int              `json:"asked"`
+	Served   int              `json:"served"`
+	Late     int              `json:"late"`
+	Failed   int              `json:"failed"`
+	Flows    int              `json:"flows"`
+	Resets   int              `json:"resets"`
+	Stalls   int              `json:"stalls"`
+	Breaches []string         `json:"breaches"`
 }
 
 // Report writes what a run showed: a line, and with breaches what led to them.
@@ -28,7 +28,7 @@
 	}
 	c := r.Counts
 	_, err := fmt.Fprintf(w, "seed %d: %d steps, %d requests: %d in time, %d late, %d failed; %d flows opened, %d reset; %d stalls of the run itself; %d breaches\n",
-		r.Seed, len(r.Steps), c.Asked, c.Served, c.Late, c.Failed, c.Flows, c.Resets, c.Stalls, len(r.Breaches))
+		r.Seed, len(r.Steps), c.Requests, c.ServedInTime, c.ServedLate, c.Failed, c.FlowsOpened, c.FlowsReset, c.Stalls, len(r.Breaches))
 	for _, b := range r.Breaches {
 		_, _ = fmt.Fprintln(w, "BREACH", b)
 		for _, s := range led(r.Steps, b) {
@@ -52,8 +52,8 @@
 
 func toWire(r Result) wireResult {
 	out := wireResult{
-		Seed: r.Seed, Steps: len(r.Steps), Faults: map[Kind]int{}, Asked: r.Counts.Asked, Served: r.Counts.Served, Late: r.Counts.Late,
-		Failed: r.Counts.Failed, Flows: r.Counts.Flows, Resets: r.Counts.Resets, Stalls: r.Counts.Stalls, Breaches: []string{},
+		Seed: r.Seed, Steps: len(r.Steps), Faults: map[StepKind]int{}, Asked: r.Counts.Requests, Served: r.Counts.ServedInTime, Late: r.Counts.ServedLate,
+		Failed: r.Counts.Failed, Flows: r.Counts.FlowsOpened, Resets: r.Counts.FlowsReset, Stalls: r.Counts.Stalls, Breaches: []string{},
 	}
 	for _, s := range r.Steps {
 		out.Faults[s.Kind]++
--- a/stoatsoak/run_entry.go
+++ b/stoatsoak/run_entry.go
@@ -126,7 +126,7 @@
 level = %s
 [stop]
 deadline = 6s
-`, e.name, e.centre(), e.at(e.w.port), e.at(readyPort), e.at(adminPort), strings.Join(seeds, ","), e.store.addr, e.w.cfg.Bounds.Apply, e.w.cfg.Bounds.Apply, level)
+`, e.name, e.centre(), e.at(e.w.port), e.at(readyPort), e.at(adminPort), strings.Join(seeds, ","), e.store.addr, e.w.cfg.Limits.ApplyDelay, e.w.cfg.Limits.ApplyDelay, level)
 	file := filepath.Join(e.w.cfg.Dir, e.name+".ini")
 	return file, os.WriteFile(file, []byte(text), 0o600)
 }
--- a/stoatsoak/run_fabric.go
+++ b/stoatsoak/run_fabric.go
@@ -18,7 +18,7 @@
 	if e == nil || w.lost() {
 		return
 	}
-	if w.cfg.Sabotage != "" && w.sabotage(f, packet) {
+	if w.cfg.InjectBreach != "" && w.sabotage(f, packet) {
 		return
 	}
 	to := e.at(w.port)
@@ -67,7 +67,7 @@
 	}
 	for w.pause(w.jitter(200 * time.Millisecond)) {
 		w.mu.Lock()
-		routes := map[string]routed{"never": {listen: netip.MustParseAddrPort("198.18.9.9:443"), acked: w.cfg.Bounds.Stable + warmUp}}
+		routes := map[string]routed{"never": {listen: netip.MustParseAddrPort("198.18.9.9:443"), acked: w.cfg.Limits.StableDelay + warmUp}}
 		for name, r := range w.routes {
 			routes[name] = r
 		}
--- a/stoatsoak/run_faults.go
+++ b/stoatsoak/run_faults.go
@@ -15,7 +15,7 @@
 	if w.ctx.Err() != nil {
 		return
 	}
-	_, _ = fmt.Fprintln(w.cfg.Out, s)
+	_, _ = fmt.Fprintln(w.cfg.Progress, s)
 	e := w.entries[s.Target%len(w.entries)]
 	if s.Kind.Planned() {
 		w.plan(s, e)
@@ -32,31 +32,31 @@
 // plan begins planned work.
 func (w *world) plan(s Step, e *entry) {
 	switch s.Kind {
-	case Terminate:
+	case TerminateEntry:
 		e.signal(syscall.SIGTERM, true)
-	case Rolling:
+	case RollingRestart:
 		for i, e := range w.entries {
 			w.after(time.Duration(i)*s.For, func() { e.signal(syscall.SIGTERM, true) })
 		}
-	case Drain:
+	case DrainUpstream:
 		w.replace(s.Target)
-	case Release:
+	case RollingRelease:
 		for i := range appUpstreams {
 			w.after(time.Duration(i)*time.Second, func() { w.replace(0) })
 		}
-	case Routes:
+	case ChangeRoute:
 		w.changeRoutes(s.Target)
-	case Storm:
+	case ConfigStorm:
 		for i := range 10 {
 			w.after(time.Duration(i)*100*time.Millisecond, func() { w.changeRoutes(s.Target + i) })
 		}
-	case Foreign:
+	case ForeignWrite:
 		w.spoil(s)
-	case Evacuate:
+	case EvacuateCentre:
 		w.evacuate(s)
-	case Queue:
+	case SlowUpstreams:
 		w.fill(s)
-	case Settings:
+	case ChangeSettings:
 		e.mu.Lock()
 		e.level++
 		e.mu.Unlock()
@@ -122,7 +122,7 @@
 		return
 	}
 	u.leave(w.now())
-	w.after(w.cfg.Bounds.Apply+leaveAfter, func() { w.endWhenIdle(u, 10) })
+	w.after(w.cfg.Limits.ApplyDelay+leaveAfter, func() { w.endWhenIdle(u, 10) })
 }
 
 // endWhenIdle ends a leaving upstream once its flows have ended, or some time later.
@@ -166,19 +166,19 @@
 // disturb begins a disturbance.
 func (w *world) disturb(s Step, e *entry) {
 	switch s.Kind {
-	case Kill:
+	case KillEntry:
 		e.signal(syscall.SIGKILL, true)
-	case KillAll:
+	case KillAllEntries:
 		for _, e := range w.entries {
 			e.signal(syscall.SIGKILL, true)
 		}
-	case Freeze:
+	case FreezeEntry:
 		e.signal(syscall.SIGSTOP, false)
-	case Crash:
+	case CrashUpstream:
 		w.crash(s.Target)
-	case Restart:
+	case RestartUpstream:
 		w.restart(s.Target)
-	case Restore:
+	case StoreRestore:
 		// What the copy lacks: more than is written soon afterwards, so that revisions stay lower for long.
 		for i := range lostChanges {
 			w.changeRoutes(s.Target + i)
@@ -192,21 +192,21 @@
 		w.store.SetFaults(stoatfake.Faults{Delay: 200 * time.Millisecond})
 	case StoreLag:
 		w.store.SetFaults(stoatfake.Faults{StaleReplicas: true})
-	case StoreMute:
+	case StoreSilentWatch:
 		w.store.SetFaults(stoatfake.Faults{SilentWatches: true})
-	case Forget:
+	case StoreCompact:
 		w.store.CompactHistory()
-	case Refuse:
+	case RefuseConnections:
 		e.store.setRefuse(true)
-	case Silence:
+	case SilenceConnections:
 		for _, l := range e.links() {
 			l.silence()
 		}
-	case OneWay:
+	case OneWayLoss:
 		for _, l := range e.links() {
 			l.setOneWay(true)
 		}
-	case Lossy:
+	case PacketLoss:
 		w.setLossy(true)
 	}
 }
@@ -214,22 +214,22 @@
 // mend ends a disturbance.
 func (w *world) mend(s Step, e *entry) {
 	switch s.Kind {
-	case Freeze:
+	case FreezeEntry:
 		e.signal(syscall.SIGCONT, false)
-	case Restore:
+	case StoreRestore:
 		w.after(beforeDown, func() { w.restoreStore(s) })
 	case StoreDown:
 		w.store.SetFaults(stoatfake.Faults{})
 		w.after(time.Second, w.comeBack)
-	case StoreSlow, StoreLag, StoreMute:
+	case StoreSlow, StoreLag, StoreSilentWatch:
 		w.store.SetFaults(stoatfake.Faults{})
-	case Refuse:
+	case RefuseConnections:
 		e.store.setRefuse(false)
-	case OneWay:
+	case OneWayLoss:
 		for _, l := range e.links() {
 			l.setOneWay(false)
 		}
-	case Lossy:
+	case PacketLoss:
 		w.setLossy(false)
 	}
 }
--- a/stoatsoak/run_restore.go
+++ b/stoatsoak/run_restore.go
@@ -45,7 +45,7 @@
 	w.store.SetFaults(stoatfake.Faults{})
 	w.after(writeAgainAfter, w.writeAgain)
 	w.after(endAgainAfter, w.endAgain)
-	w.after(w.cfg.Bounds.Stable+w.cfg.Bounds.Slack, func() { w.changeRoutes(s.Target) })
+	w.after(w.cfg.Limits.StableDelay+w.cfg.Limits.Slack, func() { w.changeRoutes(s.Target) })
 }
 
 // writeAgain has operators and upstreams write what they wrote last.
--- a/stoatsoak/run_sabotage.go
+++ b/stoatsoak/run_sabotage.go
@@ -15,37 +15,37 @@
 	if !platform.DecodeSegment(packet, &s) || w.now() < warmUp {
 		return false
 	}
-	switch w.cfg.Sabotage {
-	case RightService:
+	switch w.cfg.InjectBreach {
+	case CorrectService:
 		return f.tuple[1] == pledgeAddr && w.misdeliver(packet, func(u *upstream) bool { return u.service == "intake" })
-	case WholeAnswer:
+	case CorrectAnswer:
 		return w.alter(f, &s)
-	case Once:
+	case AtMostOnce:
 		if f.tuple[1] == pledgeAddr && len(s.Data) > 0 {
 			w.repeatElsewhere(f, s)
 		}
-	case FlowLives:
+	case FlowSurvives:
 		return len(s.Data) > 0 && w.resetFlow(&s)
-	case Drained:
-		late := w.cfg.Bounds.Apply + w.cfg.Bounds.Slack
+	case NoFlowToLeaving:
+		late := w.cfg.Limits.ApplyDelay + w.cfg.Limits.Slack
 		return s.Opens && f.tuple[1] == pledgeAddr && w.misdeliver(packet, func(u *upstream) bool { return u.left > 0 && w.now()-u.left > late })
-	case Evacuated:
-		late := w.cfg.Bounds.Apply + w.cfg.Bounds.Slack
+	case NoFlowToEvacuated:
+		late := w.cfg.Limits.ApplyDelay + w.cfg.Limits.Slack
 		return s.Opens && f.tuple[1] == pledgeAddr && w.misdeliver(packet, func(u *upstream) bool {
 			since := w.evacuatedSince(u.centre)
 			return since > 0 && w.now()-since > late && u.service == "app"
 		})
-	case Spared:
+	case ColdLimit:
 		if s.Opens && f.tuple[1] == pledgeAddr {
 			w.overrun(s)
 		}
-	case Admits:
+	case AdmitsFlows:
 		return s.Opens && f.entry != nil && w.resetFlow(&s)
-	case InForce:
+	case ConfigApplied:
 		return s.Opens && f.entry != nil && w.misdeliver(packet, func(u *upstream) bool { return u.service == "app" })
 	case Recovers:
 		return s.Opens
-	case Runs:
+	case EntryRuns:
 		w.entries[0].signal(syscall.SIGKILL, false)
 	}
 	return false
--- a/stoatsoak/run_world.go
+++ b/stoatsoak/run_world.go
@@ -30,13 +30,13 @@
 	Seed    uint64
 	Length  time.Duration
 	Entries int
-	Bounds  Bounds
+	Limits  TimeLimits
 	Plan    []Step // nil: by the seed
 	// Restores makes restores of the store the disturbances of the plan by the seed.
 	Restores bool
-	// Sabotage breaks one promise on purpose, to see that it is noticed; the run ends when it is.
-	Sabotage Promise
-	Out      io.Writer // progress
+	// InjectBreach breaks one promise on purpose, to see that it is noticed; the run ends when it is.
+	InjectBreach Guarantee
+	Progress     io.Writer // progress
 }
 
 // Result is what a run showed.
@@ -116,12 +116,12 @@
 	defer cancel()
 	group, ctx := errgroup.WithContext(ctx)
 	w := &world{
-		cfg: cfg, start: time.Now(), ctx: ctx, cancel: cancel, group: group, check: newChecker(cfg.Bounds), store: stoatfake.NewPlatform(),
+		cfg: cfg, start: time.Now(), ctx: ctx, cancel: cancel, group: group, check: newChecker(cfg.Limits), store: stoatfake.NewPlatform(),
 		port: firstPort + uint16(cfg.Seed%1000), rnd: rand.New(rand.NewPCG(cfg.Seed, 12)), routes: map[string]routed{},
 	}
-	if cfg.Sabotage != "" {
-		w.check.noticed = func(p Promise) {
-			if p == cfg.Sabotage {
+	if cfg.InjectBreach != "" {
+		w.check.noticed = func(p Guarantee) {
+			if p == cfg.InjectBreach {
 				cancel()
 			}
 		}
@@ -192,7 +192,7 @@
 	}
 	w.group.Go(w.look)
 	// A run that breaks a promise on purpose is about being noticed, at any speed.
-	if w.cfg.Sabotage == "" {
+	if w.cfg.InjectBreach == "" {
 		w.group.Go(w.watchStalls)
 	}
 	w.group.Go(w.summarize)
@@ -209,7 +209,7 @@
 func (w *world) summarize() error {
 	for w.pause(time.Minute) {
 		c, breaches := w.check.result()
-		_, _ = fmt.Fprintf(w.cfg.Out, "%.0f s: %d requests, %d late, %d failed, %d breaches\n", w.now().Seconds(), c.Asked, c.Late, c.Failed, len(breaches))
+		_, _ = fmt.Fprintf(w.cfg.Progress, "%.0f s: %d requests, %d late, %d failed, %d breaches\n", w.now().Seconds(), c.Requests, c.ServedLate, c.Failed, len(breaches))
 	}
 	return nil
 }
@@ -369,8 +369,8 @@
 	return n
 }
 
-// Logs names the files that tell what happened.
-func Logs(dir string) string {
+// LogFiles names the files that tell what happened.
+func LogFiles(dir string) string {
 	list, err := os.ReadDir(dir)
 	if err != nil {
 		return dir
--- a/stoatsoak/soak_test.go
+++ b/stoatsoak/soak_test.go
@@ -26,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Program, cfg.Dir, cfg.Out, cfg.Entries = program, t.TempDir(), io.Discard, 3
-	cfg.Bounds = stoatsoak.Bounds{Apply: 3 * time.Second, Stable: 4 * time.Second, Slack: time.Second, Back: 12 * time.Second, Untimed: cfg.Sabotage == ""}
+	cfg.Program, cfg.Dir, cfg.Progress, cfg.Entries = program, t.TempDir(), io.Discard, 3
+	cfg.Limits = stoatsoak.TimeLimits{ApplyDelay: 3 * time.Second, StableDelay: 4 * time.Second, Slack: time.Second, RecoveryTime: 12 * time.Second, SkipTimed: cfg.InjectBreach == ""}
 	r, err := stoatsoak.Run(context.Background(), cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -37,19 +37,19 @@
 
 // A run of planned work and disturbances: what must hold whatever the machine's speed holds.
 func TestRun(t *testing.T) {
-	at := func(s int, k stoatsoak.Kind, target int) stoatsoak.Step {
+	at := func(s int, k stoatsoak.StepKind, target int) stoatsoak.Step {
 		return stoatsoak.Step{At: time.Duration(s) * time.Second, For: time.Second, Kind: k, Target: target}
 	}
 	r := run(t, stoatsoak.Config{Seed: 1, Length: 16 * time.Second, Plan: []stoatsoak.Step{
-		at(3, stoatsoak.Routes, 1), at(3, stoatsoak.Drain, 0), at(4, stoatsoak.Terminate, 0), at(5, stoatsoak.Storm, 2), at(6, stoatsoak.Crash, 1),
-		at(4, stoatsoak.Foreign, 3), at(6, stoatsoak.Foreign, 0), at(7, stoatsoak.Restart, 3), at(5, stoatsoak.Evacuate, 1), at(11, stoatsoak.Queue, 0), at(9, stoatsoak.Restart, 2),
-		at(7, stoatsoak.StoreDown, 0), at(8, stoatsoak.Kill, 1), at(10, stoatsoak.Freeze, 2), at(11, stoatsoak.Lossy, 0), at(12, stoatsoak.KillAll, 0),
-		at(9, stoatsoak.Restore, 0), at(13, stoatsoak.Restore, 0),
+		at(3, stoatsoak.ChangeRoute, 1), at(3, stoatsoak.DrainUpstream, 0), at(4, stoatsoak.TerminateEntry, 0), at(5, stoatsoak.ConfigStorm, 2), at(6, stoatsoak.CrashUpstream, 1),
+		at(4, stoatsoak.ForeignWrite, 3), at(6, stoatsoak.ForeignWrite, 0), at(7, stoatsoak.RestartUpstream, 3), at(5, stoatsoak.EvacuateCentre, 1), at(11, stoatsoak.SlowUpstreams, 0), at(9, stoatsoak.RestartUpstream, 2),
+		at(7, stoatsoak.StoreDown, 0), at(8, stoatsoak.KillEntry, 1), at(10, stoatsoak.FreezeEntry, 2), at(11, stoatsoak.PacketLoss, 0), at(12, stoatsoak.KillAllEntries, 0),
+		at(9, stoatsoak.StoreRestore, 0), at(13, stoatsoak.StoreRestore, 0),
 	}})
 	for _, b := range r.Breaches {
 		t.Error(b)
 	}
-	if r.Counts.Served+r.Counts.Late == 0 || r.Counts.Flows == 0 {
+	if r.Counts.ServedInTime+r.Counts.ServedLate == 0 || r.Counts.FlowsOpened == 0 {
 		t.Errorf("nothing was served: %+v", r.Counts)
 	}
 }
@@ -58,26 +58,26 @@
 // which the run's processes are real ones; so each run goes on until then, and the upstreams that
 // leave do so one after the other, after the start has ceased to count as a disturbance.
 func TestBrokenEntryIsNoticed(t *testing.T) {
-	for i, p := range []stoatsoak.Promise{stoatsoak.RightService, stoatsoak.WholeAnswer, stoatsoak.Once, stoatsoak.FlowLives, stoatsoak.Drained, stoatsoak.InForce, stoatsoak.Recovers, stoatsoak.Runs, stoatsoak.Evacuated, stoatsoak.Spared, stoatsoak.Admits} {
+	for i, p := range []stoatsoak.Guarantee{stoatsoak.CorrectService, stoatsoak.CorrectAnswer, stoatsoak.AtMostOnce, stoatsoak.FlowSurvives, stoatsoak.NoFlowToLeaving, stoatsoak.ConfigApplied, stoatsoak.Recovers, stoatsoak.EntryRuns, stoatsoak.NoFlowToEvacuated, stoatsoak.ColdLimit, stoatsoak.AdmitsFlows} {
 		t.Run(string(p), func(t *testing.T) {
 			plan := []stoatsoak.Step{}
-			if p == stoatsoak.Drained {
+			if p == stoatsoak.NoFlowToLeaving {
 				for at := 12 * time.Second; at < brokenFor; at += 8 * time.Second {
-					plan = append(plan, stoatsoak.Step{At: at, Kind: stoatsoak.Drain, Target: 0})
+					plan = append(plan, stoatsoak.Step{At: at, Kind: stoatsoak.DrainUpstream, Target: 0})
 				}
 			}
-			if p == stoatsoak.Admits {
-				plan = append(plan, stoatsoak.Step{At: 12 * time.Second, Kind: stoatsoak.Routes, Target: 1})
+			if p == stoatsoak.AdmitsFlows {
+				plan = append(plan, stoatsoak.Step{At: 12 * time.Second, Kind: stoatsoak.ChangeRoute, Target: 1})
 			}
-			if p == stoatsoak.Evacuated || p == stoatsoak.Spared {
-				kind := map[stoatsoak.Promise]stoatsoak.Kind{stoatsoak.Evacuated: stoatsoak.Evacuate, stoatsoak.Spared: stoatsoak.Drain}[p]
+			if p == stoatsoak.NoFlowToEvacuated || p == stoatsoak.ColdLimit {
+				kind := map[stoatsoak.Guarantee]stoatsoak.StepKind{stoatsoak.NoFlowToEvacuated: stoatsoak.EvacuateCentre, stoatsoak.ColdLimit: stoatsoak.DrainUpstream}[p]
 				for at := 12 * time.Second; at < brokenFor; at += 10 * time.Second {
 					plan = append(plan, stoatsoak.Step{At: at, For: 8 * time.Second, Kind: kind, Target: 0})
 				}
 			}
-			r := run(t, stoatsoak.Config{Seed: uint64(20 + i), Length: brokenFor, Plan: plan, Sabotage: p})
+			r := run(t, stoatsoak.Config{Seed: uint64(20 + i), Length: brokenFor, Plan: plan, InjectBreach: p})
 			for _, b := range r.Breaches {
-				if b.Promise == p {
+				if b.Guarantee == p {
 					return
 				}
 			}
