--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -212,7 +212,7 @@
 type probeResult struct {
 	entry, process string
 	route          string
-	allowed        bool          // whether the configuration has the route
+	configured     bool          // whether the configuration has the route
 	version        int           // of the configuration that added or removed the route
 	ackedAt        time.Duration // when the store acknowledged that configuration
 	opened         bool
@@ -230,16 +230,16 @@
 	if !p.hasRoom {
 		c.noRoomAt = max(1, now)
 	}
-	if now-p.ackedAt <= c.limits.ApplyDelay+c.limits.Slack || !c.undisturbed(p.ackedAt, now) || p.allowed == p.opened {
+	if now-p.ackedAt <= c.limits.ApplyDelay+c.limits.Slack || !c.undisturbed(p.ackedAt, now) || p.configured == p.opened {
 		return
 	}
-	if p.allowed && c.maxVersions[p.process] >= p.version {
+	if p.configured && c.maxVersions[p.process] >= p.version {
 		if !c.overloaded(now) {
 			c.breach(now, AdmitsFlows, "%s: route %s is in force and refuses a flow, with room at upstreams", p.entry, p.route)
 		}
 		return
 	}
-	c.breach(now, ConfigApplied, "%s: route %s: allowed %t, opened %t, %s after the change", p.entry, p.route, p.allowed, p.opened, now-p.ackedAt)
+	c.breach(now, ConfigApplied, "%s: route %s: allowed %t, opened %t, %s after the change", p.entry, p.route, p.configured, p.opened, now-p.ackedAt)
 }
 
 // overloaded reports whether upstreams are overloaded or have no room, or were so a moment ago.
--- a/stoatsoak/checker_test.go
+++ b/stoatsoak/checker_test.go
@@ -146,8 +146,8 @@
 }
 
 // probed returns the result of a probe of a route that version 4 added or removed at 10 s.
-func probed(allowed, opened bool) probeResult {
-	return probeResult{entry: "e", process: "e#1", route: "x", allowed: allowed, version: 4, ackedAt: 10 * second, opened: opened, hasRoom: true}
+func probed(configured, opened bool) probeResult {
+	return probeResult{entry: "e", process: "e#1", route: "x", configured: configured, version: 4, ackedAt: 10 * second, opened: opened, hasRoom: true}
 }
 
 // With SkipTimed, only the guarantees without a time limit are checked.
@@ -185,7 +185,7 @@
 			kinds[s.Kind] = true
 		}
 	}
-	if len(kinds) != len(plannedKinds)+len(overlappingKinds)+len(disturbanceKinds) {
+	if len(kinds) != len(plannedKinds)+len(overlappingKinds)+len(faultKinds) {
 		t.Error("some kinds are never used:", kinds)
 	}
 }
@@ -206,11 +206,11 @@
 // Two runs with the same seed on one machine use different subnets.
 func TestReserveSubnet(t *testing.T) {
 	one, two := &harness{cfg: Config{Seed: 77}}, &harness{cfg: Config{Seed: 77}}
-	for _, w := range []*harness{one, two} {
-		if err := w.reserveSubnet(); err != nil {
+	for _, h := range []*harness{one, two} {
+		if err := h.reserveSubnet(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { _ = w.subnetLock.Close() })
+		t.Cleanup(func() { _ = h.subnetLock.Close() })
 	}
 	if one.subnet == two.subnet {
 		t.Error("both use", one.subnet)
--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -46,7 +46,7 @@
 var (
 	plannedKinds     = []StepKind{TerminateEntry, RollingRestart, DrainUpstream, RollingRelease, ChangeRoute, ConfigStorm, ChangeSettings, ForeignWrite}
 	overlappingKinds = []StepKind{EvacuateCentre, SlowUpstreams} // planned work that runs concurrently with the other steps
-	disturbanceKinds = []StepKind{KillEntry, KillAllEntries, FreezeEntry, CrashUpstream, RestartUpstream, StoreDown, StoreSlow, StoreLag, StoreSilentWatch, StoreCompact, RefuseConnections, SilenceConnections, OneWayLoss, PacketLoss}
+	faultKinds       = []StepKind{KillEntry, KillAllEntries, FreezeEntry, CrashUpstream, RestartUpstream, StoreDown, StoreSlow, StoreLag, StoreSilentWatch, StoreCompact, RefuseConnections, SilenceConnections, OneWayLoss, PacketLoss}
 )
 
 // Planned reports whether the kind is planned work, during which all guarantees hold.
@@ -87,7 +87,7 @@
 	for at := warmUp; at < length-coolDown; at += stepGap/2 + time.Duration(rnd.Int64N(int64(stepGap))) {
 		kinds := plannedKinds
 		if rnd.IntN(2) == 0 {
-			kinds = disturbanceKinds
+			kinds = faultKinds
 		}
 		s := Step{At: at, Kind: kinds[rnd.IntN(len(kinds))], Target: rnd.IntN(1000)}
 		s.For = time.Second + time.Duration(rnd.Int64N(int64(maxStepDuration-time.Second))).Truncate(time.Millisecond)
--- a/stoatsoak/run_caller.go
+++ b/stoatsoak/run_caller.go
@@ -42,12 +42,12 @@
 // caller is a fake caller with one address. Its flows differ in their ports, which exist only in the packets,
 // and share one socket.
 type caller struct {
-	h     *harness
-	addr  netip.Addr
-	conn  *net.UDPConn
-	mu    sync.Mutex
-	flows map[uint16]*flow
-	port  uint16
+	h        *harness
+	addr     netip.Addr
+	conn     *net.UDPConn
+	mu       sync.Mutex
+	flows    map[uint16]*flow
+	lastPort uint16
 }
 
 // flow is the caller's side of a flow.
@@ -66,7 +66,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &caller{h: h, addr: addr, conn: conn, flows: map[uint16]*flow{}, port: 20000}
+	c := &caller{h: h, addr: addr, conn: conn, flows: map[uint16]*flow{}, lastPort: 20000}
 	h.mu.Lock()
 	h.callerConns = append(h.callerConns, conn)
 	h.mu.Unlock()
@@ -101,15 +101,15 @@
 func (c *caller) newFlow(to netip.AddrPort, e *entry) *flow {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.port++
-	if c.port < 20000 {
-		c.port = 20000
+	c.lastPort++
+	if c.lastPort < 20000 {
+		c.lastPort = 20000
 	}
 	f := &flow{
-		c: c, tuple: [2]netip.AddrPort{netip.AddrPortFrom(c.addr, c.port), to}, segments: make(chan platform.Segment, 16),
+		c: c, tuple: [2]netip.AddrPort{netip.AddrPortFrom(c.addr, c.lastPort), to}, segments: make(chan platform.Segment, 16),
 		seq: c.h.random(), entry: e,
 	}
-	c.flows[c.port] = f
+	c.flows[c.lastPort] = f
 	return f
 }
 
--- a/stoatsoak/run_entry.go
+++ b/stoatsoak/run_entry.go
@@ -191,13 +191,13 @@
 }
 
 // signal sends a signal to the process, if it is running. With ends, the process is expected to exit.
-func (e *entry) signal(sig syscall.Signal, ends bool) {
+func (e *entry) signal(sig syscall.Signal, expectExit bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cmd == nil || e.cmd.Process == nil {
 		return
 	}
-	e.exitExpected = e.exitExpected || ends
+	e.exitExpected = e.exitExpected || expectExit
 	// An error means that the process has just exited.
 	_ = e.cmd.Process.Signal(sig)
 }
--- a/stoatsoak/run_fabric.go
+++ b/stoatsoak/run_fabric.go
@@ -100,7 +100,7 @@
 		return
 	}
 	h.check.routeProbed(sent, probeResult{
-		entry: e.name, process: e.processName(), route: name, allowed: r.allowed, version: r.version, ackedAt: r.ackedAt,
+		entry: e.name, process: e.processName(), route: name, configured: r.added, version: r.version, ackedAt: r.ackedAt,
 		opened: s.Opens && s.Acks, hasRoom: hadRoom && h.hasRoom(),
 	})
 	if opened := s.Opens && s.Acks; opened {
--- a/stoatsoak/run_faults.go
+++ b/stoatsoak/run_faults.go
@@ -21,11 +21,11 @@
 		h.startPlanned(s, e)
 		return
 	}
-	ended := h.check.beginDisturbance(h.now())
-	h.startDisturbance(s, e)
+	recordEnd := h.check.beginDisturbance(h.now())
+	h.startFault(s, e)
 	h.after(s.For, func() {
-		h.endDisturbance(s, e)
-		ended(h.now())
+		h.endFault(s, e)
+		recordEnd(h.now())
 	})
 }
 
@@ -102,11 +102,11 @@
 // slowUpstreams makes all upstreams answer slowly. Entries may refuse new flows because of it, but open flows
 // must go on.
 func (h *harness) slowUpstreams(s Step) {
-	ended := h.check.beginOverload(h.now())
+	recordEnd := h.check.beginOverload(h.now())
 	h.slowdowns.Add(1)
 	h.after(s.For, func() {
 		h.slowdowns.Add(-1)
-		ended(h.now())
+		recordEnd(h.now())
 	})
 }
 
@@ -135,8 +135,8 @@
 	}
 	if u.hasOpenFlow() {
 		// Stopping the upstream breaks the flows that callers still keep open, which is not the fault of an entry.
-		ended := h.check.beginDisturbance(h.now())
-		h.after(time.Second, func() { ended(h.now()) })
+		recordEnd := h.check.beginDisturbance(h.now())
+		h.after(time.Second, func() { recordEnd(h.now()) })
 	}
 	u.stop()
 }
@@ -161,12 +161,12 @@
 	name := fmt.Sprint("extra-", n%7)
 	h.changeConfig(func(routes map[string]routeChange) {
 		listen := netip.AddrPortFrom(netip.AddrFrom4([4]byte{198, 18, 1, byte(n % 7)}), 443)
-		routes[name] = routeChange{listen: listen, allowed: !routes[name].allowed, ackedAt: h.now(), version: h.version}
+		routes[name] = routeChange{listen: listen, added: !routes[name].added, ackedAt: h.now(), version: h.version}
 	})
 }
 
-// startDisturbance starts a fault.
-func (h *harness) startDisturbance(s Step, e *entry) {
+// startFault starts a fault.
+func (h *harness) startFault(s Step, e *entry) {
 	switch s.Kind {
 	case KillEntry:
 		e.signal(syscall.SIGKILL, true)
@@ -214,8 +214,8 @@
 	}
 }
 
-// endDisturbance ends a fault. Some faults, like a killed process, need no end.
-func (h *harness) endDisturbance(s Step, e *entry) {
+// endFault ends a fault. Some faults, like a killed process, need no end.
+func (h *harness) endFault(s Step, e *entry) {
 	switch s.Kind {
 	case FreezeEntry:
 		e.signal(syscall.SIGCONT, false)
--- a/stoatsoak/run_harness.go
+++ b/stoatsoak/run_harness.go
@@ -84,7 +84,7 @@
 // routeChange is the latest change of a route, which was added or removed.
 type routeChange struct {
 	listen  netip.AddrPort
-	allowed bool
+	added   bool
 	ackedAt time.Duration
 	version int // of the configuration with the change
 }
@@ -183,13 +183,13 @@
 		h.entries = append(h.entries, e)
 	}
 	// No guarantee applies until all entries serve.
-	startupDone := h.check.beginDisturbance(0)
+	recordEnd := h.check.beginDisturbance(0)
 	for _, e := range h.entries {
 		h.group.Go(e.run)
 		h.group.Go(e.probe)
 	}
 	h.sleep(time.Second)
-	startupDone(h.now())
+	recordEnd(h.now())
 	if err := h.startCallers(); err != nil {
 		return err
 	}
@@ -340,7 +340,7 @@
 		add(typ.listen, typ.service, typ.repeatable)
 	}
 	for _, r := range h.routes {
-		if r.allowed {
+		if r.added {
 			add(r.listen, "app", true)
 		}
 	}
