--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -25,7 +25,7 @@
 	EntryRuns          Guarantee = "runs"     // An entry process does not exit unless the harness ends it.
 )
 
-// timed reports whether the guarantee has a time limit, which a machine that is slow enough exceeds.
+// timed reports whether the guarantee depends on timing, so that a machine that is slow enough violates it.
 func (g Guarantee) timed() bool {
 	return g == FlowSurvives || g == NoFlowToEvacuated || g == ColdLimit || g == NoFlowToLeaving || g == ConfigApplied || g == AdmitsFlows || g == Recovers
 }
@@ -45,8 +45,8 @@
 // disturbance is a period for which some guarantees are suspended. While it lasts, to is 0.
 type disturbance struct {
 	from, to time.Duration
-	// overload means that upstreams only answer slowly, so that callers may wait or be refused. All other
-	// guarantees hold.
+	// overload means that upstreams only answer slowly, so that callers may wait longer or be refused. It
+	// suspends AdmitsFlows and Recovers, and no other guarantee.
 	overload bool
 }
 
@@ -72,7 +72,7 @@
 	StableDelay  time.Duration // from the end of a disturbance until the guarantees hold again
 	Slack        time.Duration // allowance for the speed of the machine that the run is on
 	RecoveryTime time.Duration // from the end of a disturbance until requests are served again
-	// SkipTimed omits the guarantees that have a time limit, for a machine of unknown speed.
+	// SkipTimed omits the guarantees that depend on timing, for a machine of unknown speed.
 	SkipTimed bool
 }
 
@@ -118,8 +118,8 @@
 	}
 }
 
-// undisturbed reports whether the guarantees held without a break from since until now. A disturbance suspends
-// them until StableDelay after its end.
+// undisturbed reports whether no disturbance suspended the guarantees at any time from since until now. A
+// disturbance suspends them until StableDelay after its end. Overloads don't count.
 func (c *checker) undisturbed(since, now time.Duration) bool {
 	if c.stalled(now) {
 		return false
@@ -163,7 +163,7 @@
 	defer c.mu.Unlock()
 	c.counts.FlowsReset++
 	if c.undisturbed(now, now) {
-		c.breach(now, FlowSurvives, "flow %s was reset while %s lives", flow, upstream)
+		c.breach(now, FlowSurvives, "flow %s was reset while %s is alive", flow, upstream)
 	}
 }
 
@@ -192,7 +192,8 @@
 	coldSlack  = 5
 )
 
-// openedAtCold checks a new flow to a cold upstream, whose cold rate is in flows per second.
+// openedAtCold checks a new flow to a cold upstream. The rate is the number of requests per second that the
+// upstream can handle while it is cold.
 func (c *checker) openedAtCold(now time.Duration, upstream string, rate float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -239,7 +240,7 @@
 		}
 		return
 	}
-	c.breach(now, ConfigApplied, "%s: route %s: allowed %t, opened %t, %s after the change", p.entry, p.route, p.configured, p.opened, now-p.ackedAt)
+	c.breach(now, ConfigApplied, "%s: route %s: configured %t, opened %t, %s after the change", p.entry, p.route, p.configured, p.opened, now-p.ackedAt)
 }
 
 // overloaded reports whether upstreams are overloaded or have no room, or were so a moment ago.
--- a/stoatsoak/checker_test.go
+++ b/stoatsoak/checker_test.go
@@ -150,7 +150,7 @@
 	return probeResult{entry: "e", process: "e#1", route: "x", configured: configured, version: 4, ackedAt: 10 * second, opened: opened, hasRoom: true}
 }
 
-// With SkipTimed, only the guarantees without a time limit are checked.
+// With SkipTimed, only the guarantees that do not depend on timing are checked.
 func TestSkipTimed(t *testing.T) {
 	limits := testLimits()
 	limits.SkipTimed = true
--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -11,8 +11,8 @@
 // StepKind is a kind of step: planned work or a fault.
 type StepKind string
 
-// The kinds of steps. All guarantees hold during planned work, which is the first group. Faults, the other
-// groups, suspend some of them.
+// The kinds of steps. The first group is planned work, during which all guarantees hold, except that
+// SlowUpstreams suspends AdmitsFlows and Recovers. The other groups are faults, which suspend several guarantees.
 const (
 	TerminateEntry StepKind = "terminate" // An entry gets SIGTERM and is started again.
 	RollingRestart StepKind = "rolling"   // All entries get SIGTERM, one after the other, and are started again.
@@ -49,7 +49,7 @@
 	faultKinds       = []StepKind{KillEntry, KillAllEntries, FreezeEntry, CrashUpstream, RestartUpstream, StoreDown, StoreSlow, StoreLag, StoreSilentWatch, StoreCompact, RefuseConnections, SilenceConnections, OneWayLoss, PacketLoss}
 )
 
-// Planned reports whether the kind is planned work, during which all guarantees hold.
+// Planned reports whether the kind is planned work and not a fault.
 func (k StepKind) Planned() bool {
 	return slices.Contains(plannedKinds, k) || slices.Contains(overlappingKinds, k)
 }
--- a/stoatsoak/run_breach.go
+++ b/stoatsoak/run_breach.go
@@ -78,7 +78,7 @@
 	_, _ = h.entries[0].conn.WriteToUDPAddrPort(append(make([]byte, platform.TargetSize), packet...), u.addr)
 }
 
-// alterRequestID sends a request on with another ID.
+// alterRequestID forwards a request with another ID. It reports whether it did.
 func (h *harness) alterRequestID(f *flow, s *platform.Segment) bool {
 	if len(s.Data) == 0 {
 		return false
--- a/stoatsoak/run_entry.go
+++ b/stoatsoak/run_entry.go
@@ -131,7 +131,7 @@
 	return file, os.WriteFile(file, []byte(text), 0o600)
 }
 
-// run starts the process, again after each exit, until the run ends.
+// run starts the process, and starts it again after each exit, until the run ends.
 func (e *entry) run() error {
 	for e.h.ctx.Err() == nil {
 		if err := e.start(); err != nil {
@@ -190,7 +190,8 @@
 	}
 }
 
-// signal sends a signal to the process, if it is running. With ends, the process is expected to exit.
+// signal sends a signal to the process, if it is running. If expectExit is set, the exit that follows is no
+// breach.
 func (e *entry) signal(sig syscall.Signal, expectExit bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/stoatsoak/run_fabric.go
+++ b/stoatsoak/run_fabric.go
@@ -69,6 +69,7 @@
 	}
 	for h.sleep(h.jitter(200 * time.Millisecond)) {
 		h.mu.Lock()
+		// The route that never existed counts as removed after the startup, which would excuse any result before.
 		routes := map[string]routeChange{"never": {listen: netip.MustParseAddrPort("198.18.9.9:443"), ackedAt: h.cfg.Limits.StableDelay + warmUp}}
 		for name, r := range h.routes {
 			routes[name] = r
--- a/stoatsoak/run_harness.go
+++ b/stoatsoak/run_harness.go
@@ -34,8 +34,8 @@
 	Plan    []Step // nil means that the seed determines the steps
 	// Restores makes restores of the store the only faults of the plan that the seed determines.
 	Restores bool
-	// InjectBreach makes the harness violate one guarantee, to test that the checker detects the breach. The run ends
-	// once it has.
+	// InjectBreach makes the harness violate one guarantee, to test that the checker detects the breach. The run
+	// ends once the breach is detected.
 	InjectBreach Guarantee
 	Progress     io.Writer // receives the steps and a summary every minute
 }
@@ -74,7 +74,7 @@
 	lossy         bool
 	version       int
 	routes        map[string]routeChange
-	coldUpstreams int    // number of upstreams that started a short time ago
+	coldUpstreams int    // number of upstreams whose cold phase has not ended
 	evacuated     string // the evacuated data centre, or empty
 	// evacuatedAt is the time at which that data centre was evacuated.
 	evacuatedAt time.Duration
--- a/stoatsoak/run_upstream.go
+++ b/stoatsoak/run_upstream.go
@@ -45,10 +45,10 @@
 
 const (
 	workTime      = 30 * time.Millisecond
-	slowWorkTime  = 500 * time.Millisecond // as through a full queue; exceeds the 0.2 s after which callers retransmit
+	slowWorkTime  = 500 * time.Millisecond // as with a full queue; exceeds the 0.2 s after which callers retransmit
 	upstreamSlots = 3
 	coldDuration  = 2 * time.Second
-	coldRate      = 5.0 // requests per second that a cold upstream can take
+	coldRate      = 5.0 // requests per second that a cold upstream can handle
 )
 
 // newUpstream starts a cold upstream with a new ID at the address. Port 0 stands for any free port.
@@ -59,7 +59,7 @@
 // firstTargetID is the base of the upstreams' IDs.
 const firstTargetID = 0x5000_0000
 
-// startUpstream starts an upstream with that ID, which is cold for the given time. While a data centre is
+// startUpstream starts an upstream with the given ID, which is cold for the given time. While a data centre is
 // evacuated it starts warm, as the remaining upstreams might lack the capacity for all requests otherwise.
 func (h *harness) startUpstream(targetID uint64, service, centre string, at netip.AddrPort, cold time.Duration) (*upstream, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
