--- a/stoatentry/run_effects.go
+++ b/stoatentry/run_effects.go
@@ -64,7 +64,7 @@
 	case stoatnode.Resync:
 		e.engine.Resync(x.Peer)
 	case stoatnode.Log:
-		e.log.Emit(x.Entry, x.Fields...)
+		e.log.Emit(x.Definition, x.Fields...)
 	case stoatnode.HandOver:
 		e.handOver()
 	case stoatnode.Exit:
@@ -196,7 +196,7 @@
 	}
 	token := newToken()
 	o, err := e.platform.Put(e.ctx, stoatpaddle.Object{
-		Ref: stoatnode.SeedRef, Token: token, Value: []byte(strconv.Quote(hex.EncodeToString(raw))),
+		Ref: stoatnode.HashKeyRef, Token: token, Value: []byte(strconv.Quote(hex.EncodeToString(raw))),
 	})
 	var conflict *stoatpaddle.ConflictError
 	switch {
--- a/stoatnode/bench_test.go
+++ b/stoatnode/bench_test.go
@@ -17,7 +17,7 @@
 	now := epoch
 	node.Step(now, Started{})
 	node.Step(now, Listed{Listing: stoatpaddle.Listing{Revision: 1, Objects: []stoatpaddle.Object{
-		{Ref: SeedRef, Version: 1, Value: []byte(`"000102030405060708090a0b0c0d0e0f"`)},
+		{Ref: HashKeyRef, Version: 1, Value: []byte(`"000102030405060708090a0b0c0d0e0f"`)},
 	}}})
 	peers := make([]stoatpaddle.Instance, n-1)
 	for i := range peers {
@@ -49,7 +49,7 @@
 // benchmarkContract measures the adoption of an amended contract with 18 upstreams, one of n contracts.
 func benchmarkContract(b *testing.B, n int) {
 	node := New(Config{Self: testInstance("a1", stoatpaddle.StateLive, 1), Cluster: "test", RandomSeed: 1, StopDeadline: time.Minute})
-	objects := []stoatpaddle.Object{{Ref: SeedRef, Version: 1, Value: []byte(`"000102030405060708090a0b0c0d0e0f"`)}}
+	objects := []stoatpaddle.Object{{Ref: HashKeyRef, Version: 1, Value: []byte(`"000102030405060708090a0b0c0d0e0f"`)}}
 	for i := range n {
 		objects = append(objects, benchContract(i, stoatpaddle.Version(i+2)))
 	}
--- a/stoatnode/effect.go
+++ b/stoatnode/effect.go
@@ -66,8 +66,8 @@
 
 // Log writes a numbered event to the log.
 type Log struct {
-	Entry  *stoatevent.Definition
-	Fields []stoatevent.Field
+	Definition *stoatevent.Definition
+	Fields     []stoatevent.Field
 }
 
 // HandOver starts to hand over flows and to refuse new calls. When the flows are handed over,
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -128,7 +128,7 @@
 func (n *Node) emit(e Effect) { n.effects = append(n.effects, e) }
 
 func (n *Node) log(e *stoatevent.Definition, fields ...stoatevent.Field) {
-	n.emit(Log{Entry: e, Fields: fields})
+	n.emit(Log{Definition: e, Fields: fields})
 }
 
 func (n *Node) start(now time.Time) {
--- a/stoatnode/objects.go
+++ b/stoatnode/objects.go
@@ -19,8 +19,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatview"
 )
 
-// SeedRef is the reference of the object that contains the hash key of the cluster.
-var SeedRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
+// HashKeyRef is the reference of the object that contains the hash key of the cluster.
+var HashKeyRef = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectCluster, Name: "seed"}
 
 const hashKeySize = 16
 
@@ -142,7 +142,7 @@
 
 func (n *Node) applyHashKey(o stoatpaddle.Object) {
 	raw, err := hex.DecodeString(string(trimQuotes(o.Value)))
-	if o.Deleted || o.Ref != SeedRef || err != nil || len(raw) != hashKeySize {
+	if o.Deleted || o.Ref != HashKeyRef || err != nil || len(raw) != hashKeySize {
 		return
 	}
 	n.hashKey = &stoatpacket.Seed{K0: binary.BigEndian.Uint64(raw), K1: binary.BigEndian.Uint64(raw[8:])}
--- a/stoatnode/session_test.go
+++ b/stoatnode/session_test.go
@@ -123,7 +123,7 @@
 		o.Ref = stoatpaddle.ObjectRef{Kind: stoatpaddle.ObjectKind(kind), Name: id}
 		switch kind {
 		case "seed":
-			o.Ref, o.Value = SeedRef, []byte(`"000102030405060708090a0b0c0d0e0f"`)
+			o.Ref, o.Value = HashKeyRef, []byte(`"000102030405060708090a0b0c0d0e0f"`)
 		case "contract":
 			o.Value = testContract(t, id, int(o.Version.Position().Revision), value)
 		case "instance":
@@ -204,7 +204,7 @@
 	case Send:
 		return describeMessage(string(e.To), e.Message)
 	case Log:
-		text := "log " + e.Entry.Number.String() + " " + e.Entry.Title
+		text := "log " + e.Definition.Number.String() + " " + e.Definition.Title
 		for _, f := range e.Fields {
 			text += " " + f.Key + "=" + f.Value
 		}
