--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -11,8 +11,8 @@
 // StepKind is a kind of step: planned work or a fault.
 type StepKind string
 
-// The kinds of steps. All guarantees hold during planned work, which is the first group. Faults, the other
-// groups, suspend some of them.
+// The kinds of steps. The first group is planned work, during which all guarantees hold, except that
+// SlowUpstreams suspends AdmitsFlows and Recovers. The other groups are faults, which suspend several guarantees.
 const (
 	TerminateEntry StepKind = "terminate" // An entry gets SIGTERM and is started again.
 	RollingRestart StepKind = "rolling"   // All entries get SIGTERM, one after the other, and are started again.
@@ -46,10 +46,10 @@
 var (
 	plannedKinds     = []StepKind{TerminateEntry, RollingRestart, DrainUpstream, RollingRelease, ChangeRoute, ConfigStorm, ChangeSettings, ForeignWrite}
 	overlappingKinds = []StepKind{EvacuateCentre, SlowUpstreams} // planned work that runs concurrently with the other steps
-	disturbanceKinds = []StepKind{KillEntry, KillAllEntries, FreezeEntry, CrashUpstream, RestartUpstream, StoreDown, StoreSlow, StoreLag, StoreSilentWatch, StoreCompact, RefuseConnections, SilenceConnections, OneWayLoss, PacketLoss}
+	faultKinds       = []StepKind{KillEntry, KillAllEntries, FreezeEntry, CrashUpstream, RestartUpstream, StoreDown, StoreSlow, StoreLag, StoreSilentWatch, StoreCompact, RefuseConnections, SilenceConnections, OneWayLoss, PacketLoss}
 )
 
-// Planned reports whether the kind is planned work, during which all guarantees hold.
+// Planned reports whether the kind is planned work and not a fault.
 func (k StepKind) Planned() bool {
 	return slices.Contains(plannedKinds, k) || slices.Contains(overlappingKinds, k)
 }
@@ -87,7 +87,7 @@
 	for at := warmUp; at < length-coolDown; at += stepGap/2 + time.Duration(rnd.Int64N(int64(stepGap))) {
 		kinds := plannedKinds
 		if rnd.IntN(2) == 0 {
-			kinds = disturbanceKinds
+			kinds = faultKinds
 		}
 		s := Step{At: at, Kind: kinds[rnd.IntN(len(kinds))], Target: rnd.IntN(1000)}
 		s.For = time.Second + time.Duration(rnd.Int64N(int64(maxStepDuration-time.Second))).Truncate(time.Millisecond)
--- a/stoatsoak/run_harness.go
+++ b/stoatsoak/run_harness.go
@@ -34,8 +34,8 @@
 	Plan    []Step // nil means that the seed determines the steps
 	// Restores makes restores of the store the only faults of the plan that the seed determines.
 	Restores bool
-	// InjectBreach makes the harness violate one guarantee, to test that the checker detects the breach. The run ends
-	// once it has.
+	// InjectBreach makes the harness violate one guarantee, to test that the checker detects the breach. The run
+	// ends once the breach is detected.
 	InjectBreach Guarantee
 	Progress     io.Writer // receives the steps and a summary every minute
 }
@@ -74,7 +74,7 @@
 	lossy         bool
 	version       int
 	routes        map[string]routeChange
-	coldUpstreams int    // number of upstreams that started a short time ago
+	coldUpstreams int    // number of upstreams whose cold phase has not ended
 	evacuated     string // the evacuated data centre, or empty
 	// evacuatedAt is the time at which that data centre was evacuated.
 	evacuatedAt time.Duration
@@ -84,7 +84,7 @@
 // routeChange is the latest change of a route, which was added or removed.
 type routeChange struct {
 	listen  netip.AddrPort
-	allowed bool
+	added   bool
 	ackedAt time.Duration
 	version int // of the configuration with the change
 }
@@ -183,13 +183,13 @@
 		h.entries = append(h.entries, e)
 	}
 	// No guarantee applies until all entries serve.
-	startupDone := h.check.beginDisturbance(0)
+	recordEnd := h.check.beginDisturbance(0)
 	for _, e := range h.entries {
 		h.group.Go(e.run)
 		h.group.Go(e.probe)
 	}
 	h.sleep(time.Second)
-	startupDone(h.now())
+	recordEnd(h.now())
 	if err := h.startCallers(); err != nil {
 		return err
 	}
@@ -340,7 +340,7 @@
 		add(typ.listen, typ.service, typ.repeatable)
 	}
 	for _, r := range h.routes {
-		if r.allowed {
+		if r.added {
 			add(r.listen, "app", true)
 		}
 	}
