--- a/stoatecho/admit.go
+++ b/stoatecho/admit.go
@@ -30,7 +30,7 @@
 	overloadAdmitShare   = 0.3
 	overloadRefusedShare = 0.25
 	// urgentShare and overloadUrgentShare are the same for a route that is more urgent than another one to the
-	// same service. They are higher, so that an overload has mostly openings of the less urgent route refused.
+	// same service. They are higher, so that in an overload mostly openings of the less urgent route are refused.
 	urgentShare         = 0.75
 	overloadUrgentShare = 0.65
 	// admitFloorFactor is the factor on the answer time without a queue up to which flows are admitted whatever
@@ -40,8 +40,9 @@
 	// floorGrowth is the factor by which the answer time without a queue may rise with each answer, so that it
 	// follows work that takes longer: by half in 800 answers.
 	floorGrowth = 1.0005
-	// maxGroupWeight is the number of answers of the upstream that the mean of its group counts for at most.
-	// One of nine entries sees ten answers of an upstream within answerDecay, and relies on those.
+	// maxGroupWeight is the greatest weight of the mean of the group beside the upstream's own answers, each of
+	// which has a weight of one. One of nine entries sees ten answers of an upstream within answerDecay, and
+	// relies on those.
 	//
 	// The group counts because an entry mostly has nothing in progress at an upstream. If that alone were taken
 	// for an empty queue, the bounds on the answer time would have no effect.
--- a/stoatecho/choose.go
+++ b/stoatecho/choose.go
@@ -33,7 +33,7 @@
 	ownSpare   pick // in this data centre and cold, with capacity for one more flow now
 	other      pick // in another data centre
 	otherFull  pick // in another data centre, but one more flow would be answered late
-	lastResort pick // ejected, or the one to leave out
+	lastResort pick // ejected, or passed to choose as except
 }
 
 // Excluded counts the upstreams that are not eligible for a flow, by reason.
--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -132,7 +132,7 @@
 	groups           map[groupKey]*group
 	answerSizes      answerSizes
 	endedUpTo        uint64    // the table's change counter at the last TakeOrphanedFlows
-	queueEmptied     time.Time // when this entry had last handled all packets received; zero: it never lags
+	queueEmptied     time.Time // when this entry had last handled all packets received; zero: not reported, and behind is always false
 }
 
 // New returns an Engine.
@@ -170,7 +170,7 @@
 	PendingRequests int           // pending requests of this entry
 	MeanAnswer      time.Duration // mean answer time
 	Ejected         bool
-	Failing         bool // it gets no new flows since it fails requests
+	Failing         bool // it gets no new flows, because it fails requests
 	Avoided         bool // new flows prefer other upstreams, on the evidence of this entry or of another one
 }
 
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -213,7 +213,7 @@
 }
 
 // Callers of an upstream that has ended are reset at once. An upstream that is leaving keeps its open flows and
-// gets no new ones. An upstream whose registration expired while the platform was away goes on as before.
+// gets no new ones. An upstream whose registration expired while the platform was unreachable goes on as before.
 func TestUpstreamStates(t *testing.T) {
 	w := newWorld(t)
 	callers := map[stoatpaddle.UpstreamID]*caller{}
--- a/stoatecho/evidence.go
+++ b/stoatecho/evidence.go
@@ -13,7 +13,7 @@
 
 // Detection of upstreams that accept flows and fail requests.
 //
-// An upstream whose health is good may let a part of its requests hang. It answers openings and other requests,
+// An upstream that seems healthy may let a part of its requests hang. It answers openings and other requests,
 // so that it does not look dead. Each of thirty entries of a data centre sees two of its requests in four
 // seconds, too few to tell, and callers' requests fail for hours.
 //
@@ -29,8 +29,8 @@
 	// from a data centre it covers sixty.
 	failureWindow  = 4 * time.Second
 	failureBuckets = 8
-	// minFailures and minFailureShare are the failures, and their share of the upstream's requests, without
-	// which it is not ejected.
+	// minFailures and minFailureShare are the least number of failures, and their least share of an upstream's
+	// requests, for the upstream to be ejected.
 	minFailures     = 5
 	minFailureShare = 0.15
 	// peerFailureFactor is the multiple of the other upstreams' mean failures that is needed in addition to
@@ -133,7 +133,7 @@
 	e.dataCentreSums = next
 }
 
-// FailingUpstream is an upstream that gets no new flows for a while since it fails requests.
+// FailingUpstream is an upstream that gets no new flows for a while, because it fails requests.
 type FailingUpstream struct {
 	Upstream *stoatroute.Upstream
 	stoatoutlier.Counts
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -49,9 +49,9 @@
 	return got
 }
 
-// An upstream with good health lets two of five requests hang, and answers the others and every opening. No
-// single entry sees enough, but together they do. It gets no new flows for 4 s; then it is tried again and, as
-// it still fails, is ejected for twice as long.
+// An upstream that seems healthy lets two of five requests hang, and answers the others and every opening. No
+// single entry sees enough of that, but together they do. The upstream gets no new flows for 4 s. Then it is tried
+// again and, as it still fails requests, ejected for twice as long.
 func TestUpstreamThatFailsAPart(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	bad := map[stoatpaddle.TargetID]stoatoutlier.Counts{1: {Answered: 36, Failed: 24}, 2: {Answered: 60, Failed: 1}}
@@ -92,7 +92,7 @@
 
 // During a release, a third of the requests of upstreams that have just started are pending for half a second.
 // Their registrations say that they are cold, and they are not ejected for it. An upstream that still fails
-// four seconds after it should be warm is.
+// requests four seconds after it should be warm is ejected.
 func TestColdUpstreamsMayFailRequests(t *testing.T) {
 	w := newWorld(t)
 	for i := stoatpaddle.TargetID(4); i <= 7; i++ {
--- a/stoatecho/filter_test.go
+++ b/stoatecho/filter_test.go
@@ -25,8 +25,8 @@
 }
 
 // The local data centre is evacuated. New flows go to the other one, and so do retransmitted openings that were
-// sent to the evacuated one before; open flows go on. Once the evacuation is withdrawn, it gets flows again at
-// once.
+// sent to the evacuated one before; open flows go on. Once the evacuation is withdrawn, the local data centre gets
+// flows again at once.
 func TestEvacuatedDataCentreGetsNoNewFlows(t *testing.T) {
 	w := newWorld(t)
 	open := w.flowTo(1)
--- a/stoatecho/group.go
+++ b/stoatecho/group.go
@@ -47,9 +47,9 @@
 // group is alive again.
 //
 // Without it, an upstream whose ejection ends looks better than any other, as it has nothing in progress. When
-// thirty of 150 upstreams were lost for good while the store was silent, so that their registrations stayed for
-// ten seconds, eighty entries sent one flow in five to a lost upstream, and the retransmissions of its opening to
-// two more of them.
+// thirty of 150 upstreams were lost for good while the platform did not respond, so that their registrations
+// stayed for ten seconds, eighty entries sent one flow in five to a lost upstream, and the retransmissions of its
+// opening to two more of them.
 const trialInterval = time.Second
 
 // groupSilence detects that no upstream of a group answers.
--- a/stoatecho/group_test.go
+++ b/stoatecho/group_test.go
@@ -106,9 +106,9 @@
 	}
 }
 
-// Ten of forty upstreams are lost for good, and their registrations stay since the store is silent. When their
-// ejection ends, they have nothing in progress and look better than the live ones. They must get a flow only
-// now and then, and a retransmitted opening must go to a live upstream.
+// Ten of forty upstreams are lost for good, and their registrations stay since the platform does not respond. When
+// their ejection ends, they have nothing in progress and look better than the live ones. They must get a flow
+// only now and then, and a retransmitted opening must go to a live upstream.
 func TestLostUpstreamsAreTriedRarely(t *testing.T) {
 	w := newWorld(t)
 	w.registerForty()
--- a/stoatecho/health.go
+++ b/stoatecho/health.go
@@ -10,7 +10,7 @@
 
 const (
 	// minPatience and maxPatience bound how long an opening may wait for its caller's next packet before new flows
-	// avoid the upstream. A caller retransmits its opening after 200 ms, which is as late as a request may be.
+	// avoid the upstream. A caller retransmits its opening after 200 ms, which is all the time that a request may take.
 	minPatience = 20 * time.Millisecond
 	maxPatience = 150 * time.Millisecond
 	// minAvoidance and maxAvoidance bound how long an upstream that left an opening unanswered gets no flows while
@@ -195,8 +195,8 @@
 	return silence
 }
 
-// noteRetransmission records a retransmission by a caller, and reports whether that ejects the upstream, which
-// may be silent for the allowed time.
+// noteRetransmission records a retransmission by a caller, and reports whether that ejects the upstream; allowed
+// is how long the upstream may be silent.
 func (h *health) noteRetransmission(now time.Time, allowed time.Duration) bool {
 	h.retransmissions++
 	if h.retransmissions < ejectRetransmissions || h.silence(now) < allowed {
--- a/stoatecho/open.go
+++ b/stoatecho/open.go
@@ -60,7 +60,7 @@
 	return a
 }
 
-// refuse refuses an opening; what its packet showed about other flows stays in a.
+// refuse turns the action for an opening into a refusal. The other fields of a, such as Ejected, are kept.
 func (e *Engine) refuse(a Action, reason stoatpacket.DropReason) Action {
 	e.stats.Refused++
 	a.Verdict, a.Reason, a.Opened, a.Moved = Reset, reason, false, false
@@ -78,8 +78,8 @@
 }
 
 // lastRefusedBy returns the upstream that the last opening from the caller's address went to, if nothing followed
-// that opening for longer than a handshake takes. The upstream may have refused the caller, which has few tries
-// left. Other callers behind the same address lose nothing by another choice.
+// that opening for most of the time that a handshake takes. The upstream may have refused the caller, which has
+// few tries left. Other callers behind the same address lose nothing by another choice.
 func (e *Engine) lastRefusedBy(now time.Time, p *stoatpacket.Packet) stoatpaddle.UpstreamKey {
 	f := e.flows[e.lastOpenings[callerOf(p)]]
 	if f == nil || !f.opening || e.handshake.mean == 0 || now.Sub(f.lastSeen) < e.handshake.mean*3/4 {
@@ -89,8 +89,8 @@
 }
 
 // keepsUpstream reports whether a retransmitted opening goes to the same upstream as before. If that upstream has
-// given a sign of life since, the packet was lost rather than the upstream: sent to another one, the flow would be
-// open twice, and the caller's packets would carry either cookie.
+// given a sign of life since, only the packet was lost. Sent to another upstream, the flow would be open twice, and
+// the caller's packets would carry either cookie.
 func (e *Engine) keepsUpstream(now time.Time, t *stoatroute.Table, r *stoatroute.Route, u *stoatroute.Upstream, f *flow, a *Action) bool {
 	if u == nil || !u.AcceptsFlows() || e.filter.CheckPolicy(t, r, u) != stoatfilter.Eligible {
 		return false
--- a/stoatecho/silent.go
+++ b/stoatecho/silent.go
@@ -32,7 +32,7 @@
 	// deprioritizeTimeout is how long new flows prefer other upstreams after the report of one entry, unless it is
 	// repeated: several times as long as a report takes through the relay tree.
 	deprioritizeTimeout = 400 * time.Millisecond
-	// aliveReportWindow is how long a sign of life of an upstream is reported that other entries wait for.
+	// aliveReportWindow is how long a sign of life is reported if other entries wait for the upstream.
 	aliveReportWindow = 4 * time.Second
 )
 
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -100,8 +100,8 @@
 
 // answeredElsewhere records that another entry saw the answer to the request that began here, at an unknown time.
 //
-// When entries are replaced one after another, flows come back after 1.5 s. Counted as the answer time, that looks
-// like a queue: two such flows were enough for openings to be refused at upstreams with nothing in progress.
+// When entries are replaced one after another, flows come back after 1.5 s. Counted as answer times, these delays
+// look like a queue: two such flows were enough for openings to be refused at upstreams with nothing in progress.
 func (e *Engine) answeredElsewhere(now time.Time, h *health, f *flow) {
 	h.requestEnded()
 	e.noteAlive(now, h)
--- a/stoatoutlier/aggregator.go
+++ b/stoatoutlier/aggregator.go
@@ -13,8 +13,8 @@
 	// that changed, the second for everything that is known, changed or not.
 	countInterval = 500 * time.Millisecond
 	fullInterval  = 2 * time.Second
-	// reportTTL is how long a received report counts. It survives the loss of one report, but not of two in
-	// a row.
+	// reportTTL is how long a received report counts: it outlives the loss of the next report, but not of the
+	// next two.
 	reportTTL = 3 * fullInterval
 	// maxReports limits the reports in one message. More upstreams than that do not fail while others
 	// serve.
--- a/stoatoutlier/aggregator_test.go
+++ b/stoatoutlier/aggregator_test.go
@@ -243,7 +243,7 @@
 	}
 }
 
-// A failure is passed on at once, several times in a row. When links lose packets for minutes, so that some
+// Several failures in a row are each passed on at once. When links lose packets for minutes, so that some
 // entry is always waiting for some upstream, the messages stay within the budget for control traffic.
 func TestPacer(t *testing.T) {
 	var p Pacer
@@ -268,7 +268,7 @@
 }
 
 // An entry that has just found a parent knows which upstreams are being waited for, but not yet which of
-// them answered.
+// them answered. Its sum is not reliable yet.
 func TestStable(t *testing.T) {
 	var agg Aggregator
 	now := time.Unix(1000, 0)
--- a/stoatoutlier/pacer.go
+++ b/stoatoutlier/pacer.go
@@ -13,8 +13,8 @@
 	roundRate  = 6.0
 )
 
-// Pacer limits how often an entry acts on the reports and sends its own, which is a round. Its zero value is
-// ready to use.
+// Pacer limits the rate of an entry's rounds. In a round, the entry acts on the reports and sends its own. The
+// zero value is ready to use.
 type Pacer struct {
 	spent float64   // rounds taken out of the burst
 	last  time.Time // time of the last round
