--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -109,13 +109,13 @@
 	// recheck has the upstreams that the next Retain looks at even if the table does not differ there: those
 	// that are new, since the packet may have come with the previous table, and those that are in no table but
 	// still have something in progress.
-	recheck         map[stoatpaddle.UpstreamKey]bool
-	retainedTable   *stoatroute.Table // the table of the last Retain
-	flows           map[stoatpacket.Tuple]*flow
-	unprovenCookies map[stoatpaddle.UpstreamKey]time.Time // unknown cookies, and when each was first seen
-	rnd             *rand.Rand
-	stats           Stats
-	lastSweep       time.Time
+	recheck        map[stoatpaddle.UpstreamKey]bool
+	retainedTable  *stoatroute.Table // the table of the last Retain
+	flows          map[stoatpacket.Tuple]*flow
+	unknownCookies map[stoatpaddle.UpstreamKey]time.Time // when each was first seen
+	rnd            *rand.Rand
+	stats          Stats
+	lastSweep      time.Time
 	// lastOpenings is the latest opening of each caller: a caller that comes back at once was refused.
 	lastOpenings    map[callerKey]stoatpacket.Tuple
 	handshake       handshake
@@ -132,7 +132,7 @@
 	groups           map[groupKey]*group
 	answerSizes      answerSizes
 	endedUpTo        uint64    // the table's change counter at the last TakeOrphanedFlows
-	queueEmptied     time.Time // when this entry had last handled all packets received; zero: not reported, and behind is always false
+	queueEmptied     time.Time // when this entry had last handled all packets received; zero: it is never behind
 }
 
 // New returns an Engine.
@@ -142,7 +142,7 @@
 	}
 	return &Engine{
 		cfg: cfg, filter: stoatfilter.Filter{DataCentre: cfg.DataCentre, Regions: cfg.Regions}, health: map[stoatpaddle.UpstreamKey]*health{}, recheck: map[stoatpaddle.UpstreamKey]bool{}, groups: map[groupKey]*group{}, answerSizes: answerSizes{}, flows: map[stoatpacket.Tuple]*flow{},
-		unprovenCookies: map[stoatpaddle.UpstreamKey]time.Time{}, lastOpenings: map[callerKey]stoatpacket.Tuple{},
+		unknownCookies: map[stoatpaddle.UpstreamKey]time.Time{}, lastOpenings: map[callerKey]stoatpacket.Tuple{},
 		rnd: rand.New(rand.NewPCG(cfg.Seed, ^cfg.Seed)), lastSweep: cfg.Start,
 	}
 }
@@ -265,10 +265,10 @@
 // read; only a platform read that began after the packet came proves that the upstream is gone. Until then the
 // packet is dropped and the caller retransmits it, since a reset would break a live flow.
 func (e *Engine) unknownCookie(now time.Time, t *stoatroute.Table, p *stoatpacket.Packet) Action {
-	since, waits := e.unprovenCookies[p.Cookie]
+	since, waits := e.unknownCookies[p.Cookie]
 	if !waits {
-		if len(e.unprovenCookies) < maxUnproven {
-			e.unprovenCookies[p.Cookie] = now
+		if len(e.unknownCookies) < maxUnknownCookies {
+			e.unknownCookies[p.Cookie] = now
 		}
 		return Action{Reason: stoatpacket.DropUnverified}
 	}
@@ -278,6 +278,6 @@
 	return Action{Verdict: Reset, Reason: stoatpacket.DropUpstreamGone}
 }
 
-// maxUnproven bounds the unknown cookies that are remembered, so that a flood of forged ones cannot exhaust the
-// memory.
-const maxUnproven = 4096
+// maxUnknownCookies bounds the unknown cookies that are remembered, so that a flood of forged ones cannot exhaust
+// the memory.
+const maxUnknownCookies = 4096
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -88,8 +88,8 @@
 	return c.w.e.Handle(c.w.now, c.w.builder.Table(), &p)
 }
 
-func (c *caller) syn(copies int) stoatecho.Action {
-	return c.send(stoatpacket.Packet{Opens: true, Retransmits: copies})
+func (c *caller) syn(retransmits int) stoatecho.Action {
+	return c.send(stoatpacket.Packet{Opens: true, Retransmits: retransmits})
 }
 
 // open sends a SYN and, 10 ms later, the packet that completes the handshake.
@@ -289,7 +289,7 @@
 
 // An opening is lost while its upstream answers other callers. The retransmission goes to the same upstream: at
 // another one the flow could be open twice.
-func TestLostOpeningGoesToTheSame(t *testing.T) {
+func TestLostOpeningGoesToSameUpstream(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
 	first := c.syn(0).Upstream
--- a/stoatecho/evidence_test.go
+++ b/stoatecho/evidence_test.go
@@ -52,7 +52,7 @@
 // An upstream that seems healthy lets two of five requests hang, and answers the others and every opening. No
 // single entry sees enough of that, but together they do. The upstream gets no new flows for 4 s. Then it is tried
 // again and, as it still fails requests, ejected for twice as long.
-func TestUpstreamThatFailsAPart(t *testing.T) {
+func TestUpstreamThatFailsSomeRequests(t *testing.T) {
 	w := newSixUpstreamWorld(t)
 	bad := map[stoatpaddle.TargetID]stoatoutlier.Counts{1: {Answered: 36, Failed: 24}, 2: {Answered: 60, Failed: 1}}
 	if got := w.ejectFailing(bad); len(got) != 1 || got[0] != "i-1" {
--- a/stoatecho/track.go
+++ b/stoatecho/track.go
@@ -183,9 +183,9 @@
 	}
 	e.forgetCallers()
 	e.forgetIdle(now)
-	for k, since := range e.unprovenCookies {
+	for k, since := range e.unknownCookies {
 		if now.Sub(since) > flowIdleTimeout {
-			delete(e.unprovenCookies, k)
+			delete(e.unknownCookies, k)
 		}
 	}
 }
