--- a/stoatecho/admit.go
+++ b/stoatecho/admit.go
@@ -41,8 +41,8 @@
 	// follows work that takes longer: by half in 800 answers.
 	floorGrowth = 1.0005
 	// maxGroupWeight is the greatest weight of the mean of the group beside the upstream's own answers, each of
-	// which has a weight of one. One of nine entries sees ten answers of an upstream within answerDecay, and
-	// relies on those.
+	// which has a weight of one while it is new. One of nine entries sees ten answers of an upstream within
+	// answerDecay, and relies on those.
 	//
 	// The group counts because an entry mostly has nothing in progress at an upstream. If that alone were taken
 	// for an empty queue, the bounds on the answer time would have no effect.
