--- a/stoatedge/run_calls.go
+++ b/stoatedge/run_calls.go
@@ -73,7 +73,7 @@
 	case publishTable:
 		e.table.Store(x.table)
 		if x.table.Ready() {
-			e.releaseHeld(clock())
+			e.applyTable(clock())
 			e.tableReadyOnce.Do(func() { close(e.tableReady) })
 		}
 	case platformStatus:
--- a/stoatedge/run_place.go
+++ b/stoatedge/run_place.go
@@ -19,8 +19,8 @@
 // data centre is a seed, or has a parent in another data centre. Any other entry without a parent knows of no
 // other entries, and has no place.
 func (e *Edge) ownPlace() stoatfilter.EntryRank {
-	if g := e.relay.assigned.Load(); g != nil {
-		return g.place
+	if assigned := e.relay.assigned.Load(); assigned != nil {
+		return assigned.place
 	}
 	if len(e.relay.announced.Load().path) == 0 && !e.relay.tree.IsSeed() {
 		return stoatfilter.EntryRank{}
@@ -34,8 +34,8 @@
 	e.relay.mu.Lock()
 	defer e.relay.mu.Unlock()
 	own, size = e.ownPlace(), e.relay.tree.SubtreeSize()
-	if g := e.relay.assigned.Load(); g != nil && e.relay.reportedSize.Load() != int64(size) {
-		to = g.parent
+	if assigned := e.relay.assigned.Load(); assigned != nil && e.relay.reportedSize.Load() != int64(size) {
+		to = assigned.parent
 	}
 	return own, size, to
 }
--- a/stoatedge/run_traffic.go
+++ b/stoatedge/run_traffic.go
@@ -84,8 +84,9 @@
 	e.apply(now, t, a, p, bufs, n)
 }
 
-// releaseHeld handles the packets that were held until the first table.
-func (e *Edge) releaseHeld(now time.Time) {
+// applyTable adapts the engine to a new table: it handles the packets that were held until the first table,
+// and resets flows whose upstreams have ended.
+func (e *Edge) applyTable(now time.Time) {
 	e.engineMu.Lock()
 	held := e.held.Take()
 	t := e.table.Load()
@@ -184,7 +185,7 @@
 	_, _ = e.conn.WriteToUDPAddrPort(bufs.reset, netip.AddrPortFrom(p.Tuple.Src.Addr(), e.callerPort))
 }
 
-// resetEnded resets the flows that wait for an answer of upstreams that have ended.
+// resetEnded resets flows that wait for answers from upstreams that have ended.
 func (e *Edge) resetEnded(now time.Time, t *stoatroute.Table, list []stoatecho.OrphanedFlow) {
 	if len(list) == 0 {
 		return
@@ -235,8 +236,8 @@
 	e.post(unknownCookie{})
 }
 
-// tick drives what happens without packets: the controller's ticks, the planned stop, and the log of omitted
-// lines.
+// tick drives what happens without packets: the controller's ticks, the refusal of packets held for too long,
+// the log of omitted lines, the tuning of the garbage collector, and the planned stop.
 func (e *Edge) tick() error {
 	t := time.NewTicker(tickInterval)
 	defer t.Stop()
