--- a/stoatedge/catalogue.go
+++ b/stoatedge/catalogue.go
@@ -37,7 +37,7 @@
 	EventStandingChanged = stoatevent.Register(stoatevent.Definition{
 		Number: 1407, Severity: stoatevent.Info, Since: "0.2",
 		Title: "upstream changed its standing",
-		Text:  "Upstreams that are known when the entry becomes ready are named by SP1402 instead. A serving upstream gets new flows. A leaving one keeps its open flows only. The registration of a missing one lapsed while the platform was unreachable, and it is used as before. One that is gone has ended, and its flows are reset.",
+		Text:  "Upstreams that are known when the entry becomes ready are named by SP1402 instead. A serving upstream gets new flows. A leaving one keeps its open flows only. A missing one is used as before; its registration lapsed while the platform was unreachable. One that is gone has ended, and its flows are reset.",
 	})
 	EventStandingsChanged = stoatevent.Register(stoatevent.Definition{
 		Number: 1433, Severity: stoatevent.Info, Since: "0.6",
@@ -57,7 +57,7 @@
 	EventStaleAnswer = stoatevent.Register(stoatevent.Definition{
 		Number: 1435, Severity: stoatevent.Warning, Since: "0.7",
 		Title: "platform answer is older than the known state",
-		Text:  "The answer was ignored, and the platform is asked again. Known and answered are era/revision, where the era is the platform's count of its restores. The event is logged once until an answer is accepted again. An answer of a replica needs no action; if exact is true and the state lasts, the platform's history went back without a new era.",
+		Text:  "The answer was ignored, and the platform is asked again. Known and answered are era/revision, where the era is the platform's count of its restores. The event is logged once until an answer is accepted again. An answer of a replica needs no action; if exact is true and the condition persists, the platform's history went back without a new era.",
 	})
 	EventConfigRejected = stoatevent.Register(stoatevent.Definition{
 		Number: 1436, Severity: stoatevent.Error, Since: "0.7",
@@ -87,7 +87,7 @@
 	EventFlowReset = stoatevent.Register(stoatevent.Definition{
 		Number: 1411, Severity: stoatevent.Info, Since: "0.2",
 		Title: "flow reset",
-		Text:  "The caller was told at once that its flow cannot continue, or cannot open. Reason says why. Route: no route has the address. Upstream: no upstream can take the flow; evacuated, outside and cold count those that were excluded because their data centre is evacuated, because they are in no region that the route allows, or because they are cold and can take no more. Gone: the platform reports that the flow's upstream has ended; waited means that the caller waited for an answer, and was told without sending a packet. Overload: the mean answer time of the best upstream is over bound, so that the answer would be late; or, with turned, a more urgent route shares the service, whose upstreams recently refused that fraction of their requests. Young: this entry has no configuration yet.",
+		Text:  "The caller was told at once that its flow cannot continue, or cannot open. Reason says why. Route: no route has the address. Upstream: no upstream can take the flow; evacuated, outside and cold count those that were excluded because their data centre is evacuated, because they are in no region that the route allows, or because they are cold and can take no more. Gone: the platform reports that the flow's upstream has ended; waited means that the caller waited for an answer, and was told without sending a packet. Overload: the mean answer time of the best upstream is over bound, so that the answer would be late; or, if turned is given, a more urgent route shares the service, and the service's upstreams recently rejected that fraction of their requests. Young: this entry has no configuration yet.",
 	})
 	EventPacketDropped = stoatevent.Register(stoatevent.Definition{
 		Number: 1412, Severity: stoatevent.Info, Since: "0.2",
@@ -152,7 +152,7 @@
 	EventUpstreamSilent = stoatevent.Register(stoatevent.Definition{
 		Number: 1430, Severity: stoatevent.Warning, Since: "0.5",
 		Title: "upstream answers no entry of this data centre, and gets no flows for a while",
-		Text:  "Entries is the number of entries that wait for the upstream without an answer; the second of them has waited for the time in silence, and none has had a sign of life since. Each entry of the data centre decides so by itself within some tens of milliseconds. Open flows continue; waiting is the number of requests of this entry that wait for the upstream. A sign of life at any entry ends it. If the upstream is dead, SP1407 with the standing gone follows; if not, check the network between this data centre and the upstream.",
+		Text:  "Entries is the number of entries that wait for the upstream without an answer; the second of them has waited for the time in silence, and none has had a sign of life since. Each entry of the data centre decides so by itself within some tens of milliseconds. Open flows continue; waiting is the number of requests of this entry that wait for the upstream. A sign of life at any entry ends the exclusion. If the upstream is dead, SP1407 with the standing gone follows; if not, check the network between this data centre and the upstream.",
 	})
 	EventEvacuated = stoatevent.Register(stoatevent.Definition{
 		Number: 1431, Severity: stoatevent.Warning, Since: "0.6",
@@ -162,7 +162,7 @@
 	EventEvacuationWithdrawn = stoatevent.Register(stoatevent.Definition{
 		Number: 1432, Severity: stoatevent.Info, Since: "0.6",
 		Title: "evacuation of a data centre is withdrawn",
-		Text:  "Its upstreams get new flows again at once; those that report to be cold get no more than the service's limit allows.",
+		Text:  "Its upstreams get new flows again at once; those that report that they are cold get no more than the service's limit allows.",
 	})
 	EventUpstreamsSilent = stoatevent.Register(stoatevent.Definition{
 		Number: 1434, Severity: stoatevent.Warning, Since: "0.6",
@@ -172,12 +172,12 @@
 	EventReportFailed = stoatevent.Register(stoatevent.Definition{
 		Number: 1428, Severity: stoatevent.Info, Since: "0.3",
 		Title: "report about upstreams did not reach the parent",
-		Text:  "The next report has everything. A parent that stays silent is left.",
+		Text:  "The next report contains all observations. The entry leaves a parent that stays silent.",
 	})
 	EventIncarnation = stoatevent.Register(stoatevent.Definition{
 		Number: 1429, Severity: stoatevent.Info, Since: "0.4",
 		Title: "registration of another incarnation, or by another writer",
-		Text:  "Known and read are incarnation (Unix ms of the start; 0: not given), service and address. Restarted: the upstream started again under its id and has no flow of before; what was observed of the earlier incarnation is discarded. Outdated: an earlier incarnation wrote the registration, which is ignored. Contradicted: the upstream cannot have written the registration; it gets no new flows until a valid registration comes, and keeps its open ones.",
+		Text:  "Known and read are incarnation (Unix ms of the start; 0: not given), service and address. Restarted: the upstream started again under its id and has none of its earlier flows; what was observed of the earlier incarnation is discarded. Outdated: an earlier incarnation wrote the registration, which is ignored. Contradicted: the upstream cannot have written the registration; it gets no new flows until a valid registration comes, and keeps its open ones.",
 	})
 	EventReadsPlatform = stoatevent.Register(stoatevent.Definition{
 		Number: 1423, Severity: stoatevent.Info, Since: "0.3",
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -464,9 +464,9 @@
 	}
 }
 
-// The same in a list, after the history was lost. An unreadable registration there does not mean that its
-// upstream ended. One without a readable name may be any upstream that the list lacks, which gets time to
-// come back.
+// As TestUnreadableRegistrationAmongOthers, but in a list, after the history was lost. An unreadable
+// registration there does not mean that its upstream ended. One without a readable name may be any upstream
+// that the list lacks, which gets time to come back.
 func TestUnreadableRegistrationInList(t *testing.T) {
 	for name, c := range map[string]struct {
 		object change
--- a/stoatedge/edge.go
+++ b/stoatedge/edge.go
@@ -52,7 +52,7 @@
 	stop            stopState
 	pause           pauseDetector
 	platformAnswers atomic.Bool   // whether the platform answers
-	tableReady      chan struct{} // closed when the first table that is enough to place flows is in force
+	tableReady      chan struct{} // closed when the first table with which flows can be placed is in force
 	tableReadyOnce  sync.Once     // closes tableReady
 	relay           *relayState
 	aggregator      stoatoutlier.Aggregator
@@ -128,7 +128,7 @@
 	}
 }
 
-// seedRoleOf returns what the settings say about seeds.
+// seedRoleOf returns whether the settings name this entry as a seed, and whether they name others.
 func seedRoleOf(set stoatsetting.Settings) seedRole {
 	other := func(seed netip.AddrPort) bool { return seed != set.AdminAddr }
 	return seedRole{otherSeeds: slices.ContainsFunc(set.Seeds, other), isSeed: slices.Contains(set.Seeds, set.AdminAddr)}
--- a/stoatedge/edge_test.go
+++ b/stoatedge/edge_test.go
@@ -29,9 +29,9 @@
 type rig struct {
 	t                testing.TB
 	store            *stoatfake.Platform
-	addr             netip.AddrPort
+	addr             netip.AddrPort // of the platform
 	caller           *net.UDPConn
-	port             uint16
+	port             uint16 // of the caller and of the entries
 	upstream         [2]*net.UDPConn
 	maxEvacuateDelay time.Duration // of entries started from now on; 0: they follow no evacuations
 }
@@ -101,7 +101,7 @@
 	return strings.Contains(l.buf.String(), s)
 }
 
-// start starts an entry on the host address.
+// start starts an entry that listens on the host address and has the given seeds.
 func (r *rig) start(host string, seeds ...netip.AddrPort) (*stoatedge.Edge, stoatsetting.Settings, *logBuffer) {
 	r.t.Helper()
 	free := func() netip.AddrPort {
--- a/stoatedge/event.go
+++ b/stoatedge/event.go
@@ -109,10 +109,10 @@
 	}
 	// announcement says which state children may rely on.
 	announcement struct {
-		known stoatpaddle.Position
-		path  []netip.AddrPort
-		reads bool
-		asOf  time.Time
+		known stoatpaddle.Position // up to it everything is known
+		path  []netip.AddrPort     // from an entry that reads the platform to the parent
+		reads bool                 // this entry reads the platform, which answers
+		asOf  time.Time            // when the state was last known to be current; zero: never
 	}
 	// wakeChildren wakes the children's connections, since there is something to send.
 	wakeChildren struct{}
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -31,8 +31,8 @@
 	searchInterval   = time.Second
 	minSearchBackoff = 300 * time.Millisecond
 	// maxSearchBackoff limits the pause of an entry that is not ready, which doubles with each search. Seeds
-	// that a thousand entries ask several times a second have no time left to read the state that these wait
-	// for.
+	// that a thousand entries ask several times a second have no time left to read the state that those
+	// entries wait for.
 	maxSearchBackoff = 2400 * time.Millisecond
 	// maxLostParentPause limits the random pause of an entry that lost its parent. All children notice the
 	// loss at the same time. If they asked each other at once, each would be accepted by one that has no
@@ -45,7 +45,7 @@
 	hasOthers  bool   // there are other entries to ask
 	mayRely    bool   // the parent's state suffices: this entry is not a seed
 	searchID   int    // of the latest search
-	searching  bool   // that search is running, or has found a parent
+	searching  bool   // the latest search is running, or has found a parent
 	parent     string // the parent's address; "": none
 	path       []netip.AddrPort
 	currentAt  time.Time     // when the parent's state was last known to be current; zero: never
@@ -62,7 +62,7 @@
 // reliesOnOthers reports whether this entry uses the state of other entries instead of reading the platform.
 func (r seedRole) reliesOnOthers() bool { return r.otherSeeds && !r.isSeed }
 
-// setSeedRole applies which entries the settings name as seeds.
+// setSeedRole sets this entry's role, which depends on the seeds that the settings name.
 func (ctl *controller) setSeedRole(now time.Time, role seedRole) {
 	ctl.follower.hasOthers, ctl.follower.mayRely = role.otherSeeds, role.reliesOnOthers()
 	for _, t := range ctl.topics {
@@ -239,8 +239,8 @@
 	ctl.log(EventReadsPlatform, stoatevent.F("why", why), stoatevent.F("parent", ctl.follower.parent))
 	for _, t := range ctl.topics {
 		ctl.deferred[t] = t != declarations
-		// A replica's answer about evacuations has to reach the position of the exact answer about the
-		// configuration.
+		// Evacuations need no exact call: a replica's answer about them has to reach the position of the exact
+		// answer about the configuration.
 		if t != evacuations {
 			ctl.feeds[t].RequestExact()
 		}
--- a/stoatedge/pause.go
+++ b/stoatedge/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// minPause is the shortest pause of the process by which its state counts as older: within that time a watch
-// would have ended, and the parent's state would have become too old.
+// minPause is the shortest pause of the process that makes its state count as older: during a pause of that
+// length a watch would have ended, and the parent's state would have become too old.
 const minPause = 1500 * time.Millisecond
 
 // pauseDetector detects that the process did not run, by the time between two ticks. It uses the time since
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -6,11 +6,11 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// proof is a position of the platform, and when the platform was there.
+// proof is a position of the platform, and the time at which the platform had reached it.
 //
-// Calls to replicas cost a tenth and count toward no rate limit, but a replica may be seconds behind. Only
-// one topic, the configuration, is requested from the platform itself. The answer says which position the
-// platform was at, and the replicas that answer about the other topics have to reach it.
+// Calls to replicas cost a tenth of an exact call and count toward no rate limit, but a replica may be seconds
+// behind. Only one topic, the configuration, is requested from the platform itself. The answer says which
+// position the platform was at, and the replicas that answer about the other topics have to reach it.
 type proof struct {
 	asOf       time.Time
 	pos        stoatpaddle.Position
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -237,7 +237,8 @@
 	}
 }
 
-// The same, but the platform's history is lost too: the list that follows shows what is missing.
+// As TestLapseWhileUnwatched, but the platform's history is lost too: the list that follows shows what is
+// missing.
 func TestLapseBeforeAList(t *testing.T) {
 	s := newFollowerSession(t)
 	s.advance(2500 * ms)
--- a/stoatedge/queue.go
+++ b/stoatedge/queue.go
@@ -4,7 +4,8 @@
 
 // eventQueue passes events to one goroutine in order, without ever blocking their senders: the traffic
 // goroutine must not wait, and the control goroutine itself sends events while it performs effects. The
-// senders bound its length: a tick each tenth of a second, the end of each call, and a parent's messages.
+// queue's length is bounded by how often events come: a tick each tenth of a second, the end of each call, and
+// a parent's messages.
 //
 // The project's components usually run on an actor library. Linked into this package, it made each start read
 // descriptors of protocols that an entry never uses; docs/DESIGN.md has the figures.
--- a/stoatedge/reader_test.go
+++ b/stoatedge/reader_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Packets come faster than they are read. While one waits, the socket does not count as empty. It does once
-// all are read, and after a wait for the next one.
+// Packets come faster than they are read. While one waits, the socket does not count as empty. The socket
+// counts as empty once all packets are read, and until the next one comes.
 func TestReaderTracksDrainedSocket(t *testing.T) {
 	conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/stoatedge/restored.go
+++ b/stoatedge/restored.go
@@ -8,7 +8,7 @@
 )
 
 // handleRestore processes a restore of the platform from an older copy, which an answer or the parent
-// reported. Every topic is listed anew, since calls in progress use revisions of before the restore.
+// reported. Every topic is listed anew, since calls in progress use revisions from before the restore.
 func (ctl *controller) handleRestore(now time.Time, era stoatpaddle.Era, source string) {
 	before := ctl.state.Era()
 	ctl.state.BeginEra(now, era)
--- a/stoatedge/run_parent.go
+++ b/stoatedge/run_parent.go
@@ -20,8 +20,8 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattree"
 )
 
-// peerTimeout limits one request to another entry, which would hang if the network is cut. A slow entry
-// answers within some tens of milliseconds.
+// peerTimeout limits one request to another entry: without a limit, the request would hang if the network is
+// cut. A slow entry answers within some tens of milliseconds.
 const peerTimeout = 500 * time.Millisecond
 
 // parentClient sends requests to other entries. It does not reuse connections, since one may have gone
@@ -168,7 +168,7 @@
 	return res, nil
 }
 
-// handleRefusal learns which entries a refusal names instead.
+// handleRefusal records the entries that a refusal names as alternatives, and returns the refusal as an error.
 func (e *Edge) handleRefusal(addr netip.AddrPort, dec *msgpack.Decoder) error {
 	var w stoatrelay.Refusal
 	if err := dec.Decode(&w); err != nil {
--- a/stoatedge/run_updates.go
+++ b/stoatedge/run_updates.go
@@ -20,18 +20,19 @@
 	"github.com/stoatpaddle/stoatpaddle/stoattree"
 )
 
-// pathUpdates is where an entry gets updates from another one, for as long as it wants.
+// pathUpdates is where an entry requests updates from another one, which sends them until either side ends the
+// connection.
 const pathUpdates = "/v1/news"
 
 // The query parameters of a request for updates.
 const (
 	paramFrom   = "from"
 	paramCentre = "centre"
-	paramKnown  = "known"
+	paramKnown  = "known"  // the revision up to which the requesting entry knows everything
 	paramEra    = "era"    // of paramKnown
 	paramNear   = "near"   // set: only a parent in the same data centre will do
 	paramWithin = "within" // ms; how old the state may be at most
-	paramSkip   = "skip"
+	paramSkip   = "skip"   // the entries that were asked before
 )
 
 const (
@@ -72,7 +73,7 @@
 	announced    atomic.Pointer[announcement]
 	notifier     *notifier
 	bodyCache    bodyCache
-	observedSum  atomic.Pointer[[]stoatoutlier.Report] // the sum over this data centre
+	observedSum  atomic.Pointer[[]stoatoutlier.Report] // what the entries of this data centre observed, added up
 	sent         atomic.Int64                          // bytes to other entries
 	received     atomic.Int64                          // bytes from parents
 	search       searchCancel
--- a/stoatedge/stop.go
+++ b/stoatedge/stop.go
@@ -11,7 +11,7 @@
 	// minStopTime is how long the fabric needs to see that an entry is not ready: two checks, half a second
 	// apart, and a margin.
 	minStopTime = 1500 * time.Millisecond
-	// minQuietTime is how long no packet must have come: a caller repeats a packet after 200 ms.
+	// minQuietTime is how long an entry waits after the last packet: a caller repeats a packet after 200 ms.
 	minQuietTime = 400 * time.Millisecond
 	// deadlineMargin is left before the deadline, at which the process would be killed.
 	deadlineMargin = time.Second
