--- a/stoatroute/builder.go
+++ b/stoatroute/builder.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	// defaultGracePeriod is the two seconds that the platform's operators state, and some time for the
-	// registration to reach this entry.
+	// defaultGracePeriod is the two seconds that the platform's operators state for registrations to come
+	// back, plus some time for a registration to reach this entry.
 	defaultGracePeriod = 2500 * time.Millisecond
 	defaultRetention   = 60 * time.Second
 )
--- a/stoatroute/builder_test.go
+++ b/stoatroute/builder_test.go
@@ -256,13 +256,13 @@
 	m.receive(true, false, remoteUpstream(1, "i-1", 2, stoatroute.Serving))
 	m.want("a complete update from a parent that is behind", stoatroute.Gone, stoatroute.Serving)
 	m.receive(false, false, remoteUpstream(2, "i-2", 3, stoatroute.Gone))
-	m.want("it reports the end of an upstream that is serving", stoatroute.Gone, stoatroute.Serving)
+	m.want("that parent reports the end of an upstream that is serving", stoatroute.Gone, stoatroute.Serving)
 	m.receive(false, false, remoteUpstream(1, "i-1", 9, stoatroute.Serving))
 	m.want("a later registration", stoatroute.Serving, stoatroute.Serving)
 }
 
 // Another entry is sent only what changed since its last update. Each upstream that changed must be returned
-// once, and the declaration only if it changed itself.
+// once, and DeclarationSeq must change only with the declaration.
 func TestUpstreamsSince(t *testing.T) {
 	b := stoatroute.NewBuilder(stoatroute.Config{})
 	b.ApplyDeclaration(declaration(1, "app"), 1)
--- a/stoatroute/evacuation_test.go
+++ b/stoatroute/evacuation_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("starting with state %d: not evacuated", first)
 		}
 		if b.ApplyEvacuation(withdrawn(11)) || !b.ApplyEvacuation(withdrawn(12)) || b.ApplyEvacuation(withdrawn(13)) {
-			t.Errorf("starting with state %d: a wrong result for what is a change", first)
+			t.Errorf("starting with state %d: ApplyEvacuation reports a change wrongly", first)
 		}
 		if b.Table().Evacuated("here") || b.Table().Evacuated("there") {
 			t.Errorf("starting with state %d: evacuated", first)
--- a/stoatroute/history.go
+++ b/stoatroute/history.go
@@ -22,8 +22,8 @@
 	service stoatpaddle.ServiceID
 }
 
-// FormerServices returns the services that routes no longer use, ordered by address and service. added
-// reports whether there is one that was not returned before.
+// FormerServices returns the services that routes no longer use but at which flows may still be open, ordered
+// by address and service. added reports whether there is one that was not returned before.
 func (b *Builder) FormerServices(now time.Time) (list []FormerService, added bool) {
 	former := map[formerKey]time.Time{}
 	for listen, r := range b.routes {
@@ -46,7 +46,7 @@
 	return list, added
 }
 
-// RestoreFormerServices adds former services of routes that were read back from the platform, and reports
+// RestoreFormerServices adds former services that were read back from the platform to their routes, and reports
 // whether any of them was unknown. It ignores services at which no flow can be open any more.
 func (b *Builder) RestoreFormerServices(now time.Time, list []FormerService) bool {
 	var routes []stoatpaddle.Route
--- a/stoatroute/identity.go
+++ b/stoatroute/identity.go
@@ -32,7 +32,7 @@
 	foreignWriter // the upstream cannot have written the registration
 )
 
-// compare returns the relation of other to the known identity l. If l has no incarnation, as with servers that
+// compare returns the relation of other to the known identity id. If id has no incarnation, as with servers that
 // got a new id at each start, a different address, service or data centre counts as a restart.
 func (id Identity) compare(other Identity) incarnationOrder {
 	moved := id.Service != other.Service || id.DataCentre != other.DataCentre || id.Addr != other.Addr
--- a/stoatroute/register.go
+++ b/stoatroute/register.go
@@ -12,7 +12,7 @@
 
 // The outcomes of Register.
 const (
-	// Unchanged means that the registration is older than the known one, or that it changes nothing which
+	// Unchanged means that the registration is older than the known one, or that it changes nothing that
 	// has to be reported.
 	Unchanged Outcome = iota
 	// Changed means that the upstream is new or that its state has changed.
--- a/stoatroute/register_test.go
+++ b/stoatroute/register_test.go
@@ -15,9 +15,9 @@
 )
 
 // incarnation returns a registration of the given incarnation of the upstream i-1, after a change if one is given.
-func incarnation(born stoatpaddle.Incarnation, change func(r *stoatpaddle.Registration)) stoatpaddle.Registration {
+func incarnation(started stoatpaddle.Incarnation, change func(r *stoatpaddle.Registration)) stoatpaddle.Registration {
 	r := registration(1, "i-1")
-	r.Incarnation, r.Addr = born, home
+	r.Incarnation, r.Addr = started, home
 	if change != nil {
 		change(&r)
 	}
@@ -82,10 +82,10 @@
 // replace everything that was known.
 func TestRestartAfterTheEnd(t *testing.T) {
 	for name, end := range map[string]func(b *stoatroute.Builder){
-		"removed": func(b *stoatroute.Builder) { b.MarkGone(start, "i-1", 3) },
-		"lapsed":  func(b *stoatroute.Builder) { b.MarkMissing(start, "i-1", 3) },
-		"a gap":   func(b *stoatroute.Builder) { b.ApplyList(start, nil, false) },
-		"outage":  func(b *stoatroute.Builder) { b.ApplyList(start, nil, true) },
+		"removed":           func(b *stoatroute.Builder) { b.MarkGone(start, "i-1", 3) },
+		"lapsed":            func(b *stoatroute.Builder) { b.MarkMissing(start, "i-1", 3) },
+		"missing in a list": func(b *stoatroute.Builder) { b.ApplyList(start, nil, false) },
+		"outage":            func(b *stoatroute.Builder) { b.ApplyList(start, nil, true) },
 	} {
 		b := stoatroute.NewBuilder(stoatroute.Config{})
 		b.Register(start, incarnation(5, nil), 2)
--- a/stoatroute/shards.go
+++ b/stoatroute/shards.go
@@ -12,7 +12,7 @@
 // changes, only one shard and the list of one service are built again, instead of 14 MB for 43,000 upstreams
 // and 4,000 lists.
 
-// shardCount divides 43,000 upstreams into shards that are each as large as a whole deployment of today.
+// shardCount divides 43,000 upstreams into shards that each hold about as many as a whole deployment has today.
 // Copying the array of shards costs as little as building one such shard.
 const shardCount = 256
 
--- a/stoatroute/shards_test.go
+++ b/stoatroute/shards_test.go
@@ -94,7 +94,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond)
 			r := stoatpaddle.Registration{
 				ID: id, Target: target, Slots: 3, CreateRevision: revision, Service: stoatpaddle.ServiceID(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "service")),
-				Leaving: rapid.Bool().Draw(t, "leaving"), Incarnation: stoatpaddle.Incarnation(rapid.IntRange(1, 3).Draw(t, "life")),
+				Leaving: rapid.Bool().Draw(t, "leaving"), Incarnation: stoatpaddle.Incarnation(rapid.IntRange(1, 3).Draw(t, "incarnation")),
 			}
 			switch rapid.IntRange(0, 8).Draw(t, "what") {
 			case 0, 1, 2:
@@ -106,7 +106,7 @@
 			case 5:
 				b.Expire(now)
 			case 6:
-				b.Mirror(now, RemoteUpdate{Upstreams: []RemoteUpstream{{Registration: r, Revision: revision, State: State(rapid.IntRange(0, 3).Draw(t, "standing"))}}, UpToDate: true})
+				b.Mirror(now, RemoteUpdate{Upstreams: []RemoteUpstream{{Registration: r, Revision: revision, State: State(rapid.IntRange(0, 3).Draw(t, "state"))}}, UpToDate: true})
 			case 7:
 				b.ApplyDeclaration(stoatpaddle.Declaration{Version: revision, MaxFlows: map[stoatpaddle.ServiceID]int{"a": int(revision) % 3}}, revision)
 			case 8:
