--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -34,8 +34,8 @@
 	// confirmation has to reach them, through intermediate entries, twice within MaxDelay, so that one of
 	// the two may be lost.
 	followedWaitFraction = 0.45
-	// replicaWaitFraction is the part of MaxDelay for which a replica is watched after the platform
-	// refused a call by rate.
+	// replicaWaitFraction is the part of MaxDelay for which a replica is watched after a call was
+	// refused because of the platform's rate limit.
 	replicaWaitFraction = 0.2
 	// batchFraction is the part of MaxDelay that passes between an answer with changes and the next watch.
 	// Changes come in bursts, and each entry is charged for each answer.
@@ -76,7 +76,7 @@
 const (
 	Answered    Outcome = iota
 	HistoryGone         // the platform no longer has the history from that revision on
-	Refused             // the platform refused the call by rate
+	Refused             // the platform refused the call because of its rate limit
 	Failed              // there was no usable answer
 	Interrupted         // the caller cancelled the call in order to make a new one
 )
@@ -89,7 +89,7 @@
 // Result is the result of a call.
 type Result struct {
 	Outcome Outcome
-	AsOf    stoatpaddle.Position // position of the answer; if Outcome is Forgotten, only the era is set
+	AsOf    stoatpaddle.Position // position of the answer; if Outcome is HistoryGone, only the era is set
 	More    bool                 // list: there are further pages
 	Last    string               // list: name after which the next page continues
 	Changes int                  // watch: number of changes in the answer
@@ -108,26 +108,26 @@
 
 // Feed follows one kind of object.
 type Feed struct {
-	cfg             Config
-	pos             stoatpaddle.Position // everything up to this position is known
-	era             stoatpaddle.Era      // latest era that is known to have begun; 0: no era was reported
-	listed          bool                 // the next call is a watch
-	started         bool                 // a list was completed, or another entry provided its equivalent
-	after           string               // list in progress: name after which it continues
-	listStart       stoatpaddle.Position // list in progress: position of its first page
-	failures        int                  // consecutive calls that failed or were refused
-	outdatedInRow   int                  // consecutive answers that were discarded as outdated
-	forgottenInRow  int                  // consecutive watches whose history was forgotten
-	failingSince    time.Time            // when the first of the consecutive failures came; zero: there is none
-	unansweredSince time.Time            // since when calls have got no answer at all; zero: they get answers
-	useReplica      bool                 // the next call may go to a replica, since the last one was refused by rate
-	afterOutage     bool                 // the next complete list follows an outage or a restore
-	unreachable     bool                 // the platform counts as not answering
-	exact           bool                 // the next call must not be answered by a replica
-	immediate       bool                 // the next call must not wait for a change
-	gotChanges      bool                 // the last watch returned changes
-	recoveryRelayed bool                 // another entry reports when the platform is back
-	answerAge       time.Duration        // age of the last exact watch answer when it came
+	cfg              Config
+	pos              stoatpaddle.Position // everything up to this position is known
+	era              stoatpaddle.Era      // latest era that is known to have begun; 0: no era was reported
+	listed           bool                 // the next call is a watch
+	started          bool                 // a list was completed, or another entry provided its equivalent
+	after            string               // list in progress: name after which it continues
+	listStart        stoatpaddle.Position // list in progress: position of its first page
+	failures         int                  // consecutive calls that failed or were refused
+	outdatedInRow    int                  // consecutive answers that were discarded as outdated
+	historyGoneInRow int                  // consecutive watches whose history the platform no longer had
+	failingSince     time.Time            // when the first of the consecutive failures came; zero: there is none
+	unansweredSince  time.Time            // since when calls have got no answer at all; zero: they get answers
+	useReplica       bool                 // the next call may go to a replica, since the last one was refused because of the rate limit
+	afterOutage      bool                 // the next complete list follows an outage or a restore
+	unreachable      bool                 // the platform counts as not answering
+	exact            bool                 // the next call must not be answered by a replica
+	immediate        bool                 // the next call must not wait for a change
+	gotChanges       bool                 // the last watch returned changes
+	recoveryRelayed  bool                 // another entry reports when the platform is back
+	answerAge        time.Duration        // age of the last exact watch answer when it came
 }
 
 // New returns a Feed that knows nothing yet.
@@ -200,7 +200,7 @@
 	c.Wait = f.wait()
 	c.Timeout = c.Wait + Fraction(f.cfg.MaxDelay, answerFraction)
 	// A replica that is behind may not have reached the revision yet from which it should watch.
-	c.AllowStale = f.cfg.AllowStale && !f.exact && f.forgottenInRow < 2
+	c.AllowStale = f.cfg.AllowStale && !f.exact && f.historyGoneInRow < 2
 	switch {
 	case f.useReplica:
 		// Changes still arrive from the replica until the exact call is made again.
@@ -246,13 +246,13 @@
 }
 
 // pause returns the pause before the next call. After failures it is random, because nine entries that call
-// again at the same moment would be refused by rate.
+// again at the same moment would exceed the rate limit.
 func (f *Feed) pause() time.Duration {
 	switch {
-	case f.failures == 0 && max(f.outdatedInRow, f.forgottenInRow) > 1:
+	case f.failures == 0 && max(f.outdatedInRow, f.historyGoneInRow) > 1:
 		// The call is repeated at once after the first such answer. If repeating does not help, calls would
 		// follow each other within milliseconds, and a few entries would use up the platform's rate.
-		return f.backoff(max(f.outdatedInRow, f.forgottenInRow))
+		return f.backoff(max(f.outdatedInRow, f.historyGoneInRow))
 	case f.failures == 0 && f.gotChanges && !f.exact && !f.immediate:
 		return Fraction(f.cfg.MaxDelay, batchFraction)
 	case f.failures == 0:
@@ -281,7 +281,7 @@
 	}
 	switch r.Outcome {
 	case HistoryGone:
-		f.forgottenInRow++
+		f.historyGoneInRow++
 		if !f.BeginEra(r.AsOf.Era) {
 			f.relist()
 		}
@@ -299,7 +299,7 @@
 	case Answered:
 	}
 	if !c.List {
-		f.forgottenInRow = 0
+		f.historyGoneInRow = 0
 	}
 	d := f.recordAnswer(now, sent, c, r)
 	f.outdatedInRow++
@@ -312,7 +312,7 @@
 // recordAnswer records an answer and decides what to do with it.
 func (f *Feed) recordAnswer(now, sent time.Time, c Call, r Result) Decision {
 	d := Decision{OutageEnded: f.unreachable}
-	// A platform that refuses calls by rate is running, so no registration lapses in that time.
+	// A platform that refuses calls because of its rate limit is running, so no registration lapses in that time.
 	outage := !f.unansweredSince.IsZero() && now.Sub(f.unansweredSince) >= minLapseOutage
 	f.failures, f.failingSince, f.unansweredSince, f.unreachable, f.immediate = 0, time.Time{}, time.Time{}, false, false
 	if outage {
@@ -403,10 +403,10 @@
 // SetRecoveryRelayed sets whether another entry reports when the platform is back.
 func (f *Feed) SetRecoveryRelayed(relayed bool) { f.recoveryRelayed = relayed }
 
-// RequestNow makes the next call return at once instead of waiting for a change. It is for the case that
+// RequestNow makes the next call return at once instead of waiting for a change. It is called when
 // another feed has confirmed a later revision than this feed knows.
 func (f *Feed) RequestNow() { f.immediate = true }
 
-// RequestExact makes the next call return at once and go to the platform itself. It is for the case that the
-// replica is behind or that traffic refers to something unknown to this entry.
+// RequestExact makes the next call return at once and go to the platform itself. It is called when the
+// replica is behind or traffic refers to something unknown to this entry.
 func (f *Feed) RequestExact() { f.exact = true }
--- a/stoatfeed/feed_test.go
+++ b/stoatfeed/feed_test.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// Twelve entries list at once after a restart, and the platform refuses some of them by rate. A list from a
+// Twelve entries list at once after a restart, and some of them exceed the platform's rate limit. A list from a
 // replica counts toward no rate limit and must be used until then. Nothing lapses in that time, so there
 // must be no second list when the platform answers again.
 func TestRefusedByRate(t *testing.T) {
--- a/stoatfeed/restore_test.go
+++ b/stoatfeed/restore_test.go
@@ -132,8 +132,8 @@
 	}
 }
 
-// A replica has not reached the revision yet from which it should watch, and reports that history as
-// forgotten. The list that follows comes from the platform itself, and the replica still lacks its revision.
+// A replica has not yet reached the revision from which it should watch, and answers as if that history were
+// gone. The list that follows comes from the platform itself, and the replica still lacks its revision.
 // The second time the platform itself must be watched, and lists must not follow each other without a pause.
 func TestReplicaWithoutTheRevision(t *testing.T) {
 	f := inEra(t, true)
