--- a/stoatrelay/bench_test.go
+++ b/stoatrelay/bench_test.go
@@ -30,7 +30,8 @@
 	return b, d
 }
 
-// A message without changes, which each child gets whenever its parent's knowledge is confirmed.
+// BenchmarkHead encodes and decodes a message without changes, which each child gets whenever its parent's
+// knowledge is confirmed.
 func BenchmarkHead(b *testing.B) {
 	h := &Head{
 		PositionRevision: 1234567, AgeMS: 40, Path: []string{"10.1.0.10:8166", "10.1.0.77:8166", "10.1.0.78:8166"},
@@ -71,7 +72,7 @@
 	return m
 }
 
-// The full state for a new child: encoded once, decoded and applied by the child.
+// BenchmarkFullState encodes the full state for a new child, which decodes and applies it.
 func BenchmarkFullState(b *testing.B) {
 	for _, n := range []int{18, 150, 3000, 43000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -87,7 +88,7 @@
 	}
 }
 
-// One of many routes changes, and the change is sent to a child.
+// BenchmarkOneRouteChanges measures the change of one of many routes, which is sent to a child and applied there.
 func BenchmarkOneRouteChanges(b *testing.B) {
 	for _, n := range []int{14, 489, 4000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/stoatrelay/decode.go
+++ b/stoatrelay/decode.go
@@ -49,7 +49,7 @@
 	Position stoatpaddle.Position // up to which the parent knows everything
 	Era      stoatpaddle.Era      // of all revisions in the message; 0: not known
 	Age      time.Duration        // of the parent's knowledge; negative: it was never known to be up to date
-	Full     bool                 // Upstreams are all there are; otherwise those that changed
+	Full     bool                 // Upstreams has all upstreams; otherwise only those that changed
 	Delta    *Delta               // of the declaration; nil: it did not change
 
 	Upstreams   []stoatroute.RemoteUpstream
--- a/stoatrelay/encode.go
+++ b/stoatrelay/encode.go
@@ -42,7 +42,7 @@
 	return i
 }
 
-// ChildState identifies what a child has been sent of a table.
+// ChildState identifies the version of the table that a child has been sent.
 type ChildState struct {
 	changeSeq uint64              // the table's change sequence number; 0: nothing was sent yet
 	version   stoatpaddle.Version // of the declaration
--- a/stoatrelay/wire.go
+++ b/stoatrelay/wire.go
@@ -23,7 +23,7 @@
 // Body follows a Head when something changed.
 type Body struct {
 	_msgpack    struct{} `msgpack:",as_array"`
-	Full        bool     // Upstreams are all there are; otherwise those that changed
+	Full        bool     // Upstreams has all upstreams; otherwise only those that changed
 	Names       []string // of services, data centres and regions; other fields refer to them by index
 	Declaration *wireConfig
 	Upstreams   []wireHeld
