--- a/stoattree/search.go
+++ b/stoattree/search.go
@@ -38,7 +38,7 @@
 }
 
 // StartSearch begins a search for a parent. Siblings are asked first, since they are near and were sent the
-// same, and seeds after them. Each entry has its own order of the seeds, so that they share the load.
+// same state, and seeds after them. Each entry has its own order of the seeds, so that the seeds share the load.
 func (t *Tree) StartSearch() {
 	t.search = &search{pending: t.candidates(), localOnly: true}
 }
--- a/stoattree/tree.go
+++ b/stoattree/tree.go
@@ -13,8 +13,8 @@
 
 const (
 	// MaxChildren is how many children the fastest entry accepts. With changes as often as the largest
-	// deployment has them, each child takes 0.32 kB a second and the parent as much: six of these are 1.9
-	// of the 2 kB a second that control traffic may take.
+	// deployment has them, each child takes 0.32 kB a second, and the connection to the parent as much:
+	// six of these are 1.9 of the 2 kB a second that control traffic may take.
 	MaxChildren = 5
 	// minChildren is how many children every entry can serve. With one child for each entry, the tree would
 	// be a chain.
@@ -31,8 +31,8 @@
 type JoinRequest struct {
 	From   netip.AddrPort
 	Centre stoatpaddle.DataCentreID
-	// Position is the position up to which the requester knows everything. Revision 0: it has nothing to
-	// serve by, and so no children that could be above the entry that it asks.
+	// Position is the position up to which the requester knows everything. Revision 0: the requester
+	// knows nothing yet, so it has no children, and the entry that it asks cannot be below it.
 	Position stoatpaddle.Position
 	// LocalOnly makes an entry of another data centre refuse, since traffic between data centres is
 	// expensive.
