--- a/stoatcommand/run_entry.go
+++ b/stoatcommand/run_entry.go
@@ -83,7 +83,7 @@
 		return stoatmeasure.ReportOverload(c.ctx, a.Seed, a.Parallel, a.JSON, c.out)
 	}
 	plan := stoatmeasure.Plan{NamePrefix: a.Only, Parallel: a.Parallel, Config: stoatmeasure.Config{
-		Entries: a.Entries, Upstreams: a.Upstreams, Flows: a.Flows, OpenRate: a.Opens, Lean: preference, Gain: a.Gain, Seed: a.Seed,
+		Entries: a.Entries, Upstreams: a.Upstreams, Flows: a.Flows, OpenRate: a.Opens, Preference: preference, Gain: a.Gain, Seed: a.Seed,
 	}}
 	if a.Curve {
 		return stoatmeasure.ReportCurve(c.ctx, plan, a.JSON, c.out)
--- a/stoatmeasure/fleet.go
+++ b/stoatmeasure/fleet.go
@@ -20,7 +20,7 @@
 	Upstreams       int
 	Flows           int     // open in the steady state
 	OpenRate        float64 // flows opened per second, over all entries
-	Lean            stoatpaddle.Preference
+	Preference      stoatpaddle.Preference
 	Gain            float64       // 0: the engine's default
 	ControlBudget   int           // 0: the engine's default
 	LoadReportDelay time.Duration // added to the delay of load reports
@@ -103,7 +103,7 @@
 		live: map[int]*conn{},
 	}
 	f.contract = stoatpaddle.Contract{
-		Customer: service.Customer, Preference: cfg.Lean,
+		Customer: service.Customer, Preference: cfg.Preference,
 		Services: []stoatpaddle.Service{{
 			ID: service.Service, Kind: stoatpaddle.KindFlow, Addr: vip.Addr(), Protocol: stoatpaddle.ProtocolTCP, Ports: []uint16{vip.Port()},
 		}},
--- a/stoatmeasure/measure_test.go
+++ b/stoatmeasure/measure_test.go
@@ -20,7 +20,7 @@
 			t.Run(x.Name, func(t *testing.T) {
 				t.Parallel()
 				r := Run(x, Config{
-					Entries: 9, Upstreams: upstreams, Flows: 3000, OpenRate: 150, Lean: stoatpaddle.PreferBalance, Seed: 3,
+					Entries: 9, Upstreams: upstreams, Flows: 3000, OpenRate: 150, Preference: stoatpaddle.PreferBalance, Seed: 3,
 				})
 				if most := int(bounds[x.Name] * float64(r.Flows)); r.Broken > most {
 					t.Errorf("%d of %d flows broken, %d allowed", r.Broken, r.Flows, most)
@@ -38,7 +38,7 @@
 
 // The experiments must be able to fail: the naive entry breaks flows when the set of upstreams changes.
 func TestNaiveBreaks(t *testing.T) {
-	r := Run(Experiments()[1], Config{Entries: 9, Upstreams: 14, Flows: 1000, OpenRate: 50, Lean: stoatpaddle.PreferFewTracked, Seed: 1})
+	r := Run(Experiments()[1], Config{Entries: 9, Upstreams: 14, Flows: 1000, OpenRate: 50, Preference: stoatpaddle.PreferFewTracked, Seed: 1})
 	if r.NaiveBroken < r.Flows/50 {
 		t.Errorf("naive broke %d of %d", r.NaiveBroken, r.Flows)
 	}
@@ -46,7 +46,7 @@
 
 // Two runs with the same seed must agree exactly, so that a broken flow can be reproduced.
 func TestDeterministic(t *testing.T) {
-	cfg := Config{Entries: 9, Upstreams: 14, Flows: 1000, OpenRate: 100, Lean: stoatpaddle.PreferBalance, Seed: 5}
+	cfg := Config{Entries: 9, Upstreams: 14, Flows: 1000, OpenRate: 100, Preference: stoatpaddle.PreferBalance, Seed: 5}
 	if a, b := Run(Experiments()[1], cfg), Run(Experiments()[1], cfg); a != b {
 		t.Errorf("%+v\n%+v", a, b)
 	}
--- a/stoatmeasure/report.go
+++ b/stoatmeasure/report.go
@@ -120,7 +120,7 @@
 	add(lossy, "30% of the load reports lost")
 	for _, lean := range []stoatpaddle.Preference{stoatpaddle.PreferFewTracked, stoatpaddle.PreferBalance} {
 		cfg := p.Config
-		cfg.Lean = lean
+		cfg.Preference = lean
 		add(cfg, "lean = "+string(lean))
 	}
 	return report(ctx, p.Parallel, jobs, asJSON, w)
@@ -145,7 +145,7 @@
 	for _, r := range rows {
 		x := r.result
 		out = append(out, wireResult{
-			Name: x.Name, Upstreams: r.cfg.Upstreams, Lean: string(r.cfg.Lean), Seed: x.Seed, Flows: x.Flows, Opened: x.Opened,
+			Name: x.Name, Upstreams: r.cfg.Upstreams, Lean: string(r.cfg.Preference), Seed: x.Seed, Flows: x.Flows, Opened: x.Opened,
 			Broken: x.Broken, Parted: x.BrokenByPartition, Roamed: x.BrokenByRoaming, Naive: x.NaiveBroken, Tracked: x.TrackedShare,
 			Worst: x.MaxImbalance, Mean: x.MeanImbalance, Control: x.ControlRate, Late: x.LateOpenDelay.Seconds(),
 		})
