--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -66,7 +66,7 @@
 func (ctl *controller) setSeedRole(now time.Time, role seedRole) {
 	ctl.follower.hasOthers, ctl.follower.mayRely = role.otherSeeds, role.reliesOnOthers()
 	for _, t := range ctl.topics {
-		ctl.feeds[t].SetStartOptions(role.reliesOnOthers(), role.isSeed)
+		ctl.feeds[t].SetRelayRole(role.reliesOnOthers(), role.isSeed)
 	}
 	if !role.reliesOnOthers() && !ctl.reading {
 		ctl.startReading(now, "the settings changed")
--- a/stoatfeed/feed.go
+++ b/stoatfeed/feed.go
@@ -395,8 +395,8 @@
 	return d
 }
 
-// SetStartOptions sets Config.AllowStaleStart and Config.HasFollowers.
-func (f *Feed) SetStartOptions(allowStaleStart, hasFollowers bool) {
+// SetRelayRole sets Config.AllowStaleStart and Config.HasFollowers.
+func (f *Feed) SetRelayRole(allowStaleStart, hasFollowers bool) {
 	f.cfg.AllowStaleStart, f.cfg.HasFollowers = allowStaleStart, hasFollowers
 }
 
--- a/stoatfeed/feed_test.go
+++ b/stoatfeed/feed_test.go
@@ -232,7 +232,7 @@
 // never older than half of MaxDelay when the next one comes.
 func TestConfirmationsForFollowers(t *testing.T) {
 	f := newFeed(false)
-	f.SetStartOptions(false, true)
+	f.SetRelayRole(false, true)
 	f.Done(start, start, f.Next(), stoatfeed.Result{AsOf: revision(10)})
 	c := f.Next()
 	if c.Wait != 1350*time.Millisecond {
@@ -266,7 +266,7 @@
 // registrations came back.
 func TestStartFromReplica(t *testing.T) {
 	f := newFeed(true)
-	f.SetStartOptions(true, false)
+	f.SetRelayRole(true, false)
 	c := f.Next()
 	if !c.List || !c.AllowStale {
 		t.Fatalf("%+v", c)
