--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -199,7 +199,7 @@
 
 // The upstream of a flow has just registered, and this entry has not heard of it yet: a reset would break a
 // live flow. Only a platform read that began after the packet came proves that the upstream is gone.
-func TestUnknownCookieWaitsForProof(t *testing.T) {
+func TestUnknownCookieWaitsForPlatformRead(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
 	c.cookie = stoatroute.KeyOf(77)
--- a/stoatedge/controller.go
+++ b/stoatedge/controller.go
@@ -58,7 +58,7 @@
 	follower        follower
 	maxDelay        time.Duration // how soon a change has to be in force
 	gracePeriod     time.Duration // how long a lapsed registration may take to come back
-	openProof       *proof        // the proof that is not matched yet; nil: none
+	pendingBarrier  *readBarrier  // the proof that is not matched yet; nil: none
 	rand            *rand.Rand
 	known           stoatpaddle.Position // up to it all topics are known, once ready
 	startedAt       time.Time            // when the entry started
@@ -192,7 +192,7 @@
 		ctl.noteStanding(id, "did not register again in time")
 	}
 	ctl.expireEvacuations(now)
-	ctl.retryProof(now)
+	ctl.retryBarrier(now)
 	ctl.checkParent(now)
 }
 
@@ -243,7 +243,7 @@
 		if x.topic == upstreams && (v.Complete || !x.call.List) {
 			ctl.unwatched = false
 		}
-		ctl.updateProof(now, x, v)
+		ctl.updateAsOf(now, x, v)
 		if v.Current {
 			ctl.reviewParent(now)
 		}
@@ -291,18 +291,18 @@
 
 func (ctl *controller) outage(t topic) bool { return ctl.feeds[t].Unreachable() }
 
-// updateProof records up to when the state is proven current: by an exact answer about the upstreams, or by
+// updateAsOf records up to when the state is proven current: by an exact answer about the upstreams, or by
 // replicas' answers that are as recent as an exact one.
-func (ctl *controller) updateProof(now time.Time, x callEnded, v stoatfeed.Decision) {
+func (ctl *controller) updateAsOf(now time.Time, x callEnded, v stoatfeed.Decision) {
 	asOf := x.call.AsOf(x.sent, now, x.result)
 	switch {
 	case x.topic == upstreams && v.Current:
 		ctl.state.MarkCurrent(asOf)
 	case x.topic == declarations && v.Current:
-		ctl.setProof(proof{asOf: asOf, pos: x.result.AsOf, receivedAt: now})
+		ctl.setBarrier(readBarrier{asOf: asOf, pos: x.result.AsOf, receivedAt: now})
 	}
-	ctl.matchProof()
-	if ctl.openProof != nil && ctl.openProof.retried && ctl.feeds[x.topic].Position().Before(ctl.openProof.pos) {
+	ctl.checkBarrier()
+	if ctl.pendingBarrier != nil && ctl.pendingBarrier.retried && ctl.feeds[x.topic].Position().Before(ctl.pendingBarrier.pos) {
 		// The replica is behind a position that the platform has already reported.
 		ctl.feeds[x.topic].RequestExact()
 	}
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -310,7 +310,7 @@
 
 // The settings name a single seed. Other entries wait for its proofs, so it proves its state as often as one
 // of three seeds.
-func TestLoneSeedProvesForOthers(t *testing.T) {
+func TestLoneSeedReadInterval(t *testing.T) {
 	set := stoatsetting.Settings{AdminAddr: seedAdmin, Seeds: []netip.AddrPort{seedAdmin}}
 	if got := seedRoleOf(set); got != (seedRole{isSeed: true}) || got.reliesOnOthers() {
 		t.Error(got)
--- a/stoatedge/restored.go
+++ b/stoatedge/restored.go
@@ -20,7 +20,7 @@
 	if before == 0 {
 		return
 	}
-	ctl.openProof, ctl.restoreGraceEnd = nil, now.Add(ctl.gracePeriod)
+	ctl.pendingBarrier, ctl.restoreGraceEnd = nil, now.Add(ctl.gracePeriod)
 	ctl.log(EventPlatformRestored, stoatevent.F("era", era.String()), stoatevent.F("before", before.String()), stoatevent.F("known", ctl.known.String()),
 		stoatevent.F("version", ctl.state.Declaration().Version.String()), stoatevent.F("source", source))
 }
