--- a/stoatecho/engine.go
+++ b/stoatecho/engine.go
@@ -262,7 +262,7 @@
 }
 
 // unknownCookie handles a cookie that is not in the table. Its upstream may have registered after the table was
-// read; only a platform read that began after the packet came proves that the upstream is gone. Until then the
+// read; only a platform read that began after the packet came confirms that the upstream is gone. Until then the
 // packet is dropped and the caller retransmits it, since a reset would break a live flow.
 func (e *Engine) unknownCookie(now time.Time, t *stoatroute.Table, p *stoatpacket.Packet) Action {
 	since, waits := e.unknownCookies[p.Cookie]
--- a/stoatecho/engine_test.go
+++ b/stoatecho/engine_test.go
@@ -198,7 +198,7 @@
 }
 
 // The upstream of a flow has just registered, and this entry has not heard of it yet: a reset would break a
-// live flow. Only a platform read that began after the packet came proves that the upstream is gone.
+// live flow. Only a platform read that began after the packet came confirms that the upstream is gone.
 func TestUnknownCookieWaitsForPlatformRead(t *testing.T) {
 	w := newWorld(t)
 	c := w.caller(idempotentAddr)
--- a/stoatedge/controller.go
+++ b/stoatedge/controller.go
@@ -15,8 +15,9 @@
 	// tickInterval is the pause between two checks of everything that depends on time alone: a tenth of the
 	// shortest time that matters here, which is an outage of one second.
 	tickInterval = 100 * time.Millisecond
-	// answerWait is how long a replica may take to return what a proof shows to exist, and the platform to
-	// answer an entry that has just started, before others are asked. An answer usually takes 4 ms.
+	// answerWait is how long a replica may take to reach a read barrier before it is asked again, and how long
+	// the platform may take to answer an entry that has just started before the entry asks others. An answer
+	// usually takes 4 ms.
 	answerWait = 150 * time.Millisecond
 	// firstWatchDelay is how long an entry that has just started and has its lists delays its first watches
 	// while it looks for a parent. The search takes some tens of milliseconds, and a watch that is cancelled
@@ -58,7 +59,7 @@
 	follower        follower
 	maxDelay        time.Duration // how soon a change has to be in force
 	gracePeriod     time.Duration // how long a lapsed registration may take to come back
-	pendingBarrier  *readBarrier  // the proof that is not matched yet; nil: none
+	pendingBarrier  *readBarrier  // the read barrier that some topics have not reached yet; nil: none
 	rand            *rand.Rand
 	known           stoatpaddle.Position // up to it all topics are known, once ready
 	startedAt       time.Time            // when the entry started
@@ -291,8 +292,9 @@
 
 func (ctl *controller) outage(t topic) bool { return ctl.feeds[t].Unreachable() }
 
-// updateAsOf records up to when the state is proven current: by an exact answer about the upstreams, or by
-// replicas' answers that are as recent as an exact one.
+// updateAsOf updates the time as of which the state is known to be current, after an answer. An exact answer
+// about the upstreams shows that directly. An exact answer about the configuration sets a read barrier, which
+// the replicas' answers about the other topics have to reach.
 func (ctl *controller) updateAsOf(now time.Time, x callEnded, v stoatfeed.Decision) {
 	asOf := x.call.AsOf(x.sent, now, x.result)
 	switch {
@@ -303,7 +305,7 @@
 	}
 	ctl.checkBarrier()
 	if ctl.pendingBarrier != nil && ctl.pendingBarrier.retried && ctl.feeds[x.topic].Position().Before(ctl.pendingBarrier.pos) {
-		// The replica is behind a position that the platform has already reported.
+		// The replica was asked again and is still behind a position that the platform has reported.
 		ctl.feeds[x.topic].RequestExact()
 	}
 }
--- a/stoatedge/controller_test.go
+++ b/stoatedge/controller_test.go
@@ -318,12 +318,12 @@
 		}
 	}
 	if age := s.now.Sub(s.table.CompleteAsOf); age > 4*time.Second {
-		t.Error("the upstreams were proven", age, "ago")
+		t.Error("the upstreams were last confirmed to be complete", age, "ago")
 	}
 }
 
 // A packet has an unknown cookie: the platform itself is asked about upstreams at once. Only an answer to a
-// call that was sent after the packet came proves that the upstream is gone.
+// call that was sent after the packet came confirms that the upstream is gone.
 func TestUnknownCookie(t *testing.T) {
 	s := newRunningSession(t)
 	s.advance(time.Second)
@@ -542,8 +542,8 @@
 
 // Guards against a reset of an open flow: another writer has overwritten an upstream's registration when an
 // entry starts. The object is in the list but cannot be read. If it counted as missing from the list, the
-// platform's own answer would prove that the upstream is gone. Such a flow was reset 0.6 s after the entry
-// had started, although its upstream was serving.
+// platform's own answer would wrongly confirm that the upstream is gone. Such a flow was reset 0.6 s after the
+// entry had started, although its upstream was serving.
 func TestUnreadableRegistrationIsNotMissing(t *testing.T) {
 	s := newSession(t)
 	s.answer(declarations, 10, declared(1, 5))
--- a/stoatedge/follow.go
+++ b/stoatedge/follow.go
@@ -22,9 +22,9 @@
 
 const (
 	// maxParentAgeShare is how old the parent's state may be, as a share of the maximum delay, before the entry
-	// reads the platform itself. Entries that read the platform prove their state at intervals of 0.45 to 0.5 of
-	// the maximum delay, and after 0.65 of it if a watch went silent. The rest of the delay is many times what
-	// a call takes.
+	// reads the platform itself. Entries that read the platform confirm that their state is current at intervals
+	// of 0.45 to 0.5 of the maximum delay, and after 0.65 of it if a watch went silent. The rest of the delay
+	// is many times what a call takes.
 	maxParentAgeShare = 0.72
 	// searchInterval is the pause between two searches for a parent; up to half of it is added at random. The
 	// pause of an entry that is not ready starts at minSearchBackoff instead.
--- a/stoatedge/proof.go
+++ b/stoatedge/proof.go
@@ -6,21 +6,22 @@
 	"github.com/stoatpaddle/stoatpaddle"
 )
 
-// readBarrier is a position of the platform, and the time at which the platform had reached it.
+// readBarrier is the position of the platform that an exact answer about the configuration reported. The state
+// counts as current as of that answer once the answers about all other topics have reached the position.
 //
 // Calls to replicas cost a tenth of an exact call and count toward no rate limit, but a replica may be seconds
-// behind. Only one topic, the configuration, is requested from the platform itself. The answer says which
-// position the platform was at, and the replicas that answer about the other topics have to reach it.
+// behind. Therefore only one topic, the configuration, is requested from the platform itself, and replicas
+// answer about the other topics.
 type readBarrier struct {
-	asOf       time.Time
+	asOf       time.Time // the time as of which the state is current once the barrier is reached
 	pos        stoatpaddle.Position
-	receivedAt time.Time // when the answer came
-	// retried is set once the replicas that are behind were asked again.
+	receivedAt time.Time // when the exact answer came
+	// retried is set once the replicas that are behind the barrier were asked again.
 	retried bool
 }
 
-// setBarrier sets the proof that this entry's state has to match. One that was retried and is not matched yet
-// stays, since it would never be matched if each later proof replaced it.
+// setBarrier makes b the pending barrier, unless the pending one was already retried. That one stays until it
+// is reached: if each later barrier replaced it, a replica that lags behind would never reach any of them.
 func (ctl *controller) setBarrier(b readBarrier) {
 	if ctl.pendingBarrier == nil || !ctl.pendingBarrier.retried {
 		ctl.pendingBarrier = &b
@@ -28,7 +29,8 @@
 	ctl.checkBarrier()
 }
 
-// checkBarrier records the open proof as matched if everything up to its position is known.
+// checkBarrier marks the state as current and clears the pending barrier if every topic is known up to the
+// barrier's position.
 func (ctl *controller) checkBarrier() {
 	if ctl.pendingBarrier == nil {
 		return
@@ -42,8 +44,9 @@
 	ctl.pendingBarrier = nil
 }
 
-// retryBarrier asks the replicas that are behind the open proof again. If one of them is still behind then,
-// updateProof asks the platform itself.
+// retryBarrier sends one more request to each replica that has not reached the pending barrier within
+// answerWait. If the answer is still behind the barrier, updateAsOf makes the next call about that topic go to
+// the platform itself.
 func (ctl *controller) retryBarrier(now time.Time) {
 	if ctl.pendingBarrier == nil || ctl.pendingBarrier.retried || now.Sub(ctl.pendingBarrier.receivedAt) <= answerWait {
 		return
--- a/stoatedge/proof_test.go
+++ b/stoatedge/proof_test.go
@@ -53,7 +53,7 @@
 		t.Error(s.events)
 	}
 	if !s.table.CompleteAsOf.IsZero() {
-		t.Error("the parent's state counts as a proof that unknown cookies belong to upstreams that are gone")
+		t.Error("the parent's state is taken to confirm that unknown cookies belong to upstreams that are gone")
 	}
 }
 
@@ -308,8 +308,8 @@
 	}
 }
 
-// The settings name a single seed. Other entries wait for its proofs, so it proves its state as often as one
-// of three seeds.
+// The settings name a single seed. Other entries depend on how recent its state is, so it reads the platform as
+// often as one of three seeds does.
 func TestLoneSeedReadInterval(t *testing.T) {
 	set := stoatsetting.Settings{AdminAddr: seedAdmin, Seeds: []netip.AddrPort{seedAdmin}}
 	if got := seedRoleOf(set); got != (seedRole{isSeed: true}) || got.reliesOnOthers() {
@@ -355,8 +355,8 @@
 	}
 }
 
-// An entry with a parent gets an unknown cookie. It asks the platform itself once; the answer is a proof, and
-// no further call is made.
+// An entry with a parent gets an unknown cookie. It asks the platform itself once; the answer confirms
+// which upstreams exist, and no further call is made.
 func TestUnknownCookieAtChild(t *testing.T) {
 	s := newFollowerSession(t)
 	s.step(unknownCookie{})
@@ -366,7 +366,7 @@
 	}
 	s.answer(upstreams, 11)
 	if s.table.CompleteAsOf.IsZero() {
-		t.Error("nothing is proven")
+		t.Error("the platform's own answer does not count as complete")
 	}
 	s.wantNoCalls("after the answer")
 }
--- a/stoatedge/restored_test.go
+++ b/stoatedge/restored_test.go
@@ -51,7 +51,7 @@
 
 // Guards against flows reset after a restore. An upstream registered in the seconds that the copy lacks, and
 // this entry did not hear of it. Until the upstream has had time to register again, an exact answer without
-// it does not prove that it has ended.
+// it does not mean that the upstream has ended.
 func TestUnknownUpstreamAfterARestore(t *testing.T) {
 	s := newRunningSessionWithEra(t)
 	before := s.table.CompleteAsOf
--- a/stoatedge/wake.go
+++ b/stoatedge/wake.go
@@ -16,8 +16,8 @@
 }
 
 // wakeChildrenIfDue wakes children when the state that they mirror has changed. Otherwise they would hear of
-// the change with the next proof, which comes with the next answer about the configuration: 0.6 s later, and
-// 1.4 s at most. An evacuation does not wait.
+// the change only when this entry next confirms that its state is current, which it does with the next answer
+// about the configuration: 0.6 s later, and 1.4 s at most. An evacuation does not wait.
 func (ctl *controller) wakeChildrenIfDue(now time.Time) {
 	t := ctl.table
 	if t == nil || !ctl.ready || t.ChangeSeq == ctl.lastWake.change {
