--- a/stoatflow/engine.go
+++ b/stoatflow/engine.go
@@ -32,17 +32,17 @@
 	DefaultMaxOpening    = 1 << 16
 )
 
-// leanFlowsGain is the part of the gain that applies to customers with lean = flows, for whom a broken flow
-// is worse than an imbalance: a quarter of the tracked flows, so a quarter of the flows at risk when an
-// entry dies.
+// leanFlowsGain is the fraction of the gain that applies to customers with lean = flows, for whom a broken
+// flow is worse than an imbalance. They have a quarter of the tracked flows, and therefore a quarter of the
+// flows at risk when an entry dies.
 const leanFlowsGain = 0.25
 
 const (
 	shardCount = 64
 	// maxRelays and maxHops limit the number of entries that one packet passes while views differ. Without
-	// them, entries whose views point at each other in a cycle would relay it forever. After maxRelays the
-	// receiver acts as the owner and may still query other entries, up to maxHops. At maxHops a packet is
-	// dropped unless it opens a flow.
+	// them, entries whose views name each other as the owner in a cycle would relay the packet forever.
+	// After maxRelays the receiver acts as the owner and may still query other entries, up to maxHops. At
+	// maxHops a packet is dropped unless it opens a flow.
 	maxRelays = 4
 	maxHops   = 16
 )
@@ -97,7 +97,7 @@
 type Stats struct {
 	Opened   atomic.Int64 // TCP flows placed when they opened
 	Adopted  atomic.Int64 // flows that no queried entry knew, placed by hash
-	Tracked  atomic.Int64 // flows that opened at another than their preferred upstream
+	Tracked  atomic.Int64 // flows placed, when they opened, at an upstream other than their preferred one
 	Relayed  atomic.Int64 // packets relayed to the owner or to a claimant
 	Lookups  atomic.Int64 // lookups sent
 	Refused  atomic.Int64 // flows refused because of a limit
--- a/stoatflow/engine_test.go
+++ b/stoatflow/engine_test.go
@@ -105,12 +105,12 @@
 }
 
 func (n *naiveTable) check(t *rapid.T, e *stoatflow.Engine, v *stoatview.View, now time.Time, tuple stoatpacket.Tuple) {
-	ref, claimed := n.serviceOf(tuple)
+	ref, listed := n.serviceOf(tuple)
 	svc := v.FlowService(tuple.Dst, tuple.Protocol)
-	if (svc != nil) != claimed || svc != nil && svc.Ref != ref {
+	if (svc != nil) != listed || svc != nil && svc.Ref != ref {
 		t.Fatalf("%v belongs to %v, found %v", tuple, ref, svc)
 	}
-	if !claimed {
+	if !listed {
 		return
 	}
 	_, open := n.placed[tuple]
@@ -135,9 +135,9 @@
 	}
 }
 
-// While views point at each other in a cycle a packet is relayed until its hops are used up. A segment of
-// an open flow must then be dropped, and the caller sends it again: if the last entry placed it by hash, it
-// could break the flow. An opening packet must be placed.
+// While the views of entries name each other as the owner in a cycle, a packet is relayed until its hops are
+// used up. A segment of an open flow must then be dropped, and the caller sends it again: if the last entry
+// placed the segment by hash, the flow could break. An opening packet must be placed.
 func TestPacketWithExhaustedHops(t *testing.T) {
 	s := &session{engines: map[string]*stoatflow.Engine{}, views: map[string]*stoatview.View{}, upstreams: []string{"a-1", "a-2"}, entries: []string{"a1", "a2"}}
 	s.updateViews()
--- a/stoatflow/handle.go
+++ b/stoatflow/handle.go
@@ -57,9 +57,9 @@
 	return p.notifyOwner(e.placeUnknown(&p))
 }
 
-// notifyOwner has the owner notified of a flow that this entry placed although it does not own it, which
-// happens while views point at each other in a cycle. Otherwise only this entry would know the flow, and it
-// may be about to leave.
+// notifyOwner has the owner notified of a flow that this entry placed without owning it, which happens while
+// the views of entries name each other as the owner in a cycle. Otherwise only this entry would know the
+// flow, and this entry may be about to leave.
 func (p *packetDecision) notifyOwner(a Action) Action {
 	owner := p.view.Owner(p.in.Service, p.key)
 	if a.Verdict == Forward && owner != nil && owner.ID != p.view.Self {
@@ -150,7 +150,8 @@
 // have left before the claim expires.
 const claimLifetime = 10 * time.Second
 
-// answerLookup handles a lookup, which is a packet whose owner does not know the flow.
+// answerLookup handles a lookup, which is a packet that the flow's owner relays because it does not know the
+// flow.
 func (e *Engine) answerLookup(p *packetDecision) Action {
 	if c, ok := p.sh.copies[p.key]; ok && !p.in.Packet.Opens {
 		sl := e.reg.Load().slots[c.slot]
--- a/stoatflow/header.go
+++ b/stoatflow/header.go
@@ -17,7 +17,7 @@
 const (
 	KindFabric     HeaderKind = iota
 	KindRelay                 // the receiver owns or claimed the flow, according to the sender
-	KindLookup                // a lookup: the sender owns the flow without knowing it
+	KindLookup                // a lookup: the sender owns the flow but has no record of it
 	KindLookupMiss            // the answer to a lookup if the receiver does not know the flow either
 	KindNotice                // tells the owner to which upstream the flow goes; no packet follows
 )
@@ -34,8 +34,8 @@
 
 const tagOffset = 4 // the authentication tag follows the fields that it covers
 
-// headerVersion is the first byte. It differs from that of any IP packet, whose high half is the IP
-// version, so that a packet from the fabric sent to the wrong port cannot pass for a relayed one.
+// headerVersion is the first byte. It differs from the first byte of any IP packet, whose high four bits are
+// the IP version, so that a packet from the fabric sent to the wrong port cannot pass for a relayed one.
 const headerVersion = 0x01
 
 // HeaderError reports a datagram that no entry of this version sent.
--- a/stoatflow/outbox.go
+++ b/stoatflow/outbox.go
@@ -54,7 +54,8 @@
 	return n
 }
 
-// encodedListSize adds the two bytes that the length of a long list takes in addition.
+// encodedListSize returns the size of a list's elements plus the two extra bytes that the length of a long
+// list takes.
 func encodedListSize(bytes int) int {
 	if bytes >= 1<<8 {
 		return bytes + 2
@@ -107,9 +108,9 @@
 }
 
 // The gain applies in full while the backlog of copies and moves, measured as the time that the budget
-// takes to send it, is below fullGainBacklog. It falls linearly to minGainFactor at minGainBacklog. This
-// way it settles where the budget is just used up; a stepwise rule would make it oscillate, and the loads
-// with it.
+// takes to send it, is below fullGainBacklog. It falls linearly to minGainFactor at minGainBacklog. The
+// gain thus settles where the budget is just used up; a stepwise rule would make the gain and the loads
+// oscillate.
 const (
 	fullGainBacklog = 100 * time.Millisecond
 	minGainBacklog  = 400 * time.Millisecond
--- a/stoatflow/place.go
+++ b/stoatflow/place.go
@@ -62,7 +62,8 @@
 	return e.insert(p, sl, i, opening)
 }
 
-// copyLag is how long it may take until the copies of newly tracked flows have left an entry that dies.
+// copyLag is how long an entry may take to send the copies of newly tracked flows. Copies that an entry has
+// not sent when it dies are lost.
 const copyLag = 5 * time.Second
 
 // adoptOpen places a flow that may be open already. This entry would know a flow that opened after it became
--- a/stoatflow/receive.go
+++ b/stoatflow/receive.go
@@ -37,7 +37,7 @@
 	e.receiveMove(now, v, e.reg.Load(), r)
 }
 
-// receiveMove adds a flow that another entry handed over to the table.
+// receiveMove adds to the table a flow that another entry handed over.
 func (e *Engine) receiveMove(now time.Time, v *stoatview.View, r *registry, rec Record) {
 	sl, i := r.find(rec.Upstream)
 	if sl == nil {
--- a/stoatflow/scan.go
+++ b/stoatflow/scan.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// insertFromRecord adds a flow that another entry knew to the table and queues its copies. Of two records
+// insertFromRecord adds to the table a flow that another entry knew and queues its copies. Of two records
 // the later one counts, but a record does not replace a flow of which a packet arrived here.
 func (e *Engine) insertFromRecord(
 	now time.Time, v *stoatview.View, s *stoatview.Service, sh *shard, k stoatpaddle.FlowHash, sl *slot, i slotIndex,
--- a/stoatflow/silent.go
+++ b/stoatflow/silent.go
@@ -92,8 +92,8 @@
 
 func (s *slot) isEjected(now tick) bool { return s.ejectedUntil.Load() > int64(now) }
 
-// ejectedWithNext returns the number of ejected upstreams if one more were ejected, so that the limit holds
-// afterwards.
+// ejectedWithNext returns the number of ejected upstreams in the set plus one, for the upstream that is about
+// to be ejected, so that the limit holds after its ejection.
 func (e *Engine) ejectedWithNext(set *stoatview.UpstreamSet, now tick) int {
 	n := 1
 	r := e.reg.Load()
--- a/stoatflow/table.go
+++ b/stoatflow/table.go
@@ -15,7 +15,7 @@
 type flag uint8
 
 const (
-	tracked    flag = 1 << iota // it goes to another upstream than the preferred one
+	tracked    flag = 1 << iota // the flow goes to an upstream other than the preferred one
 	opening                     // the caller has not replied to the upstream yet
 	closing                     // the caller sent FIN or RST, or this entry reset the flow
 	owned                       // counted in this entry's load
