--- a/stoatview/next.go
+++ b/stoatview/next.go
@@ -224,7 +224,7 @@
 }
 
 // effectiveWeight returns the upstream's weight times the weight of its data centre. If the service declares
-// weights of data centres, one without a weight counts as 0.
+// weights of data centres, a data centre without one has weight 0.
 func effectiveWeight(svc *stoatpaddle.Service, u *stoatpaddle.Upstream) stoatpaddle.Weight {
 	if len(svc.CentreWeights) == 0 {
 		return u.Weight
--- a/stoatview/owner.go
+++ b/stoatview/owner.go
@@ -114,11 +114,11 @@
 	return len(v.Partitioned) > 0 || now.Sub(v.partitionSeen) < PartitionGrace
 }
 
-// MayBeBeyondPartition reports whether an unknown packet that opens nothing may belong to a flow that only
-// entries beyond a partition know. That is so in three cases: the flow's preferred upstream is beyond the
-// partition; this entry has owned the flow since before the partition and would know it had it opened here;
-// or this entry became the owner because of the partition. For PartitionGrace after a partition it is so
-// for every flow.
+// MayBeBeyondPartition reports whether a packet that opens no flow, and whose flow is unknown here, may belong
+// to a flow that only entries beyond a partition know. That is so in three cases: the flow's preferred
+// upstream is beyond the partition; this entry has owned the flow since before the partition and would know
+// the flow if it had opened here; or this entry became the owner because of the partition. For PartitionGrace
+// after a partition it is so for every flow.
 func (v *View) MayBeBeyondPartition(s *Service, k stoatpaddle.FlowHash, now time.Time) bool {
 	if len(v.Partitioned) == 0 {
 		return v.RecentlyPartitioned(now)
@@ -132,8 +132,8 @@
 
 // OwnedSince returns when this entry began to own the flow, which is the end of the last entry set under
 // which another entry owned it. ok is false if this entry has owned it for as long as the view records. A
-// flow that opened later is known here, so an unknown packet that opens nothing belongs to a flow of the
-// upstream set that was in force at that time.
+// flow that opened later is known here, so a packet of an unknown flow that is not an opening packet belongs
+// to a flow of the upstream set that was in force at that time.
 func (v *View) OwnedSince(s *Service, k stoatpaddle.FlowHash) (at time.Time, ok bool) {
 	for _, p := range v.PastEntries {
 		m := p.Original.Owner(k, homeCentre(s.SetAt(p.Until.Add(-1)), k))
--- a/stoatview/set.go
+++ b/stoatview/set.go
@@ -16,8 +16,8 @@
 	Addr        netip.AddrPort
 	Weight      stoatpaddle.Weight
 	Slots       int // requests that may run at once
-	MaxFlows    int // open flows at most; 0: no limit
-	MaxOpenRate int // new flows a second at most; 0: no limit
+	MaxFlows    int // maximum number of open flows; 0 means no limit
+	MaxOpenRate int // maximum number of new flows a second; 0 means no limit
 	seed        uint64
 }
 
