--- a/stoattunnel/build.go
+++ b/stoattunnel/build.go
@@ -74,7 +74,7 @@
 	return BuildSegment(s)
 }
 
-// maxQuoteSize is how many bytes of the packet an ICMP error quotes at most (RFC 1812, 4.3.2.3).
+// maxQuoteSize is the maximum number of bytes of a packet that an ICMP error quotes (RFC 1812, 4.3.2.3).
 const maxQuoteSize = 548
 
 // PortUnreachable returns the ICMP error that tells a caller that nothing accepts its UDP flow (RFC 792,
--- a/stoattunnel/parse.go
+++ b/stoattunnel/parse.go
@@ -31,8 +31,8 @@
 	// icmp6Unused is the length of the unused field between an ICMPv6 header and the packet that it quotes
 	// (RFC 4443).
 	icmp6Unused = 4
-	// quotedPorts is how many bytes of the transport header an ICMP error quotes at least (RFC 792): the
-	// two ports.
+	// quotedPorts is the length in bytes of the two ports, the part of the quoted transport header that is
+	// read. An ICMP error always quotes them (RFC 792).
 	quotedPorts = 4
 )
 
@@ -163,7 +163,7 @@
 	return setQuotedFlow(quoted[6], src, dst, quoted[header:], p)
 }
 
-// setQuotedFlow fills p with the flow of a packet that an ICMP error quotes, its source and destination
+// setQuotedFlow fills p with the flow of a packet that an ICMP error quotes, with source and destination
 // exchanged.
 func setQuotedFlow(proto uint8, src, dst netip.Addr, ports []byte, p *stoatpacket.Packet) stoatpacket.DropReason {
 	p.Tuple.Protocol = stoatpaddle.Protocol(proto)
