--- a/stoatpeer/peer_test.go
+++ b/stoatpeer/peer_test.go
@@ -91,7 +91,7 @@
 		if d := cmp.Diff(m, got, cmpopts.EquateComparable(netip.AddrPort{}), cmpopts.EquateEmpty()); d != "" {
 			t.Fatal(d)
 		}
-		// The engine keeps its byte budget by Batch.Size, an estimate that must not be too low.
+		// The engine enforces its byte budget with Batch.Size, an estimate that must not be too low.
 		if f, ok := m.(*stoatmessage.Flows); ok && f.Batch.Size() < len(frame) {
 			t.Fatalf("a batch of %d bytes was estimated as %d", len(frame), f.Batch.Size())
 		}
