--- a/stoatsoak/checker.go
+++ b/stoatsoak/checker.go
@@ -45,8 +45,8 @@
 // disturbance is a period for which some guarantees are suspended. While it lasts, to is 0.
 type disturbance struct {
 	from, to time.Duration
-	// overload means that upstreams only answer slowly, so that callers may wait longer or be refused. It
-	// suspends AdmitsFlows and Recovers, and no other guarantee.
+	// overload marks a disturbance in which upstreams merely answer slowly, so that callers may wait longer or be
+	// refused. An overload suspends AdmitsFlows and Recovers, and no other guarantee.
 	overload bool
 }
 
@@ -132,8 +132,8 @@
 	return true
 }
 
-// requestRan checks a request that an upstream of the given service began to run. Its route belongs to
-// routeService.
+// requestRan checks a request that an upstream of the given service began to run. The route of the request
+// belongs to routeService.
 func (c *checker) requestRan(now time.Duration, id, service, routeService string, repeatable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/stoatsoak/plan.go
+++ b/stoatsoak/plan.go
@@ -28,7 +28,7 @@
 	KillEntry          StepKind = "kill"    // An entry gets SIGKILL.
 	KillAllEntries     StepKind = "killall" // All entries get SIGKILL at once.
 	FreezeEntry        StepKind = "freeze"  // An entry gets SIGSTOP, and SIGCONT later.
-	CrashUpstream      StepKind = "crash"   // An upstream dies, and the other service takes over its address.
+	CrashUpstream      StepKind = "crash"   // An upstream dies, and an upstream of the other service gets its address.
 	RestartUpstream    StepKind = "restart" // An upstream dies and restarts under its ID, soon or late, on the same or another port.
 	StoreDown          StepKind = "down"    // The store answers no request, and half of the registrations expire.
 	StoreSlow          StepKind = "slow"    // Each answer of the store takes 200 ms.
@@ -75,8 +75,8 @@
 	// stepGap is the mean time from one step to the next. Steps overlap half of the time.
 	stepGap         = 3 * time.Second
 	maxStepDuration = 4 * time.Second
-	// maxOverlappingDuration is the limit for the overlapping kinds. It is longer because some guarantees apply
-	// only some seconds after such a step began.
+	// maxOverlappingDuration limits the steps of the overlapping kinds. They last longer because some guarantees
+	// apply only some seconds after such a step began.
 	maxOverlappingDuration = 2 * maxStepDuration
 )
 
--- a/stoatsoak/run_breach.go
+++ b/stoatsoak/run_breach.go
@@ -52,7 +52,8 @@
 	return false
 }
 
-// misdeliver sends a packet to the first upstream that matches, regardless of the packet's route.
+// misdeliver sends a packet to the first upstream that matches, regardless of the packet's route. It reports
+// whether one matched.
 func (h *harness) misdeliver(packet []byte, matches func(u *upstream) bool) bool {
 	for _, u := range h.listUpstreams() {
 		u.mu.Lock()
--- a/stoatsoak/run_caller.go
+++ b/stoatsoak/run_caller.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// request sends a request and waits for its answer. It reports as ended whether the upstream closed the flow.
-// Its errors are of type attemptError.
+// request sends a request and waits for its answer. The result ended tells whether the upstream closed the
+// flow. The errors are of type attemptError.
 func (f *flow) request(typ *requestType, id string, until time.Duration) (ended bool, err error) {
 	firstSeq := f.seq
 	sendAll := func() {
--- a/stoatsoak/run_fabric.go
+++ b/stoatsoak/run_fabric.go
@@ -46,8 +46,8 @@
 	return candidates[int(hash.Sum32()%uint32(len(candidates)))]
 }
 
-// hasRoom reports whether an upstream of the service that the added routes use serves, is not cold and may get
-// flows.
+// hasRoom reports whether any upstream is alive, neither leaving nor cold, and in no evacuated data centre. Only
+// upstreams of "app" count, the service that the added routes use.
 func (h *harness) hasRoom() bool {
 	for _, u := range h.listUpstreams() {
 		u.mu.Lock()
@@ -69,7 +69,8 @@
 	}
 	for h.sleep(h.jitter(200 * time.Millisecond)) {
 		h.mu.Lock()
-		// The route that never existed counts as removed after the startup, which would excuse any result before.
+		// The route that never existed counts as removed some time after the startup. With an earlier time, the
+		// disturbance of the startup would excuse every result.
 		routes := map[string]routeChange{"never": {listen: netip.MustParseAddrPort("198.18.9.9:443"), ackedAt: h.cfg.Limits.StableDelay + warmUp}}
 		for name, r := range h.routes {
 			routes[name] = r
--- a/stoatsoak/run_stall.go
+++ b/stoatsoak/run_stall.go
@@ -4,17 +4,17 @@
 
 const (
 	// minStall is the shortest pause of the soak's own process that counts as a stall. It is half of a caller's
-	// first retransmission delay: after that, a request can look as if its upstream were silent.
+	// first retransmission delay. After that delay, the upstream of a request can look silent.
 	minStall           = 100 * time.Millisecond
 	stallCheckInterval = 20 * time.Millisecond
 )
 
 // watchStalls records when this process did not run.
 //
-// Callers, the fabric and the upstreams of a run share this process. On a busy machine it got no CPU time for
-// 0.28 s. Then all callers retransmitted at once, before the delayed answers arrived, and an entry ejected an
-// upstream that it had seen silent for so long. As the upstream was in fact silent, a stall counts as a
-// disturbance that the run itself caused.
+// Callers, the fabric and the upstreams of a run share this process. On a busy machine the process got no CPU
+// time for 0.28 s. Then all callers retransmitted at once, before the delayed answers arrived, and an entry
+// ejected an upstream that had been silent for that long. As the upstream was in fact silent, the entry was not
+// at fault, so a stall counts as a disturbance that the run itself caused.
 func (h *harness) watchStalls() error {
 	for h.sleep(stallCheckInterval) {
 		h.check.tick(h.now())
--- a/stoatsoak/run_upstream.go
+++ b/stoatsoak/run_upstream.go
@@ -60,7 +60,8 @@
 const firstTargetID = 0x5000_0000
 
 // startUpstream starts an upstream with the given ID, which is cold for the given time. While a data centre is
-// evacuated it starts warm, as the remaining upstreams might lack the capacity for all requests otherwise.
+// evacuated, the upstream starts warm, as the remaining upstreams might otherwise lack the capacity for all
+// requests.
 func (h *harness) startUpstream(targetID uint64, service, centre string, at netip.AddrPort, cold time.Duration) (*upstream, error) {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(at))
 	if err != nil {
