--- a/stoatmeasure/long_flows.go
+++ b/stoatmeasure/long_flows.go
@@ -13,8 +13,8 @@
 // retry opens another flow.
 const (
 	longSlots, longQueue = 2, 8
-	// longAnswerBytes is the part of an answer that a caller acknowledges first, and longAckDelay how long it
-	// delays the acknowledgement of a single packet.
+	// longAnswerBytes is the number of bytes of an answer that a caller acknowledges first. longAckDelay is how
+	// long a caller delays the acknowledgement of a single packet.
 	longAnswerBytes = 1200
 	longAckDelay    = 40 * time.Millisecond
 	// hangShare is the share of its requests that a hanging upstream never answers; longDeadline is how long
@@ -25,7 +25,7 @@
 	reopenDelay = overloadRTT
 )
 
-// longFlow is an open flow and the entry that its packets pass.
+// longFlow is an open flow and the entry that its packets pass through.
 type longFlow struct {
 	entry    *stoatecho.Engine
 	tuple    stoatpacket.Tuple
--- a/stoatmeasure/overload.go
+++ b/stoatmeasure/overload.go
@@ -23,8 +23,8 @@
 	overloadRTT         = 6 * time.Millisecond // from a caller to its upstream and back
 	overloadObjective   = 200 * time.Millisecond
 	overloadMaxTries    = 3
-	// overloadAnswer and overloadRejection are the bytes that callers acknowledge of an answer and of the
-	// rejection that a full upstream sends.
+	// overloadAnswer and overloadRejection are the numbers of bytes that callers acknowledge of an answer and of
+	// the rejection that a full upstream sends.
 	overloadAnswer, overloadRejection = 500, 100
 )
 
@@ -210,7 +210,7 @@
 	}
 }
 
-// newFlow returns the five-tuple of a new flow and the entry that its packets pass.
+// newFlow returns the five-tuple of a new flow and the entry that its packets pass through.
 func (m *overloadModel) newFlow(to netip.AddrPort) (*stoatecho.Engine, stoatpacket.Tuple) {
 	m.port++
 	e := m.entries[m.rnd.IntN(len(m.entries))]
--- a/stoatmeasure/overload_test.go
+++ b/stoatmeasure/overload_test.go
@@ -34,8 +34,8 @@
 func (o Outcomes) share(n int) float64 { return float64(n) / float64(o.Asked) }
 
 // Under twice the capacity of the upstreams for four seconds and without a limit, more than half of the
-// answers are late because of the queues. With a limit the upstreams must do as much work, nine in ten of
-// their answers must be in time, and urgent requests must be served first.
+// answers are late because of the queues. With a limit the upstreams must give at least nine tenths as many
+// answers, nine in ten of these must be in time, and urgent requests must be served first.
 func TestOverload(t *testing.T) {
 	plain := runStages(t, smallFleet, 0, 10, Stage{2, 4 * time.Second})
 	limited := runStages(t, smallFleet, overloadObjective, 10, Stage{2, 4 * time.Second})
--- a/stoatmeasure/report.go
+++ b/stoatmeasure/report.go
@@ -50,7 +50,7 @@
 	result Result
 }
 
-// runRows runs a few experiments at a time, and returns their rows in the order of the jobs.
+// runRows runs at most the given number of jobs at a time, and returns their rows in the order of the jobs.
 func runRows(ctx context.Context, parallel int, jobs []func() row) ([]row, error) {
 	rows := make([]row, len(jobs))
 	group, ctx := errgroup.WithContext(ctx)
@@ -96,8 +96,9 @@
 	return report(ctx, p.Parallel, jobs, asJSON, w)
 }
 
-// ReportCurve measures how the imbalance and the share of tracked flows depend on each other, for several gains and
-// delays of load reports, with lost load reports, and with each value of Config.Preference. It writes a table or JSON.
+// ReportCurve measures how the imbalance and the share of tracked flows depend on each other, for several gains
+// and delays of load reports, with lost load reports, and with each value of Config.Preference. It writes a table
+// or JSON.
 func ReportCurve(ctx context.Context, p Plan, asJSON bool, w io.Writer) error {
 	var jobs []func() row
 	steady := Experiments()[0]
@@ -118,10 +119,10 @@
 	lossy := p.Config
 	lossy.LoadReportLoss = 0.3
 	add(lossy, "30% of the load reports lost")
-	for _, lean := range []stoatpaddle.Preference{stoatpaddle.PreferFewTracked, stoatpaddle.PreferBalance} {
+	for _, preference := range []stoatpaddle.Preference{stoatpaddle.PreferFewTracked, stoatpaddle.PreferBalance} {
 		cfg := p.Config
-		cfg.Preference = lean
-		add(cfg, "lean = "+string(lean))
+		cfg.Preference = preference
+		add(cfg, "lean = "+string(preference))
 	}
 	return report(ctx, p.Parallel, jobs, asJSON, w)
 }
--- a/stoatmeasure/silence.go
+++ b/stoatmeasure/silence.go
@@ -18,7 +18,7 @@
 	Entries      int
 	Upstreams    int
 	RequestRate  float64 // requests per second and upstream
-	FailingShare float64 // of the upstreams that fail
+	FailingShare float64 // share of the upstreams that fail during the fault
 	Seed         uint64
 }
 
@@ -52,9 +52,9 @@
 	silenceSlots       = 2
 	silenceQueue       = 8
 	silenceObjective   = 300 * time.Millisecond  // the latency objective of the routes
-	silenceTimeout     = 2500 * time.Millisecond // after which a caller gives a request up
+	silenceTimeout     = 2500 * time.Millisecond // after which a caller gives up on a request
 	silenceLossRate    = 1.0 / 30
-	longFlowShare      = 0.73                  // of the requests come on long flows, each of the others on its own flow
+	longFlowShare      = 0.73                  // share of the requests that come on long flows; each other one has its own flow
 	longFlowPause      = time.Second           // mean, from an answer on a long flow to its next request
 	recoveryGrace      = time.Second           // how long an upstream that has recovered may still be taken for silent
 	probeInterval      = 20 * time.Millisecond // between checks of which entries avoid which upstreams
@@ -66,8 +66,8 @@
 	Fault    Fault
 	Requests int
 	Late     int // answered after the latency objective
-	// LateOnOpenFlows counts those of Late on flows that were already open: an open flow stays at its upstream whatever
-	// the entries know.
+	// LateOnOpenFlows counts those of Late on flows that were already open: an open flow stays at its upstream
+	// whatever the entries know.
 	LateOnOpenFlows int
 	Failed          int
 	// WrongEjections counts ejections of healthy upstreams, once for each entry that ejects.
@@ -76,7 +76,7 @@
 	// averaged over these upstreams. One that fewer entries avoided counts with the whole duration of the
 	// fault.
 	DetectionTime time.Duration
-	ByteRate      float64 // of reports and sums, sent per second and entry
+	ByteRate      float64 // bytes of reports and sums that an entry sends per second, mean
 }
 
 // silenceModel is one data centre in virtual time.
--- a/stoatmeasure/silence_report.go
+++ b/stoatmeasure/silence_report.go
@@ -15,7 +15,7 @@
 
 const (
 	silenceRate  = 6.5 // requests per second and upstream: a quiet hour of a large fleet
-	silenceShare = 0.3 // of the upstreams that fail
+	silenceShare = 0.3 // share of the upstreams that fail during the fault
 )
 
 // wireSilence is a row of the JSON output.
--- a/stoatmeasure/silence_test.go
+++ b/stoatmeasure/silence_test.go
@@ -29,7 +29,7 @@
 	return sum
 }
 
-// A third of the upstreams fall silent. An entry by itself detects this only when the registrations have
+// Three in ten of the upstreams fall silent. An entry by itself detects this only when the registrations have
 // expired. With reports along the relay tree, nine of ten entries avoid these upstreams within half a second,
 // and half as many callers of new flows wait. The same decisions without any delay are the bound. Callers on
 // open flows wait in any case, since no evidence may reset a flow.
--- a/stoatmeasure/silence_traffic.go
+++ b/stoatmeasure/silence_traffic.go
@@ -18,7 +18,7 @@
 	lastRequest map[stoatpacket.Tuple]uint32 // sequence number of the latest request, by flow
 }
 
-// silenceFlow is one attempt of a caller: a flow from its own port.
+// silenceFlow is one flow of a caller. Each flow has a port of its own.
 type silenceFlow struct {
 	tuple      stoatpacket.Tuple
 	entry      *silenceEntry
@@ -50,7 +50,7 @@
 const (
 	silenceMaxTries = 3
 	retryDelay      = 7 * time.Millisecond
-	openingTimeout  = 1400 * time.Millisecond // after which a caller gives an opening up
+	openingTimeout  = 1400 * time.Millisecond // after which a caller gives up on an opening
 )
 
 // openingRetransmits are the times at which a caller repeats its opening.
--- a/stoatmeasure/spread.go
+++ b/stoatmeasure/spread.go
@@ -24,7 +24,7 @@
 	Entries     int
 	Upstreams   int
 	Slots       int           // requests that an upstream runs at once
-	Load        float64       // requested share of all slots
+	Load        float64       // share of the capacity of all slots that the requests need
 	ServiceTime time.Duration // of a request, mean; uniform between half and one and a half times the mean
 	Duration    time.Duration
 	Seed        uint64
