--- a/stoatcall/handler.go
+++ b/stoatcall/handler.go
@@ -197,7 +197,7 @@
 		}
 		// A partly read body cannot be sent to another upstream.
 		if body.started.Load() {
-			h.refuseBodyRead(w, err)
+			h.refuseAfterBodyRead(w, err)
 			return
 		}
 	}
@@ -211,8 +211,8 @@
 	h.copyAnswer(w, res)
 }
 
-// refuseBodyRead answers a call that cannot be tried again because part of its body was read.
-func (h *Handler) refuseBodyRead(w http.ResponseWriter, err error) {
+// refuseAfterBodyRead answers a call that cannot be tried again because part of its body was read.
+func (h *Handler) refuseAfterBodyRead(w http.ResponseWriter, err error) {
 	if err == nil || dialFailed(err) {
 		h.refuseRetryable(w, ProblemNoCapacity, http.StatusServiceUnavailable, "")
 		return
--- a/stoatsetting/setting.go
+++ b/stoatsetting/setting.go
@@ -54,24 +54,24 @@
 
 // The default and maximum values. testdata/entry.ini documents the defaults.
 const (
-	defaultCluster  = "main"
-	defaultTunnel   = "127.0.0.1:6080"
-	defaultRelay    = "127.0.0.1:6081"
-	defaultPeer     = "127.0.0.1:6082"
-	defaultAdmin    = "127.0.0.1:6083"
-	defaultCall     = "127.0.0.1:6084"
-	defaultEgress   = "127.0.0.1:6090"
-	defaultPlatform = "127.0.0.1:6100"
-	defaultDead     = 2 * time.Second
-	defaultStop     = 60 * time.Second
-	defaultSettle   = 60 * time.Second
-	defaultReady    = "127.0.0.1:6085"
-	defaultApply    = 3 * time.Second
-	defaultLife     = 60 * time.Second
-	defaultReturn   = 2500 * time.Millisecond
-	maxShare        = 1024 // cores
-	maxLink         = 1e6  // Mbit/s
-	maxMemory       = 1e6  // MB
+	defaultCluster      = "main"
+	defaultTunnel       = "127.0.0.1:6080"
+	defaultRelay        = "127.0.0.1:6081"
+	defaultPeer         = "127.0.0.1:6082"
+	defaultAdmin        = "127.0.0.1:6083"
+	defaultCall         = "127.0.0.1:6084"
+	defaultEgress       = "127.0.0.1:6090"
+	defaultPlatform     = "127.0.0.1:6100"
+	defaultPeerTimeout  = 2 * time.Second
+	defaultStop         = 60 * time.Second
+	defaultSettle       = 60 * time.Second
+	defaultReady        = "127.0.0.1:6085"
+	defaultApply        = 3 * time.Second
+	defaultFlowLifetime = 60 * time.Second
+	defaultGracePeriod  = 2500 * time.Millisecond
+	maxShare            = 1024 // cores
+	maxLink             = 1e6  // Mbit/s
+	maxMemory           = 1e6  // MB
 )
 
 // MaxDelay returns the shortest of the maximum delays until a change on the platform is in force.
@@ -115,11 +115,11 @@
 		CPUShare:         instance.Number("share", 0, 0, maxShare),
 		LinkMbps:         instance.Number("link", 0, 0, maxLink),
 		MemoryMB:         instance.Number("memory", 0, 0, maxMemory),
-		GracePeriod:      r.Section("platform").Duration("return", defaultReturn),
-		FlowLifetime:     r.Section("flow").Duration("life", defaultLife),
+		GracePeriod:      r.Section("platform").Duration("return", defaultGracePeriod),
+		FlowLifetime:     r.Section("flow").Duration("life", defaultFlowLifetime),
 		PlatformAddr:     r.Section("platform").AddrPort("address", defaultPlatform),
 		Seeds:            r.Section("peer").AddrPorts("seeds"),
-		PeerTimeout:      r.Section("peer").Duration("dead", defaultDead),
+		PeerTimeout:      r.Section("peer").Duration("dead", defaultPeerTimeout),
 		LogLevel:         r.Section("log").Choice("level", "info", "debug", "warn", "error"),
 		StopDeadline:     r.Section("stop").Duration("deadline", defaultStop),
 		SettleTime:       r.Section("flow").Duration("settle", defaultSettle),
