--- a/contract.go
+++ b/contract.go
@@ -15,7 +15,7 @@
 )
 
 // Preference is which of two goals a customer prefers where they conflict: few tracked flows or an even load.
-// A tracked flow goes to another upstream than its preferred one, so that entries have to remember its
+// A tracked flow goes to another upstream than the one that its hash prefers, so entries have to remember its
 // upstream.
 type Preference string
 
--- a/ids.go
+++ b/ids.go
@@ -25,6 +25,7 @@
 
 // Version is the platform's revision at which an object was last written; 0 means that the object does not
 // exist. Where one number has to cover the revisions of several eras, it is the result of Position.Version.
+// The version of a Declaration is assigned by the operators instead.
 type Version uint64
 
 // Era numbers the platform's histories from 1. A new era begins each time the platform is restored from a
@@ -39,14 +40,14 @@
 type Incarnation uint64
 
 // FlowHash is the keyed hash of a flow's five-tuple (SipHash-2-4, Aumasson and Bernstein 2012), truncated to
-// FlowHashBits to keep the records between entries short. With 400,000 flows open, the probability that a new
-// one collides with any of them is 1 in 700 million.
+// FlowHashBits to keep the records that entries exchange short. With 400,000 flows open, the probability that
+// the hash of a new one collides with any of theirs is 1 in 700 million.
 type FlowHash uint64
 
 // FlowHashBits is the length of a FlowHash in bits.
 const FlowHashBits = 48
 
-// UpstreamKey identifies an upstream in the records between entries, which have 32 bits for it.
+// UpstreamKey identifies an upstream in the records that entries exchange, which have 32 bits for it.
 type UpstreamKey uint32
 
 // Weight is a relative share of new work; 0 means none.
--- a/position.go
+++ b/position.go
@@ -45,7 +45,8 @@
 	return Version(p.Era-1)<<revisionBits | p.Revision
 }
 
-// Position is the inverse of Position.Version.
+// Position is the inverse of Position.Version. The revision of a platform that reports no era becomes a
+// position in the first era.
 func (v Version) Position() Position {
 	return Position{Era: Era(v>>revisionBits) + 1, Revision: v & (1<<revisionBits - 1)}
 }
--- a/route.go
+++ b/route.go
@@ -44,8 +44,8 @@
 	d.ColdRates[s] = perSecond
 }
 
-// Evacuation is an operators' request that the upstreams of a data centre get no new flows, or the withdrawal
-// of such a request. Upstreams of data centres without either get new flows.
+// Evacuation is a request by the operators that the upstreams of a data centre get no new flows, or the
+// withdrawal of such a request. Upstreams of data centres without either get new flows.
 type Evacuation struct {
 	DataCentre DataCentreID
 	Revision   Version // of the request, or of its withdrawal
