--- a/stoatcontract/retire.go
+++ b/stoatcontract/retire.go
@@ -10,8 +10,8 @@
 // remembers an idle flow.
 const retiredRetention = 8 * time.Hour
 
-// AddRetired returns the contract next with the upstreams that it removes from the current contract listed as
-// retired, and with those that were removed earlier and may still have flows.
+// AddRetired returns the contract next with its lists of retired upstreams filled in: the upstreams that next
+// removes from the current contract, and those that were removed earlier and may still have flows.
 func AddRetired(now time.Time, current, next stoatpaddle.Contract) stoatpaddle.Contract {
 	services := append([]stoatpaddle.Service(nil), next.Services...)
 	for i := range services {
--- a/stoatcontract/validate.go
+++ b/stoatcontract/validate.go
@@ -57,8 +57,8 @@
 ) {
 	section := "upstream " + string(u.ID)
 	key := stoatview.UpstreamKeyOf(stoatpaddle.ServiceRef{Customer: c.Customer, Service: s.ID}, u.ID)
-	// The records between entries identify an upstream by this key only. If two upstreams had the same key, an
-	// entry that takes over a flow might send it to the wrong one.
+	// The records that entries exchange identify an upstream by this key only. If two upstreams had the same
+	// key, an entry that takes over a flow might send it to the wrong one.
 	if other, taken := owners[key]; taken && other != u.ID {
 		k.addFault(section, "", string(u.ID), "another name: its key is that of "+string(other))
 	}
