--- a/stoatsetting/template_test.go
+++ b/stoatsetting/template_test.go
@@ -9,7 +9,7 @@
 	"github.com/stoatpaddle/stoatpaddle/stoatsetting"
 )
 
-// The settings template, with its placeholders replaced as the users' platform does it, equals
+// The settings template, with its placeholders replaced as the provider's platform does it, equals
 // deploy/testdata/rendered.ini, and its settings have no fault.
 func TestTemplate(t *testing.T) {
 	template, err := os.ReadFile("../deploy/entry.ini")
