--- a/stoatcall/call_test.go
+++ b/stoatcall/call_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// An upstream runs a claim and dies before it answers. The entry cannot know whether the claim ran, so it must
-// answer "outcome unknown" and must not send the claim to the other upstream.
+// An upstream runs a call and dies before it answers. The entry cannot know whether the call ran, so it must
+// answer "outcome unknown" and must not send the call to the other upstream.
 func TestUnansweredCallIsNotRetried(t *testing.T) {
 	var ran atomic.Int64
 	dieUnanswered := func(_ net.Conn, r *http.Request) {
@@ -118,7 +118,7 @@
 		t.Fatal(res, body, err)
 	}
 	if ran.Load() != 1 {
-		t.Errorf("the claim ran %d times", ran.Load())
+		t.Errorf("the call ran %d times", ran.Load())
 	}
 }
 
--- a/stoatcall/problem.go
+++ b/stoatcall/problem.go
@@ -33,12 +33,12 @@
 	ProblemUnknownOutcome = stoatevent.Register(stoatevent.Definition{
 		Number: 1305, Severity: stoatevent.Warning, Since: "0.1",
 		Title: "outcome unknown",
-		Text:  "The upstream may have started the call, and did not answer. A call that is not idempotent may have run; the entry does not send it to another upstream.",
+		Text:  "The upstream may have started the call but did not answer. A call that is not idempotent may have run; the entry does not send it to another upstream.",
 	})
 	ProblemStopping = stoatevent.Register(stoatevent.Definition{
 		Number: 1306, Severity: stoatevent.Info, Since: "0.1",
 		Title: "not run: entry is leaving",
-		Text:  "The entry is in its planned stop. The call was not run and may be sent again at once; another entry takes it.",
+		Text:  "The entry is stopping as planned. The call was not run and may be sent again at once; another entry will accept it.",
 	})
 )
 
--- a/stoatevent/async_writer.go
+++ b/stoatevent/async_writer.go
@@ -12,8 +12,7 @@
 	dropped atomic.Int64
 }
 
-// queueLines is the capacity of the queue, enough for the lines of one second of an entry's busiest
-// start.
+// queueLines is the capacity of the queue, enough for the lines of one second during an entry's busiest start.
 const queueLines = 1024
 
 // NewAsyncWriter returns an AsyncWriter. The caller has to start its Run method.
@@ -32,7 +31,7 @@
 // Dropped returns the number of dropped lines.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
-// maxBatch is the size in bytes from which on a write gets no further lines.
+// maxBatch is the size in bytes at which no further lines are added to a write.
 const maxBatch = 32 << 10
 
 // Run writes the queued lines to w until Close. Lines that are in the queue together go into one write.
--- a/stoatevent/catalogue.go
+++ b/stoatevent/catalogue.go
@@ -85,7 +85,7 @@
 // Markdown returns the whole catalogue as docs/EVENTS.md has it.
 func Markdown() string {
 	var b strings.Builder
-	b.WriteString("# Events and faults\n\nGenerated from the catalogue by `stoatpaddle explain --markdown`; a test checks that this page is current.\n")
+	b.WriteString("# Events and problems\n\nGenerated from the catalogue by `stoatpaddle explain --markdown`; a test checks that this page is current.\n")
 	for _, e := range All() {
 		fmt.Fprintf(&b, "\n## %s %s\n\n%s\n\nSeverity: %s. Since %s.\n", e.Number, e.Title, e.Text, e.Severity, e.Since)
 	}
