--- a/stoatcommand/command.go
+++ b/stoatcommand/command.go
@@ -30,7 +30,7 @@
 	Contract *contractArgs `arg:"subcommand:contract" help:"write, read and remove contracts"`
 	Instance *instanceArgs `arg:"subcommand:instance" help:"mark instances as joining or leaving"`
 	Centre   *centreArgs   `arg:"subcommand:centre" help:"evacuate data centres and withdraw evacuations"`
-	Status   *statusArgs   `arg:"subcommand:status" help:"show the state of every entry and what it has in force"`
+	Status   *statusArgs   `arg:"subcommand:status" help:"show the state of every entry and the configuration in force there"`
 	Report   *reportArgs   `arg:"subcommand:report" help:"show how much of the error budget is used"`
 	Check    *checkArgs    `arg:"subcommand:check" help:"check settings and contracts, and print every fault"`
 	Explain  *explainArgs  `arg:"subcommand:explain" help:"explain an event or problem by its number, such as SP1004"`
--- a/stoatcommand/run_entry.go
+++ b/stoatcommand/run_entry.go
@@ -59,7 +59,7 @@
 }
 
 // The parameters of the experiment that --spread selects. Slots and request time are those of the larger
-// deployments. The duration is long enough for the slowest one percent to be some hundreds of requests.
+// deployments. The duration is long enough for the slowest one percent to be several hundred requests.
 const (
 	spreadSlots       = 2
 	spreadRequestTime = 45 * time.Millisecond
--- a/stoatcommand/soak.go
+++ b/stoatcommand/soak.go
@@ -21,7 +21,7 @@
 	JSON     bool          `arg:"--json" help:"print JSON, one line per run"`
 }
 
-// BreachError reports that a soak violated guarantees of the system.
+// BreachError reports that guarantees of the system were violated during a soak test.
 type BreachError struct {
 	Breaches int
 	LogDir   string
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%d guarantees were violated; logs are in %s", e.Breaches, e.LogDir)
 }
 
-// The time limits of a soak.
+// The time limits of a soak test.
 const (
 	soakApplyDelay  = 3 * time.Second  // until a change is in force, as on the smaller deployments
 	soakStableDelay = 4 * time.Second  // from a fault until the guarantees hold again, as on the smaller deployments
