--- a/stoatdemo/run.go
+++ b/stoatdemo/run.go
@@ -157,7 +157,7 @@
 }
 
 // inForce reports whether every entry is ready and has the customer's contract, at least at the given
-// version. An empty id stands for no contract.
+// version. With an empty id, only readiness is checked.
 func (env *environment) inForce(id stoatpaddle.CustomerID, version stoatpaddle.Version) bool {
 	env.mu.Lock()
 	entries := append(env.entries[:0:0], env.entries...)
--- a/stoatdemo/run_environment.go
+++ b/stoatdemo/run_environment.go
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// updateFabric tells the fabric the present entries.
+// updateFabric makes the fabric send to the present entries.
 func (env *environment) updateFabric() {
 	env.mu.Lock()
 	defer env.mu.Unlock()
--- a/stoatdemo/table.go
+++ b/stoatdemo/table.go
@@ -25,7 +25,7 @@
 	calls        callCounts
 	controlBytes int64
 	entries      int
-	maxImbalance float64 // highest load over the mean load, the greater of the two services
+	maxImbalance float64 // highest load over the mean load, the greater value of the two flow services
 }
 
 // imbalance returns the ratio of the highest to the mean load of a service's upstreams, without the one to skip.
--- a/stoatfake/addr.go
+++ b/stoatfake/addr.go
@@ -10,8 +10,8 @@
 const maxAddrTries = 50
 
 // issued holds the addresses that FreeAddr has returned in this process. An address stays free until it is
-// used, so that the kernel may offer it again before that. A contract with two upstreams at one address would
-// be refused.
+// used, so the kernel may offer it again before then. A contract with two upstreams at one address would be
+// refused.
 var issued sync.Map
 
 // FreeAddr returns a loopback address whose port is free for both TCP and UDP, and a different one on each call.
--- a/stoatfake/platform.go
+++ b/stoatfake/platform.go
@@ -22,7 +22,7 @@
 	Down             bool          // answers nothing
 	Delay            time.Duration // before each answer
 	DropWriteAnswers int           // number of further writes that take effect but get no answer
-	StaleReplicas    bool          // replicas show the state of when this was set
+	StaleReplicas    bool          // replicas show the state at the time this was set
 	SilentWatches    bool          // watches are never answered
 	WriteLimit       int           // per second; more are refused; 0: no limit
 	ReadLimit        int           // per second; more are refused; a waiting watch counts as one; 0: no limit
