--- a/stoatnode/gossip.go
+++ b/stoatnode/gossip.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	// offerDelay is how long the digest of a peer must differ before it is offered all objects: changes that
-	// are still in transit need no repair.
+	// offerDelay is how long the digest of a peer must differ before the peer is offered all objects: changes
+	// that are still in transit need no repair.
 	offerDelay    = time.Second
 	offerInterval = 2 * time.Second
 	// requestTimeout is how long a response to Want may take before another peer is asked.
@@ -96,8 +96,8 @@
 	}
 }
 
-// membersMessage returns the message that tells a new peer the known entries. The platform's list lags, and
-// an entry that is not known to be live is not asked about the flows it has.
+// membersMessage returns the message that lists the known entries for a newly connected peer. The platform's
+// list lags, and an entry that is not known to be live is not asked about the flows it has.
 func (n *Node) membersMessage() *stoatmessage.Members {
 	m := &stoatmessage.Members{}
 	for _, id := range sortedIDs(n.instances) {
--- a/stoatnode/members.go
+++ b/stoatnode/members.go
@@ -68,8 +68,8 @@
 		n.log(EventMemberLeaving, stoatevent.F("member", string(i.ID)))
 	}
 	if i.Role == stoatpaddle.RoleEntry && n.peers[i.ID] == nil {
-		// This entry may have to wait for the other one to dial, so the first message may arrive that much
-		// later. An entry wrongly considered dead is not asked about its flows.
+		// This entry may have to wait for the other one to dial, so the first message may arrive later by
+		// higherIDDialDelay. An entry wrongly considered dead is not asked about its flows.
 		n.peers[i.ID] = &peer{lastHeard: now.Add(higherIDDialDelay), disconnectedSince: now}
 	}
 }
--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -15,7 +15,7 @@
 const (
 	TickInterval      = 250 * time.Millisecond
 	HeartbeatInterval = 500 * time.Millisecond
-	DefaultDeadAfter  = 2 * time.Second // without a message, after which a peer is considered dead
+	DefaultDeadAfter  = 2 * time.Second // time without a message after which a peer is considered dead
 	redialInterval    = time.Second
 	// pauseThreshold is the gap between ticks above which the process must have been paused.
 	pauseThreshold = time.Second
@@ -30,7 +30,7 @@
 	Seeds        []netip.AddrPort // peers to dial until the configuration is complete
 	RandomSeed   uint64           // seed of the generator of random delays
 	StopDeadline time.Duration    // deadline of a planned stop
-	DeadAfter    time.Duration    // without a message, after which a peer is considered dead; 0 means DefaultDeadAfter
+	DeadAfter    time.Duration    // time without a message after which a peer is considered dead; 0 means DefaultDeadAfter
 }
 
 // Node is the control state of one entry. It is not safe for concurrent use.
@@ -39,10 +39,10 @@
 	rnd             *rand.Rand
 	objects         map[stoatpaddle.ObjectRef]stoatpaddle.Object
 	contracts       map[stoatpaddle.CustomerID]validContract
-	loggedConflicts map[stoatpaddle.CustomerID]stoatpaddle.Version // version of which a conflict was logged
+	loggedConflicts map[stoatpaddle.CustomerID]stoatpaddle.Version // the version whose conflict was last logged
 	instances       map[stoatpaddle.InstanceID]stoatpaddle.Instance
 	peers           map[stoatpaddle.InstanceID]*peer
-	partitioned     map[stoatpaddle.DataCentreID]bool // all known entries there are dead
+	partitioned     map[stoatpaddle.DataCentreID]bool // data centres whose known entries are all dead
 	evacuated       map[stoatpaddle.DataCentreID]bool
 	requestedUntil  map[stoatpaddle.ObjectRef]time.Time // until when no other peer is asked for the object
 	hashKey         *stoatpacket.Seed
@@ -62,7 +62,7 @@
 	version  stoatpaddle.Version
 }
 
-// peer is what is known of the process of another entry.
+// peer is what this entry knows of the process of another entry.
 type peer struct {
 	connected          bool
 	disconnectedSince  time.Time // if not connected
@@ -161,7 +161,7 @@
 	}
 	first := n.view == nil
 	if first && !n.stop.requested {
-		// Without a view the entry cannot store flow records, so peers must not send any until now.
+		// Without a view the entry cannot store flow records, so peers must not send any earlier.
 		n.setState(stoatpaddle.StateLive)
 	}
 	n.dirty = false
--- a/stoatnode/platform.go
+++ b/stoatnode/platform.go
@@ -12,11 +12,11 @@
 
 // platformState is the state of the communication with the platform.
 type platformState struct {
-	configComplete bool // all objects are known, from the platform or from a peer
-	readPending    bool // a list or watch is in progress or scheduled
-	failures       int  // consecutive ones
-	revision       stoatpaddle.Version
-	relist         bool // the next read must be a list
+	configComplete bool                // all objects are known, from the platform or from a peer
+	readPending    bool                // a list or watch is in progress or scheduled
+	failures       int                 // number of consecutive failed reads
+	revision       stoatpaddle.Version // highest one read
+	relist         bool                // the next read must be a list
 }
 
 func (n *Node) listed(now time.Time, l stoatpaddle.Listing) {
--- a/stoatnode/stop.go
+++ b/stoatnode/stop.go
@@ -27,7 +27,7 @@
 	n.emit(HandOver{})
 }
 
-// handedOver ends the process when no calls are open and the fabric had time to stop sending packets.
+// handedOver ends the process when no calls are open and the fabric has had time to stop sending packets.
 func (n *Node) handedOver(now time.Time, ev FlowsHandedOver) {
 	n.stop.openCalls = ev.OpenCalls
 	if ev.OpenCalls == 0 && now.Sub(n.stop.startedAt) >= fabricLag {
