--- a/stoatplatform/platform_test.go
+++ b/stoatplatform/platform_test.go
@@ -137,10 +137,10 @@
 	}
 }
 
-// The store is restored from a copy and assigns the revision at which an operator read a contract again, to
-// another operator's amendment. The first operator's amendment is conditional on that revision: the condition
-// would hold, and the other amendment would be lost silently. A watch from a revision before the restore is
-// rejected, since it would omit the writes with lower revisions.
+// An operator reads a contract. Then the store is restored from a copy and assigns the contract's revision a
+// second time, to another operator's amendment. The first operator's amendment is conditional on that revision:
+// the condition would hold, and the other amendment would be lost silently. A watch from a revision before the
+// restore is rejected, since it would omit the writes with lower revisions.
 func TestRestore(t *testing.T) {
 	ctx := context.Background()
 	p, c := start(t)
--- a/stoatplatform/retry.go
+++ b/stoatplatform/retry.go
@@ -82,8 +82,8 @@
 const defaultMaxAttempts = 4
 
 // Put writes o on top of the version that o names, or deletes it if o.Deleted is set. If a retry conflicts with
-// a version that the token own is part of, the earlier attempt took effect. So nothing is applied twice, and
-// no write that took effect is reported as rejected. Its errors are *stoatpaddle.ConflictError and
+// a version whose token names own, an earlier attempt took effect. So nothing is applied twice, and no write
+// that took effect is reported as rejected. Its errors are *stoatpaddle.ConflictError and
 // *UnknownOutcomeError.
 func (w *Writer) Put(ctx context.Context, o stoatpaddle.Object, own stoatpaddle.WriteToken) (stoatpaddle.Object, error) {
 	maxAttempts := w.MaxAttempts
--- a/stoatplatform/wire.go
+++ b/stoatplatform/wire.go
@@ -39,7 +39,7 @@
 	return platform.Object{Meta: meta, Spec: data}, nil
 }
 
-// FromStoreObject converts an object of the platform, read in that era, or returns *stoatpaddle.DecodeError.
+// FromStoreObject converts an object of the platform, read in the given era, or returns *stoatpaddle.DecodeError.
 func FromStoreObject(p platform.Object, era uint64) (stoatpaddle.Object, error) {
 	kind, name, ok := strings.Cut(p.Meta.Name, nameSeparator)
 	var s spec
