--- a/stoatentry/run_traffic.go
+++ b/stoatentry/run_traffic.go
@@ -5,7 +5,6 @@
 	"net/netip"
 
 	"github.com/stoatpaddle/stoatpaddle"
-
 	"github.com/stoatpaddle/stoatpaddle/stoatflow"
 	"github.com/stoatpaddle/stoatpaddle/stoatpacket"
 	"github.com/stoatpaddle/stoatpaddle/stoattunnel"
