--- a/stoatadmin/admin_test.go
+++ b/stoatadmin/admin_test.go
@@ -55,7 +55,7 @@
 
 func text(c stoatpaddle.Contract) []byte { return []byte(stoatcontract.Format(c, 0)) }
 
-// refusal returns err as a RefusedError and fails the test if it is none.
+// refusal returns err as a RefusedError and fails the test if err is not one.
 func refusal(t *testing.T, err error) *stoatadmin.RefusedError {
 	var r *stoatadmin.RefusedError
 	if !errors.As(err, &r) {
