--- a/stoatprocess/footprint_test.go
+++ b/stoatprocess/footprint_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// maxInitBytes is the limit for what the packages of the entry program allocate before main, bytes. They
+// maxInitBytes is the limit for what the packages of the entry program allocate before main, in bytes. They
 // allocate about 118 kB, and would allocate 568 kB with the actor library and gopacket's layers.
 const maxInitBytes = 180_000
 
--- a/stoatprocess/start_test.go
+++ b/stoatprocess/start_test.go
@@ -131,7 +131,7 @@
 }
 
 // BenchmarkStart measures the processor time from exec to the first forwarded packet. After a power loss, a
-// machine with a tenth of a core serves nobody for ten times as long.
+// machine with a tenth of a core serves nobody for ten times as long as measured here.
 func BenchmarkStart(b *testing.B) {
 	f := newFixture(b)
 	entry, whole, bare := buildProgram(b, "../cmd/stoatpaddle-entry"), buildProgram(b, "../cmd/stoatpaddle"), buildProgram(b, "./testdata/bare")
