--- a/stoatnode/node.go
+++ b/stoatnode/node.go
@@ -151,7 +151,7 @@
 		n.sendHeartbeats()
 	}
 	n.poll()
-	n.stopDeadline(now)
+	n.checkStopDeadline(now)
 }
 
 // publish emits a new view if something changed and the entry has what it needs to serve.
--- a/stoatnode/stop.go
+++ b/stoatnode/stop.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func (n *Node) stopDeadline(now time.Time) {
+func (n *Node) checkStopDeadline(now time.Time) {
 	if !n.stop.requested || n.stop.done || now.Sub(n.stop.startedAt) < n.cfg.StopDeadline {
 		return
 	}
