--- a/stoatnode/catalogue.go
+++ b/stoatnode/catalogue.go
@@ -41,12 +41,12 @@
 	})
 	EventObjectConflict = stoatevent.Register(stoatevent.Definition{
 		Number: 1008, Severity: stoatevent.Error, Since: "0.1",
-		Title: "contract claims what another has",
+		Title: "contract conflicts with another",
 		Text:  "Two contracts were accepted at the same moment and claim the same address, host or upstream. The one that was written first is served and the other is not served at all, so that no packet reaches the service of another customer. Amend or remove the later one.",
 	})
 	EventRevisionDecreased = stoatevent.Register(stoatevent.Definition{
 		Number: 1009, Severity: stoatevent.Error, Since: "0.1",
-		Title: "platform went back",
+		Title: "platform answer is older than the known state",
 		Text:  "The platform returned a lower revision than before: a replica lags, or the platform was restored and reports no era. The configuration in force stays in force. If the platform was restored, write the contracts again, so that their versions exceed the ones in force.",
 	})
 	EventObjectRewritten = stoatevent.Register(stoatevent.Definition{
@@ -61,7 +61,7 @@
 	})
 	EventEvacuationWithdrawn = stoatevent.Register(stoatevent.Definition{
 		Number: 1018, Severity: stoatevent.Info, Since: "0.7",
-		Title: "data centre is taken back",
+		Title: "evacuation of a data centre is withdrawn",
 		Text:  "The evacuation was withdrawn; the upstreams of the data centre get new flows and calls again.",
 	})
 	EventStopStarted = stoatevent.Register(stoatevent.Definition{
@@ -76,7 +76,7 @@
 	})
 	EventStopped = stoatevent.Register(stoatevent.Definition{
 		Number: 1012, Severity: stoatevent.Info, Since: "0.1",
-		Title: "entry ends",
+		Title: "entry exits",
 		Text:  "The planned stop has ended and the process exits.",
 	})
 	EventProcessPaused = stoatevent.Register(stoatevent.Definition{
