--- a/deploy/play.sh
+++ b/deploy/play.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# Plays the sites and days of our own on the users' bench, and prints a line for each.
+# Plays this project's own sites and days on the users' bench, and prints a line for each day.
 #
-#   deploy/play.sh KIT sites [JOBS]        every site in deploy/sites, all its days
-#   deploy/play.sh KIT days SITE [JOBS]    every day in deploy/days, on a site of the kit
-#   deploy/play.sh KIT all                 the sites, and the days on both sites of the kit
+#   deploy/play.sh KIT sites [JOBS]        plays every site in deploy/sites, with all its days
+#   deploy/play.sh KIT days SITE [JOBS]    plays every day in deploy/days, on a site of the kit
+#   deploy/play.sh KIT all                 plays the sites, and the days on both sites of the kit
 #
-# KIT is the folder that holds bin/fleetbench and sites/; BENCH, if set, is another program. Exits 1 if a rule was broken or a
-# day could not be played. The bench writes its journal entries; commit them.
+# KIT is the folder with bin/fleetbench and sites/. BENCH, if set, is the bench program to use instead.
+# The exit code is 1 if a rule was broken or a day could not be played, and 2 for wrong usage.
+# Commit the journal entries that the bench writes.
 set -u
 here=$(cd "$(dirname "$0")" && pwd)
 cd "$here/.."
@@ -23,9 +24,10 @@
 trap 'rm -rf "$work"' EXIT
 failed=0
 
-# show prints the line of each day in a report, and remembers what must not be.
+# show prints the line of each day in a report. If the report has no such line, or names a broken rule or a fault,
+# it sets failed and prints the first of those lines.
 show() {
-	# A site without that kind of trouble cannot play its day.
+	# A day can't be played on a site that doesn't allow its kind of trouble. This is not a failure.
 	if grep -q 'is not open$' "$1"; then
 		grep 'is not open$' "$1"
 		return
@@ -39,7 +41,7 @@
 
 case $what in
 sites)
-	# A site file names the wire's description beside it; the kit's own serves.
+	# A site file refers to wire.json in its own folder, so the kit's copy is put there.
 	wire=$kit/shifted/wire.json
 	[ -f "$wire" ] || wire=$kit/sites/wire.json
 	cp "$wire" deploy/sites/*.toml "$work/"
--- a/deploy/regress.sh
+++ b/deploy/regress.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Plays the regression set on the users' bench and compares each day with the last table taken.
+# Plays the regression set on the users' bench and compares each day with the last accepted table.
 #
 #   deploy/regress.sh KIT [--bench PROGRAM] [--all] [--site PATH]... [--jobs N] [--why TEXT] [--accept]
 #
-# KIT is the folder that holds the users' site files. Without --bench, KIT/bin/fleetbench plays.
-# --all adds the two oldest sites; --site plays just the sites named (PATH: below KIT, without
-# .toml); --accept writes the table anew for the sites played, if all went well. Exits 1 if a rule is broken, a
-# gate fails, a day is missing or its worth fell by more than 0.03, and 2 if the call is wrong.
-# Days that the bench draws afresh count for the rules only.
+# KIT is the folder with the users' site files. --bench names the bench program; the default is
+# KIT/bin/fleetbench. --all adds the two oldest sites. --site plays only the sites named; PATH is relative to KIT
+# and has no .toml suffix. --accept replaces the rows of the sites played in the table, if nothing failed. The
+# exit code is 1 if a rule is broken, a gate fails, a day is missing or its worth fell by more than 0.03, and 2
+# for wrong usage. Days that the bench draws at random for each run are checked against the rules only.
 set -u
 cd "$(dirname "$0")/.."
 table=deploy/regress.tsv
@@ -40,12 +40,12 @@
 trap 'rm -rf "$work"' EXIT
 failed=0
 
-# days prints site, day, worth and share served of each day in a report.
+# days prints the site, day, worth and served share of each day in a report.
 days() {
 	awk -v site="$1" '$2 ~ /^[0-9]+\/[0-9]+$/ && $4 ~ /^[0-9.]+$/ { print site "\t" $1 "\t" $4 "\t" $5 }' "$2"
 }
 
-# broken tells whether a report names a broken rule or a fault, and prints what it says.
+# broken succeeds if a report names a broken rule or a fault, and prints the first of those lines.
 broken() {
 	grep -E '^(CONFIG|FLOW|DRAIN|ROUTE|MIXED|UNASKED|RECOVER|EVAC|HOME|FAILBACK)|BROKEN|breaks|fault:|given up' "$1" | head -5 | grep .
 }
@@ -61,7 +61,7 @@
 	fi
 	days "$site" "$work/$site" >"$work/days"
 	grep -v $'\tfresh-' "$work/days" >>"$work/table"
-	# Days of the last table first: one that is missing now is a failure.
+	# awk reads the accepted table first, so that it can report the days that are missing now.
 	awk -F'\t' -v site="$site" -v most=0.03 '
 		FNR == NR { if ($1 == site) { worth[$2] = $3; served[$2] = $4; left[$2] = 1 }; next }
 		!($2 in worth) { printf "%-12s worth %.3f             served %.3f\n", $2, $3, $4; next }
