--- a/deploy/play.sh
+++ b/deploy/play.sh
@@ -1,12 +1,12 @@
 #!/usr/bin/env bash
-# Plays this project's own sites and days on the users' bench, and prints a line for each day.
+# Runs this project's sites and days (test scenarios) on the provider's bench, and prints a line for each day.
 #
-#   deploy/play.sh KIT sites [JOBS]        plays every site in deploy/sites, with all its days
-#   deploy/play.sh KIT days SITE [JOBS]    plays every day in deploy/days, on a site of the kit
-#   deploy/play.sh KIT all                 plays the sites, and the days on both sites of the kit
+#   deploy/play.sh KIT sites [JOBS]        runs every site in deploy/sites, with all its days
+#   deploy/play.sh KIT days SITE [JOBS]    runs every day in deploy/days, on a site of the kit
+#   deploy/play.sh KIT all                 runs the sites, and the days on both sites of the kit
 #
 # KIT is the folder with bin/fleetbench and sites/. BENCH, if set, is the bench program to use instead.
-# The exit code is 1 if a rule was broken or a day could not be played, and 2 for wrong usage.
+# The exit code is 1 if a rule was broken or a day could not be run, and 2 for wrong usage.
 # Commit the journal entries that the bench writes.
 set -u
 here=$(cd "$(dirname "$0")" && pwd)
@@ -27,7 +27,7 @@
 # show prints the line of each day in a report. If the report has no such line, or names a broken rule or a fault,
 # it sets failed and prints the first of those lines.
 show() {
-	# A day can't be played on a site that doesn't allow its kind of trouble. This is not a failure.
+	# A day can't be run on a site that doesn't allow its kind of trouble. This is not a failure.
 	if grep -q 'is not open$' "$1"; then
 		grep 'is not open$' "$1"
 		return
--- a/deploy/regress.sh
+++ b/deploy/regress.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# Plays the regression set on the users' bench and compares each day with the last accepted table.
+# Runs the regression set on the provider's bench and compares each day with the last accepted table.
 #
 #   deploy/regress.sh KIT [--bench PROGRAM] [--all] [--site PATH]... [--jobs N] [--why TEXT] [--accept]
 #
-# KIT is the folder with the users' site files. --bench names the bench program; the default is
-# KIT/bin/fleetbench. --all adds the two oldest sites. --site plays only the sites named; PATH is relative to KIT
-# and has no .toml suffix. --accept replaces the rows of the sites played in the table, if nothing failed. The
+# KIT is the folder with the provider's site files. --bench names the bench program; the default is
+# KIT/bin/fleetbench. --all adds the two oldest sites. --site runs only the sites named; PATH is relative to KIT
+# and has no .toml suffix. --accept replaces the rows of the sites run in the table, if nothing failed. The
 # exit code is 1 if a rule is broken, a gate fails, a day is missing or its worth fell by more than 0.03, and 2
 # for wrong usage. Days that the bench draws at random for each run are checked against the rules only.
 set -u
--- a/deploy/regress_test.go
+++ b/deploy/regress_test.go
@@ -45,7 +45,7 @@
 	return string(b), err == nil, string(after)
 }
 
-// A change of the code lowers the worth of a day, breaks a rule, or keeps a day from being played. The exit code
+// A change of the code lowers the worth of a day, breaks a rule, or keeps a day from being run. The exit code
 // alone must show it, because nobody reads forty lines of output after each run.
 func TestRegress(t *testing.T) {
 	const table = "one\tquiet-1\t0.934\t0.999\none\ttrouble-1\t0.917\t0.988\n"
